--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/explain/test_explain.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/explain/test_explain.py
@@ -7,7 +7,7 @@
 
 from fuchsiagap.core.quarantine.fingerprint import fingerprint
 from fuchsiagap.core.quarantine.quarantine import Held
-from fuchsiagap.core.retries.shares import SharedBudget
+from fuchsiagap.core.retries.backend_budget import ServiceRetryLimits
 from fuchsiagap_ctl.exit_codes import ExitCode
 from fuchsiagap_ctl.explain.lines import read_lines
 from fuchsiagap_ctl.explain.story import tell
@@ -17,7 +17,7 @@
 from fuchsiagap_standins.mesh.virtual import run_on_loopback
 
 GUILTY = (b"GET", "api.example", b"/read/1", (), b"")
-NO_REPEATS = SharedBudget(0.0, 0.0, 10_000.0)
+NO_REPEATS = ServiceRetryLimits(0.0, 0.0, 10_000.0)
 
 
 def lines_of(behaviour, route, act):
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/dispatch.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/dispatch.py
@@ -103,7 +103,7 @@
     repeat = head.idempotent and is_repeat(head.parent_id)
     if repeat and not ledger.take():
         return _cannot_pay(head)
-    state.budget.earn(head.service)
+    state.budget.record_call(head.service)
     outcome, unsure = await _attempts(state, head, body, instance, ledger, repeat)
     if unsure and isinstance(outcome, Refused):
         # True of the last attempt, but an earlier one may have run.
@@ -186,7 +186,7 @@
         return Denial.LEVEL
     route = state.book.route_for(head.service, head.method, head.target)
     ratio = route.retry_budget if route is not None else None
-    if not state.budget.spend(head.service, ratio):
+    if not state.budget.try_spend(head.service, ratio):
         return Denial.BUDGET
     ledger.take()
     return None
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/admission.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/admission.py
@@ -4,19 +4,19 @@
 
 from typing import TYPE_CHECKING
 
-from fuchsiagap.core.pressure.evenly import EvenShares
-from fuchsiagap.core.pressure.kept import deepest_cut, kept_share, share_of
-from fuchsiagap.core.pressure.level import RefusalLevel
-from fuchsiagap.core.pressure.order import RefusalOrder
+from fuchsiagap.core.shedding.allocation import guaranteed_share, max_cut, share_of_step
+from fuchsiagap.core.shedding.controller import SheddingController
+from fuchsiagap.core.shedding.fair_admission import FairAdmission
+from fuchsiagap.core.shedding.order import SheddingOrder
 
 if TYPE_CHECKING:
     import random
     from collections.abc import Iterator
 
     from fuchsiagap.core.clock import Clock, Milliseconds
-    from fuchsiagap.core.pressure.evenly import CallerTurn
-    from fuchsiagap.core.pressure.served import ServedShares
     from fuchsiagap.core.routes.model import Route
+    from fuchsiagap.core.shedding.fair_admission import CallerCredit
+    from fuchsiagap.core.shedding.served import ServedShares
     from fuchsiagap_node.core.mesh.pressures import Pressures
     from fuchsiagap_node.core.mesh.telling import Teller
 
@@ -61,10 +61,10 @@
         self._clock = clock
         self._rng = rng
         self._tell = teller
-        self._levels: dict[tuple[str, str], RefusalLevel] = {}
-        self._order = RefusalOrder()
+        self._levels: dict[tuple[str, str], SheddingController] = {}
+        self._order = SheddingOrder()
         self._stepped_at = clock.now()
-        self._even = EvenShares(rng)
+        self._even = FairAdmission(rng)
         self._shares: dict[tuple[str, str], float] = {}
         # Names of routes by the kinds of their requests.
         self._routes: dict[str, str] = {}
@@ -75,22 +75,22 @@
         elapsed, self._stepped_at = now - self._stepped_at, now
         self._order.forget(now)
         self._learn_calls()
-        steps = self._order.steps_from_worst()
+        steps = self._order.step_by_kind()
         kinds = self._order.loads(now)
-        kept = kept_share(self._served.whole(now))
-        worst = deepest_cut(0, kinds, kept)
+        kept = guaranteed_share(self._served.overall_share(now))
+        worst = max_cut(0, kinds, kept)
         for (service, kind), level in self._levels.items():
             was_open = level.cut == 0.0
             fullness = self._pressures.of(service, self._routes[kind])
             step = steps.get(kind)
-            most = deepest_cut(step or 0, kinds, kept)
+            most = max_cut(step or 0, kinds, kept)
             level.step(fullness, min(elapsed, 5 * STEP_MS), worst, most)
             if step is None:
                 # Asked for too seldom to have a place among the kinds, or to matter.
                 self._shares[service, kind] = 1.0
             else:
-                room = level.room(is_worst=step == 0)
-                self._shares[service, kind] = share_of(step, room, kinds, kept)
+                room = level.load_share(is_worst=step == 0)
+                self._shares[service, kind] = share_of_step(step, room, kinds, kept)
             if was_open != (level.cut == 0.0):
                 self._tell.event(
                     "admission-changed",
@@ -107,16 +107,16 @@
             calls = self._pressures.calls(service, self._routes[kind])
             most[kind] = max(most.get(kind, 0.0), calls)
         for kind, calls in most.items():
-            self._order.note_calls(kind, calls)
+            self._order.record_calls(kind, calls)
 
     def admitted_share(self, service: str, route: Route) -> float:
         """Return the share of a route's requests that is let in now."""
         asked = service, route.kind
         if asked not in self._levels:
             self._routes[route.kind] = route.name
-            self._levels[asked] = RefusalLevel()
+            self._levels[asked] = SheddingController()
             self._shares[asked] = 1.0
-        self._order.note_request(route, self._clock.now())
+        self._order.record_request(route, self._clock.now())
         return self._shares[asked]
 
     def shares(self) -> Iterator[tuple[str, str, float]]:
@@ -128,7 +128,7 @@
         """Return the name of the route of a kind that was asked for."""
         return self._routes[kind]
 
-    def admits(self, route: Route, share: float, turn: CallerTurn) -> bool:
+    def admits(self, route: Route, share: float, turn: CallerCredit) -> bool:
         """Return whether one request is let in.
 
         Whether a caller comes back after a refusal makes no difference: nothing in a
@@ -140,7 +140,7 @@
             Its route.
         share : float
             Admitted share of its rank.
-        turn : CallerTurn
+        turn : CallerCredit
             What its caller is owed.
         """
         return self._even.admits(route.kind, share, turn)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/callers.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/callers.py
@@ -8,8 +8,8 @@
 import trio
 
 from fuchsiagap.core.clock import MS_PER_S
-from fuchsiagap.core.pressure.evenly import CallerTurn
 from fuchsiagap.core.routes.model import CallerLimits
+from fuchsiagap.core.shedding.fair_admission import CallerCredit
 from fuchsiagap_node.core.mesh.final import RETRY_AFTER_MS, Final
 from fuchsiagap_node.core.mesh.http_request import BadRequest, RequestReader
 from fuchsiagap_node.core.mesh.stream import BrokenStream
@@ -169,7 +169,7 @@
         return req._replace(wait=max(req.wait - self._suspended, 0.0))
 
     def begin(
-        self, req: Request, done: OnFinal, turn: CallerTurn
+        self, req: Request, done: OnFinal, turn: CallerCredit
     ) -> Cancellable | None:
         """Begin to answer a request; a fault in it is answered, too."""
         req = self._age_unread(req)
@@ -214,7 +214,7 @@
         self._reader = edge.reader()
         self._heard_at = edge.now()
         self._open: deque[_Exchange] = deque()
-        self._turn = CallerTurn()
+        self._turn = CallerCredit()
         self._rest = b""
         self._is_paused = False
         self._ended = False
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/door.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/door.py
@@ -4,12 +4,12 @@
 
 from typing import TYPE_CHECKING
 
-from fuchsiagap.core.door.health import ServerHealth
-from fuchsiagap.core.door.incarnation import BackendState, Incarnation
-from fuchsiagap.core.door.lost import LostTrees
-from fuchsiagap.core.door.offered import OfferedLoad
-from fuchsiagap.core.door.queue import DoorQueue
-from fuchsiagap.core.door.turns import RankTurns
+from fuchsiagap.core.backend_queue.health import ServerHealth
+from fuchsiagap.core.backend_queue.incarnation import BackendState, IncarnationTracker
+from fuchsiagap.core.backend_queue.offered_load import OfferedLoad
+from fuchsiagap.core.backend_queue.queue_timeouts import QueueTimeouts
+from fuchsiagap.core.backend_queue.rank_stats import RankStats
+from fuchsiagap.core.backend_queue.ranked_queue import RankedQueue
 from fuchsiagap_node.core.mesh.backend_conns import LEAST_LEFT_MS, BackendConns
 from fuchsiagap_node.core.mesh.crash_reports import CrashReports
 from fuchsiagap_node.core.mesh.outcome import (
@@ -33,8 +33,8 @@
     import random
     from collections.abc import Callable
 
+    from fuchsiagap.core.backend_queue.incarnation import BackendReport
     from fuchsiagap.core.clock import Clock, Milliseconds
-    from fuchsiagap.core.door.incarnation import BackendReport
     from fuchsiagap_node.core.mesh.job import Job
     from fuchsiagap_node.core.mesh.poller import Poller
     from fuchsiagap_node.core.mesh.settings import MeshSettings
@@ -74,7 +74,7 @@
         What it lets through of what was handed to a server before.
     leaving : bool
         Whether this node is being stopped and takes nothing new.
-    turns : RankTurns
+    turns : RankStats
         What each rank got.
     changed : callable
         Called when what the door says of its server changes at once.
@@ -95,11 +95,11 @@
         self.repeats = PaidRepeats(cfg.budget, clock, teller, rng)
         self._clock = clock
         self._tell = teller
-        self._queue: DoorQueue[Job] = DoorQueue(1)
+        self._queue: RankedQueue[Job] = RankedQueue(1)
         self._offered = OfferedLoad()
-        self.turns = RankTurns()
-        self._lost = LostTrees()
-        self._incarnation = Incarnation()
+        self.rank_stats = RankStats()
+        self._lost = QueueTimeouts()
+        self._incarnation = IncarnationTracker()
         self._conns = BackendConns(cfg, clock, teller, self._settle, poller)
         self._at_server: dict[Job, None] = {}
         self._by_id: dict[str, Job] = {}
@@ -161,9 +161,9 @@
         return self._health.failing(self._clock.now())
 
     @property
-    def beat_age(self) -> Milliseconds:
+    def heartbeat_age(self) -> Milliseconds:
         """Milliseconds since the server was last heard of, or since the start."""
-        return self._health.beat_age(self._clock.now())
+        return self._health.heartbeat_age(self._clock.now())
 
     def offered(self) -> float:
         """Return how many places the requests that arrive would fill."""
@@ -173,7 +173,7 @@
         places = self._offered.places(
             self._clock.now(), queue.service_ms, queue.waiting
         )
-        return places * self._lost.strain(self._clock.now())
+        return places * self._lost.load_factor(self._clock.now())
 
     def is_warming(self) -> bool:
         """Whether the backend server is in its warm-up."""
@@ -196,7 +196,7 @@
     def take_report(self, report: BackendReport) -> None:
         """Take in what the backend server says of itself."""
         old = self._incarnation.report
-        if not self._incarnation.take(report):
+        if not self._incarnation.update(report):
             self._tell.event("report-ignored", instance=report.instance)
             return
         self._follow(report)
@@ -232,7 +232,7 @@
     def _follow(self, report: BackendReport) -> None:
         """Go by a report of the server."""
         now = self._clock.now()
-        self._health.note_beat(now)
+        self._health.record_heartbeat(now)
         if report.state is not BackendState.GONE:
             self._queue.limit = max(report.slots, 1)
             self._warm_at = now + report.warm_up
@@ -269,7 +269,7 @@
         """Give up what is late, and notice that the server has come or gone."""
         now = self._clock.now()
         self._expire(now)
-        if not self._health.is_heard(now, self._cfg.bounds.heartbeat):
+        if not self._health.is_alive(now, self._cfg.bounds.heartbeat):
             self._crashes.record_heartbeat_timeout()
         usable = self.instance()
         if usable != self._usable:
@@ -287,11 +287,11 @@
             job.reply(NotRun(NO_BUDGET))
             return
         now = self._clock.now()
-        self._offered.note_arrival(now)
-        self.turns.note_arrival(call.rank, now)
+        self._offered.record_arrival(now)
+        self.rank_stats.record_arrival(call.rank, now)
         if call.is_call:
-            self._lost.note_arrival(call.rank, now)
-        if self._queue.has_place():
+            self._lost.record_arrival(call.rank, now)
+        if self._queue.has_free_slot():
             self._start(job)
             return
         if self._queue.is_full() and not self._make_room(call.rank):
@@ -303,7 +303,7 @@
         )
 
     def _make_room(self, rank: int) -> bool:
-        worst = self._queue.make_room(rank)
+        worst = self._queue.evict_for(rank)
         if worst is None:
             return False
         worst.job.reply(NotRun(QUEUE_FULL))
@@ -339,7 +339,7 @@
             job.reply(NotRun(QUARANTINED))
             return
         self._queue.running += 1
-        self.turns.note_start(job.call.rank, now)
+        self.rank_stats.record_start(job.call.rank, now)
         self._at_server[job] = None
         self._by_id[job.call.request_id] = job
         job.started = now
@@ -367,7 +367,7 @@
     def _note_lost(self, job: Job) -> None:
         """Count a call of a tree that had no place before its time had passed."""
         if job.call.is_call:
-            self._lost.note_lost(job.call.rank, self._clock.now())
+            self._lost.record_timeout(job.call.rank, self._clock.now())
 
     def _expire(self, now: Milliseconds) -> None:
         """Give up calls whose time has passed, and connections long idle."""
@@ -384,7 +384,7 @@
 
     def _unreachable(self, cause: BrokenStream) -> None:
         """Leave a server alone that took no connection."""
-        self._health.note_unreachable(self._clock.now())
+        self._health.record_unreachable(self._clock.now())
         self._tell.event("backend-unreachable", cause=str(cause))
         self._crashes.record_unreachable(cause)
         self.changed()
@@ -403,7 +403,7 @@
         now = self._clock.now()
         match outcome:
             case Answered(status):
-                self._health.note_answer(now)
+                self._health.record_answer(now)
                 self.reports.record_answer(job.call.fingerprint)
                 if status < 500:
                     self.repeats.note_answered(job.call.route, job.calls)
@@ -423,7 +423,7 @@
             self._n_timed += 1
             weight = max(_TYPICAL_WEIGHT, 1.0 / self._n_timed)
             self._typical_ms += (took - self._typical_ms) * weight
-        self._health.note_outcome(failed, now)
+        self._health.record_outcome(failed, now)
 
 
 def _nothing() -> None:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/entry.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/entry.py
@@ -13,9 +13,9 @@
     from collections.abc import Callable
 
     from fuchsiagap.core.clock import Milliseconds
-    from fuchsiagap.core.pressure.evenly import CallerTurn
     from fuchsiagap.core.routes.model import Route
     from fuchsiagap.core.routes.table import RouteTable, ShareRotation
+    from fuchsiagap.core.shedding.fair_admission import CallerCredit
     from fuchsiagap.core.workspaces.model import Workspace
     from fuchsiagap_node.core.mesh.admission import Admission
     from fuchsiagap_node.core.mesh.http_request import Request
@@ -87,7 +87,7 @@
         self.parent_of: Callable[[str], Job | None] = _no_parent
 
     def begin(
-        self, req: Request, done: OnFinal, turn: CallerTurn
+        self, req: Request, done: OnFinal, turn: CallerCredit
     ) -> Cancellable | None:
         """Refuse a request or begin to place it.
 
@@ -98,7 +98,7 @@
         done : callable
             Told the final answer, once, now or later: the backend server's, or a
             truthful word that there is none.
-        turn : CallerTurn
+        turn : CallerCredit
             What its caller is owed.
 
         Returns
@@ -135,7 +135,7 @@
         req: Request,
         route: Route,
         done: OnFinal,
-        turn: CallerTurn,
+        turn: CallerCredit,
         workspace: Workspace | None = None,
         waited: Milliseconds = 0.0,
     ) -> Placement | None:
@@ -197,7 +197,7 @@
         return self._placing.clock.now()
 
     def _refusal(
-        self, req: Request, route: Route, service: str, turn: CallerTurn
+        self, req: Request, route: Route, service: str, turn: CallerCredit
     ) -> Final | None:
         """Return the refusal of a new request for which there is no room."""
         if self.stopping:
@@ -205,7 +205,7 @@
         share = self._admission.admitted_share(service, route)
         if self._admission.admits(route, share, turn):
             return None
-        self._placing.served.note_refused(route.name, self._placing.clock.now())
+        self._placing.served.record_refused(route.name, self._placing.clock.now())
         retry_after = self._admission.retry_after(route)
         self._tell.answered(route.name, "refused", 0.0)
         self._tell.counts["refused_at_entry", f"rank-{route.priority}"] += 1
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/gauges.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/gauges.py
@@ -40,7 +40,7 @@
 def door_gauges(door: Door) -> Iterator[Gauge]:
     """Yield what the node believes of its own backend server."""
     yield Gauge("backend_ready", "", float(bool(door.instance())))
-    yield Gauge("backend_beat_age_ms", "", round(door.beat_age))
+    yield Gauge("backend_beat_age_ms", "", round(door.heartbeat_age))
     yield Gauge("backend_places", "", door.limit)
     yield Gauge("backend_running", "", door.running)
     yield Gauge("backend_waiting", "", door.load - door.running)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/job.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/job.py
@@ -10,8 +10,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from fuchsiagap.core.backend_queue.ranked_queue import QueueItem
     from fuchsiagap.core.clock import Milliseconds
-    from fuchsiagap.core.door.queue import Waiting
     from fuchsiagap_node.core.mesh.backend_conn import BackendConn
     from fuchsiagap_node.core.mesh.messages import Call
     from fuchsiagap_node.core.mesh.outcome import Outcome
@@ -31,7 +31,7 @@
         Local time until which the answer at the root of its tree is in time.
     reply : callable
         Told the outcome, once.
-    waiting : Waiting or None
+    waiting : QueueItem or None
         Its place in the queue.
     conn : BackendConn or None
         The connection that carries it, or is being opened for it.
@@ -49,7 +49,7 @@
     deadline: Milliseconds
     due: Milliseconds
     reply: Callable[[Outcome], None]
-    waiting: Waiting[Job] | None = None
+    waiting: QueueItem[Job] | None = None
     conn: BackendConn | None = None
     started: Milliseconds = 0.0
     calls: int = 0
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/keyed_request.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/keyed_request.py
@@ -8,8 +8,8 @@
 from fuchsiagap_node.core.mesh.quotas import Verdict
 
 if TYPE_CHECKING:
-    from fuchsiagap.core.pressure.evenly import CallerTurn
     from fuchsiagap.core.routes.model import Route
+    from fuchsiagap.core.shedding.fair_admission import CallerCredit
     from fuchsiagap.core.workspaces.model import Workspace
     from fuchsiagap_node.core.mesh.entry import Entry
     from fuchsiagap_node.core.mesh.final import Final
@@ -33,7 +33,7 @@
         Its route, with the priority of the workspace.
     done : callable
         Told the final answer, once.
-    turn : CallerTurn
+    turn : CallerCredit
         What its caller is owed.
     """
 
@@ -57,7 +57,7 @@
         req: Request,
         route: Route,
         done: OnFinal,
-        turn: CallerTurn,
+        turn: CallerCredit,
     ) -> None:
         self._entry = entry
         self.workspace = workspace
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/load_line.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/load_line.py
@@ -6,7 +6,7 @@
 
 if TYPE_CHECKING:
     from fuchsiagap.core.clock import Milliseconds
-    from fuchsiagap.core.pressure.served import ServedShares
+    from fuchsiagap.core.shedding.served import ServedShares
     from fuchsiagap_node.core.mesh.admission import Admission
     from fuchsiagap_node.core.mesh.door import Door
     from fuchsiagap_node.core.mesh.pressures import Pressures
@@ -49,8 +49,8 @@
         for route, kind in served.all(now)
     }
     ranks = {
-        rank: (round(turns.came), round(turns.marked))
-        for rank, turns in door.turns.all(now)
+        rank: (round(turns.arrivals), round(turns.matched))
+        for rank, turns in door.rank_stats.all(now)
     }
     return {
         "running": door.running,
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/messages.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/messages.py
@@ -110,7 +110,7 @@
     again : bool
         Whether it itself was, so that the door has to pay for it.
     lot : int
-        What its tree has drawn; see `fuchsiagap.core.retries.shares`.
+        What its tree has drawn; see `fuchsiagap.core.retries.backend_budget`.
     idempotent : bool
         Whether it may be cancelled and repeated.
     request_id : str
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/node.py
@@ -13,8 +13,8 @@
 
 import trio
 
+from fuchsiagap.core.backend_queue.incarnation import BackendReport, BackendState
 from fuchsiagap.core.clock import MS_PER_S, trio_clock
-from fuchsiagap.core.door.incarnation import BackendReport, BackendState
 from fuchsiagap.core.routes.table import RouteTable, ShareRotation
 from fuchsiagap_node.core.mesh import poller
 from fuchsiagap_node.core.mesh.admission import STEP_MS, Admission
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/paid_repeats.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/paid_repeats.py
@@ -4,14 +4,14 @@
 
 from typing import TYPE_CHECKING
 
-from fuchsiagap.core.retries.shares import DoorBudget, Repeat
+from fuchsiagap.core.retries.backend_budget import BackendRetryBudget, RetryRequest
 
 if TYPE_CHECKING:
     import random
     from collections.abc import Callable
 
     from fuchsiagap.core.clock import Clock
-    from fuchsiagap.core.retries.shares import SharedBudget
+    from fuchsiagap.core.retries.backend_budget import ServiceRetryLimits
     from fuchsiagap_node.core.mesh.messages import Call
     from fuchsiagap_node.core.mesh.telling import Teller
 
@@ -24,7 +24,7 @@
 
     Parameters
     ----------
-    cfg : SharedBudget
+    cfg : ServiceRetryLimits
         Bounds of all doors of the service together.
     clock : Clock
         Time in milliseconds.
@@ -40,14 +40,14 @@
     """
 
     def __init__(
-        self, cfg: SharedBudget, clock: Clock, teller: Teller, rng: random.Random
+        self, cfg: ServiceRetryLimits, clock: Clock, teller: Teller, rng: random.Random
     ) -> None:
-        self._budget = DoorBudget(cfg, clock, rng)
+        self._budget = BackendRetryBudget(cfg, clock, rng)
         self._tell = teller
         self._calls: dict[str, float] = {}
         self.n_doors: Callable[[], int] = _one
 
-    def adopt(self, cfg: SharedBudget) -> None:
+    def adopt(self, cfg: ServiceRetryLimits) -> None:
         """Go on under changed bounds."""
         self._budget.adopt(cfg)
 
@@ -63,13 +63,13 @@
         """
         if not call.again:
             if call.repeated:
-                self._budget.note_inherited()
+                self._budget.record_inherited_retry()
             else:
-                self._budget.note_first(call.rank)
+                self._budget.record_first_attempt(call.rank)
             return True
         calls = self._calls.get(call.route, 0.0)
-        repeat = Repeat(call.rank, call.lot, call.is_call, calls)
-        is_paid = self._budget.pay(repeat, self.n_doors(), failing)
+        repeat = RetryRequest(call.rank, call.lot, call.is_call, calls)
+        is_paid = self._budget.try_spend(repeat, self.n_doors(), failing)
         labels = f'rank="{call.rank}",paid="{str(is_paid).lower()}"'
         self._tell.counts["repeats", labels] += 1
         return is_paid
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/placement.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/placement.py
@@ -416,7 +416,7 @@
         self._tell_parent(failed and self._has_reached_a_server())
         now = self._placing.clock.now()
         if self._parent is None and not self._is_quarantined:
-            self._placing.served.note_end(self._route.name, final.status < 500, now)
+            self._placing.served.record_end(self._route.name, final.status < 500, now)
         took = now - self._started
         self._placing.tell.answered(self._route.name, str(final.status), took)
         self._done(final)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/placing.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/placing.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING, Protocol
 
 from fuchsiagap.core.placement.choice import choose, remote_penalty
-from fuchsiagap.core.pressure.served import ServedShares
-from fuchsiagap.core.retries.shares import N_LOTS
+from fuchsiagap.core.retries.backend_budget import N_LOTS
+from fuchsiagap.core.shedding.served import ServedShares
 
 if TYPE_CHECKING:
     import random
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/pressures.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/pressures.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from fuchsiagap.core.placement.choice import service_failing, service_fullness
+from fuchsiagap.core.placement.choice import service_failure_load, service_fullness
 from fuchsiagap_node.core.mesh.messages import NO_CALLS
 
 if TYPE_CHECKING:
@@ -131,7 +131,7 @@
         return computed.value
 
     def _met(self, service: str, route: str) -> float:
-        failing = service_failing(self._peers.targets(service))
+        failing = service_failure_load(self._peers.targets(service))
         return self.of(service, route) + failing
 
     @staticmethod
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/sending.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/sending.py
@@ -196,14 +196,14 @@
             return
         if not self._pending:
             self._busy_since = self._clock.now()
-        self.target.mine += 1
+        self.target.own_in_flight += 1
         self._pending[call.call_id] = reply
         self._link.post(call, call.call_id)
 
     def cancel(self, call_id: int) -> None:
         """Say that a call is no longer wanted."""
         if self._pending.pop(call_id, None) is not None:
-            self.target.mine -= 1
+            self.target.own_in_flight -= 1
             if self._link is not None:
                 self._link.withdraw(call_id)
 
@@ -305,13 +305,13 @@
         self._tell.event("link-up", to=hello.node, incarnation=hello.incarnation)
 
     def _take_reply(self, reply: Reply) -> None:
-        self.target.others = max(reply.load - self.target.mine, 0)
+        self.target.others = max(reply.load - self.target.own_in_flight, 0)
         self.target.offered = reply.offered
         on_outcome = self._pending.pop(reply.call_id, None)
         if on_outcome is None:
             self._tell.counts["late_replies", ""] += 1
             return
-        self.target.mine -= 1
+        self.target.own_in_flight -= 1
         on_outcome(reply.outcome, reply.below)
 
     def _take_status(self, status: Status) -> None:
@@ -319,7 +319,7 @@
         target.instance = status.instance
         target.usable = bool(status.instance)
         target.limit = status.limit
-        target.others = max(status.load - target.mine, 0)
+        target.others = max(status.load - target.own_in_flight, 0)
         target.offered = status.offered
         target.failing = status.failing
         target.warming = status.warming
@@ -338,7 +338,7 @@
         self.target.instance = ""
         unsent = link.unsent()
         pending, self._pending = self._pending, {}
-        self.target.mine = 0
+        self.target.own_in_flight = 0
         for call_id, reply in pending.items():
             lost = NotRun(LINK_LOST) if call_id in unsent else MayHaveRun(LINK_LOST)
             reply(lost, _NOTHING_KNOWN)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/server_crashes.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/server_crashes.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from fuchsiagap.core.door.incarnation import BackendState
+from fuchsiagap.core.backend_queue.incarnation import BackendState
 from fuchsiagap.core.quarantine.crash_watch import CrashWatch
 from fuchsiagap_node.core.mesh.outcome import OTHER_INCARNATION, Answered, NotRun
 from fuchsiagap_node.core.mesh.stream import RefusedStream, SilentStream
@@ -12,8 +12,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from fuchsiagap.core.backend_queue.incarnation import BackendReport
     from fuchsiagap.core.clock import Clock
-    from fuchsiagap.core.door.incarnation import BackendReport
     from fuchsiagap_node.core.mesh.job import Job
     from fuchsiagap_node.core.mesh.outcome import Outcome
     from fuchsiagap_node.core.mesh.stream import BrokenStream
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/settings.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/settings.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from fuchsiagap.core.quarantine.quarantine import QuarantineSettings
-from fuchsiagap.core.retries.shares import SharedBudget
+from fuchsiagap.core.retries.backend_budget import ServiceRetryLimits
 from fuchsiagap_node.core.mesh.http_names import HeaderNames
 
 if TYPE_CHECKING:
@@ -83,7 +83,7 @@
         ``IP:PORT`` of the platform's store.
     bounds : Bounds
         Times.
-    budget : SharedBudget
+    budget : ServiceRetryLimits
         Repeats that all nodes together may send.
     quarantine : QuarantineSettings
         Bounds on what is remembered of requests that crash servers.
@@ -103,8 +103,8 @@
     addresses: Addresses
     store: str
     bounds: Bounds = Bounds()
-    budget: SharedBudget = field(
-        default_factory=lambda: SharedBudget(0.2, 48.0, 10_000.0)
+    budget: ServiceRetryLimits = field(
+        default_factory=lambda: ServiceRetryLimits(0.2, 48.0, 10_000.0)
     )
     quarantine: QuarantineSettings = field(default_factory=QuarantineSettings)
     names: HeaderNames = field(default_factory=HeaderNames)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/a_service.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/a_service.py
@@ -4,8 +4,8 @@
 
 from fuchsiagap.core.clock import Clock
 from fuchsiagap.core.placement.choice import Target
-from fuchsiagap.core.pressure.evenly import CallerTurn
-from fuchsiagap.core.pressure.served import ServedShares
+from fuchsiagap.core.shedding.fair_admission import CallerCredit
+from fuchsiagap.core.shedding.served import ServedShares
 from fuchsiagap_node.core.mesh.admission import STEP_MS, Admission
 from fuchsiagap_node.core.mesh.messages import Below
 from fuchsiagap_node.core.mesh.peers import Peers
@@ -49,7 +49,7 @@
         self.admission = Admission(
             self._chain[-1], self.served, clock, random.Random(1), Teller("n", clock)
         )
-        self._turn = CallerTurn()
+        self._turn = CallerCredit()
 
     def step(self, offered):
         """Let a tenth of a second pass at a load of each server."""
@@ -71,9 +71,9 @@
         admits = [self.admission.admits(route, share, turn) for _ in range(n_requests)]
         for admitted in admits:
             if admitted:
-                self.served.note_end(route.name, True, self.now)
+                self.served.record_end(route.name, True, self.now)
             else:
-                self.served.note_refused(route.name, self.now)
+                self.served.record_refused(route.name, self.now)
         return sum(admits)
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_door.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_door.py
@@ -3,7 +3,7 @@
 import trio
 from testtools import TestCase
 
-from fuchsiagap.core.door.incarnation import BackendReport, BackendState
+from fuchsiagap.core.backend_queue.incarnation import BackendReport, BackendState
 from fuchsiagap_node.core.mesh.job import Job
 from fuchsiagap_node.core.mesh.messages import Call
 from fuchsiagap_node.core.mesh.outcome import EXPIRED, MayHaveRun
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_node.py
@@ -6,8 +6,8 @@
 import trio
 from testtools import TestCase
 
-from fuchsiagap.core.door.incarnation import BackendState
-from fuchsiagap.core.retries.shares import SharedBudget
+from fuchsiagap.core.backend_queue.incarnation import BackendState
+from fuchsiagap.core.retries.backend_budget import ServiceRetryLimits
 from fuchsiagap_node.core.mesh.node import Node
 from fuchsiagap_node.core.mesh.settings import Bounds
 from fuchsiagap_standins.mesh.backend_server import Behaviour
@@ -125,7 +125,7 @@
                 found[0] = "grace: 'six' where a time was expected"
                 node.check_settings()
                 unchanged = node.cfg
-                budget = SharedBudget(0.1, 5.0, 1_000.0)
+                budget = ServiceRetryLimits(0.1, 5.0, 1_000.0)
                 found[0] = replace(
                     cfg, bounds=Bounds(stop=9_000.0), budget=budget, node="other"
                 )
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_path.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_path.py
@@ -6,8 +6,8 @@
 import trio
 from testtools import TestCase
 
-from fuchsiagap.core.door.incarnation import BackendState
-from fuchsiagap.core.retries.shares import SharedBudget
+from fuchsiagap.core.backend_queue.incarnation import BackendState
+from fuchsiagap.core.retries.backend_budget import ServiceRetryLimits
 from fuchsiagap_node.core.mesh.stream import dial
 from fuchsiagap_standins.mesh.backend_server import Behaviour, Manner
 from fuchsiagap_standins.mesh.deployment import (
@@ -20,7 +20,7 @@
 
 READ = a_route("read")
 WRITE = a_route("write", idempotent=False)
-AMPLE = SharedBudget(1.0, 100.0, 10_000.0)
+AMPLE = ServiceRetryLimits(1.0, 100.0, 10_000.0)
 
 
 class TestPath(TestCase):
@@ -144,7 +144,7 @@
     def test_repeats_stop_with_the_budget(self):
         async def main():
             async with a_deployment(READ) as deployment:
-                budget = SharedBudget(0.0, 0.0, 10_000.0)
+                budget = ServiceRetryLimits(0.0, 0.0, 10_000.0)
                 hosts = [deployment.add("certs", budget=budget) for _ in range(2)]
                 for host in hosts:
                     host.server.behave = lambda _: Behaviour(Manner.CUT)
@@ -296,7 +296,7 @@
         # that fails: trees of eight calls come through only if each call does.
         async def main():
             async with a_deployment(a_route("read", max_attempts=2)) as deployment:
-                budget = SharedBudget(5.0, 1_000.0, 10_000.0)
+                budget = ServiceRetryLimits(5.0, 1_000.0, 10_000.0)
                 caller = deployment.add("bookings")
                 hosts = [deployment.add("certs", budget=budget) for _ in range(3)]
                 refused = {}
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/routing_load.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/routing_load.py
@@ -184,14 +184,14 @@
         self._send(call)
         hedge_after = self.cfg.hedge_after_ms
         if hedge_after is not None:
-            self._hedges.earn(SERVICE)
+            self._hedges.record_call(SERVICE)
             self.at(self.now + hedge_after, lambda: self._hedge(call))
         self.at(self.now + self.cfg.timeout_ms, lambda: self._give_up(call))
         gap = self.rng.expovariate(self.cfg.rate_per_s(self.now)) * 1000.0
         self.at(self.now + gap, self._arrive)
 
     def _hedge(self, call: SimCall) -> None:
-        if not call.is_over and self._hedges.spend(SERVICE):
+        if not call.is_over and self._hedges.try_spend(SERVICE):
             self._send(call)
 
     def _send(self, call: SimCall) -> None:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/deployment.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/deployment.py
@@ -12,7 +12,7 @@
 
 import trio
 
-from fuchsiagap.core.door.incarnation import BackendReport, BackendState
+from fuchsiagap.core.backend_queue.incarnation import BackendReport, BackendState
 from fuchsiagap.core.routes.model import CallerLimits, Route, RouteConfig, Share
 from fuchsiagap.core.workspaces.keys import key_digest
 from fuchsiagap.core.workspaces.model import Workspace
@@ -29,7 +29,7 @@
     from collections.abc import AsyncIterator, Callable, Mapping, Sequence
 
     from fuchsiagap.core.clock import Clock, Milliseconds
-    from fuchsiagap.core.retries.shares import SharedBudget
+    from fuchsiagap.core.retries.backend_budget import ServiceRetryLimits
     from fuchsiagap_node.core.mesh.http_request import Request
     from fuchsiagap_node.core.mesh.stream import Stream
 
@@ -208,7 +208,7 @@
         self,
         service: str = "certs",
         data_centre: str = "hall-a",
-        budget: SharedBudget | None = None,
+        budget: ServiceRetryLimits | None = None,
         slots: int = 8,
         names: HeaderNames = _STANDARD_NAMES,
         clock: Clock | None = None,
--- a/packages/fuchsiagap/src/fuchsiagap/core/door/health.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/health.py
@@ -38,20 +38,20 @@
         self._beat_at = now
         self._answered_at = float("-inf")
 
-    def note_beat(self, now: Milliseconds) -> None:
+    def record_heartbeat(self, now: Milliseconds) -> None:
         """Take in that the server was heard of."""
         self._beat_at = now
         self._down_until = 0.0
 
-    def note_answer(self, now: Milliseconds) -> None:
+    def record_answer(self, now: Milliseconds) -> None:
         """Take in that the server answered a request, however."""
         self._answered_at = now
 
-    def note_unreachable(self, now: Milliseconds) -> None:
+    def record_unreachable(self, now: Milliseconds) -> None:
         """Take in that the server took no connection."""
         self._down_until = now + _DOWN_MS
 
-    def note_outcome(self, failed: bool, now: Milliseconds) -> None:
+    def record_outcome(self, failed: bool, now: Milliseconds) -> None:
         """Take in how a request ended."""
         known = self.failing(now)
         self._failing = known + (float(failed) - known) * _FAILURE_WEIGHT
@@ -66,7 +66,7 @@
         self._failing_at = now
         return self._failing
 
-    def beat_age(self, now: Milliseconds) -> Milliseconds:
+    def heartbeat_age(self, now: Milliseconds) -> Milliseconds:
         """Return the milliseconds since the server was heard of, or the start."""
         return now - self._beat_at
 
@@ -80,9 +80,9 @@
         heartbeat : float
             Milliseconds between two heartbeats of the server.
         """
-        return now >= self._down_until and self.is_heard(now, heartbeat)
+        return now >= self._down_until and self.is_alive(now, heartbeat)
 
-    def is_heard(self, now: Milliseconds, heartbeat: Milliseconds) -> bool:
+    def is_alive(self, now: Milliseconds, heartbeat: Milliseconds) -> bool:
         """Whether the server was heard of lately, by a heartbeat or an answer.
 
         Parameters
--- a/packages/fuchsiagap/src/fuchsiagap/core/door/incarnation.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/incarnation.py
@@ -68,7 +68,7 @@
         return None in (self.born, other.born) or self.born == other.born
 
 
-class Incarnation:
+class IncarnationTracker:
     """The backend server beside this node, as its own reports tell it.
 
     An incarnation is an identifier and the time of its start. Of one identifier the
@@ -107,7 +107,7 @@
         self._may_leave_late: set[str] = set()
         self._doubted: dict[str, int] = {}
 
-    def take(self, report: BackendReport) -> bool:
+    def update(self, report: BackendReport) -> bool:
         """Take in a report.
 
         Parameters
--- a/packages/fuchsiagap/src/fuchsiagap/core/door/offered.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/offered_load.py
@@ -10,7 +10,7 @@
 
 # Milliseconds over which arrivals are averaged (to 1/e): some hundred calls of a busy
 # server, and less than a tree of calls takes to come down to it.
-AVERAGED_MS = 200.0
+AVERAGING_MS = 200.0
 # Milliseconds in which what waits is to be worked off, beside what arrives.
 BACKLOG_MS = 100.0
 
@@ -28,7 +28,7 @@
         self._arrivals = 0.0
         self._at: Milliseconds = 0.0
 
-    def note_arrival(self, now: Milliseconds) -> None:
+    def record_arrival(self, now: Milliseconds) -> None:
         """Count a request that arrives, whether or not there is room for it."""
         self._fade(now)
         self._arrivals += 1.0
@@ -48,8 +48,8 @@
             Requests that wait for one.
         """
         self._fade(now)
-        return service_ms * (self._arrivals / AVERAGED_MS + waiting / BACKLOG_MS)
+        return service_ms * (self._arrivals / AVERAGING_MS + waiting / BACKLOG_MS)
 
     def _fade(self, now: Milliseconds) -> None:
-        self._arrivals *= math.exp((self._at - now) / AVERAGED_MS)
+        self._arrivals *= math.exp((self._at - now) / AVERAGING_MS)
         self._at = now
--- a/packages/fuchsiagap/src/fuchsiagap/core/door/lost.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/queue_timeouts.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from fuchsiagap.core.door.rank_counts import RankCounts
+from fuchsiagap.core.backend_queue.rank_counts import RankCounts
 
 if TYPE_CHECKING:
     from fuchsiagap.core.clock import Milliseconds
@@ -15,16 +15,16 @@
 # less load only. Pages that need 0.5 s of their 0.8 s, at three times the load of a
 # sheet: 0.10 served without this, 0.15 with 10, 0.18 with 20, and orders of the best
 # rank 0.98, 0.92 and 0.89 (`test_sheet_virtual`, seed 2).
-LOAD_OF_LOST = 20.0
+LOAD_PER_TIMEOUT_SHARE = 20.0
 # The most that the load is multiplied by: with 1.6 the same pages were served 0.19 in
 # place of 0.20 (a trial with a larger kept share), so the time is lost elsewhere then.
-MOST_STRAIN = 1.3
+MAX_LOAD_FACTOR = 1.3
 # Calls with which each rank begins, as if none had been lost: nothing is read from the
 # first few of them.
 _BEGUN_WITH = 20.0
 
 
-class LostTrees:
+class QueueTimeouts:
     """Counts calls that run out of time at a door, and says how much that weighs.
 
     The load that is offered to a door tells how long its queue grows, not whether who
@@ -36,15 +36,15 @@
     def __init__(self) -> None:
         self._counts = RankCounts()
 
-    def note_arrival(self, rank: int, now: Milliseconds) -> None:
+    def record_arrival(self, rank: int, now: Milliseconds) -> None:
         """Count a call within a tree that comes."""
-        self._counts.of(rank, now).came += 1.0
+        self._counts.of(rank, now).arrivals += 1.0
 
-    def note_lost(self, rank: int, now: Milliseconds) -> None:
+    def record_timeout(self, rank: int, now: Milliseconds) -> None:
         """Count a call within a tree that ran out of time before it had a place."""
-        self._counts.of(rank, now).marked += 1.0
+        self._counts.of(rank, now).matched += 1.0
 
-    def strain(self, now: Milliseconds) -> float:
+    def load_factor(self, now: Milliseconds) -> float:
         """Return by what the load counts more for the calls that are lost.
 
         Returns
@@ -53,7 +53,9 @@
             1 where none is lost. The rank that loses most decides.
         """
         shares = (
-            count.marked / (count.came + _BEGUN_WITH)
+            count.matched / (count.arrivals + _BEGUN_WITH)
             for _, count in self._counts.all(now)
         )
-        return min(1.0 + LOAD_OF_LOST * max(shares, default=0.0), MOST_STRAIN)
+        return min(
+            1.0 + LOAD_PER_TIMEOUT_SHARE * max(shares, default=0.0), MAX_LOAD_FACTOR
+        )
--- a/packages/fuchsiagap/src/fuchsiagap/core/door/rank_counts.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/rank_counts.py
@@ -13,7 +13,7 @@
 
 # Milliseconds over which requests are counted (to 1/e): some hundred of a busy server,
 # longer than any waits for its turn, shorter than callers go on asking.
-COUNTED_MS = 2_000.0
+DECAY_MS = 2_000.0
 
 
 @dataclass(slots=True)
@@ -28,8 +28,8 @@
         Those of them that became what is counted.
     """
 
-    came: float = 0.0
-    marked: float = 0.0
+    arrivals: float = 0.0
+    matched: float = 0.0
 
 
 class RankCounts:
@@ -54,8 +54,8 @@
             yield rank, self._ranks[rank]
 
     def _fade(self, now: Milliseconds) -> None:
-        kept = math.exp((self._at - now) / COUNTED_MS)
+        kept = math.exp((self._at - now) / DECAY_MS)
         self._at = now
         for count in self._ranks.values():
-            count.came *= kept
-            count.marked *= kept
+            count.arrivals *= kept
+            count.matched *= kept
--- a/packages/fuchsiagap/src/fuchsiagap/core/door/queue.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/ranked_queue.py
@@ -19,28 +19,28 @@
 QUEUE_PER_SLOT = 2.0
 # Milliseconds of work that may wait: the levels of the entries need some hundred
 # milliseconds to follow a surge, and a call turned away wastes the tree above it.
-QUEUE_MS = 300.0
+MAX_QUEUE_MS = 300.0
 # Fewest requests that may wait, for servers with few places.
-LEAST_QUEUE = 16
+MIN_QUEUE_LENGTH = 16
 # Share of the time that a request has left for which it waits for better ranks at most;
 # then it takes turns with them. At 0.1, orders of the best rank were answered 0.66 and
 # 0.67 of the time where they have 0.68 and 0.69 with 0.5 (a day of high load).
-HOLD_SHARE = 0.5
+MAX_YIELD_SHARE = 0.5
 # Share of the starts that go to those held for so long, as of the places to wait in
 # that the worse ranks keep. Strictly by rank, without end, 7 of 10 trees of the worst
 # rank that an entry had let in ran out of time at doors, and callers that asked 20 to
 # 40 times got nothing (real processes, three times the load of a sheet).
-TURN_SHARE = 0.25
+GUARANTEED_START_SHARE = 0.25
 # Times that a request holds a place: with less time left, a call within a tree goes
 # before better ranks, so that the work done for its tree is not lost. Few calls come so
 # far. Pages with time to spare, at three times the load of a sheet: 0.31 served and 58
 # of 300 failed without this, 0.41 and 14 with it, orders of the best rank 0.84 and 0.86
 # (`test_sheet_virtual`, seed 2).
-LAST_CHANCE = 3.0
+URGENT_SERVICE_TIMES = 3.0
 
 
 @dataclass(slots=True)
-class Waiting(Generic[Job]):
+class QueueItem(Generic[Job]):
     """A request that waits for a place."""
 
     job: Job
@@ -70,13 +70,15 @@
         Part of a turn that it has while it is held up; with 1 it starts one.
     """
 
-    in_time: list[tuple[Milliseconds, int, Waiting[Job]]] = field(default_factory=list)
-    late: deque[Waiting[Job]] = field(default_factory=deque)
-    by_arrival: deque[Waiting[Job]] = field(default_factory=deque)
+    in_time: list[tuple[Milliseconds, int, QueueItem[Job]]] = field(
+        default_factory=list
+    )
+    late: deque[QueueItem[Job]] = field(default_factory=deque)
+    by_arrival: deque[QueueItem[Job]] = field(default_factory=deque)
     n_waiting: int = 0
     turn: float = 0.0
 
-    def first(self) -> Waiting[Job] | None:
+    def first(self) -> QueueItem[Job] | None:
         """Return the first that came; None if nothing waits."""
         while self.by_arrival and self.by_arrival[0].dropped:
             self.by_arrival.popleft()
@@ -87,12 +89,12 @@
         first = self.first()
         return float("inf") if first is None else first.held_until
 
-    def all(self) -> Iterator[Waiting[Job]]:
+    def all(self) -> Iterator[QueueItem[Job]]:
         """Yield what waits, and what has been dropped since."""
         yield from (waiting for _, _, waiting in self.in_time)
         yield from self.late
 
-    def next(self, now: Milliseconds) -> Waiting[Job] | None:
+    def next(self, now: Milliseconds) -> QueueItem[Job] | None:
         """Take out the one that is due first, or the first of the late ones."""
         while self.in_time:
             due, _, waiting = heapq.heappop(self.in_time)
@@ -107,7 +109,7 @@
                 return waiting
         return None
 
-    def last(self) -> Waiting[Job] | None:
+    def last(self) -> QueueItem[Job] | None:
         """Take out the one whose loss costs least: a late one, or the last due."""
         while self.late:
             waiting = self.late.pop()
@@ -130,13 +132,13 @@
             self.by_arrival = deque(w for w in self.by_arrival if not w.dropped)
 
 
-class DoorQueue(Generic[Job]):
+class RankedQueue(Generic[Job]):
     """Counts the places in use and orders what waits by rank, then by when it is due.
 
     No rank waits without end: one that was held for long takes turns with the better
-    ones (`TURN_SHARE`), and a tree that is about to be lost goes before them
-    (`LAST_CHANCE`). Whom to refuse is decided before any work is done for a request;
-    what was let in is to end well, whatever its rank.
+    ones (`GUARANTEED_START_SHARE`), and a tree that is about to be lost goes before
+    them (`URGENT_SERVICE_TIMES`). Whom to refuse is decided before any work is done for
+    a request; what was let in is to end well, whatever its rank.
 
     By arrival within a rank, requests with an objective of 150 ms waited behind trees
     that had a second left; and what is late already took the places of what was not.
@@ -172,7 +174,7 @@
         """Requests that run or wait."""
         return self.running + self._waiting
 
-    def has_place(self) -> bool:
+    def has_free_slot(self) -> bool:
         """Whether a request may start at once."""
         return self.running < self.limit and self._waiting == 0
 
@@ -183,8 +185,8 @@
     def _most_waiting(self) -> float:
         per_slot = QUEUE_PER_SLOT
         if self.service_ms > 0.0:
-            per_slot = max(per_slot, QUEUE_MS / self.service_ms)
-        return max(LEAST_QUEUE, self.limit * per_slot)
+            per_slot = max(per_slot, MAX_QUEUE_MS / self.service_ms)
+        return max(MIN_QUEUE_LENGTH, self.limit * per_slot)
 
     def push(
         self,
@@ -194,7 +196,7 @@
         due: Milliseconds,
         now: Milliseconds,
         begun: bool = False,
-    ) -> Waiting[Job]:
+    ) -> QueueItem[Job]:
         """Let a request wait; it is started by `pop`.
 
         Parameters
@@ -214,8 +216,8 @@
             put behind the others once it is late. Where more came than there was room
             for, trees were so given up when they were nearly complete.
         """
-        held_until = now + HOLD_SHARE * (deadline - now)
-        waiting = Waiting(job, rank, deadline, due, held_until, begun)
+        held_until = now + MAX_YIELD_SHARE * (deadline - now)
+        waiting = QueueItem(job, rank, deadline, due, held_until, begun)
         queue = self._ranks.get(rank)
         if queue is None:
             queue = self._ranks[rank] = _Rank()
@@ -225,7 +227,7 @@
         self._waiting += 1
         return waiting
 
-    def drop(self, waiting: Waiting[Job]) -> bool:
+    def drop(self, waiting: QueueItem[Job]) -> bool:
         """Take a request out; False if it no longer waits."""
         if waiting.dropped:
             return False
@@ -234,7 +236,7 @@
         self._waiting -= 1
         return True
 
-    def pop(self, now: Milliseconds) -> Waiting[Job] | None:
+    def pop(self, now: Milliseconds) -> QueueItem[Job] | None:
         """Return the next request to start, or None without place or request."""
         if self.running >= self.limit:
             return None
@@ -254,7 +256,7 @@
                 return rank
         held = [r for r in ranks[1:] if self._ranks[r].held_until() <= now]
         for rank in held:
-            self._ranks[rank].turn += TURN_SHARE / len(held)
+            self._ranks[rank].turn += GUARANTEED_START_SHARE / len(held)
         for rank in held:
             if self._ranks[rank].turn >= 1.0:
                 self._ranks[rank].turn = 0.0
@@ -266,9 +268,9 @@
         first = self._ranks[rank].first()
         if first is None or not first.begun:
             return False
-        return first.deadline - now < LAST_CHANCE * self.service_ms
+        return first.deadline - now < URGENT_SERVICE_TIMES * self.service_ms
 
-    def make_room(self, rank: int) -> Waiting[Job] | None:
+    def evict_for(self, rank: int) -> QueueItem[Job] | None:
         """Take out a request so that one of `rank` can wait; None if none gives way.
 
         Worse ranks give way first, except for what each keeps; one that has less than
@@ -277,7 +279,7 @@
         others = [other for other in self._ranks if other != rank]
         if not others:
             return None
-        kept = TURN_SHARE * self._most_waiting() / len(others)
+        kept = GUARANTEED_START_SHARE * self._most_waiting() / len(others)
         for other in sorted(others, reverse=True):
             has_more = self._ranks[other].n_waiting > kept
             if has_more and (other > rank or self._n_waiting(rank) < kept):
@@ -288,14 +290,14 @@
         queue = self._ranks.get(rank)
         return 0 if queue is None else queue.n_waiting
 
-    def _take_last(self, rank: int) -> Waiting[Job] | None:
+    def _take_last(self, rank: int) -> QueueItem[Job] | None:
         """Take out the request of a rank that is missed least."""
         waiting = self._ranks[rank].last()
         if waiting is not None:
             self.drop(waiting)
         return waiting
 
-    def expired(self, now: Milliseconds) -> Iterator[Waiting[Job]]:
+    def expired(self, now: Milliseconds) -> Iterator[QueueItem[Job]]:
         """Take out the requests whose deadline has passed."""
         for queue in self._ranks.values():
             for waiting in [w for w in queue.all() if w.deadline <= now]:
@@ -303,7 +305,7 @@
                     yield waiting
             queue.sweep()
 
-    def clear(self) -> Iterator[Waiting[Job]]:
+    def clear(self) -> Iterator[QueueItem[Job]]:
         """Take out every request that waits."""
         for rank in self._ranks:
             while (waiting := self._take_last(rank)) is not None:
--- a/packages/fuchsiagap/src/fuchsiagap/core/placement/choice.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/placement/choice.py
@@ -15,15 +15,15 @@
 REMOTE_PENALTY = 0.5
 # What is added to it for each kilobyte of a request and its answer, and the most that
 # is added: the same room elsewhere is bought for less by moving small requests.
-REMOTE_PENALTY_A_KB = 0.15
-MOST_FOR_BYTES = 1.0
+REMOTE_PENALTY_PER_KB = 0.15
+MAX_BYTES_PENALTY = 1.0
 _BYTES_A_KB = 1_000.0
 # Fullness that counts for each unit of the share of refused or broken requests, so that
 # a server that fails fast does not look empty and attract all.
 FAILURE_PENALTY = 3.0
 # Fullness that a service has if all its requests fail: above the aim, so that the
 # entries refuse trees that would come to nothing.
-FAILING_LOAD = 1.5
+FAILURE_FULLNESS = 1.5
 # Share of the places of a server that count as sound at least, however many of its
 # requests fail, so that a load on failing servers alone stays a number.
 _LEAST_SOUND = 0.1
@@ -73,7 +73,7 @@
     usable: bool = True
     limit: int = 1
     others: int = 0
-    mine: int = 0
+    own_in_flight: int = 0
     failing: float = 0.0
     warming: bool = False
     offered: float = 0.0
@@ -81,7 +81,7 @@
 
     def fullness(self) -> float:
         """Return requests per place, with the next one counted."""
-        return (self.others + self.mine + 1) / max(self.limit, 1)
+        return (self.others + self.own_in_flight + 1) / max(self.limit, 1)
 
     def cost(self, remote_penalty: float) -> float:
         """Return what the choice compares; the least is chosen."""
@@ -99,7 +99,7 @@
 # place of 1,416 on a day of trouble, and 22 failed of 1,000 in place of 27 to 30; on a
 # day of high load, where all are full, nothing.
 SLOWNESS_PENALTY = 0.4
-MOST_SLOWER = 1.5
+MAX_SLOWNESS = 1.5
 
 # Servers of each place (own data centre, others) that one choice compares.
 _COMPARED = 6
@@ -113,8 +113,8 @@
     n_bytes : float
         Bytes of such a request and its answer.
     """
-    for_bytes = REMOTE_PENALTY_A_KB * n_bytes / _BYTES_A_KB
-    return REMOTE_PENALTY + min(for_bytes, MOST_FOR_BYTES)
+    for_bytes = REMOTE_PENALTY_PER_KB * n_bytes / _BYTES_A_KB
+    return REMOTE_PENALTY + min(for_bytes, MAX_BYTES_PENALTY)
 
 
 def choose(
@@ -171,7 +171,7 @@
         if not target.service_ms:
             return 0.0
         slower = target.service_ms / mean_ms - 1.0
-        return weight * min(max(slower, -1.0), MOST_SLOWER)
+        return weight * min(max(slower, -1.0), MAX_SLOWNESS)
 
     return cost
 
@@ -205,7 +205,7 @@
     return load / places if places else 0.0
 
 
-def service_failing(targets: Sequence[Target]) -> float:
+def service_failure_load(targets: Sequence[Target]) -> float:
     """Return the fullness that the failures of a service count as for its callers.
 
     A request that makes several calls needs each of them. Servers count by what is
@@ -220,4 +220,4 @@
             weight = target.offered + _IDLE_WEIGHT * target.limit
             failing += target.failing * weight
             weights += weight
-    return FAILING_LOAD * failing / weights if weights else 0.0
+    return FAILURE_FULLNESS * failing / weights if weights else 0.0
--- a/packages/fuchsiagap/src/fuchsiagap/core/retries/shares.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/retries/backend_budget.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SharedBudget:
+class ServiceRetryLimits:
     """Bounds on repeats over all doors of a service.
 
     Parameters
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Repeat:
+class RetryRequest:
     """A repeat that is asked for.
 
     Parameters
@@ -111,12 +111,12 @@
     ranks: Counter[int] = field(default_factory=Counter)
 
 
-class DoorBudget:
+class BackendRetryBudget:
     """Counts what reaches one server in a sliding window, and pays for repeats.
 
     Parameters
     ----------
-    cfg : SharedBudget
+    cfg : ServiceRetryLimits
         Bounds of all doors together.
     clock : Clock
         Time in milliseconds.
@@ -124,7 +124,9 @@
         Rounds shares, so that those below one are used by some of the doors.
     """
 
-    def __init__(self, cfg: SharedBudget, clock: Clock, rng: random.Random) -> None:
+    def __init__(
+        self, cfg: ServiceRetryLimits, clock: Clock, rng: random.Random
+    ) -> None:
         self._cfg = cfg
         self._clock = clock
         self._rng = rng
@@ -136,11 +138,11 @@
         self._rounding = rng.random()
         self._rounded_at = self._started_at
 
-    def adopt(self, cfg: SharedBudget) -> None:
+    def adopt(self, cfg: ServiceRetryLimits) -> None:
         """Go on under changed bounds."""
         self._cfg = cfg
 
-    def note_first(self, rank: int = 0) -> None:
+    def record_first_attempt(self, rank: int = 0) -> None:
         """Count a first arrival of a tree of a rank."""
         part = self._part()
         part.requests += 1
@@ -148,7 +150,7 @@
         self._requests += 1
         self._ranks[rank] += 1
 
-    def note_inherited(self) -> None:
+    def record_inherited_retry(self) -> None:
         """Count an arrival that a repeat above it has caused; it is never turned away.
 
         Its tree is at work already. Where those above stay within their ratio, these do
@@ -157,12 +159,14 @@
         self._part().repeats += 1
         self._repeats += 1
 
-    def pay(self, repeat: Repeat, n_doors: int, failing: float = 0.0) -> bool:
+    def try_spend(
+        self, repeat: RetryRequest, n_doors: int, failing: float = 0.0
+    ) -> bool:
         """Pay for a repeat.
 
         Parameters
         ----------
-        repeat : Repeat
+        repeat : RetryRequest
             What is asked for.
         n_doors : int
             Doors that share the slack.
@@ -185,7 +189,7 @@
         self._repeats += 1
         return True
 
-    def _is_drawn(self, repeat: Repeat, share: float, failing: float) -> bool:
+    def _is_drawn(self, repeat: RetryRequest, share: float, failing: float) -> bool:
         """Whether a tree is among those for which this door can pay whole."""
         n_requests = sum(self._ranks.values())
         if failing < _FEW_FAILURES or not n_requests:
--- a/packages/fuchsiagap/src/fuchsiagap/core/retries/budget.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/retries/budget.py
@@ -75,11 +75,11 @@
         self._clock = clock
         self._recent: dict[ServiceName, _Recent] = {}
 
-    def earn(self, service: ServiceName) -> None:
+    def record_call(self, service: ServiceName) -> None:
         """Count a call, not its retries."""
         self._faded(service).calls += 1.0
 
-    def spend(self, service: ServiceName, ratio: float | None = None) -> bool:
+    def try_spend(self, service: ServiceName, ratio: float | None = None) -> bool:
         """Pay for a retry.
 
         Parameters
--- a/packages/fuchsiagap/src/fuchsiagap/core/routing/candidate.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/routing/candidate.py
@@ -75,7 +75,7 @@
         self.n_ejections = 0
         self.out_until = NEVER
 
-    def note_load(self, load: LoadReport, now: Milliseconds) -> None:
+    def record_load(self, load: LoadReport, now: Milliseconds) -> None:
         """Keep a piggybacked load report.
 
         The node's own calls are taken out of it, since they are known exactly.
--- a/packages/fuchsiagap/src/fuchsiagap/core/routing/ejection.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/routing/ejection.py
@@ -47,7 +47,7 @@
     return outcome.reason in _FAILED_UNKNOWNS
 
 
-def note_failure(
+def record_failure(
     candidate: Candidate,
     pool: Sequence[Candidate],
     cfg: RoutingSettings,
--- a/packages/fuchsiagap/src/fuchsiagap/core/routing/router.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/routing/router.py
@@ -11,7 +11,7 @@
 
 from fuchsiagap.core.calls.outcome import Answered, Reason, Refused
 from fuchsiagap.core.routing.candidate import FOREVER, NEVER, Candidate
-from fuchsiagap.core.routing.ejection import is_failure, note_failure
+from fuchsiagap.core.routing.ejection import is_failure, record_failure
 from fuchsiagap.core.routing.instance import Instance, RoutingSettings
 from fuchsiagap.core.routing.least_time import LeastTimes
 from fuchsiagap.core.routing.subset import rendezvous_rank, subset_of
@@ -319,11 +319,11 @@
             service = candidate.instance.service
             pool = self._pools.get(service) or self._pool(service)
             everyone = (*pool.local, *pool.remote)
-            ejected = note_failure(candidate, everyone, self.cfg, now)
+            ejected = record_failure(candidate, everyone, self.cfg, now)
             self.counts.ejections += ejected
             return
         if outcome.load is not None:
-            candidate.note_load(outcome.load, now)
+            candidate.record_load(outcome.load, now)
             candidate.replied = now
             candidate.failures = 0
         if isinstance(outcome, Answered):
--- a/packages/fuchsiagap/src/fuchsiagap/core/pressure/kept.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/shedding/allocation.py
@@ -11,10 +11,10 @@
 
 # Part of what all callers are served that those of each kind get at least: above the
 # quarter that is promised, by what an entry may misjudge in a few seconds.
-KEPT_PART = 0.3
+GUARANTEED_PART = 0.3
 # Least share that is let in of a kind, where hardly anything is served at all: its
 # requests are what shows when there is room again.
-LEAST_KEPT = 0.05
+MIN_GUARANTEED_SHARE = 0.05
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,7 @@
     load: float
 
 
-def kept_share(whole: float) -> float:
+def guaranteed_share(whole: float) -> float:
     """Return the share of each kind that is let in at least.
 
     A share of what is let in, whatever all others got, left callers without any answer
@@ -44,10 +44,12 @@
     whole : float
         Share of all requests that was served.
     """
-    return max(KEPT_PART * whole, LEAST_KEPT)
+    return max(GUARANTEED_PART * whole, MIN_GUARANTEED_SHARE)
 
 
-def share_of(step: int, room: float, kinds: Sequence[KindLoad], kept: float) -> float:
+def share_of_step(
+    step: int, room: float, kinds: Sequence[KindLoad], kept: float
+) -> float:
     """Return the share that is let in of the kinds of one step.
 
     Each kind has what is kept for it; of the room left, the best get all they ask for
@@ -73,7 +75,7 @@
     return min(max(kept + left / own, kept), 1.0)
 
 
-def deepest_cut(step: int, kinds: Sequence[KindLoad], kept: float) -> float:
+def max_cut(step: int, kinds: Sequence[KindLoad], kept: float) -> float:
     """Return the cut, as a logarithm, at which a step has only what is kept of it."""
     whole = sum(kind.load for kind in kinds)
     better = sum(kind.load for kind in kinds if kind.step > step)
--- a/packages/fuchsiagap/src/fuchsiagap/core/pressure/level.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/shedding/controller.py
@@ -12,7 +12,7 @@
 # Queues are short there, since what arrives is counted, not what waits. At 0.92 places
 # stayed empty: a day of high load was worth 0.317, at 0.98 0.336; a day of failing and
 # leaving servers 0.393 and 0.392.
-AIM = 0.97
+TARGET_FULLNESS = 0.97
 # Milliseconds in which the room follows an excess by a factor e. What is let in shows
 # below only once the trees before it have ended, 0.5 to 1.2 s later. Steered twice as
 # fast, the room swings for good from a delay of 0.8 s on, between 0.5 and 1.7 of what
@@ -23,22 +23,22 @@
 # Part of an excess that is cut at once, before its effect shows. Twice the load is down
 # to 1.2 after half a second in place of 1.4, and the swing at a delay of 1.2 s is 0.8
 # to 1.1 in place of 0.7 to 1.2; with 0.5, it begins to swing at 0.8 s.
-AT_ONCE = 0.3
+PROPORTIONAL_GAIN = 0.3
 # The same once the worst kinds are cut as deep as they can be: what they sent before is
 # still on its way, and the better ones are not to pay for that.
 DEEP_REACTION_MS = 2_400.0
 # The least load that the way back follows: services that are nearly empty, as when
 # their servers stop failing, let in 3.7 times as much each second.
-LEAST_FULLNESS = 0.2
+MIN_FULLNESS = 0.2
 # Excess that each factor e of a cut stands for: the deeper the cut, the higher the load
 # at which it stands. All entries see the same load, and without this what differs
 # between their cuts, from noise or from a link that was cut for a while, would stay for
 # good: data centres were left with a third of the share of others. It fades within
 # `REACTION_MS / FADE`.
-FADE = 0.06
+CUT_LEAK = 0.06
 
 
-class RefusalLevel:
+class SheddingController:
     """Share of the load of one kind's way that may come in.
 
     The state is one number on a logarithmic scale, of the whole load and not of one
@@ -74,15 +74,15 @@
             The cut beyond which nothing more would change: it would have to be taken
             back first once a surge ends.
         """
-        excess = math.log(max(fullness, LEAST_FULLNESS) / AIM)
-        excess -= FADE * self.cut
+        excess = math.log(max(fullness, MIN_FULLNESS) / TARGET_FULLNESS)
+        excess -= CUT_LEAK * self.cut
         is_deep = excess > 0.0 and self.cut >= worst
         reaction = DEEP_REACTION_MS if is_deep else REACTION_MS
         self.cut = max(0.0, self.cut + excess * elapsed / reaction)
         self.cut = min(self.cut, most)
-        self._at_once = AT_ONCE * excess
+        self._at_once = PROPORTIONAL_GAIN * excess
 
-    def room(self, is_worst: bool = True) -> float:
+    def load_share(self, is_worst: bool = True) -> float:
         """Return the share of the load that may come in.
 
         Parameters
--- a/packages/fuchsiagap/src/fuchsiagap/core/pressure/evenly.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/shedding/fair_admission.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True)
-class CallerTurn:
+class CallerCredit:
     """What one caller is owed, for as long as its connection lasts.
 
     Parameters
@@ -31,7 +31,7 @@
     owed: float = 0.0
 
 
-class EvenShares:
+class FairAdmission:
     """Lets in a share of each kind, evenly in time and over the callers.
 
     Draws of their own for each request would swing by a third at the ten requests a
@@ -51,7 +51,7 @@
         self._credit: dict[str, float] = {}
         self._thresholds: dict[str, float] = {}
 
-    def admits(self, kind: str, share: float, turn: CallerTurn) -> bool:
+    def admits(self, kind: str, share: float, turn: CallerCredit) -> bool:
         """Return whether one request is let in.
 
         Parameters
@@ -60,7 +60,7 @@
             Its kind.
         share : float
             Share of the kind that is let in now.
-        turn : CallerTurn
+        turn : CallerCredit
             What its caller is owed; brought up to date.
         """
         if share >= 1.0:
--- a/packages/fuchsiagap/src/fuchsiagap/core/pressure/order.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/shedding/order.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from fuchsiagap.core.pressure.kept import KindLoad
+from fuchsiagap.core.shedding.allocation import KindLoad
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -21,10 +21,10 @@
 LIGHT_SHARE = 0.25
 # Milliseconds without a request after which a kind no longer counts: a kind that nobody
 # asks for would be a step at which refusing changes nothing, while queues grow.
-FORGOTTEN_MS = 5_000.0
+IDLE_KIND_MS = 5_000.0
 # Milliseconds over which requests are counted (to 1/e): some fifty of a kind at ten a
 # second.
-COUNTED_MS = 5_000.0
+DECAY_MS = 5_000.0
 
 
 @dataclass(slots=True)
@@ -36,18 +36,18 @@
     calls: float = 0.0
     asked: float = 0.0
 
-    def note_request(self, now: Milliseconds) -> None:
+    def record_request(self, now: Milliseconds) -> None:
         """Count a request."""
-        self.asked = 1.0 + self.asked * math.exp((self.asked_at - now) / COUNTED_MS)
+        self.asked = 1.0 + self.asked * math.exp((self.asked_at - now) / DECAY_MS)
         self.asked_at = now
 
     def load(self, now: Milliseconds) -> float:
         """Return the load of its requests, with the calls that they make."""
-        kept = math.exp((self.asked_at - now) / COUNTED_MS)
+        kept = math.exp((self.asked_at - now) / DECAY_MS)
         return self.asked * kept * (1.0 + self.calls)
 
 
-class RefusalOrder:
+class SheddingOrder:
     """Ranks the kinds of requests that come to one entry.
 
     First by the priority of their route, then, of one priority, those whose requests
@@ -59,15 +59,15 @@
         self._kinds: dict[str, _Kind] = {}
         self._steps: dict[str, int] = {}
 
-    def note_request(self, route: Route, now: Milliseconds) -> None:
+    def record_request(self, route: Route, now: Milliseconds) -> None:
         """Take in that a request of a route comes."""
         kind = self._kinds.get(route.kind)
         if kind is None or kind.rank != route.priority:
             kind = self._kinds[route.kind] = _Kind(route.priority, now)
             self._steps.clear()
-        kind.note_request(now)
+        kind.record_request(now)
 
-    def note_calls(self, name: str, calls: float) -> None:
+    def record_calls(self, name: str, calls: float) -> None:
         """Take in how many calls a request of a kind makes, with those below."""
         kind = self._kinds.get(name)
         if kind is not None:
@@ -79,13 +79,13 @@
         old = [
             name
             for name, kind in self._kinds.items()
-            if now - kind.asked_at > FORGOTTEN_MS
+            if now - kind.asked_at > IDLE_KIND_MS
         ]
         for name in old:
             del self._kinds[name]
             self._steps.clear()
 
-    def steps_from_worst(self) -> Mapping[str, int]:
+    def step_by_kind(self) -> Mapping[str, int]:
         """Return how many steps give way before each kind asked for of late."""
         if not self._steps:
             self._rank_all()
@@ -93,7 +93,7 @@
 
     def loads(self, now: Milliseconds) -> list[KindLoad]:
         """Return the load of each kind that was asked for of late."""
-        steps = self.steps_from_worst()
+        steps = self.step_by_kind()
         return [
             KindLoad(steps[name], kind.load(now)) for name, kind in self._kinds.items()
         ]
--- a/packages/fuchsiagap/src/fuchsiagap/core/pressure/served.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/shedding/served.py
@@ -14,7 +14,7 @@
 # Milliseconds over which requests are counted (to 1/e): at ten requests a second of a
 # kind some fifty count, and a kind that got nothing for as long is seen before its
 # callers have given up.
-COUNTED_MS = 5_000.0
+DECAY_MS = 5_000.0
 # Requests without an answer yet with which each kind begins, as if all had been served:
 # nothing is read from the first few of them.
 _BEGUN_WITH = 5.0
@@ -50,7 +50,7 @@
 
     def fade(self, now: Milliseconds) -> None:
         """Let what was counted weigh less as time passes."""
-        kept = math.exp((self.at - now) / COUNTED_MS)
+        kept = math.exp((self.at - now) / DECAY_MS)
         self.let_in *= kept
         self.refused *= kept
         self.served *= kept
@@ -74,17 +74,17 @@
         kind.fade(now)
         return kind
 
-    def note_refused(self, route: str, now: Milliseconds) -> None:
+    def record_refused(self, route: str, now: Milliseconds) -> None:
         """Count a request that was not let in."""
         self._of(route, now).refused += 1.0
 
-    def note_end(self, route: str, served: bool, now: Milliseconds) -> None:
+    def record_end(self, route: str, served: bool, now: Milliseconds) -> None:
         """Count the end of a request that was let in."""
         kind = self._of(route, now)
         kind.let_in += 1.0
         kind.served += served
 
-    def whole(self, now: Milliseconds) -> float:
+    def overall_share(self, now: Milliseconds) -> float:
         """Return the share of the requests of all kinds that was served."""
         together = Served()
         for _, kind in self.all(now):
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/door/test_offered.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/backend_queue/test_offered_load.py
@@ -1,6 +1,10 @@
 from testtools import TestCase
 
-from fuchsiagap.core.door.offered import AVERAGED_MS, BACKLOG_MS, OfferedLoad
+from fuchsiagap.core.backend_queue.offered_load import (
+    AVERAGING_MS,
+    BACKLOG_MS,
+    OfferedLoad,
+)
 
 SERVICE_MS = 15.0
 
@@ -11,7 +15,7 @@
     gap = 1_000.0 / a_second
     now = 0.0
     while now < seconds * 1_000.0:
-        load.note_arrival(now)
+        load.record_arrival(now)
         now += gap
     return load, now
 
@@ -28,7 +32,7 @@
     def test_step_shows_within_half_a_second(self):
         load, now = arriving(1_000)
         for _ in range(1_000):
-            load.note_arrival(now)
+            load.record_arrival(now)
             now += 0.5
         self.assertGreater(load.places(now, SERVICE_MS, 0), 0.9 * 30.0)
 
@@ -39,4 +43,4 @@
 
     def test_nothing_is_left_after_a_silence(self):
         load, now = arriving(1_200)
-        self.assertLess(load.places(now + 10 * AVERAGED_MS, SERVICE_MS, 0), 0.01)
+        self.assertLess(load.places(now + 10 * AVERAGING_MS, SERVICE_MS, 0), 0.01)
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/placement/test_choice.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/placement/test_choice.py
@@ -6,7 +6,7 @@
     Target,
     choose,
     remote_penalty,
-    service_failing,
+    service_failure_load,
     service_fullness,
 )
 
@@ -78,8 +78,8 @@
         """Return requests at each server where so many stay in flight."""
         rng = random.Random(1)
         for _ in range(in_flight):
-            choose(targets, (), rng).mine += 1
-        return [target.mine for target in targets]
+            choose(targets, (), rng).own_in_flight += 1
+        return [target.own_in_flight for target in targets]
 
     def servers(self, *times):
         """Return servers of a hundred places by how long requests take there."""
@@ -124,11 +124,11 @@
 
     def test_failures_count_by_places(self):
         targets = (a_target("a", failing=1.0), a_target("b"))
-        self.assertAlmostEqual(0.75, service_failing(targets))
+        self.assertAlmostEqual(0.75, service_failure_load(targets))
 
     def test_failures_count_by_what_is_offered(self):
         targets = (a_target("a", failing=1.0), a_target("b", offered=9.0))
-        self.assertLess(service_failing(targets), 0.05)
+        self.assertLess(service_failure_load(targets), 0.05)
 
     def test_places_of_a_failing_server_are_no_room(self):
         targets = (a_target("a", failing=1.0), a_target("b", offered=9.0))
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/retries/test_shares.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/retries/test_backend_budget.py
@@ -15,15 +15,20 @@
 from testtools import TestCase
 
 from fuchsiagap.core.clock import Clock
-from fuchsiagap.core.retries.shares import N_LOTS, DoorBudget, Repeat, SharedBudget
+from fuchsiagap.core.retries.backend_budget import (
+    N_LOTS,
+    BackendRetryBudget,
+    RetryRequest,
+    ServiceRetryLimits,
+)
 
-CFG = SharedBudget(0.2, 48.0, 10_000.0)
-PLAIN = Repeat(rank=0, lot=0, is_call=False, calls=0.0)
+CFG = ServiceRetryLimits(0.2, 48.0, 10_000.0)
+PLAIN = RetryRequest(rank=0, lot=0, is_call=False, calls=0.0)
 
 
 def call(rank=0, lot=0, calls=0.0):
     """Return a repeat of a call of a tree."""
-    return Repeat(rank, lot, True, calls)
+    return RetryRequest(rank, lot, True, calls)
 
 
 class Doors:
@@ -41,7 +46,7 @@
 
     def new(self):
         """Return the budget of a door that starts now."""
-        return DoorBudget(self.cfg, self.clock, self.rng)
+        return BackendRetryBudget(self.cfg, self.clock, self.rng)
 
     def restart(self, door):
         """Let a door start again: it knows nothing of before."""
@@ -50,12 +55,12 @@
     def request(self, fails, repeat, n_known=None, failing=0.02):
         """Let a request arrive somewhere, and elsewhere again if it fails."""
         budgets = self.budgets
-        self.rng.choice(budgets).note_first()
+        self.rng.choice(budgets).record_first_attempt()
         self.requests.append(self.at)
         if fails:
             self.asked += 1
             n_doors = n_known or len(budgets)
-            if self.rng.choice(budgets).pay(repeat, n_doors, failing):
+            if self.rng.choice(budgets).try_spend(repeat, n_doors, failing):
                 self.repeats.append(self.at)
 
     def excess(self):
@@ -80,7 +85,7 @@
     def play(self, n_doors, seed):
         """Play requests that all fail, restarts, and doors that know too few others."""
         slack = float(random.Random(seed).choice((20, 48, 213)))
-        doors = Doors(n_doors, SharedBudget(0.2, slack, 10_000.0), seed)
+        doors = Doors(n_doors, ServiceRetryLimits(0.2, slack, 10_000.0), seed)
         rng = doors.rng
         per_step = rng.randint(1, 60)
         for _ in range(400):
@@ -88,7 +93,7 @@
             busy = per_step * rng.choice((0, 1, 1, 1, 3))
             for _ in range(busy):
                 known = max(round(n_doors * rng.uniform(0.75, 1.0)), 1)
-                repeat = Repeat(
+                repeat = RetryRequest(
                     rng.randrange(3),
                     rng.randrange(N_LOTS),
                     rng.random() < 0.5,
@@ -129,7 +134,7 @@
     def test_few_requests_among_many_doors_are_repeated_too(self):
         # Each of 195 doors sees less than one request a second, and its part of the
         # slack is less than one repeat.
-        doors = Doors(195, SharedBudget(0.2, 213.0, 10_000.0))
+        doors = Doors(195, ServiceRetryLimits(0.2, 213.0, 10_000.0))
         for _ in range(600):
             doors.at += 100.0
             for _ in range(8):
@@ -142,15 +147,15 @@
         super().setUp()
         self.at = 0.0
         clock = Clock(now=lambda: self.at, wall=lambda: 0.0)
-        self.budget = DoorBudget(CFG, clock, random.Random(1))
+        self.budget = BackendRetryBudget(CFG, clock, random.Random(1))
         self.at = CFG.window
         for _ in range(1_000):
-            self.budget.note_first()
+            self.budget.record_first_attempt()
 
     def paid(self, repeat, failing=0.0):
         """Return how many repeats are paid for until none is."""
         n = 0
-        while self.budget.pay(repeat, 14, failing):
+        while self.budget.try_spend(repeat, 14, failing):
             n += 1
         return n
 
@@ -163,7 +168,7 @@
 
     def test_worse_ranks_are_not_shut_out(self):
         for _ in range(300):
-            self.budget.note_first(rank=2)
+            self.budget.record_first_attempt(rank=2)
         self.assertEqual(0, self.paid(call(rank=2, lot=N_LOTS // 2), failing=0.55))
         self.assertGreater(self.paid(call(rank=2, lot=0), failing=0.55), 0)
 
@@ -175,12 +180,12 @@
 
     def test_request_that_is_one_call_comes_before_trees(self):
         self.assertEqual(0, self.paid(call(rank=0, lot=N_LOTS - 1), failing=0.55))
-        repeat = Repeat(2, N_LOTS - 1, False, 0.0)
+        repeat = RetryRequest(2, N_LOTS - 1, False, 0.0)
         self.assertGreater(self.paid(repeat, failing=0.55), 0)
 
     def test_inherited_repeats_use_the_share_up(self):
         for _ in range(300):
-            self.budget.note_inherited()
+            self.budget.record_inherited_retry()
         self.assertEqual(0, self.paid(PLAIN))
 
     def test_repeat_that_makes_calls_takes_little_of_the_slack(self):
@@ -188,7 +193,7 @@
         paid = []
         for doors, calls in zip(empty, (0.0, 9.0), strict=True):
             repeat = call(calls=calls)
-            n = sum(b.pay(repeat, 3) for b in doors.budgets for _ in range(20))
+            n = sum(b.try_spend(repeat, 3) for b in doors.budgets for _ in range(20))
             paid.append(n)
         self.assertLess(paid[1], paid[0] / 3)
 
@@ -211,10 +216,10 @@
 
     def answered(self, doors, lot, rng):
         """Return whether a call is answered, within six tries."""
-        doors.rng.choice(doors.budgets).note_first()
+        doors.rng.choice(doors.budgets).record_first_attempt()
         for _ in range(6):
             if rng.random() > 0.55:
                 return True
-            if not doors.rng.choice(doors.budgets).pay(call(lot=lot), 13, 0.55):
+            if not doors.rng.choice(doors.budgets).try_spend(call(lot=lot), 13, 0.55):
                 return False
         return False
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/retries/test_budget.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/retries/test_budget.py
@@ -9,13 +9,13 @@
 from fuchsiagap.core.calls.head import ServiceName
 from fuchsiagap.core.retries.backoff import backoff
 from fuchsiagap.core.retries.budget import RetryBudget, RetrySettings
-from fuchsiagap.tests.core.routing.a_router import CERTS, HandClock
+from fuchsiagap.tests.core.routing.a_router import CERTS, ManualClock
 
 
 class RetryBudgetTest(TestCase):
     def setUp(self):
         super().setUp()
-        self.time = HandClock()
+        self.time = ManualClock()
         self.cfg = RetrySettings(ratio=0.1, least_per_s=0.2)
         self.budget = RetryBudget(self.cfg, self.time.clock)
 
@@ -23,8 +23,8 @@
         """Return how many of so many calls, one each 10 ms, may be retried."""
         n_retries = 0
         for _ in range(n_calls):
-            self.budget.earn(CERTS)
-            n_retries += self.budget.spend(CERTS, ratio)
+            self.budget.record_call(CERTS)
+            n_retries += self.budget.try_spend(CERTS, ratio)
             self.time.advance(10.0)
         return n_retries
 
@@ -36,20 +36,20 @@
         self.assertLess(self.retried(1_000, ratio=0.0), 20)
 
     def test_a_quiet_service_may_retry_now_and_then(self):
-        self.assertTrue(self.budget.spend(CERTS))
-        self.assertFalse(self.budget.spend(CERTS))
+        self.assertTrue(self.budget.try_spend(CERTS))
+        self.assertFalse(self.budget.try_spend(CERTS))
         self.time.advance(10_000.0)
-        self.assertTrue(self.budget.spend(CERTS))
+        self.assertTrue(self.budget.try_spend(CERTS))
 
     def test_services_do_not_share(self):
-        self.budget.spend(CERTS)
-        self.assertFalse(self.budget.spend(CERTS))
-        self.assertTrue(self.budget.spend(ServiceName("salt-fog", "cycles")))
+        self.budget.try_spend(CERTS)
+        self.assertFalse(self.budget.try_spend(CERTS))
+        self.assertTrue(self.budget.try_spend(ServiceName("salt-fog", "cycles")))
 
     def test_no_burst_is_saved_up(self):
         self.retried(1_000, ratio=0.0)
         self.time.advance(30_000.0)
-        burst = sum(self.budget.spend(CERTS) for _ in range(200))
+        burst = sum(self.budget.try_spend(CERTS) for _ in range(200))
         self.assertLessEqual(burst, 2)
 
 
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/routing/a_router.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/routing/a_router.py
@@ -19,7 +19,7 @@
 DATA_CENTRES = ("hall-a", "hall-b", "hall-c")
 
 
-class HandClock:
+class ManualClock:
     """A clock that stands until it is moved."""
 
     def __init__(self):
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/routing/test_ejection.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/routing/test_ejection.py
@@ -7,7 +7,7 @@
 from fuchsiagap.core.calls.outcome import Reason
 from fuchsiagap.tests.core.routing.a_router import (
     CERTS,
-    HandClock,
+    ManualClock,
     a_lost_link,
     a_passed_deadline,
     a_refusal,
@@ -21,7 +21,7 @@
 class EjectionTest(TestCase):
     def setUp(self):
         super().setUp()
-        self.time = HandClock()
+        self.time = ManualClock()
         self.router = a_router(self.time)
         self.router.update(instances(4))
 
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/routing/test_least_time.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/routing/test_least_time.py
@@ -7,13 +7,13 @@
 from testtools import TestCase
 
 from fuchsiagap.core.routing.least_time import LeastTimes
-from fuchsiagap.tests.core.routing.a_router import CERTS, HandClock
+from fuchsiagap.tests.core.routing.a_router import CERTS, ManualClock
 
 
 class LeastTimesTest(TestCase):
     def setUp(self):
         super().setUp()
-        self.time = HandClock()
+        self.time = ManualClock()
         self.times = LeastTimes()
 
     def learn(self, n_times, draw):
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/routing/test_router.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/routing/test_router.py
@@ -7,7 +7,7 @@
 from fuchsiagap.core.calls.outcome import Reason
 from fuchsiagap.tests.core.routing.a_router import (
     CERTS,
-    HandClock,
+    ManualClock,
     a_refusal,
     a_router,
     an_answer,
@@ -24,7 +24,7 @@
 class ChooseTest(TestCase):
     def setUp(self):
         super().setUp()
-        self.time = HandClock()
+        self.time = ManualClock()
 
     def test_none_of_an_unknown_service(self):
         self.assertIsNone(a_router(self.time).choose(CERTS))
@@ -83,7 +83,7 @@
 class SpillTest(TestCase):
     def setUp(self):
         super().setUp()
-        self.time = HandClock()
+        self.time = ManualClock()
         self.router = a_router(self.time, assumed_limit=10)
         self.router.update(instances(2, 2))
 
@@ -112,7 +112,7 @@
         return counts.get("certs-3", 0) / 1000
 
     def test_new_instance_gets_its_share_little_by_little(self):
-        time = HandClock()
+        time = ManualClock()
         router = a_router(time, slow_start=10_000.0)
         router.update(instances(3))
         run_calls(router, 10, always_answer)
@@ -127,7 +127,7 @@
         self.assertGreater(shares[3], 0.2)
 
     def test_new_incarnation_starts_anew(self):
-        time = HandClock()
+        time = ManualClock()
         router = a_router(time)
         router.update(instances(4))
         before = self.share_of_newcomer(router)
@@ -135,7 +135,7 @@
         self.assertLess(self.share_of_newcomer(router), before / 2)
 
     def test_late_outcome_of_the_old_incarnation_changes_nothing(self):
-        router = a_router(HandClock())
+        router = a_router(ManualClock())
         router.update(instances(1))
         old, new = an_instance(0), an_instance(0, incarnation=2)
         router.begin(old)
@@ -146,7 +146,7 @@
 
 class LeavingTest(TestCase):
     def test_leaving_member_is_never_chosen(self):
-        router = a_router(HandClock())
+        router = a_router(ManualClock())
         router.update(instances(2))
         router.update((an_instance(0, leaving=True), an_instance(1)))
         self.assertEqual({"certs-1": 50}, run_calls(router, 50, always_answer))
@@ -154,7 +154,7 @@
         self.assertIsNone(router.choose(CERTS))
 
     def test_refusal_of_a_leaving_one_is_heeded_at_once(self):
-        router = a_router(HandClock())
+        router = a_router(ManualClock())
         router.update(instances(2))
         router.begin(an_instance(0))
         router.end(an_instance(0), a_refusal(Reason.LEAVING), 1.0)
@@ -167,7 +167,7 @@
 
 class LargeFleetTest(TestCase):
     def test_list_is_worked_in_now_and_then(self):
-        time = HandClock()
+        time = ManualClock()
         router = a_router(time)
         router.update(instances(600))
         self.assertIsNotNone(router.choose(CERTS))
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/routing/test_subset.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/routing/test_subset.py
@@ -8,7 +8,7 @@
 from fuchsiagap.core.routing.subset import rendezvous_rank, subset_of
 from fuchsiagap.tests.core.routing.a_router import (
     CERTS,
-    HandClock,
+    ManualClock,
     a_router,
     an_answer,
     instances,
@@ -55,7 +55,7 @@
         self.assertLess(max(links.values()), mean * 1.5)
 
     def test_router_links_to_no_more(self):
-        router = a_router(HandClock(), local_subset=4)
+        router = a_router(ManualClock(), local_subset=4)
         router.update(instances(50))
         counts = run_calls(router, 500, lambda _: an_answer())
         self.assertEqual(4, len(counts))
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/pressure/test_kept.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/shedding/test_allocation.py
@@ -2,13 +2,13 @@
 
 from testtools import TestCase
 
-from fuchsiagap.core.pressure.kept import (
-    KEPT_PART,
-    LEAST_KEPT,
+from fuchsiagap.core.shedding.allocation import (
+    GUARANTEED_PART,
+    MIN_GUARANTEED_SHARE,
     KindLoad,
-    deepest_cut,
-    kept_share,
-    share_of,
+    guaranteed_share,
+    max_cut,
+    share_of_step,
 )
 
 # A page that makes many calls, a status that makes none, an order that makes many.
@@ -18,16 +18,16 @@
 
 def shares(room, kinds=KINDS):
     """Return the shares of kinds, that which gives way first before the others."""
-    return [round(share_of(kind.step, room, kinds, KEPT), 9) for kind in kinds]
+    return [round(share_of_step(kind.step, room, kinds, KEPT), 9) for kind in kinds]
 
 
 class TestKeptShare(TestCase):
     def test_kind_keeps_a_part_of_what_all_get(self):
-        self.assertAlmostEqual(KEPT_PART, kept_share(1.0))
-        self.assertAlmostEqual(KEPT_PART * 0.4, kept_share(0.4))
+        self.assertAlmostEqual(GUARANTEED_PART, guaranteed_share(1.0))
+        self.assertAlmostEqual(GUARANTEED_PART * 0.4, guaranteed_share(0.4))
 
     def test_something_is_let_in_where_nothing_is_served(self):
-        self.assertEqual(LEAST_KEPT, kept_share(0.0))
+        self.assertEqual(MIN_GUARANTEED_SHARE, guaranteed_share(0.0))
 
 
 class TestShareOf(TestCase):
@@ -56,16 +56,16 @@
         self.assertEqual([0.5, 0.5, 1.0], shares(0.75, kinds))
 
     def test_step_without_requests_lets_in_what_comes(self):
-        self.assertEqual(1.0, share_of(5, 0.1, KINDS, KEPT))
+        self.assertEqual(1.0, share_of_step(5, 0.1, KINDS, KEPT))
 
 
 class TestDeepestCut(TestCase):
     def test_cut_stops_where_nothing_more_gives_way(self):
         for kind in KINDS:
-            room = math.exp(-deepest_cut(kind.step, KINDS, KEPT))
-            self.assertAlmostEqual(KEPT, share_of(kind.step, room, KINDS, KEPT))
-            more = share_of(kind.step, 1.05 * room, KINDS, KEPT)
+            room = math.exp(-max_cut(kind.step, KINDS, KEPT))
+            self.assertAlmostEqual(KEPT, share_of_step(kind.step, room, KINDS, KEPT))
+            more = share_of_step(kind.step, 1.05 * room, KINDS, KEPT)
             self.assertGreater(more, KEPT + 0.01)
 
     def test_nothing_asked_for(self):
-        self.assertAlmostEqual(-math.log(KEPT), deepest_cut(0, [], KEPT))
+        self.assertAlmostEqual(-math.log(KEPT), max_cut(0, [], KEPT))
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/pressure/test_evenly.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/shedding/test_fair_admission.py
@@ -5,7 +5,7 @@
 
 from testtools import TestCase
 
-from fuchsiagap.core.pressure.evenly import CallerTurn, EvenShares
+from fuchsiagap.core.shedding.fair_admission import CallerCredit, FairAdmission
 
 TRIES = 200
 
@@ -16,13 +16,13 @@
     The callers take turns in the same order, without end. One that does not keep its
     connection is nobody that the entry knows.
     """
-    shares = EvenShares(random.Random(seed))
-    turns = [CallerTurn() for _ in range(n_callers)]
+    shares = FairAdmission(random.Random(seed))
+    turns = [CallerCredit() for _ in range(n_callers)]
     let_in = [0] * n_callers
     decisions = []
     for _ in range(n_rounds):
         for number in range(n_callers):
-            turn = turns[number] if keeps else CallerTurn()
+            turn = turns[number] if keeps else CallerCredit()
             admitted = shares.admits("read", share, turn)
             let_in[number] += admitted
             decisions.append(admitted)
@@ -66,13 +66,13 @@
             self.assertLess(statistics.pstdev(parts), 1.0)
 
     def test_new_callers_are_not_put_behind_those_that_keep_connections(self):
-        shares = EvenShares(random.Random(5))
-        kept = [CallerTurn() for _ in range(5)]
+        shares = FairAdmission(random.Random(5))
+        kept = [CallerCredit() for _ in range(5)]
         let_in = {"kept": 0, "new": 0}
         for _ in range(TRIES):
             for turn in kept:
                 let_in["kept"] += shares.admits("read", 0.2, turn)
-                let_in["new"] += shares.admits("read", 0.2, CallerTurn())
+                let_in["new"] += shares.admits("read", 0.2, CallerCredit())
         self.assertAlmostEqual(200, let_in["kept"], delta=20)
         self.assertAlmostEqual(200, let_in["new"], delta=20)
 
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/pressure/test_order.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/shedding/test_order.py
@@ -1,8 +1,8 @@
 from testtools import TestCase
 
-from fuchsiagap.core.pressure.order import FORGOTTEN_MS, RefusalOrder
 from fuchsiagap.core.routes.model import Route, Share
 from fuchsiagap.core.routes.ranks import ranked
+from fuchsiagap.core.shedding.order import IDLE_KIND_MS, SheddingOrder
 
 
 def a_route(name, priority):
@@ -14,16 +14,16 @@
 
 def an_order(**kinds):
     """Return an order that knows kinds by name, each with priority and calls."""
-    order = RefusalOrder()
+    order = SheddingOrder()
     for name, (priority, calls) in kinds.items():
-        order.note_request(a_route(name, priority), 0.0)
-        order.note_calls(name, calls)
+        order.record_request(a_route(name, priority), 0.0)
+        order.record_calls(name, calls)
     return order
 
 
 def steps(order, *names):
     """Return the steps of some kinds."""
-    return [order.steps_from_worst()[name] for name in names]
+    return [order.step_by_kind()[name] for name in names]
 
 
 class TestRefusalOrder(TestCase):
@@ -45,14 +45,14 @@
 
     def test_changed_priority_counts(self):
         order = an_order(read=(2, 0.0), buy=(0, 0.0))
-        order.note_request(a_route("read", 0), 0.0)
+        order.record_request(a_route("read", 0), 0.0)
         self.assertEqual([0, 0], steps(order, "read", "buy"))
 
     def test_one_route_for_workspaces_of_two_priorities_is_two_kinds(self):
-        order = RefusalOrder()
+        order = SheddingOrder()
         urgent, usual = (ranked(a_route("read", 1), p) for p in (0, 1))
         for number in range(200):
-            order.note_request(urgent if number % 10 == 0 else usual, 10.0 * number)
+            order.record_request(urgent if number % 10 == 0 else usual, 10.0 * number)
         self.assertEqual([1, 0], steps(order, urgent.kind, usual.kind))
         loads = {load.step: load.load for load in order.loads(2_000.0)}
         self.assertGreater(loads[0], 5 * loads[1], "the counts of both are kept")
@@ -61,6 +61,6 @@
         order = an_order(seldom=(9, 0.0), read=(2, 0.0), buy=(0, 0.0))
         self.assertEqual([1, 2], steps(order, "read", "buy"))
         for name, priority in (("read", 2), ("buy", 0)):
-            order.note_request(a_route(name, priority), FORGOTTEN_MS)
-        order.forget(FORGOTTEN_MS + 1.0)
+            order.record_request(a_route(name, priority), IDLE_KIND_MS)
+        order.forget(IDLE_KIND_MS + 1.0)
         self.assertEqual([0, 1], steps(order, "read", "buy"))
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/pressure/test_served.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/shedding/test_served.py
@@ -1,6 +1,6 @@
 from testtools import TestCase
 
-from fuchsiagap.core.pressure.served import COUNTED_MS, ServedShares
+from fuchsiagap.core.shedding.served import DECAY_MS, ServedShares
 
 
 def counted(**kinds):
@@ -8,18 +8,18 @@
     shares = ServedShares()
     for kind, (served, failed, refused) in kinds.items():
         for _ in range(served):
-            shares.note_end(kind, True, 0.0)
+            shares.record_end(kind, True, 0.0)
         for _ in range(failed):
-            shares.note_end(kind, False, 0.0)
+            shares.record_end(kind, False, 0.0)
         for _ in range(refused):
-            shares.note_refused(kind, 0.0)
+            shares.record_refused(kind, 0.0)
     return shares
 
 
 class TestServedShares(TestCase):
     def test_nothing_is_read_from_the_first_requests(self):
-        self.assertEqual(1.0, ServedShares().whole(0.0))
-        self.assertGreater(counted(read=(0, 0, 2)).whole(0.0), 0.6)
+        self.assertEqual(1.0, ServedShares().overall_share(0.0))
+        self.assertGreater(counted(read=(0, 0, 2)).overall_share(0.0), 0.6)
 
     def test_share_is_of_all_requests_and_success_of_those_let_in(self):
         shares = counted(read=(100, 300, 600))
@@ -29,11 +29,11 @@
 
     def test_all_kinds_count_by_their_requests(self):
         shares = counted(read=(0, 0, 300), write=(100, 0, 0))
-        self.assertAlmostEqual(0.25, shares.whole(0.0), delta=0.01)
+        self.assertAlmostEqual(0.25, shares.overall_share(0.0), delta=0.01)
 
     def test_what_lies_back_no_longer_counts(self):
         shares = counted(read=(0, 0, 300))
         for _ in range(300):
-            shares.note_end("read", True, 5.0 * COUNTED_MS)
-        self.assertGreater(shares.whole(5.0 * COUNTED_MS), 0.98)
-        self.assertEqual([], list(shares.all(30.0 * COUNTED_MS)))
+            shares.record_end("read", True, 5.0 * DECAY_MS)
+        self.assertGreater(shares.overall_share(5.0 * DECAY_MS), 0.98)
+        self.assertEqual([], list(shares.all(30.0 * DECAY_MS)))
