--- a/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/__init__.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/__init__.py
@@ -1,1 +1,1 @@
-"""The door of one backend server: the only way by which requests reach it."""
+"""Queue, health and incarnation of one backend server, as its node tracks them."""
--- a/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/health.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/health.py
@@ -1,4 +1,4 @@
-"""How well one backend server does, as the node beside it sees."""
+"""Health of one backend server: failure rate, liveness and reachability."""
 
 from __future__ import annotations
 
@@ -8,90 +8,90 @@
 if TYPE_CHECKING:
     from fuchsiagap.core.clock import Milliseconds
 
-# Weight of one request in the running share of failures: about the last 30 count.
+# Weight of one request in the moving failure rate: about the last 30 requests count.
 _FAILURE_WEIGHT = 0.03
-# Milliseconds in which the share of failures of an unused server fades to 1/e, so that
-# it is tried again.
-_FAILURE_FADE_MS = 4_000.0
-# Milliseconds for which a server that took no connection is left alone.
-_DOWN_MS = 400.0
-# Heartbeats that may be missing before a server that answers nothing counts as gone.
-_MISSED_BEATS = 3.0
-# Milliseconds since the last answer within which a server is alive whatever its
-# heartbeats say.
-_ANSWERED_MS = 1_500.0
+# Time constant (to 1/e), in milliseconds, by which the failure rate of an unused server
+# decays, so that the server is tried again.
+_FAILURE_DECAY_MS = 4_000.0
+# Milliseconds for which a server that refused a connection gets no requests.
+_UNREACHABLE_MS = 400.0
+# Heartbeat intervals without a heartbeat after which a server that answers no requests
+# counts as dead.
+_MISSED_HEARTBEATS = 3.0
+# Milliseconds after an answer for which a server counts as alive without heartbeats.
+_ALIVE_AFTER_ANSWER_MS = 1_500.0
 
 
 class ServerHealth:
-    """Share of failures, and whether the server lives.
+    """Tracks the failure rate and the liveness of one backend server.
 
     Parameters
     ----------
     now : float
-        Time at the start, in milliseconds.
+        Time of creation in milliseconds; it counts as a heartbeat.
     """
 
     def __init__(self, now: Milliseconds) -> None:
         self._failing = 0.0
         self._failing_at = now
-        self._down_until = 0.0
-        self._beat_at = now
+        self._unreachable_until = 0.0
+        self._heartbeat_at = now
         self._answered_at = float("-inf")
 
     def record_heartbeat(self, now: Milliseconds) -> None:
-        """Take in that the server was heard of."""
-        self._beat_at = now
-        self._down_until = 0.0
+        """Record a heartbeat, which also makes an unreachable server usable again."""
+        self._heartbeat_at = now
+        self._unreachable_until = 0.0
 
     def record_answer(self, now: Milliseconds) -> None:
-        """Take in that the server answered a request, however."""
+        """Record that the server answered a request, whatever the status."""
         self._answered_at = now
 
     def record_unreachable(self, now: Milliseconds) -> None:
-        """Take in that the server took no connection."""
-        self._down_until = now + _DOWN_MS
+        """Record that the server refused a connection."""
+        self._unreachable_until = now + _UNREACHABLE_MS
 
     def record_outcome(self, failed: bool, now: Milliseconds) -> None:
-        """Take in how a request ended."""
+        """Add the outcome of a request to the failure rate."""
         known = self.failing(now)
         self._failing = known + (float(failed) - known) * _FAILURE_WEIGHT
 
     def forget_failures(self) -> None:
-        """Begin anew, as for another incarnation."""
+        """Reset the failure rate, as for a new incarnation."""
         self._failing = 0.0
 
     def failing(self, now: Milliseconds) -> float:
-        """Return the share of recent requests that ended refused or broken."""
-        self._failing *= math.exp((self._failing_at - now) / _FAILURE_FADE_MS)
+        """Return the share of recent requests that were refused or failed."""
+        self._failing *= math.exp((self._failing_at - now) / _FAILURE_DECAY_MS)
         self._failing_at = now
         return self._failing
 
     def heartbeat_age(self, now: Milliseconds) -> Milliseconds:
-        """Return the milliseconds since the server was heard of, or the start."""
-        return now - self._beat_at
+        """Return the milliseconds since the last heartbeat, or since creation."""
+        return now - self._heartbeat_at
 
     def is_usable(self, now: Milliseconds, heartbeat: Milliseconds) -> bool:
-        """Whether the server lives and takes connections.
+        """Whether the server is alive and accepts connections.
 
         Parameters
         ----------
         now : float
             Time in milliseconds.
         heartbeat : float
-            Milliseconds between two heartbeats of the server.
+            Heartbeat interval of the server in milliseconds.
         """
-        return now >= self._down_until and self.is_alive(now, heartbeat)
+        return now >= self._unreachable_until and self.is_alive(now, heartbeat)
 
     def is_alive(self, now: Milliseconds, heartbeat: Milliseconds) -> bool:
-        """Whether the server was heard of lately, by a heartbeat or an answer.
+        """Whether the server recently sent a heartbeat or answered a request.
 
         Parameters
         ----------
         now : float
             Time in milliseconds.
         heartbeat : float
-            Milliseconds between two heartbeats of the server.
+            Heartbeat interval of the server in milliseconds.
         """
-        if now - self._beat_at < _MISSED_BEATS * heartbeat:
+        if now - self._heartbeat_at < _MISSED_HEARTBEATS * heartbeat:
             return True
-        return now - self._answered_at < _ANSWERED_MS
+        return now - self._answered_at < _ALIVE_AFTER_ANSWER_MS
--- a/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/incarnation.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/incarnation.py
@@ -1,22 +1,22 @@
-"""What a node believes of the backend server beside it."""
+"""Which incarnation of the backend server a node currently serves, and its state."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, replace
 from enum import Enum
 
-# Identifiers that have left are remembered so that a late heartbeat of theirs cannot
-# bring them back. One node sees a handful a day; the bound only guards memory.
-_MAX_LEFT = 1_000
-# Heartbeats, one newer than the other and none of the incarnation believed in between
-# them, after which one that seems to have started before it is believed: the time of
-# day of its host has gone back. Held-up heartbeats seldom come in such a row, and if
-# they do, the next word of the one that lives puts it right.
-_EARLIER_REPORTS = 3
-# Heartbeats after a leaving without a time of start that show that it was said by an
-# earlier incarnation of the same identifier. One or two may have been held up and be of
-# the one that has left.
-_REPORTS_AFTER_LEAVING = 3
+# Maximum number of departed incarnations remembered, so that a delayed heartbeat cannot
+# bring one back. One node sees a handful a day; the bound only limits memory.
+_MAX_DEPARTED = 1_000
+# Successive heartbeats of an earlier start, without one of the current incarnation in
+# between, after which the earlier start is accepted: the wall clock of its host was set
+# back. Delayed heartbeats seldom arrive in such a row; if they do, the next heartbeat
+# of the running incarnation corrects it.
+_EARLIER_START_REPORTS = 3
+# Heartbeats after a departure without a start time which show that an earlier
+# incarnation of the same identifier sent it. One or two may have been delayed and stem
+# from the departed incarnation itself.
+_REPORTS_AFTER_DEPARTURE = 3
 
 
 class BackendState(Enum):
@@ -29,27 +29,27 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendReport:
-    """What a backend server says of itself in a heartbeat.
+    """A heartbeat of a backend server.
 
     Parameters
     ----------
     instance : str
-        Its identifier, which it may have had before it was started anew.
+        Identifier of the server, which may be the one it had before a restart.
     state : BackendState
-        State; `BackendState.GONE` says that it has left.
-    sequence : int
-        Increases with each report of an incarnation.
-    address : str
-        Where it takes requests, ``IP:PORT``.
-    slots : int
-        Requests that it runs at the same time.
-    warm_up : float
-        Milliseconds for which it is still slow after its start.
-    service : str
+        State; `BackendState.GONE` announces its departure.
+    sequence : int, default=0
+        Number that increases with each report of an incarnation.
+    address : str, default=""
+        ``IP:PORT`` at which it accepts requests.
+    slots : int, default=1
+        Requests that it runs concurrently.
+    warm_up : float, default=0.0
+        Milliseconds of its warm-up that are left, during which it is slower.
+    service : str, default=""
         Service that it belongs to.
-    born : int or None
-        Unix milliseconds of its start, by the clock of its host; with the identifier it
-        names an incarnation. None where it is not said.
+    born : int or None, default=None
+        Start time in Unix milliseconds by the clock of its host; with the identifier it
+        names an incarnation. None if not given.
     """
 
     instance: str
@@ -62,111 +62,120 @@
     born: int | None = None
 
     def is_same_start(self, other: BackendReport) -> bool:
-        """Whether two reports are of one incarnation, as far as starts are said."""
+        """Whether two reports are of one incarnation.
+
+        A report without a start time matches any start of the same identifier.
+
+        Parameters
+        ----------
+        other : BackendReport
+            Report to compare with.
+        """
         if self.instance != other.instance:
             return False
         return None in (self.born, other.born) or self.born == other.born
 
 
 class IncarnationTracker:
-    """The backend server beside this node, as its own reports tell it.
+    """Decides from heartbeats which incarnation of the backend server is current.
 
-    An incarnation is an identifier and the time of its start. Of one identifier the
-    later start counts, whatever was said of the earlier one and whenever that arrives,
-    and within one incarnation the higher sequence number. Between identifiers no number
-    tells which of two lives, so the last word is the server's own: `refute`.
+    An incarnation is an identifier and its start time. Of one identifier, the latest
+    start is current, whatever was reported of an earlier one and whenever that arrives;
+    within an incarnation, the highest sequence number counts. Between two identifiers
+    no number tells which one is running, so the server itself decides: see `refute`.
 
-    A clock that goes back while the server is down makes a new incarnation look like an
-    earlier one: it is believed after some heartbeats in a row. A clock that goes
-    forward does no harm but until the next start, for which the same holds.
+    If the wall clock is set back while the server is down, the new incarnation looks
+    like an earlier one; it is accepted after several heartbeats in a row. A clock that
+    is set forward has no effect before the next start, for which the same holds.
 
-    A leaving that says no start is taken for that of the incarnation believed in, since
-    new work for a server that has left is worse than none for one that lives. If an
-    earlier incarnation of the identifier was never heard to leave, some heartbeats
-    afterwards show that the leaving was its own.
+    A departure without a start time is attributed to the current incarnation, since
+    sending new requests to a departed server is worse than sending none to a running
+    one. If an earlier incarnation of the identifier never announced its departure,
+    several heartbeats after it show that the announcement was that one's.
 
     Attributes
     ----------
     report : BackendReport or None
-        Newest report of the incarnation that counts.
+        Newest report of the current incarnation; None before the first.
     """
 
     def __init__(self) -> None:
         self.report: BackendReport | None = None
-        self._left: dict[str, BackendReport] = {}
+        self._departed: dict[str, BackendReport] = {}
         self._superseded: dict[str, BackendReport] = {}
-        # Starts that were heard to leave, by identifier and time.
-        self._left_starts: dict[tuple[str, int | None], None] = {}
-        # Earlier start of the identifier believed in, as it speaks now, and how often.
+        # Departed incarnations, by identifier and start time.
+        self._departed_starts: dict[tuple[str, int | None], None] = {}
+        # Latest heartbeat of an earlier start of the current identifier, and how many
+        # came in a row.
         self._earlier: BackendReport | None = None
         self._n_earlier = 0
-        # What was known of the later start when an earlier one was believed instead.
+        # Last report of the later start that was replaced by an earlier one.
         self._later: BackendReport | None = None
-        # Identifiers of which an earlier incarnation was never heard to leave, and how
-        # many heartbeats came since a leaving that may have been its.
-        self._may_leave_late: set[str] = set()
+        # Identifiers with an earlier incarnation whose departure was never announced,
+        # and heartbeats since a departure that may have been that incarnation's.
+        self._unannounced: set[str] = set()
         self._doubted: dict[str, int] = {}
 
     def update(self, report: BackendReport) -> bool:
-        """Take in a report.
+        """Apply a report.
 
         Parameters
         ----------
         report : BackendReport
-            Report, perhaps an old one that arrives late.
+            Report; it may be delayed or repeated.
 
         Returns
         -------
         bool
-            Whether the report changed what is believed of the backend server.
+            Whether the current incarnation or its state changed.
         """
         later = self._later
-        if later is not None and _is_same(later, report):
+        if later is not None and _is_same_incarnation(later, report):
             if later.state is BackendState.GONE or report.sequence <= later.sequence:
                 return False
             self._later = None
             report = _newer(later, report)
-        known = self._last_word(report.instance)
+        known = self._latest_report(report.instance)
         if known is not None and _starts_before(report, known):
-            return self._take_earlier(report)
-        believed = self.report
-        if believed is not None and believed.instance == report.instance:
+            return self._apply_earlier_start(report)
+        current = self.report
+        if current is not None and current.instance == report.instance:
             self._earlier = None
         if known is not None and _starts_before(known, report):
-            return self._take_later(report, known)
-        return self._take_in_order(report)
+            return self._apply_later_start(report, known)
+        return self._apply_in_order(report)
 
-    def _last_word(self, instance: str) -> BackendReport | None:
-        """Return the newest report of an identifier, whatever became of it."""
-        if instance in self._left:
-            return self._left[instance]
+    def _latest_report(self, instance: str) -> BackendReport | None:
+        """Return the newest report of an identifier, in whatever state it is."""
+        if instance in self._departed:
+            return self._departed[instance]
         if self.report is not None and self.report.instance == instance:
             return self.report
         return self._superseded.get(instance)
 
-    def _take_later(self, report: BackendReport, known: BackendReport) -> bool:
-        """Take in the word of an incarnation that started after the known one."""
+    def _apply_later_start(self, report: BackendReport, known: BackendReport) -> bool:
+        """Apply a report of an incarnation that started after the known one."""
         instance = report.instance
         if known.state is not BackendState.GONE:
-            self._may_leave_late.add(instance)
-        self._left.pop(instance, None)
+            self._unannounced.add(instance)
+        self._departed.pop(instance, None)
         self._superseded.pop(instance, None)
         self._doubted.pop(instance, None)
         if self.report is None or self.report.instance != instance:
-            return self._take_in_order(report)
+            return self._apply_in_order(report)
         self.report = report
         if report.state is BackendState.GONE:
-            self._leave(report)
+            self._depart(report)
         return True
 
-    def _take_earlier(self, report: BackendReport) -> bool:
-        """Take in the word of an incarnation that started before the known one."""
-        believed = self.report
+    def _apply_earlier_start(self, report: BackendReport) -> bool:
+        """Apply a report of an incarnation that started before the known one."""
+        current = self.report
         if (
             report.state is not BackendState.READY
-            or believed is None
-            or believed.instance != report.instance
-            or (report.instance, report.born) in self._left_starts
+            or current is None
+            or current.instance != report.instance
+            or (report.instance, report.born) in self._departed_starts
         ):
             return False
         last = self._earlier
@@ -176,18 +185,18 @@
             return False
         self._earlier = report
         self._n_earlier += 1
-        if self._n_earlier < _EARLIER_REPORTS:
+        if self._n_earlier < _EARLIER_START_REPORTS:
             return False
         self._earlier = None
-        self._later = believed
-        return self._take_later(report, believed)
+        self._later = current
+        return self._apply_later_start(report, current)
 
-    def _take_in_order(self, report: BackendReport) -> bool:
-        """Take in the word of an incarnation that is known, or of a new identifier."""
-        if report.instance in self._left:
-            return self._speaks_after_leaving(report)
+    def _apply_in_order(self, report: BackendReport) -> bool:
+        """Apply a report of the known incarnation, or of a new identifier."""
+        if report.instance in self._departed:
+            return self._apply_after_departure(report)
         if report.state is BackendState.GONE:
-            return self._leave(report)
+            return self._depart(report)
         old = self.report
         if old is not None and old.instance == report.instance:
             newer = _newer(old, report)
@@ -200,46 +209,50 @@
         if old is not None:
             serves = old.state is BackendState.READY
             if serves and report.state is BackendState.DRAINING:
-                # No incarnation begins by leaving: this one was here before.
+                # No incarnation starts out draining, so this is a delayed report of an
+                # earlier one.
                 self._supersede(report)
                 return False
             self._supersede(old)
         self.report = report
         return True
 
-    def _speaks_after_leaving(self, report: BackendReport) -> bool:
-        """Hear one that has left; if the leaving was another's, it has not."""
+    def _apply_after_departure(self, report: BackendReport) -> bool:
+        """Apply a heartbeat of a departed identifier.
+
+        Enough of them revoke a departure that an earlier incarnation may have sent.
+        """
         instance = report.instance
-        last = self._left[instance]
+        last = self._departed[instance]
         if (
             instance not in self._doubted
             or report.state is not BackendState.READY
             or report.sequence <= last.sequence
         ):
             return False
-        self._left[instance] = replace(last, sequence=report.sequence)
+        self._departed[instance] = replace(last, sequence=report.sequence)
         self._doubted[instance] += 1
-        if self._doubted[instance] < _REPORTS_AFTER_LEAVING:
+        if self._doubted[instance] < _REPORTS_AFTER_DEPARTURE:
             return False
-        del self._doubted[instance], self._left[instance]
-        self._left_starts.pop((instance, report.born), None)
+        del self._doubted[instance], self._departed[instance]
+        self._departed_starts.pop((instance, report.born), None)
         if self.report is not None and self.report.instance != instance:
-            return self._take_in_order(report)
+            return self._apply_in_order(report)
         self.report = report
         return True
 
     def refute(self, instance: str) -> bool:
-        """Take in that the server says that it is not an incarnation.
+        """Apply the server's statement that it is not the given incarnation.
 
         Parameters
         ----------
         instance : str
-            The incarnation that it was taken for.
+            Identifier that was taken for the server's.
 
         Returns
         -------
         bool
-            Whether another one, which it was before, is believed in now.
+            Whether the incarnation known before it is current again.
         """
         old = self.report
         if old is None or old.instance != instance or not self._superseded:
@@ -250,27 +263,27 @@
 
     def _supersede(self, report: BackendReport) -> None:
         self._superseded[report.instance] = report
-        if len(self._superseded) > _MAX_LEFT:
+        if len(self._superseded) > _MAX_DEPARTED:
             del self._superseded[next(iter(self._superseded))]
 
-    def _leave(self, report: BackendReport) -> bool:
-        """Take in that an incarnation has left."""
+    def _depart(self, report: BackendReport) -> bool:
+        """Apply the departure of an incarnation."""
         instance = report.instance
-        known = self._last_word(instance)
-        if report.born is None and instance in self._may_leave_late:
+        known = self._latest_report(instance)
+        if report.born is None and instance in self._unannounced:
             self._doubted[instance] = 0
-        self._may_leave_late.discard(instance)
+        self._unannounced.discard(instance)
         if known is not None:
-            # A leaving says little of who leaves; what was known before still holds.
+            # A departure carries few fields, so the others are kept from before.
             born = known.born if report.born is None else report.born
             report = replace(known, state=BackendState.GONE, born=born)
-        self._left[instance] = report
-        self._left_starts[instance, report.born] = None
-        if len(self._left_starts) > _MAX_LEFT:
-            del self._left_starts[next(iter(self._left_starts))]
-        if len(self._left) > _MAX_LEFT:
-            forgotten = next(iter(self._left))
-            del self._left[forgotten]
+        self._departed[instance] = report
+        self._departed_starts[instance, report.born] = None
+        if len(self._departed_starts) > _MAX_DEPARTED:
+            del self._departed_starts[next(iter(self._departed_starts))]
+        if len(self._departed) > _MAX_DEPARTED:
+            forgotten = next(iter(self._departed))
+            del self._departed[forgotten]
             self._doubted.pop(forgotten, None)
         self._superseded.pop(instance, None)
         if self.report is None or self.report.instance != instance:
@@ -280,19 +293,19 @@
 
 
 def _starts_before(report: BackendReport, other: BackendReport) -> bool:
-    """Whether one report is of an earlier start than another of its identifier."""
+    """Whether a report has an earlier start time than another of its identifier."""
     if report.born is None or other.born is None:
         return False
     return report.born < other.born
 
 
-def _is_same(one: BackendReport, other: BackendReport) -> bool:
-    """Whether two reports are of one incarnation."""
+def _is_same_incarnation(one: BackendReport, other: BackendReport) -> bool:
+    """Whether two reports have the same identifier and start time."""
     return one.instance == other.instance and one.born == other.born
 
 
 def _newer(old: BackendReport, report: BackendReport) -> BackendReport:
-    """Return the newer of two reports of one incarnation; leaving is not taken back."""
+    """Return the newer of two reports of one incarnation; draining is final."""
     if report.sequence <= old.sequence:
         return old
     if old.state is BackendState.DRAINING:
--- a/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/offered_load.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/offered_load.py
@@ -1,4 +1,4 @@
-"""The load that is offered to one backend server, as a share of its places."""
+"""Estimate of the load offered to one backend server, in concurrency slots."""
 
 from __future__ import annotations
 
@@ -8,20 +8,21 @@
 if TYPE_CHECKING:
     from fuchsiagap.core.clock import Milliseconds
 
-# Milliseconds over which arrivals are averaged (to 1/e): some hundred calls of a busy
-# server, and less than a tree of calls takes to come down to it.
+# Time constant (to 1/e) of the arrival rate, in milliseconds: long enough to average
+# about a hundred calls of a busy server, shorter than the time that a call tree takes
+# to reach it.
 AVERAGING_MS = 200.0
-# Milliseconds in which what waits is to be worked off, beside what arrives.
+# Milliseconds within which queued requests should be worked off, on top of arrivals.
 BACKLOG_MS = 100.0
 
 
 class OfferedLoad:
-    """Places that the requests arriving at a server would fill.
+    """Estimates the slots needed by the requests that arrive at a backend server.
 
-    The count of requests that run or wait says that a server is too full, not by how
-    much too many arrive: a queue grows with every excess, however small, and shrinks
-    only once far too few are let in. What arrives, times how long it holds a place, is
-    proportional to what the entries let in, below and above the server's capacity.
+    The number of running and queued requests shows that a server is overloaded, but not
+    by how much: a queue grows under any excess, however small, and shrinks only once
+    far too few requests are admitted. The arrival rate times the service time is
+    proportional to what the entry nodes admit, both below and above the capacity.
     """
 
     def __init__(self) -> None:
@@ -29,27 +30,32 @@
         self._at: Milliseconds = 0.0
 
     def record_arrival(self, now: Milliseconds) -> None:
-        """Count a request that arrives, whether or not there is room for it."""
-        self._fade(now)
+        """Count an arriving request, whether it is started, queued or rejected."""
+        self._decay(now)
         self._arrivals += 1.0
 
     def places(
         self, now: Milliseconds, service_ms: Milliseconds, waiting: int
     ) -> float:
-        """Return how many places are asked for.
+        """Return the number of slots that the offered load needs.
 
         Parameters
         ----------
         now : float
             Time in milliseconds.
         service_ms : float
-            Milliseconds that a request holds a place.
+            Mean milliseconds that a request holds a slot.
         waiting : int
-            Requests that wait for one.
+            Number of queued requests.
+
+        Returns
+        -------
+        float
+            Slots; above the server's limit if it is overloaded.
         """
-        self._fade(now)
+        self._decay(now)
         return service_ms * (self._arrivals / AVERAGING_MS + waiting / BACKLOG_MS)
 
-    def _fade(self, now: Milliseconds) -> None:
+    def _decay(self, now: Milliseconds) -> None:
         self._arrivals *= math.exp((self._at - now) / AVERAGING_MS)
         self._at = now
--- a/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/queue_timeouts.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/queue_timeouts.py
@@ -1,4 +1,4 @@
-"""Trees of calls that run out of time while they wait at one door."""
+"""Weight of the nested calls that time out in the queue of one backend server."""
 
 from __future__ import annotations
 
@@ -9,51 +9,56 @@
 if TYPE_CHECKING:
     from fuchsiagap.core.clock import Milliseconds
 
-# Load that each part of the calls of a rank that is lost adds, as a part of the load
-# that is offered. A call that is lost takes its tree with it, with the work of half of
-# ten or fifteen calls; and where trees have little time to spare, they get through at
-# less load only. Pages that need 0.5 s of their 0.8 s, at three times the load of a
-# sheet: 0.10 served without this, 0.15 with 10, 0.18 with 20, and orders of the best
-# rank 0.98, 0.92 and 0.89 (`test_sheet_virtual`, seed 2).
+# Relative load added per share of a rank's nested calls that times out. A call that
+# times out fails its call tree, which wastes on average half of its ten to fifteen
+# calls, and call trees with little time to spare only complete at a lower load. For
+# trees that need 0.5 s of their 0.8 s, under three times the nominal load, 0.10 succeed
+# without this, 0.15 at 10 and 0.18 at 20; the best rank then has 0.98, 0.92 and 0.89.
 LOAD_PER_TIMEOUT_SHARE = 20.0
-# The most that the load is multiplied by: with 1.6 the same pages were served 0.19 in
-# place of 0.20 (a trial with a larger kept share), so the time is lost elsewhere then.
+# Upper bound of the factor. At 1.6, the same call trees succeed no more often (0.19 in
+# place of 0.20, with a larger guaranteed share): the time is then lost elsewhere.
 MAX_LOAD_FACTOR = 1.3
-# Calls with which each rank begins, as if none had been lost: nothing is read from the
-# first few of them.
-_BEGUN_WITH = 20.0
+# Calls without a time-out that each rank is assumed to start with, so that the first
+# few calls do not swing the share.
+_PRIOR_CALLS = 20.0
 
 
 class QueueTimeouts:
-    """Counts calls that run out of time at a door, and says how much that weighs.
+    """Counts nested calls that time out in a queue, and weights the load by them.
 
-    The load that is offered to a door tells how long its queue grows, not whether who
-    waits there can afford it. At 97 of 100 places a few calls wait for long, those of
-    the worst rank most of all: of trees that make ten calls and have little time to
-    spare, seven of ten were lost after half of their work had been done.
+    The load offered to a backend server determines how long its queue grows, not
+    whether the queued calls have the time to wait. With 97 of 100 slots in use a few
+    calls wait for long, mostly those of the worst rank: 7 of 10 call trees that make
+    ten calls and have little time to spare fail after half of their work is done.
     """
 
     def __init__(self) -> None:
         self._counts = RankCounts()
 
     def record_arrival(self, rank: int, now: Milliseconds) -> None:
-        """Count a call within a tree that comes."""
+        """Count the arrival of a nested call of a rank at a time in milliseconds."""
         self._counts.of(rank, now).arrivals += 1.0
 
     def record_timeout(self, rank: int, now: Milliseconds) -> None:
-        """Count a call within a tree that ran out of time before it had a place."""
+        """Count a nested call that was given up before it got a slot."""
         self._counts.of(rank, now).matched += 1.0
 
     def load_factor(self, now: Milliseconds) -> float:
-        """Return by what the load counts more for the calls that are lost.
+        """Return the factor by which time-outs increase the offered load.
+
+        Parameters
+        ----------
+        now : float
+            Time in milliseconds.
 
         Returns
         -------
         float
-            1 where none is lost. The rank that loses most decides.
+            From 1, without time-outs, to `MAX_LOAD_FACTOR`; the rank with the highest
+            share of time-outs decides.
         """
         shares = (
-            count.matched / (count.arrivals + _BEGUN_WITH)
+            count.matched / (count.arrivals + _PRIOR_CALLS)
             for _, count in self._counts.all(now)
         )
         return min(
--- a/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/rank_stats.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/rank_stats.py
@@ -1,4 +1,4 @@
-"""What each rank of requests got at one door."""
+"""Arrivals and starts by priority rank at one backend server."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 
 class RankStats:
-    """Counts, rank by rank, what comes to a door and what gets a place."""
+    """Counts, by rank, the requests that arrive and those that get a slot."""
 
     def __init__(self) -> None:
         self._counts = RankCounts()
 
     def record_arrival(self, rank: int, now: Milliseconds) -> None:
-        """Count a request that comes."""
+        """Count a request that arrives at a time in milliseconds."""
         self._counts.of(rank, now).arrivals += 1.0
 
     def record_start(self, rank: int, now: Milliseconds) -> None:
-        """Count a request that gets a place."""
+        """Count a request that gets a slot at a time in milliseconds."""
         self._counts.of(rank, now).matched += 1.0
 
     def all(self, now: Milliseconds) -> Iterator[tuple[int, RankCount]]:
-        """Yield each rank that came of late, with what got a place marked."""
+        """Yield each rank with its counts; `RankCount.matched` are the starts."""
         return self._counts.all(now)
--- a/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/ranked_queue.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/ranked_queue.py
@@ -1,4 +1,4 @@
-"""Places at one backend server, and the requests that wait for one."""
+"""Priority queue of the requests that wait for a slot at one backend server."""
 
 from __future__ import annotations
 
@@ -13,94 +13,116 @@
 
     from fuchsiagap.core.clock import Milliseconds
 
-Job = TypeVar("Job")
+JobT = TypeVar("JobT")
 
-# Requests that may wait, per place, where the service time is not known.
+# Queued requests per slot while the service time is not known.
 QUEUE_PER_SLOT = 2.0
-# Milliseconds of work that may wait: the levels of the entries need some hundred
-# milliseconds to follow a surge, and a call turned away wastes the tree above it.
+# Milliseconds of work that may be queued. Entry nodes need a few hundred milliseconds
+# to react to a surge, and rejecting a nested call wastes the work of its call tree.
 MAX_QUEUE_MS = 300.0
-# Fewest requests that may wait, for servers with few places.
+# Minimum queue capacity, for backend servers with few slots.
 MIN_QUEUE_LENGTH = 16
-# Share of the time that a request has left for which it waits for better ranks at most;
-# then it takes turns with them. At 0.1, orders of the best rank were answered 0.66 and
-# 0.67 of the time where they have 0.68 and 0.69 with 0.5 (a day of high load).
+# Share of a request's remaining time for which it yields to better ranks; afterwards it
+# is guaranteed a share of the starts. At 0.1, the best rank loses two points of its
+# success rate under high load (0.66 in place of 0.68).
 MAX_YIELD_SHARE = 0.5
-# Share of the starts that go to those held for so long, as of the places to wait in
-# that the worse ranks keep. Strictly by rank, without end, 7 of 10 trees of the worst
-# rank that an entry had let in ran out of time at doors, and callers that asked 20 to
-# 40 times got nothing (real processes, three times the load of a sheet).
+# Share of the starts that is guaranteed to requests past their yield time, and share of
+# the queue that is guaranteed to the worse ranks. With strict priority, 7 of 10 call
+# trees of the worst rank that had been admitted time out in queues under three times
+# the nominal load, and clients get no answer in 20 to 40 requests.
 GUARANTEED_START_SHARE = 0.25
-# Times that a request holds a place: with less time left, a call within a tree goes
-# before better ranks, so that the work done for its tree is not lost. Few calls come so
-# far. Pages with time to spare, at three times the load of a sheet: 0.31 served and 58
-# of 300 failed without this, 0.41 and 14 with it, orders of the best rank 0.84 and 0.86
-# (`test_sheet_virtual`, seed 2).
+# Remaining time, in mean service times, below which a nested call overtakes better
+# ranks, so that the work already done for its call tree is not lost. Few calls come
+# that close to their deadline. Without this, 58 of 300 low-rank requests with time to
+# spare fail after admission under three times the nominal load, in place of 14, and
+# 0.31 of them succeed in place of 0.41. The best rank does not lose by it (0.86 with
+# this, 0.84 without).
 URGENT_SERVICE_TIMES = 3.0
 
 
 @dataclass(slots=True)
-class QueueItem(Generic[Job]):
-    """A request that waits for a place."""
+class QueueItem(Generic[JobT]):
+    """A request that waits for a slot.
 
-    job: Job
+    Parameters
+    ----------
+    job : object
+        The request.
+    rank : int
+        Priority rank; 0 is the best.
+    deadline : float
+        Time in milliseconds from which the request must not be started.
+    due : float
+        Time in milliseconds by which the answer meets the latency objective.
+    yields_until : float
+        Time in milliseconds until which the request waits for better ranks.
+    is_nested : bool
+        Whether it is a call within a call tree for which work has been done.
+    dropped : bool, default=False
+        Whether it was taken out of the queue.
+    """
+
+    job: JobT
     rank: int
     deadline: Milliseconds
     due: Milliseconds
-    held_until: Milliseconds
-    begun: bool
+    yields_until: Milliseconds
+    is_nested: bool
     dropped: bool = False
 
 
 @dataclass(slots=True)
-class _Rank(Generic[Job]):
-    """What waits of one rank.
+class _RankQueue(Generic[JobT]):
+    """The queued requests of one rank.
+
+    Dropped requests stay in the containers until they come up or are swept.
 
     Parameters
     ----------
     in_time : list
-        A heap of those whose answer can still be in time, by when it is due.
+        Heap, by due time, of the requests that can still meet their objective.
     late : deque
-        The others, by arrival.
+        The other requests, in order of arrival.
     by_arrival : deque
-        All, by arrival.
+        All requests, in order of arrival.
     n_waiting : int
-        How many wait.
-    turn : float
-        Part of a turn that it has while it is held up; with 1 it starts one.
+        Number of requests that have not been dropped.
+    credit : float
+        Starts earned while requests of the rank are past their yield time; 1 pays for
+        one start.
     """
 
-    in_time: list[tuple[Milliseconds, int, QueueItem[Job]]] = field(
+    in_time: list[tuple[Milliseconds, int, QueueItem[JobT]]] = field(
         default_factory=list
     )
-    late: deque[QueueItem[Job]] = field(default_factory=deque)
-    by_arrival: deque[QueueItem[Job]] = field(default_factory=deque)
+    late: deque[QueueItem[JobT]] = field(default_factory=deque)
+    by_arrival: deque[QueueItem[JobT]] = field(default_factory=deque)
     n_waiting: int = 0
-    turn: float = 0.0
+    credit: float = 0.0
 
-    def first(self) -> QueueItem[Job] | None:
-        """Return the first that came; None if nothing waits."""
+    def oldest(self) -> QueueItem[JobT] | None:
+        """Return the request that arrived first; None if the queue is empty."""
         while self.by_arrival and self.by_arrival[0].dropped:
             self.by_arrival.popleft()
         return self.by_arrival[0] if self.by_arrival else None
 
-    def held_until(self) -> Milliseconds:
-        """Return until when the first that came waits for better ranks."""
-        first = self.first()
-        return float("inf") if first is None else first.held_until
+    def yields_until(self) -> Milliseconds:
+        """Return the time until which the oldest request waits for better ranks."""
+        oldest = self.oldest()
+        return float("inf") if oldest is None else oldest.yields_until
 
-    def all(self) -> Iterator[QueueItem[Job]]:
-        """Yield what waits, and what has been dropped since."""
+    def all(self) -> Iterator[QueueItem[JobT]]:
+        """Yield all requests, including dropped ones that have not been swept."""
         yield from (waiting for _, _, waiting in self.in_time)
         yield from self.late
 
-    def next(self, now: Milliseconds) -> QueueItem[Job] | None:
-        """Take out the one that is due first, or the first of the late ones."""
+    def pop_next(self, now: Milliseconds) -> QueueItem[JobT] | None:
+        """Remove and return the request due first, else the oldest late one."""
         while self.in_time:
             due, _, waiting = heapq.heappop(self.in_time)
             if waiting.dropped:
                 continue
-            if due >= now or waiting.begun:
+            if due >= now or waiting.is_nested:
                 return waiting
             self.late.append(waiting)
         while self.late:
@@ -109,8 +131,8 @@
                 return waiting
         return None
 
-    def last(self) -> QueueItem[Job] | None:
-        """Take out the one whose loss costs least: a late one, or the last due."""
+    def pop_last(self) -> QueueItem[JobT] | None:
+        """Remove and return the newest late request, else the one due last."""
         while self.late:
             waiting = self.late.pop()
             if not waiting.dropped:
@@ -124,7 +146,7 @@
         return None
 
     def sweep(self) -> None:
-        """Forget what has been dropped."""
+        """Remove dropped requests from the containers."""
         if any(waiting.dropped for waiting in self.all()):
             self.in_time = [entry for entry in self.in_time if not entry[2].dropped]
             heapq.heapify(self.in_time)
@@ -132,57 +154,61 @@
             self.by_arrival = deque(w for w in self.by_arrival if not w.dropped)
 
 
-class RankedQueue(Generic[Job]):
-    """Counts the places in use and orders what waits by rank, then by when it is due.
+class RankedQueue(Generic[JobT]):
+    """Counts the slots in use and orders waiting requests by rank, then by due time.
 
-    No rank waits without end: one that was held for long takes turns with the better
-    ones (`GUARANTEED_START_SHARE`), and a tree that is about to be lost goes before
-    them (`URGENT_SERVICE_TIMES`). Whom to refuse is decided before any work is done for
-    a request; what was let in is to end well, whatever its rank.
+    No rank starves: requests past their yield time get a guaranteed share of the starts
+    (`GUARANTEED_START_SHARE`), and a nested call about to expire overtakes better ranks
+    (`URGENT_SERVICE_TIMES`). Load is shed at the entry node, before any work is done
+    for a request; whatever was admitted there should complete, whatever its rank.
 
-    By arrival within a rank, requests with an objective of 150 ms waited behind trees
-    that had a second left; and what is late already took the places of what was not.
+    Within a rank, requests that can still meet their latency objective go first, by due
+    time. In order of arrival, requests with an objective of 150 ms would wait behind
+    call trees that have a second left, and late requests would take the slots of
+    requests that are still in time.
 
     Parameters
     ----------
     limit : int
-        Places.
+        Number of slots.
 
     Attributes
     ----------
+    limit : int
+        Number of slots.
     running : int
-        Places in use.
+        Slots in use.
     service_ms : float
-        Mean time that a request holds a place; 0 if not known.
+        Mean milliseconds that a request holds a slot; 0 if not known.
     """
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
         self.running = 0
         self.service_ms = 0.0
-        self._ranks: dict[int, _Rank[Job]] = {}
-        self._numbers = count()
+        self._ranks: dict[int, _RankQueue[JobT]] = {}
+        self._sequence = count()
         self._waiting = 0
 
     @property
     def waiting(self) -> int:
-        """Requests that wait."""
+        """Number of queued requests."""
         return self._waiting
 
     @property
     def load(self) -> int:
-        """Requests that run or wait."""
+        """Number of running and queued requests."""
         return self.running + self._waiting
 
     def has_free_slot(self) -> bool:
-        """Whether a request may start at once."""
+        """Whether a new request may start at once."""
         return self.running < self.limit and self._waiting == 0
 
     def is_full(self) -> bool:
-        """Whether no more requests may wait."""
-        return self._waiting >= self._most_waiting()
+        """Whether the queue is at its capacity."""
+        return self._waiting >= self._capacity()
 
-    def _most_waiting(self) -> float:
+    def _capacity(self) -> float:
         per_slot = QUEUE_PER_SLOT
         if self.service_ms > 0.0:
             per_slot = max(per_slot, MAX_QUEUE_MS / self.service_ms)
@@ -190,45 +216,50 @@
 
     def push(
         self,
-        job: Job,
+        job: JobT,
         rank: int,
         deadline: Milliseconds,
         due: Milliseconds,
         now: Milliseconds,
-        begun: bool = False,
-    ) -> QueueItem[Job]:
-        """Let a request wait; it is started by `pop`.
+        is_nested: bool = False,
+    ) -> QueueItem[JobT]:
+        """Queue a request; `pop` returns it when it may start.
 
         Parameters
         ----------
         job : object
             The request.
         rank : int
-            Rank; the least goes first.
+            Priority rank; the lowest goes first.
         deadline : float
-            Time from which it is not to be started any more.
+            Time in milliseconds from which the request must not be started.
         due : float
-            Time until which its answer is in time.
+            Time in milliseconds by which the answer meets the latency objective.
         now : float
-            Time of its arrival.
-        begun : bool, default=False
-            Whether work has been done for it, as for a call within a tree: it is not
-            put behind the others once it is late. Where more came than there was room
-            for, trees were so given up when they were nearly complete.
+            Time of arrival in milliseconds.
+        is_nested : bool, default=False
+            Whether it is a call within a call tree for which work has been done. Such a
+            call is not put behind the others once it is late: under overload that would
+            abandon call trees when they are nearly complete.
+
+        Returns
+        -------
+        QueueItem
+            The queued request, for `drop`.
         """
-        held_until = now + MAX_YIELD_SHARE * (deadline - now)
-        waiting = QueueItem(job, rank, deadline, due, held_until, begun)
+        yields_until = now + MAX_YIELD_SHARE * (deadline - now)
+        waiting = QueueItem(job, rank, deadline, due, yields_until, is_nested)
         queue = self._ranks.get(rank)
         if queue is None:
-            queue = self._ranks[rank] = _Rank()
-        heapq.heappush(queue.in_time, (due, next(self._numbers), waiting))
+            queue = self._ranks[rank] = _RankQueue()
+        heapq.heappush(queue.in_time, (due, next(self._sequence), waiting))
         queue.by_arrival.append(waiting)
         queue.n_waiting += 1
         self._waiting += 1
         return waiting
 
-    def drop(self, waiting: QueueItem[Job]) -> bool:
-        """Take a request out; False if it no longer waits."""
+    def drop(self, waiting: QueueItem[JobT]) -> bool:
+        """Remove a request; return False if it is no longer queued."""
         if waiting.dropped:
             return False
         waiting.dropped = True
@@ -236,77 +267,99 @@
         self._waiting -= 1
         return True
 
-    def pop(self, now: Milliseconds) -> QueueItem[Job] | None:
-        """Return the next request to start, or None without place or request."""
+    def pop(self, now: Milliseconds) -> QueueItem[JobT] | None:
+        """Remove and return the request to start next.
+
+        Parameters
+        ----------
+        now : float
+            Time in milliseconds.
+
+        Returns
+        -------
+        QueueItem or None
+            None if all slots are in use or nothing is queued.
+        """
         if self.running >= self.limit:
             return None
         rank = self._next_rank(now)
-        waiting = None if rank is None else self._ranks[rank].next(now)
+        waiting = None if rank is None else self._ranks[rank].pop_next(now)
         if waiting is not None:
             self.drop(waiting)
         return waiting
 
     def _next_rank(self, now: Milliseconds) -> int | None:
-        """Return the rank whose turn it is; None if nothing waits."""
+        """Return the rank that starts a request next; None if nothing is queued."""
         ranks = sorted(rank for rank, queue in self._ranks.items() if queue.n_waiting)
         if len(ranks) < 2:
             return ranks[0] if ranks else None
         for rank in ranks[1:]:
-            if self._has_last_chance(rank, now):
+            if self._is_urgent(rank, now):
                 return rank
-        held = [r for r in ranks[1:] if self._ranks[r].held_until() <= now]
-        for rank in held:
-            self._ranks[rank].turn += GUARANTEED_START_SHARE / len(held)
-        for rank in held:
-            if self._ranks[rank].turn >= 1.0:
-                self._ranks[rank].turn = 0.0
+        delayed = [r for r in ranks[1:] if self._ranks[r].yields_until() <= now]
+        for rank in delayed:
+            self._ranks[rank].credit += GUARANTEED_START_SHARE / len(delayed)
+        for rank in delayed:
+            if self._ranks[rank].credit >= 1.0:
+                self._ranks[rank].credit = 0.0
                 return rank
         return ranks[0]
 
-    def _has_last_chance(self, rank: int, now: Milliseconds) -> bool:
-        """Whether a tree of a rank is lost if its call does not start at once."""
-        first = self._ranks[rank].first()
-        if first is None or not first.begun:
+    def _is_urgent(self, rank: int, now: Milliseconds) -> bool:
+        """Whether the oldest request of a rank is a nested call about to expire."""
+        oldest = self._ranks[rank].oldest()
+        if oldest is None or not oldest.is_nested:
             return False
-        return first.deadline - now < URGENT_SERVICE_TIMES * self.service_ms
+        return oldest.deadline - now < URGENT_SERVICE_TIMES * self.service_ms
+
+    def evict_for(self, rank: int) -> QueueItem[JobT] | None:
+        """Evict a request so that one of `rank` can be queued.
 
-    def evict_for(self, rank: int) -> QueueItem[Job] | None:
-        """Take out a request so that one of `rank` can wait; None if none gives way.
+        Each rank is guaranteed a share of the queue. The worst rank above its guarantee
+        is evicted from first, if it is worse than `rank`; a rank below its guarantee
+        may displace any rank that is above it.
+
+        Parameters
+        ----------
+        rank : int
+            Rank of the request to be queued.
 
-        Worse ranks give way first, except for what each keeps; one that has less than
-        that gets it from any that has more.
+        Returns
+        -------
+        QueueItem or None
+            The evicted request; None if the new one must be rejected.
         """
         others = [other for other in self._ranks if other != rank]
         if not others:
             return None
-        kept = GUARANTEED_START_SHARE * self._most_waiting() / len(others)
+        guaranteed = GUARANTEED_START_SHARE * self._capacity() / len(others)
         for other in sorted(others, reverse=True):
-            has_more = self._ranks[other].n_waiting > kept
-            if has_more and (other > rank or self._n_waiting(rank) < kept):
-                return self._take_last(other)
+            has_more = self._ranks[other].n_waiting > guaranteed
+            if has_more and (other > rank or self._n_waiting(rank) < guaranteed):
+                return self._evict(other)
         return None
 
     def _n_waiting(self, rank: int) -> int:
         queue = self._ranks.get(rank)
         return 0 if queue is None else queue.n_waiting
 
-    def _take_last(self, rank: int) -> QueueItem[Job] | None:
-        """Take out the request of a rank that is missed least."""
-        waiting = self._ranks[rank].last()
+    def _evict(self, rank: int) -> QueueItem[JobT] | None:
+        """Remove and return the request of a rank whose loss costs least."""
+        waiting = self._ranks[rank].pop_last()
         if waiting is not None:
             self.drop(waiting)
         return waiting
 
-    def expired(self, now: Milliseconds) -> Iterator[QueueItem[Job]]:
-        """Take out the requests whose deadline has passed."""
+    def expired(self, now: Milliseconds) -> Iterator[QueueItem[JobT]]:
+        """Remove and yield the requests whose deadline has passed."""
         for queue in self._ranks.values():
             for waiting in [w for w in queue.all() if w.deadline <= now]:
                 if self.drop(waiting):
                     yield waiting
             queue.sweep()
 
-    def clear(self) -> Iterator[QueueItem[Job]]:
-        """Take out every request that waits."""
+    def clear(self) -> Iterator[QueueItem[JobT]]:
+        """Remove and yield all queued requests."""
         for rank in self._ranks:
-            while (waiting := self._take_last(rank)) is not None:
+            while (waiting := self._evict(rank)) is not None:
                 yield waiting
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/backend_queue/test_incarnation.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/backend_queue/test_incarnation.py
@@ -21,40 +21,40 @@
         super().setUp()
         self.incarnation = IncarnationTracker()
 
-    def test_late_report_changes_nothing(self):
+    def test_delayed_report_is_ignored(self):
         self.assertTrue(self.incarnation.update(a_report(5)))
         self.assertFalse(self.incarnation.update(a_report(4, BackendState.DRAINING)))
         self.assertIs(BackendState.READY, self.incarnation.report.state)
 
-    def test_leaving_is_not_taken_back(self):
+    def test_draining_is_final(self):
         self.incarnation.update(a_report(1))
         self.incarnation.update(a_report(2, BackendState.DRAINING))
         self.incarnation.update(a_report(3, BackendState.READY))
         self.assertIs(BackendState.DRAINING, self.incarnation.report.state)
 
-    def test_late_heartbeat_does_not_bring_back_who_has_left(self):
+    def test_delayed_heartbeat_does_not_revive_a_departed_server(self):
         self.incarnation.update(a_report(1))
         self.assertTrue(self.incarnation.update(a_report(0, BackendState.GONE)))
         self.assertFalse(self.incarnation.update(a_report(9)))
         self.assertIs(BackendState.GONE, self.incarnation.report.state)
 
-    def test_late_heartbeat_of_an_earlier_incarnation_is_ignored(self):
+    def test_delayed_heartbeat_of_a_superseded_identifier_is_ignored(self):
         self.incarnation.update(a_report(7))
         self.incarnation.update(a_report(1, instance="i-2"))
         self.assertFalse(self.incarnation.update(a_report(8)))
         self.assertEqual("i-2", self.incarnation.report.instance)
 
-    def test_late_draining_of_an_unknown_incarnation_drains_nobody(self):
-        # The node was started anew and never heard of i-0 while that lived.
+    def test_draining_of_an_unknown_identifier_is_ignored(self):
+        # The node has restarted and never got a report of i-0 while that was running.
         self.incarnation.update(a_report(1))
         late = a_report(90, BackendState.DRAINING, "i-0")
         self.assertFalse(self.incarnation.update(late))
         self.assertEqual("i-1", self.incarnation.report.instance)
         self.assertIs(BackendState.READY, self.incarnation.report.state)
 
-    def test_server_that_denies_a_late_heartbeat_is_the_one_known_before(self):
-        # Without the server's word the late one would stand, and each heartbeat of the
-        # one that lives would be taken for one of an earlier incarnation.
+    def test_refuted_identifier_is_replaced_by_the_one_before(self):
+        # Without the refutation the delayed heartbeat would stand, and each heartbeat
+        # of the running server would be ignored as one of a superseded identifier.
         self.incarnation.update(a_report(1))
         self.assertTrue(self.incarnation.update(a_report(90, instance="i-0")))
         self.assertFalse(self.incarnation.update(a_report(2)))
@@ -64,7 +64,7 @@
         self.assertFalse(self.incarnation.update(a_report(91, instance="i-0")))
         self.assertEqual("i-1", self.incarnation.report.instance)
 
-    def test_leaving_that_was_told_meanwhile_is_not_forgotten(self):
+    def test_draining_reported_while_superseded_holds_after_refutation(self):
         self.incarnation.update(a_report(1))
         self.incarnation.update(a_report(90, instance="i-0"))
         self.incarnation.update(a_report(2, BackendState.DRAINING))
@@ -72,45 +72,45 @@
         self.incarnation.refute("i-0")
         self.assertIs(BackendState.DRAINING, self.incarnation.report.state)
 
-    def test_denial_of_the_only_one_known_changes_nothing(self):
-        # A stray answer must not put a server out of use.
+    def test_refuting_the_only_known_identifier_changes_nothing(self):
+        # A stray answer must not make a server unusable.
         self.incarnation.update(a_report(1))
         self.assertFalse(self.incarnation.refute("i-1"))
         self.assertFalse(self.incarnation.refute("i-0"))
         self.assertEqual("i-1", self.incarnation.report.instance)
 
-    def test_who_has_left_is_not_believed_in_again(self):
+    def test_refutation_does_not_revive_a_departed_identifier(self):
         self.incarnation.update(a_report(1))
         self.incarnation.update(a_report(1, instance="i-2"))
         self.incarnation.update(a_report(0, BackendState.GONE))
         self.assertFalse(self.incarnation.refute("i-2"))
         self.assertEqual("i-2", self.incarnation.report.instance)
 
-    def test_leaving_of_an_unknown_incarnation_leaves_the_known_one(self):
+    def test_departure_of_an_unknown_identifier_is_ignored(self):
         self.incarnation.update(a_report(1))
         gone = a_report(0, BackendState.GONE, "i-0")
         self.assertFalse(self.incarnation.update(gone))
         self.assertIs(BackendState.READY, self.incarnation.report.state)
 
 
-class TestStartUnderTheSameIdentifier(TestCase):
-    """A server that crashes or leaves may start again under its identifier."""
+class TestRestartUnderTheSameIdentifier(TestCase):
+    """A server that crashes or departs may start again under its identifier."""
 
     def setUp(self):
         super().setUp()
         self.incarnation = IncarnationTracker()
 
-    def believed(self):
-        """Return state, sequence and start of what is believed."""
+    def current(self):
+        """Return state, sequence and start time of the current incarnation."""
         report = self.incarnation.report
         return report.state, report.sequence, report.born
 
-    def test_later_start_counts_at_once_whatever_its_sequence(self):
+    def test_later_start_is_current_at_once_whatever_its_sequence(self):
         self.incarnation.update(a_report(90, born=1_000))
         self.assertTrue(self.incarnation.update(a_report(1, born=2_000)))
-        self.assertEqual((BackendState.READY, 1, 2_000), self.believed())
+        self.assertEqual((BackendState.READY, 1, 2_000), self.current())
 
-    def test_later_start_counts_after_the_earlier_one_had_drained_or_left(self):
+    def test_later_start_is_current_after_the_earlier_one_drained_or_departed(self):
         for state in (BackendState.DRAINING, BackendState.GONE):
             incarnation = IncarnationTracker()
             incarnation.update(a_report(90, born=1_000))
@@ -119,14 +119,14 @@
             self.assertIs(BackendState.READY, incarnation.report.state)
             self.assertTrue(incarnation.update(a_report(2, born=2_000)))
 
-    def test_late_words_of_the_earlier_start_change_nothing(self):
+    def test_delayed_reports_of_the_earlier_start_are_ignored(self):
         self.incarnation.update(a_report(90, born=1_000))
         self.incarnation.update(a_report(1, born=2_000))
         for state in BackendState:
             self.assertFalse(self.incarnation.update(a_report(91, state, born=1_000)))
-        self.assertEqual((BackendState.READY, 1, 2_000), self.believed())
+        self.assertEqual((BackendState.READY, 1, 2_000), self.current())
 
-    def test_later_start_that_is_first_heard_of_as_it_leaves(self):
+    def test_first_report_of_a_later_start_may_be_draining_or_departure(self):
         for state in (BackendState.DRAINING, BackendState.GONE):
             incarnation = IncarnationTracker()
             incarnation.update(a_report(90, born=1_000))
@@ -140,15 +140,15 @@
         self.assertTrue(self.incarnation.update(a_report(1, born=3_000)))
         self.assertEqual("i-1", self.incarnation.report.instance)
 
-    def test_leaving_without_a_start_is_final_where_nobody_else_can_have_said_it(self):
+    def test_departure_without_start_time_is_final_for_the_only_start(self):
         self.incarnation.update(a_report(1, born=1_000))
         self.assertTrue(self.incarnation.update(a_report(0, BackendState.GONE)))
         for sequence in range(2, 9):
             self.assertFalse(self.incarnation.update(a_report(sequence, born=1_000)))
         self.assertTrue(self.incarnation.update(a_report(1, born=2_000)))
 
-    def test_late_leaving_of_the_earlier_start_does_not_hold(self):
-        # The earlier one was never heard to leave, so the word may be its own.
+    def test_delayed_departure_of_the_earlier_start_is_revoked(self):
+        # The earlier start never announced its departure, so this may be its own.
         self.incarnation.update(a_report(90, born=1_000))
         self.incarnation.update(a_report(1, born=2_000))
         self.assertTrue(self.incarnation.update(a_report(0, BackendState.GONE)))
@@ -156,27 +156,27 @@
         self.assertFalse(self.incarnation.update(a_report(2, born=2_000)))
         self.assertFalse(self.incarnation.update(a_report(3, born=2_000)))
         self.assertTrue(self.incarnation.update(a_report(4, born=2_000)))
-        self.assertEqual((BackendState.READY, 4, 2_000), self.believed())
+        self.assertEqual((BackendState.READY, 4, 2_000), self.current())
 
-    def test_clock_that_went_back_is_believed_after_some_heartbeats(self):
+    def test_earlier_start_is_accepted_after_three_heartbeats_in_a_row(self):
         self.incarnation.update(a_report(90, born=5_000))
-        taken = [self.incarnation.update(a_report(n, born=4_000)) for n in (1, 2, 3)]
-        self.assertEqual([False, False, True], taken)
-        self.assertEqual((BackendState.READY, 3, 4_000), self.believed())
+        changed = [self.incarnation.update(a_report(n, born=4_000)) for n in (1, 2, 3)]
+        self.assertEqual([False, False, True], changed)
+        self.assertEqual((BackendState.READY, 3, 4_000), self.current())
 
-    def test_held_up_heartbeats_between_those_of_the_living_change_nothing(self):
+    def test_delayed_heartbeats_between_current_ones_are_ignored(self):
         self.incarnation.update(a_report(1, born=5_000))
         for n in range(2, 9):
             self.assertFalse(self.incarnation.update(a_report(n, born=4_000)))
             self.assertTrue(self.incarnation.update(a_report(n, born=5_000)))
-        self.assertEqual((BackendState.READY, 8, 5_000), self.believed())
+        self.assertEqual((BackendState.READY, 8, 5_000), self.current())
 
 
-def words_of_lives(rng):
-    """Return what up to three incarnations of one identifier say, in order."""
-    words = []
-    for life in range(rng.randint(1, 3)):
-        born = 1_000 * (life + 1)
+def reports_of_incarnations(rng):
+    """Return the reports of up to three incarnations of one identifier, in order."""
+    reports = []
+    for number in range(rng.randint(1, 3)):
+        born = 1_000 * (number + 1)
         sequence = rng.randint(0, 50)
         states = [BackendState.READY] * rng.randint(1, 4)
         if rng.random() < 0.5:
@@ -185,54 +185,58 @@
             states.append(BackendState.GONE)
         for state in states:
             sequence += 1
-            words.append(a_report(sequence, state, born=born))
-    return words
+            reports.append(a_report(sequence, state, born=born))
+    return reports
 
 
-def oracle(heard):
-    """Return state and start that the words heard so far stand for."""
-    born = max(word.born for word in heard)
-    of_the_last = [word for word in heard if word.born == born]
-    last = max(of_the_last, key=lambda word: word.sequence)
+def oracle(received):
+    """Return state and start time that follow from the reports received so far."""
+    born = max(r.born for r in received)
+    of_the_latest = [r for r in received if r.born == born]
+    last = max(of_the_latest, key=lambda r: r.sequence)
     return last.state, born
 
 
-class TestWordsInAnyOrder(TestCase):
-    """Words that are lost, repeated and come in any order, against a slow oracle."""
+class TestReportsInAnyOrder(TestCase):
+    """Lost, repeated and reordered reports, compared with a simple oracle."""
 
     N_RUNS = 3_000
 
-    def test_the_newest_word_of_the_latest_start_counts(self):
+    def test_newest_report_of_the_latest_start_is_current(self):
         for seed in range(self.N_RUNS):
             rng = random.Random(seed)
-            words = [w for w in words_of_lives(rng) if rng.random() < 0.8]
-            words += rng.sample(words, len(words) // 3)
-            # A word is held up behind some that were said after it.
+            reports = [r for r in reports_of_incarnations(rng) if rng.random() < 0.8]
+            reports += rng.sample(reports, len(reports) // 3)
+            # A report may be delayed behind some that were sent after it.
             order = sorted(
-                range(len(words)), key=lambda n: n + rng.choice((0, 0, 3, 9))
+                range(len(reports)), key=lambda n: n + rng.choice((0, 0, 3, 9))
             )
-            incarnation, heard = IncarnationTracker(), []
+            incarnation, received = IncarnationTracker(), []
             for n in order:
-                incarnation.update(words[n])
-                heard.append(words[n])
-                self._check(seed, incarnation.report, heard)
+                incarnation.update(reports[n])
+                received.append(reports[n])
+                self._check(seed, incarnation.report, received)
 
-    def _check(self, seed, report, heard):
-        state, born = oracle(heard)
+    def _check(self, seed, report, received):
+        state, born = oracle(received)
         if report is None:
-            # Nothing but leavings: nobody is believed in.
+            # Only departures: no incarnation is current.
             self.assertIs(BackendState.GONE, state, seed)
             return
         if born == report.born:
             self.assertIs(state, report.state, seed)
             return
-        # An earlier one is believed only after three heartbeats, with no news of the
-        # latest in between.
+        # An earlier start is accepted only after three heartbeats, with no report of
+        # the latest in between.
         self.assertLess(report.born, born, seed)
-        of_the_last = [word.sequence for word in heard if word.born == born]
-        newest = heard.index(
-            next(w for w in heard if (w.born, w.sequence) == (born, max(of_the_last)))
+        of_the_latest = [r.sequence for r in received if r.born == born]
+        newest = received.index(
+            next(
+                r
+                for r in received
+                if (r.born, r.sequence) == (born, max(of_the_latest))
+            )
         )
-        beats = [w for w in heard[newest:] if w.state is BackendState.READY]
-        n_beats = len({(w.born, w.sequence) for w in beats if w.born < born})
-        self.assertGreaterEqual(n_beats, 3, seed)
+        heartbeats = [r for r in received[newest:] if r.state is BackendState.READY]
+        n_heartbeats = len({(r.born, r.sequence) for r in heartbeats if r.born < born})
+        self.assertGreaterEqual(n_heartbeats, 3, seed)
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/backend_queue/test_queue_timeouts.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/backend_queue/test_queue_timeouts.py
@@ -4,35 +4,36 @@
 from fuchsiagap.core.backend_queue.rank_counts import DECAY_MS
 
 
-def trees(now=0.0, **lost_of_a_hundred):
-    """Return the count of a hundred calls a rank, so many of which were lost."""
-    found = QueueTimeouts()
-    for rank, n_lost in lost_of_a_hundred.items():
+def counted_timeouts(now=0.0, **timeouts_of_100):
+    """Return the counts of 100 calls per rank, of which the given numbers timed out."""
+    timeouts = QueueTimeouts()
+    for rank, n_timeouts in timeouts_of_100.items():
         for _ in range(100):
-            found.record_arrival(int(rank[1:]), now)
-        for _ in range(n_lost):
-            found.record_timeout(int(rank[1:]), now)
-    return found
+            timeouts.record_arrival(int(rank[1:]), now)
+        for _ in range(n_timeouts):
+            timeouts.record_timeout(int(rank[1:]), now)
+    return timeouts
 
 
-class TestLostTrees(TestCase):
-    def test_load_counts_as_it_is_where_none_is_lost(self):
+class TestQueueTimeouts(TestCase):
+    def test_factor_is_one_without_timeouts(self):
         self.assertEqual(1.0, QueueTimeouts().load_factor(0.0))
-        self.assertEqual(1.0, trees(r0=0, r2=0).load_factor(0.0))
+        self.assertEqual(1.0, counted_timeouts(r0=0, r2=0).load_factor(0.0))
 
-    def test_load_counts_more_the_more_are_lost(self):
-        strains = [trees(r2=n).load_factor(0.0) for n in range(3)]
-        self.assertEqual(sorted(set(strains)), strains)
-        self.assertAlmostEqual(1.17, strains[1], delta=0.01)
+    def test_factor_grows_with_timeouts(self):
+        factors = [counted_timeouts(r2=n).load_factor(0.0) for n in range(3)]
+        self.assertEqual(sorted(set(factors)), factors)
+        self.assertAlmostEqual(1.17, factors[1], delta=0.01)
 
-    def test_rank_that_loses_most_decides(self):
+    def test_rank_with_the_highest_share_decides(self):
         self.assertEqual(
-            trees(r2=1).load_factor(0.0), trees(r0=0, r1=0, r2=1).load_factor(0.0)
+            counted_timeouts(r2=1).load_factor(0.0),
+            counted_timeouts(r0=0, r1=0, r2=1).load_factor(0.0),
         )
 
-    def test_load_never_counts_much_more(self):
-        self.assertEqual(MAX_LOAD_FACTOR, trees(r2=100).load_factor(0.0))
+    def test_factor_is_bounded(self):
+        self.assertEqual(MAX_LOAD_FACTOR, counted_timeouts(r2=100).load_factor(0.0))
 
-    def test_what_was_lost_is_forgotten(self):
-        found = trees(r2=1)
-        self.assertLess(found.load_factor(10 * DECAY_MS), 1.001)
+    def test_timeouts_decay(self):
+        timeouts = counted_timeouts(r2=1)
+        self.assertLess(timeouts.load_factor(10 * DECAY_MS), 1.001)
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/backend_queue/test_ranked_queue.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/backend_queue/test_ranked_queue.py
@@ -11,8 +11,8 @@
 )
 
 
-class TestDoorQueue(TestCase):
-    def test_better_rank_goes_first_and_what_is_due_first_within_a_rank(self):
+class TestRankedQueue(TestCase):
+    def test_requests_start_by_rank_then_by_due_time(self):
         queue = RankedQueue(1)
         for job, rank, due in (
             ("d", 2, 90.0),
@@ -23,14 +23,14 @@
             queue.push(job, rank, 100.0, due, 0.0)
         self.assertEqual(list("abcd"), [queue.pop(0.0).job for _ in range(4)])
 
-    def test_what_is_late_waits_for_what_can_be_in_time(self):
+    def test_late_requests_start_after_those_still_in_time(self):
         queue = RankedQueue(1)
         for job, due in (("late", 10.0), ("later", 20.0), ("in time", 90.0)):
             queue.push(job, 0, 200.0, due, 0.0)
         order = [queue.pop(30.0).job for _ in range(3)]
         self.assertEqual(["in time", "late", "later"], order)
 
-    def test_late_request_makes_room_before_one_that_can_be_in_time(self):
+    def test_late_requests_are_evicted_before_those_still_in_time(self):
         queue = RankedQueue(1)
         dues = [("late", 10.0), ("soon", 50.0), ("then", 90.0)]
         dues += [(f"early-{n}", 40.0) for n in range(4)]
@@ -43,9 +43,10 @@
         left = [queue.evict_for(0).job for _ in range(2)]
         self.assertEqual(["late", "then"], left)
 
-    def test_objectives_of_150_ms_are_met_behind_trees_with_a_second_left(self):
-        # 12 calls of trees wait at one place of 15 ms when a short request comes: by
-        # arrival it would start after 180 ms and be late.
+    def test_short_objective_is_met_behind_queued_calls_with_long_ones(self):
+        # 12 nested calls wait for one slot with a service time of 15 ms when a request
+        # with a short objective arrives: by arrival it would start after 180 ms and be
+        # late.
         queue = RankedQueue(1)
         for n in range(12):
             queue.push(f"tree-{n}", 2, 5_000.0, 1_000.0, 0.0)
@@ -53,10 +54,10 @@
         started = [queue.pop(15.0 * n).job for n in range(13)]
         self.assertLess(15.0 * started.index("short") + 48.0, 150.0)
 
-    def test_call_of_a_tree_that_is_about_to_be_lost_goes_before_better_ranks(self):
+    def test_nested_call_about_to_expire_overtakes_better_ranks(self):
         queue = RankedQueue(1)
         queue.service_ms = 30.0
-        queue.push("tree", 2, 200.0, 150.0, 0.0, begun=True)
+        queue.push("tree", 2, 200.0, 150.0, 0.0, is_nested=True)
         queue.push("new", 3, 200.0, 150.0, 0.0)
         for n in range(4):
             queue.push(f"better-{n}", 0, 500.0, 400.0, 0.0)
@@ -65,14 +66,14 @@
         started = [queue.pop(late).job for _ in range(2)]
         self.assertEqual(["tree", "better-1"], started)
 
-    def test_nothing_starts_without_a_place(self):
+    def test_nothing_starts_without_a_free_slot(self):
         queue = RankedQueue(1)
         queue.running = 1
         queue.push("a", 0, 100.0, 100.0, 0.0)
         self.assertIsNone(queue.pop(0.0))
         self.assertFalse(queue.has_free_slot())
 
-    def test_newest_of_the_worst_rank_makes_room(self):
+    def test_newest_request_of_the_worst_rank_is_evicted(self):
         queue = RankedQueue(1)
         queue.push("a", 0, 100.0, 100.0, 0.0)
         for number in range(6):
@@ -80,15 +81,17 @@
         self.assertEqual("b-5", queue.evict_for(1).job)
         self.assertIsNone(queue.evict_for(2))
 
-    def test_worse_rank_keeps_its_part_of_the_places_to_wait_in(self):
+    def test_worse_rank_keeps_its_guaranteed_share_of_the_queue(self):
         queue = RankedQueue(1)
         for number in range(MIN_QUEUE_LENGTH):
             queue.push(f"b-{number}", 2, 100.0, 100.0, 0.0)
-        made = [queue.evict_for(0) for _ in range(MIN_QUEUE_LENGTH)]
+        evicted = [queue.evict_for(0) for _ in range(MIN_QUEUE_LENGTH)]
         left = int(GUARANTEED_START_SHARE * MIN_QUEUE_LENGTH)
-        self.assertEqual(MIN_QUEUE_LENGTH - left, sum(job is not None for job in made))
+        self.assertEqual(
+            MIN_QUEUE_LENGTH - left, sum(job is not None for job in evicted)
+        )
 
-    def test_rank_with_less_than_its_part_gets_it_from_a_better_one(self):
+    def test_rank_below_its_guarantee_displaces_a_better_one(self):
         queue = RankedQueue(1)
         for number in range(MIN_QUEUE_LENGTH):
             queue.push(f"a-{number}", 0, 100.0, 100.0, 0.0)
@@ -97,9 +100,9 @@
             queue.push(f"b-{number}", 2, 100.0, 100.0, 0.0)
         self.assertIsNone(queue.evict_for(2))
 
-    def test_held_rank_takes_turns_with_a_better_one_that_never_ends(self):
-        # A better request comes for each that starts: strictly by rank, none of the
-        # worse ones would start before its time has passed.
+    def test_delayed_rank_gets_its_share_of_starts_under_constant_better_load(self):
+        # A better request arrives for each that starts: with strict priority, none of
+        # the worse ones would start before its deadline.
         queue = RankedQueue(1)
         for number in range(10):
             queue.push(f"b-{number}", 2, 700.0, 900.0, 0.0)
@@ -108,14 +111,14 @@
             now = 10.0 * step
             queue.push("a", 0, now + 700.0, now + 900.0, now)
             started.append(queue.pop(now).job)
-        held = [n for n, job in enumerate(started) if job != "a"]
-        self.assertEqual(10, len(held))
-        # None before it has waited a part of its time, then one start in four.
-        self.assertGreaterEqual(10.0 * held[0], MAX_YIELD_SHARE * 700.0)
-        gaps = [after - before for before, after in itertools.pairwise(held)]
+        delayed = [n for n, job in enumerate(started) if job != "a"]
+        self.assertEqual(10, len(delayed))
+        # None before its yield time has passed, then one start in four.
+        self.assertGreaterEqual(10.0 * delayed[0], MAX_YIELD_SHARE * 700.0)
+        gaps = [after - before for before, after in itertools.pairwise(delayed)]
         self.assertEqual({int(1.0 / GUARANTEED_START_SHARE)}, set(gaps))
 
-    def test_better_of_two_held_ranks_is_not_kept_waiting_by_the_worse(self):
+    def test_better_of_two_delayed_ranks_is_not_blocked_by_the_worse(self):
         queue = RankedQueue(1)
         for number in range(40):
             queue.push(f"c-{number}", 3, 700.0, 900.0, 0.0)
@@ -127,13 +130,13 @@
             started.append(queue.pop(now).job)
         self.assertLess(started.index("b"), 8)
 
-    def test_tree_that_is_late_is_not_put_behind_those_that_have_hardly_begun(self):
-        # Where more comes than there is room for, what has cost least is lost.
+    def test_late_nested_call_is_not_put_behind_newer_ones(self):
+        # Under overload, the requests that have cost least work are given up.
         queue = RankedQueue(1)
-        queue.push("old", 2, 900.0, 10.0, 0.0, begun=True)
+        queue.push("old", 2, 900.0, 10.0, 0.0, is_nested=True)
         queue.push("late root", 2, 900.0, 20.0, 0.0)
         for number in range(3):
-            queue.push(f"new-{number}", 2, 900.0, 800.0, 0.0, begun=True)
+            queue.push(f"new-{number}", 2, 900.0, 800.0, 0.0, is_nested=True)
         order = [queue.pop(30.0).job for _ in range(5)]
         self.assertEqual(["old", "new-0", "new-1", "new-2", "late root"], order)
 
@@ -148,7 +151,7 @@
         self.assertEqual(1, queue.waiting)
         self.assertEqual("stays", queue.pop(0.0).job)
 
-    def test_queue_holds_work_by_time_where_the_service_time_is_known(self):
+    def test_capacity_follows_the_service_time_once_it_is_known(self):
         queue = RankedQueue(20)
         for _ in range(2 * 20):
             queue.push("a", 0, 100.0, 100.0, 0.0)
@@ -156,7 +159,7 @@
         queue.service_ms = 30.0
         self.assertFalse(queue.is_full())
 
-    def test_few_places_still_have_a_queue(self):
+    def test_minimum_capacity_applies_to_few_slots(self):
         queue = RankedQueue(1)
         for _ in range(MIN_QUEUE_LENGTH - 1):
             queue.push("a", 0, 100.0, 100.0, 0.0)
