--- a/packages/fuchsiagap/src/fuchsiagap/core/placement/__init__.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Where a request goes: the choice of a backend server by how full each one is."""
+"""Choice of the backend server that gets a request."""
--- a/packages/fuchsiagap/src/fuchsiagap/core/placement/choice.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/placement/choice.py
@@ -1,4 +1,4 @@
-"""Choice of the backend server that gets the next request of a service."""
+"""Choice of the backend server for a request, by load, locality and failures."""
 
 from __future__ import annotations
 
@@ -9,61 +9,63 @@
     import random
     from collections.abc import Callable, Collection, Sequence
 
-# Fullness that a server of another data centre must be better by, relative to its own
-# where that is above 1: traffic between data centres is dear, an overfull data centre
-# dearer.
+# Fullness is requests per slot, as in `Target.fullness`, plus penalties in that unit.
+
+# Fullness by which a server of another data centre must be better, relative to its own
+# cost where that is above 1. Traffic between data centres is expensive, but overloading
+# a data centre is more so.
 REMOTE_PENALTY = 0.5
-# What is added to it for each kilobyte of a request and its answer, and the most that
-# is added: the same room elsewhere is bought for less by moving small requests.
+# Fullness added to it per kilobyte of a request and its answer, and the maximum added:
+# moving small requests to another data centre frees the same capacity at a lower price.
 REMOTE_PENALTY_PER_KB = 0.15
 MAX_BYTES_PENALTY = 1.0
-_BYTES_A_KB = 1_000.0
-# Fullness that counts for each unit of the share of refused or broken requests, so that
-# a server that fails fast does not look empty and attract all.
+_BYTES_PER_KB = 1_000.0
+# Fullness added at a failure rate of 1, so that a server that fails fast does not look
+# idle and attract all requests.
 FAILURE_PENALTY = 3.0
-# Fullness that a service has if all its requests fail: above the aim, so that the
-# entries refuse trees that would come to nothing.
+# Fullness reported for a service whose requests all fail: above the target of the entry
+# nodes, so that they refuse requests that could not be completed.
 FAILURE_FULLNESS = 1.5
-# Share of the places of a server that count as sound at least, however many of its
-# requests fail, so that a load on failing servers alone stays a number.
-_LEAST_SOUND = 0.1
-# Load for each place with which a server counts that is offered nothing: where a
-# service is idle, its servers count by their places.
+# Minimum share of a server's slots that counts as healthy, whatever its failure rate,
+# so that load on failing servers alone stays finite.
+_MIN_HEALTHY_SHARE = 0.1
+# Load per slot that is assumed of a server without offered load: the servers of an idle
+# service then count by their slots.
 _IDLE_WEIGHT = 0.02
-# Fullness added to a server in its warm-up, while it needs about twice as long.
+# Fullness added to a server in its warm-up, while requests take about twice as long.
 WARM_UP_PENALTY = 0.25
 
 
 @dataclass(slots=True)
 class Target:
-    """A backend server as one sending node sees it.
+    """A backend server as seen by one sending node.
 
     Parameters
     ----------
     node : str
-        Name of the node beside it.
+        Name of the node that serves it.
     instance : str
-        Incarnation; empty if none takes requests.
+        Incarnation; empty if none accepts requests.
     service : str
-        Service.
+        Service of the server.
     local : bool
-        Whether it stands in the sender's data centre.
-    usable : bool
+        Whether it is in the sender's data centre.
+    usable : bool, default=True
         Whether new requests may be sent to it.
-    limit : int
-        Places.
-    others : int
-        Requests of other senders there, as last reported.
-    mine : int
-        Requests of this sender there now.
-    failing : float
-        Share of requests that ended refused or broken, as last reported.
-    warming : bool
+    limit : int, default=1
+        Number of its slots.
+    others : int, default=0
+        Requests of other senders in flight there, as last reported.
+    own_in_flight : int, default=0
+        Requests of this sender in flight there.
+    failing : float, default=0.0
+        Share of requests that were refused or failed, as last reported.
+    warming : bool, default=False
         Whether it is in its warm-up.
-    offered : float
-        Places that the requests that arrive there would fill, as last reported.
-    service_ms : float
-        Milliseconds that a request is at the server, as last reported; 0 if not known.
+    offered : float, default=0.0
+        Slots that the requests arriving there need, as last reported.
+    service_ms : float, default=0.0
+        Mean service time in milliseconds, as last reported; 0 if not known.
     """
 
     node: str
@@ -80,11 +82,22 @@
     service_ms: float = 0.0
 
     def fullness(self) -> float:
-        """Return requests per place, with the next one counted."""
+        """Return the requests per slot if one more request is sent."""
         return (self.others + self.own_in_flight + 1) / max(self.limit, 1)
 
     def cost(self, remote_penalty: float) -> float:
-        """Return what the choice compares; the least is chosen."""
+        """Return the cost of sending a request there; the lowest cost is chosen.
+
+        Parameters
+        ----------
+        remote_penalty : float
+            Fullness by which a server of another data centre must be better.
+
+        Returns
+        -------
+        float
+            Fullness with the penalties for failures, distance and warm-up.
+        """
         cost = self.fullness() + FAILURE_PENALTY * self.failing
         if not self.local:
             cost += remote_penalty * max(cost, 1.0)
@@ -93,56 +106,62 @@
         return cost
 
 
-# Fullness that a server must be better by that takes twice as long as the others, where
-# half of the places or more are free; and how much slower counts at most. Plays of 28
-# hosts, servers of 0.6 to 1.4 of the same speed: half of the lookups within 1,308 ms in
-# place of 1,416 on a day of trouble, and 22 failed of 1,000 in place of 27 to 30; on a
-# day of high load, where all are full, nothing.
+# Fullness added to a server that is twice as slow as the mean while at least half of
+# the slots are free, and the maximum relative slowness that counts. With servers of 0.6
+# to 1.4 of the mean speed under partial failures, it lowers the median latency from
+# 1,416 to 1,308 ms and the failures from 27 to 30 in 1,000 requests to 22. It has no
+# effect under high load, where all servers are full.
 SLOWNESS_PENALTY = 0.4
 MAX_SLOWNESS = 1.5
 
-# Servers of each place (own data centre, others) that one choice compares.
-_COMPARED = 6
+# Maximum servers of the own data centre, and of all others, that one choice compares.
+_MAX_COMPARED = 6
 
 
 def remote_penalty(n_bytes: float) -> float:
-    """Return the fullness that a server elsewhere must be better by.
+    """Return the fullness by which a server of another data centre must be better.
 
     Parameters
     ----------
     n_bytes : float
-        Bytes of such a request and its answer.
+        Size of the request and its answer in bytes.
+
+    Returns
+    -------
+    float
+        Fullness, for `choose`.
     """
-    for_bytes = REMOTE_PENALTY_PER_KB * n_bytes / _BYTES_A_KB
-    return REMOTE_PENALTY + min(for_bytes, MAX_BYTES_PENALTY)
+    bytes_penalty = REMOTE_PENALTY_PER_KB * n_bytes / _BYTES_PER_KB
+    return REMOTE_PENALTY + min(bytes_penalty, MAX_BYTES_PENALTY)
 
 
 def choose(
     targets: Sequence[Target],
-    without: Collection[str],
+    excluded: Collection[str],
     rng: random.Random,
     penalty: float = REMOTE_PENALTY,
 ) -> Target | None:
-    """Return the server that the next request goes to.
+    """Return the server with the lowest cost among the usable ones.
 
     Parameters
     ----------
     targets : sequence of Target
         Servers of the service.
-    without : collection of str
-        Incarnations that this request has been at.
+    excluded : collection of str
+        Incarnations that the request was already sent to.
     rng : random.Random
-        Breaks ties, and samples where there are many servers.
-    penalty : float
-        What a server of another data centre must be better by; see `remote_penalty`.
+        Breaks ties, and samples servers where there are many.
+    penalty : float, default=REMOTE_PENALTY
+        Fullness by which a server of another data centre must be better; see
+        `remote_penalty`.
 
     Returns
     -------
     Target or None
-        None if no server takes requests.
+        None if no server accepts the request.
     """
-    usable = [t for t in targets if t.usable and t.instance not in without]
-    if len(usable) > 2 * _COMPARED:
+    usable = [t for t in targets if t.usable and t.instance not in excluded]
+    if len(usable) > 2 * _MAX_COMPARED:
         usable = _sample(usable, rng)
     best: Target | None = None
     best_cost = float("inf")
@@ -155,10 +174,10 @@
 
 
 def _slowness_cost(targets: Sequence[Target]) -> Callable[[Target], float]:
-    """Return what each server costs for being slower than the others.
+    """Return a function that computes a server's cost for being slower than the mean.
 
-    A server with places free takes as long for a request however full it is, so the
-    fast ones are filled first; where all are nearly full, room alone counts.
+    A server with free slots needs the same time for a request however many are in use,
+    so fast servers are filled first. Where all are nearly full, only fullness counts.
     """
     known = [t for t in targets if t.service_ms > 0.0]
     if len(known) < 2:
@@ -170,8 +189,8 @@
     def cost(target: Target) -> float:
         if not target.service_ms:
             return 0.0
-        slower = target.service_ms / mean_ms - 1.0
-        return weight * min(max(slower, -1.0), MAX_SLOWNESS)
+        excess = target.service_ms / mean_ms - 1.0
+        return weight * min(max(excess, -1.0), MAX_SLOWNESS)
 
     return cost
 
@@ -183,35 +202,57 @@
 def _sample(usable: list[Target], rng: random.Random) -> list[Target]:
     local = [t for t in usable if t.local]
     remote = [t for t in usable if not t.local]
-    picked: list[Target] = []
+    sampled: list[Target] = []
     for group in (local, remote):
-        picked += group if len(group) <= _COMPARED else rng.sample(group, _COMPARED)
-    return picked
+        sampled += (
+            group if len(group) <= _MAX_COMPARED else rng.sample(group, _MAX_COMPARED)
+        )
+    return sampled
 
 
 def service_fullness(targets: Sequence[Target]) -> float:
-    """Return the load offered to each place, over all servers of a service.
+    """Return the offered load per slot over all usable servers of a service.
+
+    The slots of a failing server count only in proportion to the requests that it
+    completes. Otherwise a healthy server beside a failed one would look half as full as
+    it is.
+
+    Parameters
+    ----------
+    targets : sequence of Target
+        Servers of the service.
 
-    Servers that take no requests add nothing; 0 without any server. Places of a server
-    that fails do work for the rest of its requests only: a sound server beside one
-    that failed looked half as full as it was.
+    Returns
+    -------
+    float
+        Fullness; 0 without usable servers.
     """
     load = 0.0
-    places = 0.0
+    slots = 0.0
     for target in targets:
         if target.usable:
             load += target.offered
-            places += target.limit * max(1.0 - target.failing, _LEAST_SOUND)
-    return load / places if places else 0.0
+            slots += target.limit * max(1.0 - target.failing, _MIN_HEALTHY_SHARE)
+    return load / slots if slots else 0.0
 
 
 def service_failure_load(targets: Sequence[Target]) -> float:
-    """Return the fullness that the failures of a service count as for its callers.
+    """Return the fullness that the failures of a service add for its callers.
+
+    A request that makes several calls needs each of them to succeed. Servers are
+    weighted by their offered load, which is how likely a call reaches them. Weighted by
+    slots, one of two servers that fails and no longer gets requests would make entry
+    nodes admit only 7 of 100 requests while the other server has capacity left.
+
+    Parameters
+    ----------
+    targets : sequence of Target
+        Servers of the service.
 
-    A request that makes several calls needs each of them. Servers count by what is
-    offered to them, which is how likely a call meets them: by their places, one of two
-    that failed and got nothing any more made entries let in 7 of 100 requests while
-    the other one had room (a play with 22 hosts).
+    Returns
+    -------
+    float
+        From 0 to `FAILURE_FULLNESS`.
     """
     weights = 0.0
     failing = 0.0
--- a/packages/fuchsiagap/src/fuchsiagap/core/shedding/__init__.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/shedding/__init__.py
@@ -1,1 +1,1 @@
-"""How much of which rank an entry refuses before any work is done for it."""
+"""Load shedding at the entry node: which requests to refuse before any work is done."""
--- a/packages/fuchsiagap/src/fuchsiagap/core/shedding/allocation.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/shedding/allocation.py
@@ -1,4 +1,4 @@
-"""How the room that there is goes to the kinds of requests."""
+"""Division of the admitted load among the kinds of requests."""
 
 from __future__ import annotations
 
@@ -9,76 +9,102 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-# Part of what all callers are served that those of each kind get at least: above the
-# quarter that is promised, by what an entry may misjudge in a few seconds.
+# Guaranteed share of each kind, relative to the share of all requests that succeeds.
+# Each kind is promised a quarter of what all callers get; the rest is a margin for what
+# an entry node misjudges within a few seconds.
 GUARANTEED_PART = 0.3
-# Least share that is let in of a kind, where hardly anything is served at all: its
-# requests are what shows when there is room again.
+# Minimum share of each kind that is admitted, even if hardly any request succeeds:
+# these requests show when there is capacity again.
 MIN_GUARANTEED_SHARE = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class KindLoad:
-    """What the requests of a kind ask for.
+    """Load that the requests of a kind ask for.
 
     Parameters
     ----------
     step : int
-        How many steps give way before it; 0 gives way first.
+        Number of steps that are shed before this kind; 0 is shed first.
     load : float
-        Load that its requests would make, in any unit.
+        Load of its requests, in a unit common to all kinds.
     """
 
     step: int
     load: float
 
 
-def guaranteed_share(whole: float) -> float:
-    """Return the share of each kind that is let in at least.
+def guaranteed_share(success_share: float) -> float:
+    """Return the share of each kind that is admitted at least.
 
-    A share of what is let in, whatever all others got, left callers without any answer
-    in 40 requests.
+    It follows the success rate of all requests. A fixed admitted share, whatever the
+    others get, would leave callers without any answer in 40 requests.
 
     Parameters
     ----------
-    whole : float
-        Share of all requests that was served.
+    success_share : float
+        Share of all requests that succeeded recently.
+
+    Returns
+    -------
+    float
+        Share, at least `MIN_GUARANTEED_SHARE`.
     """
-    return max(GUARANTEED_PART * whole, MIN_GUARANTEED_SHARE)
+    return max(GUARANTEED_PART * success_share, MIN_GUARANTEED_SHARE)
 
 
 def share_of_step(
-    step: int, room: float, kinds: Sequence[KindLoad], kept: float
+    step: int, load_share: float, kinds: Sequence[KindLoad], guaranteed: float
 ) -> float:
-    """Return the share that is let in of the kinds of one step.
+    """Return the share of requests that is admitted of the kinds of one step.
 
-    Each kind has what is kept for it; of the room left, the best get all they ask for
-    before the next ones get more.
+    Each kind gets its guaranteed share. What remains goes to the steps in order of
+    importance: a step gets all it asks for before the next one gets more.
 
     Parameters
     ----------
     step : int
-        The step.
-    room : float
-        Share of the load of all kinds that may come in.
+        The step; the highest is the most important.
+    load_share : float
+        Share of the load of all kinds that may be admitted.
     kinds : sequence of KindLoad
-        All kinds that are asked for.
-    kept : float
-        Share that is kept of each.
+        All kinds with recent requests.
+    guaranteed : float
+        Share that is guaranteed to each kind.
+
+    Returns
+    -------
+    float
+        Share, from `guaranteed` to 1.
     """
-    whole = sum(kind.load for kind in kinds)
+    total = sum(kind.load for kind in kinds)
     better = sum(kind.load for kind in kinds if kind.step > step)
     own = sum(kind.load for kind in kinds if kind.step == step)
-    if own <= 0.0 or room >= 1.0:
+    if own <= 0.0 or load_share >= 1.0:
         return 1.0
-    left = (room - kept) * whole - (1.0 - kept) * better
-    return min(max(kept + left / own, kept), 1.0)
+    left = (load_share - guaranteed) * total - (1.0 - guaranteed) * better
+    return min(max(guaranteed + left / own, guaranteed), 1.0)
+
 
+def max_cut(step: int, kinds: Sequence[KindLoad], guaranteed: float) -> float:
+    """Return the cut at which a step is reduced to its guaranteed share.
 
-def max_cut(step: int, kinds: Sequence[KindLoad], kept: float) -> float:
-    """Return the cut, as a logarithm, at which a step has only what is kept of it."""
-    whole = sum(kind.load for kind in kinds)
+    Parameters
+    ----------
+    step : int
+        The step.
+    kinds : sequence of KindLoad
+        All kinds with recent requests.
+    guaranteed : float
+        Share that is guaranteed to each kind.
+
+    Returns
+    -------
+    float
+        Cut of the total load as in `SheddingController.cut`, a natural logarithm.
+    """
+    total = sum(kind.load for kind in kinds)
     better = sum(kind.load for kind in kinds if kind.step > step)
-    if whole <= 0.0:
-        return -math.log(kept)
-    return -math.log(kept + (1.0 - kept) * better / whole)
+    if total <= 0.0:
+        return -math.log(guaranteed)
+    return -math.log(guaranteed + (1.0 - guaranteed) * better / total)
--- a/packages/fuchsiagap/src/fuchsiagap/core/shedding/fair_admission.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/shedding/fair_admission.py
@@ -1,4 +1,4 @@
-"""Which requests are let in where only a share of them can be."""
+"""Admission of a share of the requests of a kind, evenly over time and clients."""
 
 from __future__ import annotations
 
@@ -8,42 +8,43 @@
 if TYPE_CHECKING:
     import random
 
-# Requests that a caller or a kind may be owed at most, or be ahead by: what lies longer
-# back says nothing of the room that there is now.
-_MOST_OWED = 2.0
-_MOST_AHEAD = 1.0
-_MOST_CREDIT = 3.0
-# By what a threshold is drawn below or above one request, at most: callers that ask in
-# a steady order never meet it at the same place of their round twice.
-_SPREAD = 0.5
+# Limits, in requests, of the credit of a caller (up and down) and of a kind. Older
+# arrivals and admissions say nothing about the capacity available now.
+_MAX_CALLER_CREDIT = 2.0
+_MAX_CALLER_DEBT = 1.0
+_MAX_KIND_CREDIT = 3.0
+# Maximum distance, in requests, of a random threshold from one request. It keeps
+# clients that ask in a fixed order from being admitted at the same point of every
+# round.
+_THRESHOLD_SPREAD = 0.5
 
 
 @dataclass(slots=True)
 class CallerCredit:
-    """What one caller is owed, for as long as its connection lasts.
+    """Admission credit of one caller, for as long as its connection lasts.
 
     Parameters
     ----------
-    owed : float
-        Requests that its shares so far come to, less those let in.
+    owed : float, default=0.0
+        Sum of the admitted shares at its requests so far, less its admitted requests.
     """
 
     owed: float = 0.0
 
 
 class FairAdmission:
-    """Lets in a share of each kind, evenly in time and over the callers.
+    """Admits a share of each kind of requests, evenly over time and callers.
 
-    Draws of their own for each request would swing by a third at the ten requests a
-    second that one node sees of a kind, so what is let in is counted against what the
-    shares come to. Counted alone, without what each caller is owed and without a
-    threshold that is drawn, 43 of 100 callers in steady rotation got less than a
-    quarter of their share in 200 tries each, most of them nothing.
+    Independent random draws would vary by a third at the ten requests of a kind that
+    one node gets each second, so admissions are counted against the sum of the shares.
+    The caller's credit and a random threshold are needed as well: with the counts
+    alone, 43 of 100 callers in steady rotation get less than a quarter of their share
+    in 200 requests each, most of them nothing.
 
     Parameters
     ----------
     rng : random.Random
-        Draws the thresholds.
+        Source of the thresholds.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -51,35 +52,40 @@
         self._credit: dict[str, float] = {}
         self._thresholds: dict[str, float] = {}
 
-    def admits(self, kind: str, share: float, turn: CallerCredit) -> bool:
-        """Return whether one request is let in.
+    def admits(self, kind: str, share: float, caller: CallerCredit) -> bool:
+        """Decide whether one request is admitted.
 
         Parameters
         ----------
         kind : str
-            Its kind.
+            Kind of the request.
         share : float
-            Share of the kind that is let in now.
-        turn : CallerCredit
-            What its caller is owed; brought up to date.
+            Share of the kind that is admitted now, from 0 to 1.
+        caller : CallerCredit
+            Credit of its caller; updated.
+
+        Returns
+        -------
+        bool
+            Whether the request is admitted.
         """
         if share >= 1.0:
             return True
         credit = self._credit.get(kind)
         if credit is None:
             credit = self._rng.random()
-            self._draw(kind)
-        credit = min(credit + share, _MOST_CREDIT)
-        admitted = credit + turn.owed >= self._thresholds[kind]
+            self._draw_threshold(kind)
+        credit = min(credit + share, _MAX_KIND_CREDIT)
+        admitted = credit + caller.owed >= self._thresholds[kind]
         if admitted:
-            credit = max(credit - 1.0, -_MOST_CREDIT)
-            self._draw(kind)
+            credit = max(credit - 1.0, -_MAX_KIND_CREDIT)
+            self._draw_threshold(kind)
         self._credit[kind] = credit
-        owed = turn.owed + share - admitted
-        turn.owed = min(max(owed, -_MOST_AHEAD), _MOST_OWED)
+        owed = caller.owed + share - admitted
+        caller.owed = min(max(owed, -_MAX_CALLER_DEBT), _MAX_CALLER_CREDIT)
         return admitted
 
-    def _draw(self, kind: str) -> None:
-        """Draw where the next request of a kind is let in."""
-        spread = self._rng.uniform(-_SPREAD, _SPREAD)
+    def _draw_threshold(self, kind: str) -> None:
+        """Draw the credit at which the next request of a kind is admitted."""
+        spread = self._rng.uniform(-_THRESHOLD_SPREAD, _THRESHOLD_SPREAD)
         self._thresholds[kind] = 1.0 + spread
--- a/packages/fuchsiagap/src/fuchsiagap/core/shedding/order.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/shedding/order.py
@@ -1,4 +1,4 @@
-"""The order in which kinds of requests give way."""
+"""Order in which the kinds of requests are shed."""
 
 from __future__ import annotations
 
@@ -14,22 +14,34 @@
     from fuchsiagap.core.clock import Milliseconds
     from fuchsiagap.core.routes.model import Route
 
-# A request is light if it makes fewer calls than this share of the heaviest of its
-# rank. At a full service ten light requests take the room of one heavy one, so the
-# heavy ones give way first. Ranks whose kinds differ by less stay together: their
-# shares would swap places with every sample.
+# A kind is light if its requests make fewer calls than this share of those of the
+# heaviest kind of its rank. At a saturated service ten light requests need the capacity
+# of one heavy request, so heavy kinds are shed first. Kinds of a rank that differ by
+# less share a step: otherwise they would swap places with every sample.
 LIGHT_SHARE = 0.25
-# Milliseconds without a request after which a kind no longer counts: a kind that nobody
-# asks for would be a step at which refusing changes nothing, while queues grow.
+# Milliseconds without a request after which a kind is dropped. A kind without requests
+# would be a step at which shedding has no effect while queues grow.
 IDLE_KIND_MS = 5_000.0
-# Milliseconds over which requests are counted (to 1/e): some fifty of a kind at ten a
-# second.
+# Time constant (to 1/e) of the request counts, in milliseconds: about fifty requests of
+# a kind at ten each second.
 DECAY_MS = 5_000.0
 
 
 @dataclass(slots=True)
 class _Kind:
-    """What is known of the requests of a route."""
+    """Recent requests of one kind.
+
+    Parameters
+    ----------
+    rank : int
+        Priority of its route; 0 is the most important.
+    asked_at : float
+        Time of the last request in milliseconds.
+    calls : float
+        Calls that a request makes, including those further downstream.
+    asked : float
+        Decaying count of requests as of `asked_at`.
+    """
 
     rank: int
     asked_at: Milliseconds
@@ -42,17 +54,17 @@
         self.asked_at = now
 
     def load(self, now: Milliseconds) -> float:
-        """Return the load of its requests, with the calls that they make."""
-        kept = math.exp((self.asked_at - now) / DECAY_MS)
-        return self.asked * kept * (1.0 + self.calls)
+        """Return the load of its requests, including the calls that they make."""
+        factor = math.exp((self.asked_at - now) / DECAY_MS)
+        return self.asked * factor * (1.0 + self.calls)
 
 
 class SheddingOrder:
-    """Ranks the kinds of requests that come to one entry.
+    """Orders the kinds of requests that reach one entry node by importance.
 
-    First by the priority of their route, then, of one priority, those whose requests
-    make many calls before those that make few. Only kinds that are asked for count: a
-    rank without requests is no step that has to be refused first.
+    Kinds are ordered by the priority of their route; within a priority, kinds whose
+    requests make many calls are shed before those that make few. Only kinds with recent
+    requests count, so that a rank without requests is no step.
     """
 
     def __init__(self) -> None:
@@ -60,7 +72,15 @@
         self._steps: dict[str, int] = {}
 
     def record_request(self, route: Route, now: Milliseconds) -> None:
-        """Take in that a request of a route comes."""
+        """Count a request of a route.
+
+        Parameters
+        ----------
+        route : Route
+            Its route, which gives kind and priority.
+        now : float
+            Time in milliseconds.
+        """
         kind = self._kinds.get(route.kind)
         if kind is None or kind.rank != route.priority:
             kind = self._kinds[route.kind] = _Kind(route.priority, now)
@@ -68,37 +88,37 @@
         kind.record_request(now)
 
     def record_calls(self, name: str, calls: float) -> None:
-        """Take in how many calls a request of a kind makes, with those below."""
+        """Set how many calls a request of a kind makes, including those downstream."""
         kind = self._kinds.get(name)
         if kind is not None:
             kind.calls = calls
             self._steps.clear()
 
     def forget(self, now: Milliseconds) -> None:
-        """Forget the kinds that were not asked for of late."""
-        old = [
+        """Drop the kinds without requests in the last `IDLE_KIND_MS`."""
+        idle = [
             name
             for name, kind in self._kinds.items()
             if now - kind.asked_at > IDLE_KIND_MS
         ]
-        for name in old:
+        for name in idle:
             del self._kinds[name]
             self._steps.clear()
 
     def step_by_kind(self) -> Mapping[str, int]:
-        """Return how many steps give way before each kind asked for of late."""
+        """Return the step of each kind with recent requests; 0 is shed first."""
         if not self._steps:
-            self._rank_all()
+            self._assign_steps()
         return self._steps
 
     def loads(self, now: Milliseconds) -> list[KindLoad]:
-        """Return the load of each kind that was asked for of late."""
+        """Return step and load of each kind with recent requests."""
         steps = self.step_by_kind()
         return [
             KindLoad(steps[name], kind.load(now)) for name, kind in self._kinds.items()
         ]
 
-    def _rank_all(self) -> None:
+    def _assign_steps(self) -> None:
         heaviest: dict[int, float] = {}
         for kind in self._kinds.values():
             heaviest[kind.rank] = max(heaviest.get(kind.rank, 0.0), kind.calls)
--- a/packages/fuchsiagap/src/fuchsiagap/core/shedding/served.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/shedding/served.py
@@ -1,4 +1,4 @@
-"""What the callers of one entry got, by the kind of their requests."""
+"""Success rates of the requests that begin at one entry node, by kind."""
 
 from __future__ import annotations
 
@@ -11,57 +11,57 @@
 
     from fuchsiagap.core.clock import Milliseconds
 
-# Milliseconds over which requests are counted (to 1/e): at ten requests a second of a
-# kind some fifty count, and a kind that got nothing for as long is seen before its
-# callers have given up.
+# Time constant (to 1/e) of the counts, in milliseconds. At ten requests of a kind each
+# second about fifty count, and a kind without answers is noticed before its callers
+# give up.
 DECAY_MS = 5_000.0
-# Requests without an answer yet with which each kind begins, as if all had been served:
-# nothing is read from the first few of them.
-_BEGUN_WITH = 5.0
+# Successful requests that each kind is assumed to start with, so that the first few
+# requests do not swing its rates.
+_PRIOR_REQUESTS = 5.0
 
 
 @dataclass(slots=True)
 class Served:
-    """Requests of one kind, those of late counting most.
+    """Decaying counts of the requests of one kind.
 
     Parameters
     ----------
-    let_in, refused : float
-        Requests that ended after they had been let in, and those that were not.
+    admitted, refused : float
+        Requests that ended after admission, and requests that were not admitted.
     served : float
-        Requests that ended with an answer of use.
+        Requests that ended with a successful answer.
     at : float
-        When they were last counted.
+        Time in milliseconds to which the counts are decayed.
     """
 
-    let_in: float = 0.0
+    admitted: float = 0.0
     refused: float = 0.0
     served: float = 0.0
     at: Milliseconds = 0.0
 
     def share(self) -> float:
-        """Return the part of all requests that was served."""
-        asked = self.let_in + self.refused
-        return (self.served + _BEGUN_WITH) / (asked + _BEGUN_WITH)
+        """Return the share of all requests that succeeded."""
+        asked = self.admitted + self.refused
+        return (self.served + _PRIOR_REQUESTS) / (asked + _PRIOR_REQUESTS)
 
     def success(self) -> float:
-        """Return the part of those let in that was served."""
-        return (self.served + _BEGUN_WITH) / (self.let_in + _BEGUN_WITH)
-
-    def fade(self, now: Milliseconds) -> None:
-        """Let what was counted weigh less as time passes."""
-        kept = math.exp((self.at - now) / DECAY_MS)
-        self.let_in *= kept
-        self.refused *= kept
-        self.served *= kept
+        """Return the share of the admitted requests that succeeded."""
+        return (self.served + _PRIOR_REQUESTS) / (self.admitted + _PRIOR_REQUESTS)
+
+    def decay(self, now: Milliseconds) -> None:
+        """Decay the counts to a time in milliseconds."""
+        factor = math.exp((self.at - now) / DECAY_MS)
+        self.admitted *= factor
+        self.refused *= factor
+        self.served *= factor
         self.at = now
 
 
 class ServedShares:
-    """Counts, kind by kind, the requests that begin at one entry.
+    """Counts the outcomes of the requests that begin at one entry node, by kind.
 
-    What an entry lets in says nothing of what its callers get: of what was let in of a
-    kind whose requests make many calls, half failed further down, and nobody noticed.
+    The admitted share does not show what callers get: of the admitted requests of a
+    kind that makes many calls, half may fail further downstream.
     """
 
     def __init__(self) -> None:
@@ -71,33 +71,43 @@
         kind = self._kinds.get(route)
         if kind is None:
             kind = self._kinds[route] = Served(at=now)
-        kind.fade(now)
+        kind.decay(now)
         return kind
 
     def record_refused(self, route: str, now: Milliseconds) -> None:
-        """Count a request that was not let in."""
+        """Count a request that was not admitted."""
         self._of(route, now).refused += 1.0
 
     def record_end(self, route: str, served: bool, now: Milliseconds) -> None:
-        """Count the end of a request that was let in."""
+        """Count the end of an admitted request.
+
+        Parameters
+        ----------
+        route : str
+            Name of its route.
+        served : bool
+            Whether it succeeded.
+        now : float
+            Time in milliseconds.
+        """
         kind = self._of(route, now)
-        kind.let_in += 1.0
+        kind.admitted += 1.0
         kind.served += served
 
     def overall_share(self, now: Milliseconds) -> float:
-        """Return the share of the requests of all kinds that was served."""
-        together = Served()
+        """Return the share of the requests of all kinds that succeeded."""
+        total = Served()
         for _, kind in self.all(now):
-            together.let_in += kind.let_in
-            together.refused += kind.refused
-            together.served += kind.served
-        return together.share()
+            total.admitted += kind.admitted
+            total.refused += kind.refused
+            total.served += kind.served
+        return total.share()
 
     def all(self, now: Milliseconds) -> Iterator[tuple[str, Served]]:
-        """Yield each kind that was asked for of late."""
+        """Yield each route with its counts, leaving out those without requests."""
         for route in sorted(self._kinds):
             kind = self._of(route, now)
-            if kind.let_in + kind.refused < 0.5:
+            if kind.admitted + kind.refused < 0.5:
                 del self._kinds[route]
             else:
                 yield route, kind
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/placement/test_choice.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/placement/test_choice.py
@@ -12,30 +12,31 @@
 
 
 def a_target(name, local=True, **changes):
-    """Return a backend server of ten places."""
+    """Return a target with ten slots."""
     target = Target(name, f"i-{name}", "certs", local, limit=10)
     for field, value in changes.items():
         setattr(target, field, value)
     return target
 
 
-def picks(*targets, n=50, without=()):
-    """Return the servers that are chosen, by name."""
+def chosen_nodes(*targets, n=50, excluded=()):
+    """Return the names of the nodes chosen in `n` draws."""
     rng = random.Random(1)
-    return {choose(targets, without, rng).node for _ in range(n)}
+    return {choose(targets, excluded, rng).node for _ in range(n)}
 
 
 class TestChoose(TestCase):
-    def test_own_data_centre_goes_first(self):
+    def test_own_data_centre_is_preferred(self):
         self.assertEqual(
-            {"near"}, picks(a_target("near", others=2), a_target("far", local=False))
+            {"near"},
+            chosen_nodes(a_target("near", others=2), a_target("far", local=False)),
         )
 
-    def test_full_data_centre_spills(self):
+    def test_full_data_centre_spills_to_another(self):
         near = a_target("near", others=14)
-        self.assertEqual({"far"}, picks(near, a_target("far", local=False)))
+        self.assertEqual({"far"}, chosen_nodes(near, a_target("far", local=False)))
 
-    def test_small_requests_go_elsewhere_before_large_ones(self):
+    def test_small_requests_spill_before_large_ones(self):
         near, far = a_target("near", others=9), a_target("far", local=False, others=4)
         rng = random.Random(1)
         small, large = remote_penalty(300.0), remote_penalty(8_000.0)
@@ -44,25 +45,25 @@
         self.assertEqual("far", choose([near, far], (), rng, small).node)
         self.assertEqual("near", choose([near, far], (), rng, large).node)
 
-    def test_largest_requests_still_leave_a_full_data_centre(self):
+    def test_largest_requests_still_spill_from_a_full_data_centre(self):
         near, far = a_target("near", others=30), a_target("far", local=False)
         rng = random.Random(1)
         penalty = remote_penalty(50_000_000.0)
         self.assertEqual("far", choose([near, far], (), rng, penalty).node)
 
-    def test_server_that_fails_fast_does_not_attract(self):
+    def test_server_that_fails_fast_does_not_attract_requests(self):
         self.assertEqual(
             {"sound"},
-            picks(a_target("fails", failing=0.5), a_target("sound", others=9)),
+            chosen_nodes(a_target("fails", failing=0.5), a_target("sound", others=9)),
         )
 
-    def test_unusable_and_tried_servers_are_left_out(self):
+    def test_unusable_and_tried_servers_are_excluded(self):
         targets = (a_target("down", usable=False), a_target("tried"), a_target("new"))
-        self.assertEqual({"new"}, picks(*targets, without=("i-tried",)))
+        self.assertEqual({"new"}, chosen_nodes(*targets, excluded=("i-tried",)))
         rng = random.Random(1)
         self.assertIsNone(choose(targets[:1], (), rng))
 
-    def test_many_servers_are_sampled_and_still_the_emptier_is_chosen(self):
+    def test_less_full_server_is_chosen_from_a_sample_of_many(self):
         full = [a_target(f"full-{n}", others=30) for n in range(40)]
         empty = [a_target(f"empty-{n}") for n in range(40)]
         rng = random.Random(1)
@@ -75,14 +76,14 @@
 
 class TestSlowness(TestCase):
     def counts(self, *targets, in_flight):
-        """Return requests at each server where so many stay in flight."""
+        """Return the requests in flight at each server after placing so many."""
         rng = random.Random(1)
         for _ in range(in_flight):
             choose(targets, (), rng).own_in_flight += 1
         return [target.own_in_flight for target in targets]
 
     def servers(self, *times):
-        """Return servers of a hundred places by how long requests take there."""
+        """Return servers with 100 slots and the given service times."""
         return [
             a_target(f"s{n}", limit=100, service_ms=ms) for n, ms in enumerate(times)
         ]
@@ -92,12 +93,12 @@
         self.assertGreater(fast, slow + 25)
         self.assertLess(fast, 100)
 
-    def test_room_alone_counts_where_all_are_nearly_full(self):
+    def test_only_fullness_counts_where_all_are_nearly_full(self):
         slow, fast = self.counts(*self.servers(200.0, 100.0), in_flight=190)
         self.assertLess(fast - slow, 12)
         self.assertLessEqual(fast, 100)
 
-    def test_servers_of_one_speed_share_alike(self):
+    def test_servers_of_the_same_speed_share_the_load(self):
         one, other = self.counts(*self.servers(100.0, 105.0), in_flight=60)
         self.assertLess(abs(one - other), 8)
 
@@ -105,10 +106,10 @@
         counts = self.counts(*self.servers(0.0, 90.0, 110.0), in_flight=60)
         self.assertGreater(counts[0], 12)
 
-    def test_slow_server_at_hand_goes_before_a_fast_one_elsewhere(self):
+    def test_slow_local_server_is_preferred_to_a_fast_remote_one(self):
         near = a_target("near", service_ms=150.0, others=2)
         far = a_target("far", local=False, service_ms=100.0, others=2)
-        self.assertEqual({"near"}, picks(near, far))
+        self.assertEqual({"near"}, chosen_nodes(near, far))
 
 
 class TestService(TestCase):
@@ -117,20 +118,20 @@
         self.assertEqual(1.0, service_fullness(targets))
         self.assertEqual(0.0, service_fullness(()))
 
-    def test_load_of_unequal_servers_counts_by_their_places(self):
+    def test_servers_are_weighted_by_their_slots(self):
         small = a_target("a", offered=10.0, limit=5)
         large = a_target("b", offered=10.0, limit=15)
         self.assertAlmostEqual(1.0, service_fullness((small, large)))
 
-    def test_failures_count_by_places(self):
+    def test_failures_of_idle_servers_are_weighted_by_slots(self):
         targets = (a_target("a", failing=1.0), a_target("b"))
         self.assertAlmostEqual(0.75, service_failure_load(targets))
 
-    def test_failures_count_by_what_is_offered(self):
+    def test_failures_are_weighted_by_offered_load(self):
         targets = (a_target("a", failing=1.0), a_target("b", offered=9.0))
         self.assertLess(service_failure_load(targets), 0.05)
 
-    def test_places_of_a_failing_server_are_no_room(self):
+    def test_slots_of_a_failing_server_do_not_count_as_capacity(self):
         targets = (a_target("a", failing=1.0), a_target("b", offered=9.0))
         self.assertGreater(service_fullness(targets), 0.8)
         self.assertLess(service_fullness(targets), 0.9)
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/shedding/test_allocation.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/shedding/test_allocation.py
@@ -11,61 +11,67 @@
     share_of_step,
 )
 
-# A page that makes many calls, a status that makes none, an order that makes many.
+# A page that makes many calls, a status request that makes none, and an order that
+# makes many, from the least important to the most important.
 KINDS = [KindLoad(0, 50.0), KindLoad(1, 5.0), KindLoad(2, 45.0)]
-KEPT = 0.2
+GUARANTEED = 0.2
 
 
-def shares(room, kinds=KINDS):
-    """Return the shares of kinds, that which gives way first before the others."""
-    return [round(share_of_step(kind.step, room, kinds, KEPT), 9) for kind in kinds]
+def shares(load_share, kinds=KINDS):
+    """Return the admitted shares of kinds, the one that is shed first leading."""
+    return [
+        round(share_of_step(kind.step, load_share, kinds, GUARANTEED), 9)
+        for kind in kinds
+    ]
 
 
-class TestKeptShare(TestCase):
-    def test_kind_keeps_a_part_of_what_all_get(self):
+class TestGuaranteedShare(TestCase):
+    def test_guarantee_is_a_part_of_the_overall_success_share(self):
         self.assertAlmostEqual(GUARANTEED_PART, guaranteed_share(1.0))
         self.assertAlmostEqual(GUARANTEED_PART * 0.4, guaranteed_share(0.4))
 
-    def test_something_is_let_in_where_nothing_is_served(self):
+    def test_minimum_applies_when_nothing_succeeds(self):
         self.assertEqual(MIN_GUARANTEED_SHARE, guaranteed_share(0.0))
 
 
 class TestShareOf(TestCase):
-    def test_room_for_all_lets_all_in(self):
+    def test_all_is_admitted_at_a_load_share_of_one(self):
         self.assertEqual([1.0, 1.0, 1.0], shares(1.0))
 
-    def test_worst_kind_gives_way_first(self):
+    def test_least_important_kind_is_shed_first(self):
         self.assertEqual([0.5, 1.0, 1.0], shares(0.75))
 
-    def test_light_kind_is_not_cut_for_long_before_the_next_gives_way(self):
+    def test_next_kind_is_cut_once_a_light_one_is_at_its_guarantee(self):
         page, status, order = shares(0.5)
-        self.assertAlmostEqual(KEPT, page)
-        self.assertAlmostEqual(KEPT, status)
-        self.assertAlmostEqual((50.0 - KEPT * 55.0) / 45.0, order)
+        self.assertAlmostEqual(GUARANTEED, page)
+        self.assertAlmostEqual(GUARANTEED, status)
+        self.assertAlmostEqual((50.0 - GUARANTEED * 55.0) / 45.0, order)
 
-    def test_what_is_let_in_is_the_room_there_is(self):
-        for room in (0.25, 0.4, 0.55, 0.7, 0.85, 1.0):
-            loads = [k.load * s for k, s in zip(KINDS, shares(room), strict=True)]
-            self.assertAlmostEqual(room, sum(loads) / 100.0)
+    def test_admitted_load_matches_the_load_share(self):
+        for load_share in (0.25, 0.4, 0.55, 0.7, 0.85, 1.0):
+            loads = [k.load * s for k, s in zip(KINDS, shares(load_share), strict=True)]
+            self.assertAlmostEqual(load_share, sum(loads) / 100.0)
 
-    def test_each_keeps_its_part_where_there_is_no_room(self):
-        self.assertEqual([KEPT] * 3, shares(0.0))
+    def test_each_kind_gets_its_guarantee_at_a_load_share_of_zero(self):
+        self.assertEqual([GUARANTEED] * 3, shares(0.0))
 
     def test_kinds_of_one_step_are_cut_together(self):
         kinds = [KindLoad(0, 30.0), KindLoad(0, 20.0), KindLoad(1, 50.0)]
         self.assertEqual([0.5, 0.5, 1.0], shares(0.75, kinds))
 
-    def test_step_without_requests_lets_in_what_comes(self):
-        self.assertEqual(1.0, share_of_step(5, 0.1, KINDS, KEPT))
+    def test_step_without_requests_admits_all(self):
+        self.assertEqual(1.0, share_of_step(5, 0.1, KINDS, GUARANTEED))
 
 
-class TestDeepestCut(TestCase):
-    def test_cut_stops_where_nothing_more_gives_way(self):
+class TestMaxCut(TestCase):
+    def test_step_is_at_its_guarantee_at_the_maximum_cut(self):
         for kind in KINDS:
-            room = math.exp(-max_cut(kind.step, KINDS, KEPT))
-            self.assertAlmostEqual(KEPT, share_of_step(kind.step, room, KINDS, KEPT))
-            more = share_of_step(kind.step, 1.05 * room, KINDS, KEPT)
-            self.assertGreater(more, KEPT + 0.01)
-
-    def test_nothing_asked_for(self):
-        self.assertAlmostEqual(-math.log(KEPT), max_cut(0, [], KEPT))
+            load_share = math.exp(-max_cut(kind.step, KINDS, GUARANTEED))
+            self.assertAlmostEqual(
+                GUARANTEED, share_of_step(kind.step, load_share, KINDS, GUARANTEED)
+            )
+            more = share_of_step(kind.step, 1.05 * load_share, KINDS, GUARANTEED)
+            self.assertGreater(more, GUARANTEED + 0.01)
+
+    def test_maximum_cut_without_requests(self):
+        self.assertAlmostEqual(-math.log(GUARANTEED), max_cut(0, [], GUARANTEED))
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/shedding/test_order.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/shedding/test_order.py
@@ -6,14 +6,14 @@
 
 
 def a_route(name, priority):
-    """Return a route of a priority."""
+    """Return a route with the given name and priority."""
     return Route(
         name, "api", f"/{name}/", (Share("s"),), True, 1_000.0, 500.0, priority, 1
     )
 
 
 def an_order(**kinds):
-    """Return an order that knows kinds by name, each with priority and calls."""
+    """Return an order with one request of each kind, given as (priority, calls)."""
     order = SheddingOrder()
     for name, (priority, calls) in kinds.items():
         order.record_request(a_route(name, priority), 0.0)
@@ -22,20 +22,20 @@
 
 
 def steps(order, *names):
-    """Return the steps of some kinds."""
+    """Return the steps of the named kinds."""
     return [order.step_by_kind()[name] for name in names]
 
 
-class TestRefusalOrder(TestCase):
-    def test_less_urgent_kinds_give_way_first_whatever_they_need(self):
+class TestSheddingOrder(TestCase):
+    def test_less_important_kinds_are_shed_first_whatever_their_calls(self):
         order = an_order(read=(2, 0.0), buy=(0, 11.0), log=(1, 3.0))
         self.assertEqual([0, 1, 2], steps(order, "read", "log", "buy"))
 
-    def test_heavy_kinds_give_way_before_light_ones_of_their_priority(self):
+    def test_heavy_kinds_are_shed_before_light_ones_of_their_priority(self):
         order = an_order(page=(2, 12.0), reserve=(2, 0.0), buy=(0, 10.0))
         self.assertEqual([0, 1, 2], steps(order, "page", "reserve", "buy"))
 
-    def test_kinds_of_like_need_stay_together(self):
+    def test_kinds_with_similar_calls_share_a_step(self):
         order = an_order(page=(2, 12.0), list=(2, 6.0))
         self.assertEqual([0, 0], steps(order, "page", "list"))
 
@@ -43,12 +43,12 @@
         order = an_order(read=(9, 0.0), buy=(0, 0.0))
         self.assertEqual([0, 1], steps(order, "read", "buy"))
 
-    def test_changed_priority_counts(self):
+    def test_changed_priority_is_applied(self):
         order = an_order(read=(2, 0.0), buy=(0, 0.0))
         order.record_request(a_route("read", 0), 0.0)
         self.assertEqual([0, 0], steps(order, "read", "buy"))
 
-    def test_one_route_for_workspaces_of_two_priorities_is_two_kinds(self):
+    def test_one_route_with_two_workspace_priorities_is_two_kinds(self):
         order = SheddingOrder()
         urgent, usual = (ranked(a_route("read", 1), p) for p in (0, 1))
         for number in range(200):
@@ -57,7 +57,7 @@
         loads = {load.step: load.load for load in order.loads(2_000.0)}
         self.assertGreater(loads[0], 5 * loads[1], "the counts of both are kept")
 
-    def test_kind_that_nobody_asks_for_any_more_is_no_step(self):
+    def test_idle_kind_is_no_step(self):
         order = an_order(seldom=(9, 0.0), read=(2, 0.0), buy=(0, 0.0))
         self.assertEqual([1, 2], steps(order, "read", "buy"))
         for name, priority in (("read", 2), ("buy", 0)):
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/shedding/test_served.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/shedding/test_served.py
@@ -3,8 +3,8 @@
 from fuchsiagap.core.shedding.served import DECAY_MS, ServedShares
 
 
-def counted(**kinds):
-    """Return shares of kinds, each with requests served, failed and refused."""
+def shares_of(**kinds):
+    """Return the counts of kinds, each given as (served, failed, refused)."""
     shares = ServedShares()
     for kind, (served, failed, refused) in kinds.items():
         for _ in range(served):
@@ -17,22 +17,22 @@
 
 
 class TestServedShares(TestCase):
-    def test_nothing_is_read_from_the_first_requests(self):
+    def test_first_requests_hardly_change_the_share(self):
         self.assertEqual(1.0, ServedShares().overall_share(0.0))
-        self.assertGreater(counted(read=(0, 0, 2)).overall_share(0.0), 0.6)
+        self.assertGreater(shares_of(read=(0, 0, 2)).overall_share(0.0), 0.6)
 
-    def test_share_is_of_all_requests_and_success_of_those_let_in(self):
-        shares = counted(read=(100, 300, 600))
+    def test_share_is_of_all_requests_and_success_of_admitted_ones(self):
+        shares = shares_of(read=(100, 300, 600))
         ((_, read),) = shares.all(0.0)
         self.assertAlmostEqual(0.1, read.share(), delta=0.01)
         self.assertAlmostEqual(0.25, read.success(), delta=0.01)
 
-    def test_all_kinds_count_by_their_requests(self):
-        shares = counted(read=(0, 0, 300), write=(100, 0, 0))
+    def test_kinds_are_weighted_by_their_requests(self):
+        shares = shares_of(read=(0, 0, 300), write=(100, 0, 0))
         self.assertAlmostEqual(0.25, shares.overall_share(0.0), delta=0.01)
 
-    def test_what_lies_back_no_longer_counts(self):
-        shares = counted(read=(0, 0, 300))
+    def test_old_requests_no_longer_count(self):
+        shares = shares_of(read=(0, 0, 300))
         for _ in range(300):
             shares.record_end("read", True, 5.0 * DECAY_MS)
         self.assertGreater(shares.overall_share(5.0 * DECAY_MS), 0.98)
