--- a/packages/fuchsiagap/src/fuchsiagap/core/retries/__init__.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/retries/__init__.py
@@ -1,1 +1,1 @@
-"""The aggregate of retries: allowance, budget and backoff."""
+"""Limits on retries: allowances of calls, retry budgets and backoff."""
--- a/packages/fuchsiagap/src/fuchsiagap/core/retries/allowance.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/retries/allowance.py
@@ -1,30 +1,39 @@
-"""The ledger of the extra attempts that a call in progress may still make.
+"""Accounting of the retries that a call in progress may still make.
 
-A call's allowance counts the extra attempts of the call and of all below it. An
-attempt sent to another node carries a share and brings back what it did not use; a
-share whose answer is lost is lost. Children that run side by side draw from the one
-ledger of their parent, so together they never exceed it.
+The allowance of a call covers its own retries and those of all calls nested below it.
+An attempt sent to another node carries a share of the allowance, and its answer returns
+the unused part; if the answer is lost, so is the share. Nested calls that run in
+parallel draw from the one allowance of their parent, so together they never exceed it.
 """
 
 from __future__ import annotations
 
 
 class AllowanceExceededError(AssertionError):
-    """The books of an allowance do not balance: a bug, never an outcome."""
+    """An allowance is inconsistent, which is a bug and never the result of a fault."""
 
 
 class Allowance:
-    """The extra attempts one call and all below it may still make.
+    """Retries that one call and all calls nested below it may still make.
 
     Parameters
     ----------
     granted : int
-        Extra attempts granted by the node above.
+        Retries granted by the calling node; a negative number counts as 0.
 
     Attributes
     ----------
-    granted, remaining, spent, lent, lost : int
-        At all times ``granted = remaining + spent + lent + lost``.
+    granted : int
+        Retries granted by the calling node. At all times
+        ``granted = remaining + spent + lent + lost``.
+    remaining : int
+        Retries that may still be made or lent.
+    spent : int
+        Retries made here, or by attempts that were answered.
+    lent : int
+        Retries that travel with attempts in progress.
+    lost : int
+        Retries lent to attempts whose answer was lost.
 
     Examples
     --------
@@ -47,7 +56,7 @@
         self.lost = 0
 
     def take(self) -> bool:
-        """Spend one extra attempt; False if there is none left."""
+        """Spend one retry; return False if none is left."""
         if self.remaining < 1:
             return False
         self.remaining -= 1
@@ -56,41 +65,52 @@
         return True
 
     def lend(self) -> int:
-        """Set a share aside for an attempt.
+        """Set aside all remaining retries but one for an attempt.
 
-        One is kept, so that a lost share does not end the retries here. Of the ways
-        tried, this one saved the most requests: see docs/design/attempts.md.
+        One is kept, so that a lost share does not end the retries at this node. Of the
+        splits compared in docs/design/attempts.md, this one completes the most
+        requests.
 
         Returns
         -------
         int
-            The share that travels with the attempt.
+            The share that travels with the attempt; `settle` or `write_off` ends it.
         """
         return self.lend_up_to(self.remaining - 1)
 
-    def lend_up_to(self, n_most: int) -> int:
-        """Set a share of at most `n_most` aside.
+    def lend_up_to(self, n_max: int) -> int:
+        """Set aside a limited number of retries for an attempt.
+
+        Parameters
+        ----------
+        n_max : int
+            Maximum share; a negative number counts as 0.
 
         Returns
         -------
         int
-            The share, which `settle` or `write_off` ends.
+            The share that travels with the attempt; `settle` or `write_off` ends it.
         """
-        share = max(min(n_most, self.remaining), 0)
+        share = max(min(n_max, self.remaining), 0)
         self.remaining -= share
         self.lent += share
         return share
 
     def settle(self, share: int, unused: int) -> None:
-        """Take back what an attempt did not use of its share.
+        """Take back the unused part of the share of an answered attempt.
 
         Parameters
         ----------
         share : int
-            What `lend` returned.
+            The share that `lend` or `lend_up_to` returned.
         unused : int
-            What came back with the answer. More than was lent is a violation and
-            is cut down to the share.
+            The unused part reported by the answer. More than was lent is a protocol
+            violation and is reduced to the share.
+
+        Raises
+        ------
+        AllowanceExceededError
+            If the share was settled or written off before.
         """
         unused = min(max(unused, 0), share)
         self.lent -= share
@@ -99,14 +119,14 @@
         self._check()
 
     def write_off(self, share: int) -> None:
-        """Give up a share whose answer was lost."""
+        """Count the share of an attempt whose answer was lost as lost."""
         self.lent -= share
         self.lost += share
         self._check()
 
     def _check(self) -> None:
-        booked = self.remaining + self.spent + self.lent + self.lost
-        if booked != self.granted or min(self.remaining, self.lent) < 0:
+        accounted = self.remaining + self.spent + self.lent + self.lost
+        if accounted != self.granted or min(self.remaining, self.lent) < 0:
             raise AllowanceExceededError(
                 f"allowance of {self.granted} books {self.remaining} remaining,"
                 f" {self.spent} spent, {self.lent} lent, {self.lost} lost"
--- a/packages/fuchsiagap/src/fuchsiagap/core/retries/backend_budget.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/retries/backend_budget.py
@@ -1,15 +1,17 @@
-"""A budget of repeats that is kept at the doors of the called service.
-
-The bound holds for what reaches the servers of a service, over all nodes together. Each
-door counts what reaches its own server, and owns an equal part of the slack. The part
-of an entry would be next to nothing where entries are many: at 195 nodes and 74
-requests a second each may repeat 0.7 of a request in ten seconds, so none at all, where
-each of 13 doors may repeat 9.
-
-Where servers fail more than the budget can repair, repeats that are spread evenly
-complete hardly a tree, and the best ranks get no more than others. So each tree draws a
-lot at its entry, and a door pays for the calls of as many trees as it can pay for
-whole: those of the best rank first, of one rank those with the smallest lots.
+"""Retry budget that is enforced at the backend queues of the called service.
+
+The limit applies to what reaches the servers of a service, over all nodes together.
+Each backend queue counts what reaches its own server, and owns an equal part of the
+slack. If entry nodes enforced the budget, the part of each would be next to nothing
+where there are many: at 195 nodes with 74 requests per second in total, each could
+retry 0.7 requests in ten seconds, hence none, whereas each of 13 backend queues may
+retry 9.
+
+If servers fail more often than the budget can repair, evenly spread retries complete
+hardly any call tree, and the most important ranks fare no better than the others. So
+each call tree draws a random number, its lot, at the entry node, and a backend queue
+retries calls of only as many trees as it can complete: the most important rank first,
+and within a rank the trees with the lowest lots.
 """
 
 from __future__ import annotations
@@ -23,37 +25,38 @@
 
     from fuchsiagap.core.clock import Clock, Milliseconds
 
-# Parts of the window in which arrivals are counted together.
-_PARTS = 20
-# Share of the ratio that doors use: what they cannot know of each other's windows stays
-# within the rest.
-_USED = 0.75
-# Share of the slack that all doors together use: they may know of too few others.
+# Buckets of the sliding window.
+_N_BUCKETS = 20
+# Share of the ratio that backend queues use. The rest covers what they cannot know of
+# each other's windows.
+_RATIO_USED = 0.75
+# Share of the slack that all backend queues together use, since some may not be known
+# to the others.
 _SLACK_USED = 0.6
-# Part of the share that trees of a rank other than the best may use: some is kept for
-# those that matter more.
-_LESS_URGENT = 0.6
-# Part of the trees that a door can pay for that is left to worse ranks, whatever better
-# ones ask for, so that none is shut out.
-_LEFT_TO_WORSE = 0.1
-# Share of failures below which a door pays for whoever asks.
-_FEW_FAILURES = 0.02
-# Lots are whole numbers below this one.
+# Part of a backend queue's limit that call trees of other than the most important rank
+# may use, to keep some budget for the most important one.
+_LESS_IMPORTANT_PART = 0.6
+# Part of the call trees that can be completed that is left to less important ranks, so
+# that none is shut out.
+_LEFT_TO_LESS_IMPORTANT = 0.1
+# Failure rate below which retries are allowed to any call tree.
+_LOW_FAILURE_RATE = 0.02
+# Lots are integers from 0 up to, but not including, this number.
 N_LOTS = 256
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceRetryLimits:
-    """Bounds on repeats over all doors of a service.
+    """Limits on the retries that reach a service, over all its backend servers.
 
     Parameters
     ----------
     ratio : float
-        Repeats per request of the service.
+        Retries per request of the service.
     slack : float
-        Repeats on top, in each window.
+        Retries allowed on top of that in each window.
     window : float
-        Milliseconds.
+        Length of the sliding window in milliseconds.
     """
 
     ratio: float
@@ -63,18 +66,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryRequest:
-    """A repeat that is asked for.
+    """A retry that asks for budget.
 
     Parameters
     ----------
     rank : int
-        Priority of the request at the root of its tree; the least is the best.
+        Priority rank of the request at the root of its call tree; 0 is the most
+        important.
     lot : int
-        What its tree has drawn, below `N_LOTS`; the smaller, the sooner it is repeated.
+        Random number of its call tree, below `N_LOTS`; trees with lower lots are
+        retried first.
     is_call : bool
-        Whether it belongs to a tree that needs other calls too.
+        Whether it is a nested call, so that its call tree needs other calls too.
     calls : float
-        Calls that it makes itself, with those that they make.
+        Mean number of calls that such a request makes, including those further
+        downstream.
     """
 
     rank: int
@@ -82,46 +88,55 @@
     is_call: bool
     calls: float
 
-    def is_whole(self) -> bool:
-        """Whether its request is one call, so that this repeat may be all it needs."""
+    def is_single_call(self) -> bool:
+        """Whether its call tree is a single call, which this retry may complete."""
         return not self.is_call and self.calls < 1.0
 
     def part(self, best: int) -> float:
-        """Return the part of a door's share that it may use, by the best rank there."""
-        return 1.0 if self.is_whole() or self.rank <= best else _LESS_URGENT
+        """Return the part of a backend queue's limit that this retry may use.
+
+        Parameters
+        ----------
+        best : int
+            Most important rank that recently reached the server.
+        """
+        return (
+            1.0 if self.is_single_call() or self.rank <= best else _LESS_IMPORTANT_PART
+        )
 
 
 @dataclass(slots=True)
-class _Part:
-    """What arrived in a part of the window.
+class _Bucket:
+    """Arrivals in one bucket of the sliding window.
 
     Parameters
     ----------
     start : float
-        When it began.
-    requests, repeats : int
-        First arrivals, and others.
+        Start of the bucket in milliseconds.
+    requests, retries : int
+        First attempts, and retries.
     ranks : Counter of int
-        First arrivals by the rank of their tree.
+        First attempts by the priority rank of their call tree.
     """
 
     start: Milliseconds
     requests: int = 0
-    repeats: int = 0
+    retries: int = 0
     ranks: Counter[int] = field(default_factory=Counter)
 
 
 class BackendRetryBudget:
-    """Counts what reaches one server in a sliding window, and pays for repeats.
+    """Limits the retries that reach one server, by its arrivals in a sliding window.
 
     Parameters
     ----------
     cfg : ServiceRetryLimits
-        Bounds of all doors together.
+        Limits of all backend servers of the service together.
     clock : Clock
         Time in milliseconds.
     rng : random.Random
-        Rounds shares, so that those below one are used by some of the doors.
+        Rounds the limit randomly, so that some of the backend queues use one that is
+        below one retry.
     """
 
     def __init__(
@@ -130,105 +145,113 @@
         self._cfg = cfg
         self._clock = clock
         self._rng = rng
-        self._parts: deque[_Part] = deque()
+        self._buckets: deque[_Bucket] = deque()
         self._requests = 0
-        self._repeats = 0
+        self._retries = 0
         self._ranks: Counter[int] = Counter()
         self._started_at = clock.now()
         self._rounding = rng.random()
         self._rounded_at = self._started_at
 
     def adopt(self, cfg: ServiceRetryLimits) -> None:
-        """Go on under changed bounds."""
+        """Apply changed limits; the counts are kept."""
         self._cfg = cfg
 
     def record_first_attempt(self, rank: int = 0) -> None:
-        """Count a first arrival of a tree of a rank."""
-        part = self._part()
-        part.requests += 1
-        part.ranks[rank] += 1
+        """Count a first attempt of a request in a call tree of a rank."""
+        bucket = self._bucket()
+        bucket.requests += 1
+        bucket.ranks[rank] += 1
         self._requests += 1
         self._ranks[rank] += 1
 
     def record_inherited_retry(self) -> None:
-        """Count an arrival that a repeat above it has caused; it is never turned away.
+        """Count a first attempt that a retry further upstream caused.
 
-        Its tree is at work already. Where those above stay within their ratio, these do
-        too.
+        It is never rejected, since its call tree is in progress already. As long as the
+        upstream retries stay within their ratio, so do these.
         """
-        self._part().repeats += 1
-        self._repeats += 1
+        self._bucket().retries += 1
+        self._retries += 1
 
     def try_spend(
-        self, repeat: RetryRequest, n_doors: int, failing: float = 0.0
+        self, retry: RetryRequest, n_backends: int, failing: float = 0.0
     ) -> bool:
-        """Pay for a repeat.
+        """Spend budget on a retry, if there is any for its call tree.
 
         Parameters
         ----------
-        repeat : RetryRequest
-            What is asked for.
-        n_doors : int
-            Doors that share the slack.
+        retry : RetryRequest
+            The retry.
+        n_backends : int
+            Number of backend queues that share the slack.
         failing : float, default=0.0
-            Share of what reaches the server that fails there.
+            Failure rate of the server, from 0 to 1.
 
         Returns
         -------
         bool
-            False if this door's share is used up, or is for other trees.
+            Whether the retry is allowed. False if the limit is reached, or if it is
+            reserved for other call trees.
         """
-        part = self._part()
-        share = self._share(repeat.calls, n_doors)
-        best = min(self._ranks, default=repeat.rank)
-        if self._repeats + 1 > share * repeat.part(best) + self._rounding:
+        bucket = self._bucket()
+        limit = self._limit(retry.calls, n_backends)
+        best = min(self._ranks, default=retry.rank)
+        if self._retries + 1 > limit * retry.part(best) + self._rounding:
             return False
-        if not repeat.is_whole() and not self._is_drawn(repeat, share, failing):
+        if not retry.is_single_call() and not self._can_complete_tree(
+            retry, limit, failing
+        ):
             return False
-        part.repeats += 1
-        self._repeats += 1
+        bucket.retries += 1
+        self._retries += 1
         return True
 
-    def _is_drawn(self, repeat: RetryRequest, share: float, failing: float) -> bool:
-        """Whether a tree is among those for which this door can pay whole."""
+    def _can_complete_tree(
+        self, retry: RetryRequest, limit: float, failing: float
+    ) -> bool:
+        """Whether the budget is enough to complete the call tree of a retry."""
         n_requests = sum(self._ranks.values())
-        if failing < _FEW_FAILURES or not n_requests:
+        if failing < _LOW_FAILURE_RATE or not n_requests:
             return True
-        # Each call takes so many repeats, on average, until it is answered.
-        repeats_a_call = failing / max(1.0 - failing, _FEW_FAILURES)
-        paid = share / repeats_a_call
-        better = sum(n for rank, n in self._ranks.items() if rank < repeat.rank)
-        worse = n_requests - better - self._ranks[repeat.rank]
-        if worse:
-            paid *= 1.0 - _LEFT_TO_WORSE
-        paid = max(paid - better, paid * _LEFT_TO_WORSE)
-        return repeat.lot < N_LOTS * paid / max(self._ranks[repeat.rank], 1)
-
-    def _share(self, calls: float, n_doors: int) -> float:
-        """Return the repeats that this door may have in a window.
-
-        The slack grows from nothing after a start, since a door knows nothing of what
-        the one before it has spent. Of a request that makes calls, the repeat repeats
-        them too: where requests are few, that would use up the slack below.
+        # Mean number of retries until a call is answered.
+        retries_per_call = failing / max(1.0 - failing, _LOW_FAILURE_RATE)
+        n_trees = limit / retries_per_call
+        more_important = sum(n for rank, n in self._ranks.items() if rank < retry.rank)
+        less_important = n_requests - more_important - self._ranks[retry.rank]
+        if less_important:
+            n_trees *= 1.0 - _LEFT_TO_LESS_IMPORTANT
+        n_trees = max(n_trees - more_important, n_trees * _LEFT_TO_LESS_IMPORTANT)
+        return retry.lot < N_LOTS * n_trees / max(self._ranks[retry.rank], 1)
+
+    def _limit(self, calls: float, n_backends: int) -> float:
+        """Return the maximum number of retries in a window.
+
+        The slack grows from 0 after a start, since the retries that were allowed before
+        a restart are not known. It is divided for a request that makes calls, since a
+        retry repeats these too and would use up the slack of the services downstream
+        where requests are few.
         """
         cfg = self._cfg
         age = self._clock.now() - self._started_at
-        slack = cfg.slack * _SLACK_USED / max(n_doors, 1) / (1.0 + calls)
-        return self._requests * cfg.ratio * _USED + slack * min(age / cfg.window, 1.0)
+        slack = cfg.slack * _SLACK_USED / max(n_backends, 1) / (1.0 + calls)
+        return self._requests * cfg.ratio * _RATIO_USED + slack * min(
+            age / cfg.window, 1.0
+        )
 
-    def _part(self) -> _Part:
+    def _bucket(self) -> _Bucket:
         now = self._clock.now()
         window = self._cfg.window
-        length = window / _PARTS
+        length = window / _N_BUCKETS
         start = now // length * length
-        while self._parts and self._parts[0].start <= now - window:
-            old = self._parts.popleft()
+        while self._buckets and self._buckets[0].start <= now - window:
+            old = self._buckets.popleft()
             self._requests -= old.requests
-            self._repeats -= old.repeats
+            self._retries -= old.retries
             self._ranks -= old.ranks
         if now - self._rounded_at >= window:
             self._rounding = self._rng.random()
             self._rounded_at = now
-        if not self._parts or self._parts[-1].start != start:
-            self._parts.append(_Part(start))
-        return self._parts[-1]
+        if not self._buckets or self._buckets[-1].start != start:
+            self._buckets.append(_Bucket(start))
+        return self._buckets[-1]
--- a/packages/fuchsiagap/src/fuchsiagap/core/retries/backoff.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/retries/backoff.py
@@ -1,4 +1,4 @@
-"""Jittered exponential backoff."""
+"""Exponential backoff with full jitter."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 
 
 def backoff(cfg: RetrySettings, n_retries: int, rng: random.Random) -> Milliseconds:
-    """Return the wait before a retry elsewhere.
+    """Return the delay before a retry at another instance.
 
-    The first retry goes to another instance at once; later ones mean that the
-    service as a whole is in trouble, and wait between nothing and a bound that
-    doubles (full jitter).
+    The first retry is made at once. Further retries indicate that the service as a
+    whole is failing, so they wait for a random time of up to a limit that doubles with
+    each retry (full jitter).
 
     Parameters
     ----------
     cfg : RetrySettings
-        Settings.
+        Settings of the backoff.
     n_retries : int
-        Retries made before this one.
+        Number of retries made before this one.
     rng : random.Random
         Source of the jitter.
 
     Returns
     -------
     float
-        Milliseconds.
+        Delay in milliseconds.
     """
     if n_retries == 0:
         return 0.0
--- a/packages/fuchsiagap/src/fuchsiagap/core/retries/budget.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/retries/budget.py
@@ -1,4 +1,4 @@
-"""The retry budget: retries of a service are a share of its recent calls."""
+"""Client-side retry budget: retries of a service as a share of its recent calls."""
 
 from __future__ import annotations
 
@@ -15,20 +15,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RetrySettings:
-    """Settings of budget and backoff.
+    """Settings of the retry budget and of the backoff.
 
     Parameters
     ----------
-    ratio : float
-        Retries per recent call, where the route's settings say nothing.
-    memory : float
-        Milliseconds over which calls and retries are forgotten (to 1/e).
-    least_per_s : float
-        Retries a second that are allowed about, for services with few calls.
-    backoff : float
-        Mean wait in milliseconds before the second retry; doubled with each.
-    backoff_max : float
-        Longest wait in milliseconds.
+    ratio : float, default=0.1
+        Retries per recent call, unless the route sets its own ratio.
+    memory : float, default=5000.0
+        Time constant (to 1/e) of the counts of calls and retries, in milliseconds.
+    least_per_s : float, default=0.5
+        Retries per second that are allowed on average to services with few calls.
+    backoff : float, default=4.0
+        Mean delay in milliseconds before the second retry; doubled with each further
+        one.
+    backoff_max : float, default=100.0
+        Maximum delay in milliseconds.
     """
 
     ratio: float = 0.1
@@ -39,7 +40,7 @@
 
 
 class _Recent:
-    """Recent calls and retries of one service, both fading."""
+    """Decaying counts of the calls and retries of one service."""
 
     __slots__ = ("at", "calls", "retries")
 
@@ -50,7 +51,7 @@
 
 
 class RetryBudget:
-    """Retries per service as a share of its recent calls.
+    """Limits the retries of each service to a share of its recent calls.
 
     Parameters
     ----------
@@ -66,7 +67,7 @@
     >>> clock = Clock(now=lambda: 0.0, wall=lambda: 0.0)
     >>> budget = RetryBudget(RetrySettings(least_per_s=0.2), clock)
     >>> certs = ServiceName("salt-fog", "certs")
-    >>> budget.spend(certs), budget.spend(certs)
+    >>> budget.try_spend(certs), budget.try_spend(certs)
     (True, False)
     """
 
@@ -76,33 +77,33 @@
         self._recent: dict[ServiceName, _Recent] = {}
 
     def record_call(self, service: ServiceName) -> None:
-        """Count a call, not its retries."""
-        self._faded(service).calls += 1.0
+        """Count a call; its retries are not counted as calls."""
+        self._decayed(service).calls += 1.0
 
     def try_spend(self, service: ServiceName, ratio: float | None = None) -> bool:
-        """Pay for a retry.
+        """Spend budget on a retry, if there is any left.
 
         Parameters
         ----------
         service : ServiceName
             The called service.
         ratio : float, optional
-            The retry budget of the route; by default that of the settings.
+            Retries per recent call for the route; by default `RetrySettings.ratio`.
 
         Returns
         -------
         bool
-            False if the budget is used up.
+            Whether the retry is allowed.
         """
-        recent = self._faded(service)
+        recent = self._decayed(service)
         share = self.cfg.ratio if ratio is None else ratio
-        least = self.cfg.least_per_s * self.cfg.memory / MS_PER_S
-        if recent.retries >= recent.calls * share + least:
+        minimum = self.cfg.least_per_s * self.cfg.memory / MS_PER_S
+        if recent.retries >= recent.calls * share + minimum:
             return False
         recent.retries += 1.0
         return True
 
-    def _faded(self, service: ServiceName) -> _Recent:
+    def _decayed(self, service: ServiceName) -> _Recent:
         now = self._clock.now()
         recent = self._recent.get(service)
         if recent is None:
@@ -110,8 +111,8 @@
             return recent
         elapsed = now - recent.at
         if elapsed > 0.0:
-            kept = math.exp(-elapsed / self.cfg.memory)
-            recent.calls *= kept
-            recent.retries *= kept
+            factor = math.exp(-elapsed / self.cfg.memory)
+            recent.calls *= factor
+            recent.retries *= factor
             recent.at = now
         return recent
--- a/packages/fuchsiagap/src/fuchsiagap/core/routing/__init__.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The aggregate of routing: which instance of a service gets the next attempt."""
+"""Load balancing: which instance of a service gets the next attempt."""
--- a/packages/fuchsiagap/src/fuchsiagap/core/routing/candidate.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/routing/candidate.py
@@ -1,4 +1,4 @@
-"""What one node knows of one instance: its load, age and failures."""
+"""State that one node keeps of one instance: its load, age and failures."""
 
 from __future__ import annotations
 
@@ -14,36 +14,39 @@
 
 
 class Candidate:
-    """The state of one instance in the eyes of this node.
+    """State of one instance, as observed by this node.
 
     Parameters
     ----------
     instance : Instance
         The instance.
     rank : int
-        Its place in the order of this node's subset.
+        Its rendezvous rank for this node, which decides the subset.
     started : float
-        When its slow start begins, on the process's clock; `NEVER` if it needs
-        none.
+        Start of its slow start in milliseconds on the clock of the process; `NEVER` if
+        it needs none.
     now : float
-        Time at which it was found.
+        Time of its discovery in milliseconds.
 
     Attributes
     ----------
     in_flight : int
         Attempts of this node that the instance has not answered.
     limit : int
-        Concurrency limit it reported; 0 if it has not.
+        Concurrency limit that it reported; 0 before the first report.
     others : int
-        Calls of other nodes there, by the last report.
-    reported, replied : float
-        When it last reported its load, and when it last replied or was found.
+        Calls of other nodes in flight there, by the last report.
+    reported : float
+        Time of its last load report in milliseconds; `NEVER` before the first.
+    replied : float
+        Time of its last reply, or of its discovery, in milliseconds.
     failures : int
         Consecutive failures.
     n_ejections : int
-        Ejections since it last answered.
+        Ejections since its last answer.
     out_until : float
-        Until when it is not chosen; `FOREVER` once it said that it is leaving.
+        Time in milliseconds until which it is not chosen; `FOREVER` once it reported
+        that it is leaving.
     """
 
     __slots__ = (
@@ -76,26 +79,33 @@
         self.out_until = NEVER
 
     def record_load(self, load: LoadReport, now: Milliseconds) -> None:
-        """Keep a piggybacked load report.
+        """Store the load report of an answer.
 
-        The node's own calls are taken out of it, since they are known exactly.
+        The calls of this node are subtracted, since their number is known exactly.
+
+        Parameters
+        ----------
+        load : LoadReport
+            The report.
+        now : float
+            Time in milliseconds.
         """
         self.limit = load.limit
         self.others = max(load.in_flight + load.queued - self.in_flight, 0)
         self.reported = now
 
     def weight(self, cfg: RoutingSettings, now: Milliseconds) -> float:
-        """Return the weight: from the slow start's floor up to 1."""
+        """Return the weight during the slow start, from its floor up to 1."""
         age = now - self.started
         if age >= cfg.slow_start:
             return 1.0
         return max(age / cfg.slow_start, cfg.slow_start_floor)
 
     def load(self, cfg: RoutingSettings, now: Milliseconds) -> float:
-        """Return the share of the limit that is in use with one more call.
+        """Return the share of the limit in use if one more call is sent.
 
-        The calls of others fade out as their report ages, so that an instance that
-        looked busy is tried again.
+        The calls of other nodes count less as their report ages, so that an instance
+        that was busy is tried again.
         """
         n_calls = self.in_flight + 1.0
         age = now - self.reported
@@ -104,7 +114,7 @@
         return n_calls / (self.limit or cfg.assumed_limit)
 
     def utilisation(self, cfg: RoutingSettings, now: Milliseconds) -> float:
-        """Return the load as a share of what the slow start lets the instance have."""
+        """Return the load relative to the instance's weight during the slow start."""
         if now - self.started >= cfg.slow_start:
             return self.load(cfg, now)
         return self.load(cfg, now) / self.weight(cfg, now)
--- a/packages/fuchsiagap/src/fuchsiagap/core/routing/ejection.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/routing/ejection.py
@@ -1,4 +1,4 @@
-"""Ejection of outliers: when an instance is not chosen for a while, and the floor."""
+"""Outlier ejection: which failures count, and when an instance is ejected."""
 
 from __future__ import annotations
 
@@ -22,19 +22,20 @@
 def is_failure(
     candidate: Candidate, outcome: Outcome, cfg: RoutingSettings, now: Milliseconds
 ) -> bool:
-    """Whether an outcome speaks against the instance itself.
+    """Whether an outcome counts as a failure of the instance itself.
 
-    A passed deadline does so only if the instance has been silent for a while: one
-    that is merely slow or overloaded still replies, and would be missed.
+    An expired deadline does so only if the instance has not replied to anything for
+    `RoutingSettings.silence`: one that is merely slow or overloaded still replies, and
+    its capacity is needed.
 
     Parameters
     ----------
     candidate : Candidate
         The instance.
     outcome : Outcome
-        What became of the attempt.
+        Outcome of the attempt.
     cfg : RoutingSettings
-        Settings.
+        Settings of the router.
     now : float
         Time in milliseconds.
     """
@@ -53,7 +54,10 @@
     cfg: RoutingSettings,
     now: Milliseconds,
 ) -> bool:
-    """Count a failure, and eject the instance if it is one too many.
+    """Count a failure, and eject the instance after too many in a row.
+
+    Each further ejection lasts twice as long. No instance is ejected if that would
+    exceed `RoutingSettings.ejected_share_max`.
 
     Parameters
     ----------
@@ -62,14 +66,14 @@
     pool : sequence of Candidate
         All instances of the service that this node may choose.
     cfg : RoutingSettings
-        Settings.
+        Settings of the router.
     now : float
         Time in milliseconds.
 
     Returns
     -------
     bool
-        Whether it was ejected now.
+        Whether this failure ejected it.
     """
     candidate.failures += 1
     if candidate.failures < cfg.failures_to_eject or candidate.out_until > now:
@@ -77,9 +81,9 @@
     n_ejected = sum(1 for c in pool if now < c.out_until < FOREVER)
     if n_ejected + 1 > len(pool) * cfg.ejected_share_max:
         return False
-    length = min(cfg.ejection * 2.0**candidate.n_ejections, cfg.ejection_max)
-    candidate.out_until = now + length
-    # When it comes back, it starts slowly.
+    duration = min(cfg.ejection * 2.0**candidate.n_ejections, cfg.ejection_max)
+    candidate.out_until = now + duration
+    # It returns with a slow start.
     candidate.started = candidate.out_until
     candidate.n_ejections += 1
     candidate.failures = 0
--- a/packages/fuchsiagap/src/fuchsiagap/core/routing/instance.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/routing/instance.py
@@ -1,4 +1,4 @@
-"""One instance of a service, as the router sees it, and the router's settings."""
+"""Instances of services, and the settings of the router."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Instance:
-    """A backend server and the node beside it.
+    """A backend server and the node that serves it.
 
     Parameters
     ----------
     node : str
         Name of the node; unique over all data centres.
     incarnation : int
-        The life of the node's process; a restarted one has a higher number.
+        Number of the node's process; higher after each restart.
     address : str
-        ``IP:PORT`` at which the node takes links.
+        ``IP:PORT`` at which the node accepts connections of other nodes.
     data_centre : str
-        Where it runs.
+        Data centre in which it runs.
     service : ServiceName
         The service of the backend server.
-    leaving : bool
-        Whether it wants no new work.
+    leaving : bool, default=False
+        Whether it accepts no new requests.
     """
 
     node: str
@@ -44,40 +44,41 @@
 
     Parameters
     ----------
-    local_subset : int
-        Most instances of one service in the own data centre that are linked to.
-    remote_subset : int
-        Most instances of one service in all other data centres together.
-    update_pause : float
-        Least milliseconds between two looks at the list of a large fleet.
-    spill_utilisation : float
-        Share of an instance's limit in use from which other data centres are
-        looked at.
-    spill_gain : float
-        An instance elsewhere is taken only if its utilisation is at most this
-        share of that of the best local one.
-    own_utilisation : float
-        Share of its limit in use up to which the own backend server is taken
-        without further ado, since it saves a hop.
-    load_memory : float
-        Milliseconds after which a piggybacked load report counts for nothing.
-    assumed_limit : int
+    local_subset : int, default=12
+        Maximum number of instances of one service in the own data centre that the node
+        connects to.
+    remote_subset : int, default=6
+        Maximum number of instances of one service in all other data centres together.
+    update_pause : float, default=100.0
+        Minimum milliseconds between two updates of the member list of a large fleet.
+    spill_utilisation : float, default=0.9
+        Utilisation of the least loaded local instance above which instances in other
+        data centres are considered.
+    spill_gain : float, default=0.8
+        A remote instance is chosen only if its utilisation is at most this share of
+        that of the least loaded local instance.
+    own_utilisation : float, default=0.5
+        Utilisation up to which the node's own backend server is chosen without
+        comparison, which saves a network hop.
+    load_memory : float, default=2000.0
+        Milliseconds after which a load report is ignored.
+    assumed_limit : int, default=16
         Concurrency limit of an instance that has not reported one.
-    slow_start : float
-        Milliseconds over which a new incarnation's weight grows to its full.
-    slow_start_floor : float
-        Weight at the start of the slow start, above 0 and at most 1.
-    failures_to_eject : int
+    slow_start : float, default=10000.0
+        Milliseconds over which the weight of a new incarnation grows to 1.
+    slow_start_floor : float, default=0.1
+        Weight at the beginning of the slow start, above 0 and at most 1.
+    failures_to_eject : int, default=5
         Consecutive failures after which an instance is ejected.
-    silence : float
-        Milliseconds without any reply from which a passed deadline counts as a
+    silence : float, default=1000.0
+        Milliseconds without any reply after which an expired deadline counts as a
         failure of the instance.
-    ejection : float
+    ejection : float, default=2000.0
         Milliseconds of the first ejection; doubled with each further one.
-    ejection_max : float
-        Longest ejection in milliseconds.
-    ejected_share_max : float
-        Share of the instances of a service that may be ejected at one time.
+    ejection_max : float, default=30000.0
+        Maximum milliseconds of an ejection.
+    ejected_share_max : float, default=0.34
+        Maximum share of the instances of a service that are ejected at one time.
     """
 
     local_subset: int = 12
--- a/packages/fuchsiagap/src/fuchsiagap/core/routing/least_time.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/routing/least_time.py
@@ -1,4 +1,4 @@
-"""The least time a route needs, learnt from recent answers."""
+"""Estimate of the minimum latency of each route, from recent answers."""
 
 from __future__ import annotations
 
@@ -8,12 +8,17 @@
     from fuchsiagap.core.calls.head import ServiceName
     from fuchsiagap.core.clock import Milliseconds
 
+# Part of the distance to a new latency by which an estimate moves, before weighting.
 _STEP = 0.1
+# Quantile of the latencies that the estimates follow.
 _QUANTILE = 0.1
+# Milliseconds without answers after which an estimate has decayed to 0.
 _MEMORY: Milliseconds = 2_000.0
 
 
 class _Estimate:
+    """Estimated minimum latency in milliseconds, and when it was last updated."""
+
     __slots__ = ("at", "value")
 
     def __init__(self, value: Milliseconds, at: Milliseconds) -> None:
@@ -22,12 +27,10 @@
 
 
 class LeastTimes:
-    """Estimates below which an attempt has no chance.
-
-    The estimate follows a low quantile of the answered attempts, and fades without
-    new ones, so that a slow spell cannot shut a route for good.
+    """Estimates, by route, the time below which an attempt cannot be answered.
 
-    Times are in milliseconds on the clock of the process.
+    An estimate follows a low quantile of the latencies of answered attempts. It decays
+    without new answers, so that a slow phase cannot block a route permanently.
     """
 
     def __init__(self) -> None:
@@ -40,7 +43,19 @@
         latency: Milliseconds,
         now: Milliseconds,
     ) -> None:
-        """Learn from an attempt that was answered."""
+        """Update the estimate of a route from an answered attempt.
+
+        Parameters
+        ----------
+        service : ServiceName
+            The called service.
+        route : str
+            Name of the route.
+        latency : float
+            Latency of the attempt in milliseconds.
+        now : float
+            Time in milliseconds on the clock of the process.
+        """
         key = (service, route)
         estimate = self._estimates.get(key)
         if estimate is None:
@@ -56,7 +71,22 @@
     def least(
         self, service: ServiceName, route: str, now: Milliseconds
     ) -> Milliseconds:
-        """Return the time below which an answer cannot be hoped for; 0 if unknown."""
+        """Return the estimated minimum latency of a route.
+
+        Parameters
+        ----------
+        service : ServiceName
+            The called service.
+        route : str
+            Name of the route.
+        now : float
+            Time in milliseconds on the clock of the process.
+
+        Returns
+        -------
+        float
+            Milliseconds; 0 if not known.
+        """
         estimate = self._estimates.get((service, route))
         if estimate is None:
             return 0.0
--- a/packages/fuchsiagap/src/fuchsiagap/core/routing/router.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/routing/router.py
@@ -1,7 +1,8 @@
-"""The choice of the instance that gets the next attempt.
+"""Load balancer that chooses the instance for each attempt.
 
-Own data centre first, with spill by load; two random choices on utilisation; slow
-start; ejection with a floor; a deterministic subset of instances per service.
+It prefers the own data centre and spills over to others under load. It compares two
+random candidates by utilisation, gives new instances a slow start, ejects outliers up
+to a maximum share, and uses a deterministic subset of the instances of each service.
 """
 
 from __future__ import annotations
@@ -27,21 +28,22 @@
 __all__ = ["Instance", "Router", "RoutingCounts", "RoutingSettings"]
 
 NO_NODES: frozenset[str] = frozenset()
+# Number of members above which updates are applied at most once per `update_pause`.
 _MANY_MEMBERS = 500
 
 
 @dataclass(slots=True)
 class RoutingCounts:
-    """What the router has counted.
+    """Counters of the router.
 
     Parameters
     ----------
-    spills : int
-        Choices of another data centre since the own one was saturated.
-    ejections : int
-        Instances ejected.
-    last_resorts : int
-        Choices of an ejected instance since there was no other.
+    spills : int, default=0
+        Choices of another data centre because the own one was saturated.
+    ejections : int, default=0
+        Ejections of instances.
+    last_resorts : int, default=0
+        Choices of an ejected instance because there was no other.
     """
 
     spills: int = 0
@@ -51,7 +53,17 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class _Pool:
-    """The instances of one service that this node may choose."""
+    """The instances of one service that this node may choose.
+
+    Parameters
+    ----------
+    members : tuple of Instance
+        All known instances of the service.
+    local, remote : tuple of Candidate
+        Subsets of the instances in the own data centre and in all others.
+    own : Candidate or None
+        The node's own backend server, if it belongs to the service.
+    """
 
     members: tuple[Instance, ...]
     local: tuple[Candidate, ...]
@@ -60,27 +72,29 @@
 
 
 class Router:
-    """Chooses instances and learns from what became of the attempts.
+    """Chooses instances and tracks their load and failures by attempt outcomes.
 
     Parameters
     ----------
     cfg : RoutingSettings
-        Settings.
+        Settings of the router.
     data_centre : str
         The node's own data centre.
     clock : Clock
         Time in milliseconds.
     rng : random.Random
         Source of the random choices.
-    node : str
-        Name of the node; it decides the subset of instances.
+    node : str, default=""
+        Name of this node, which decides the subset of instances.
 
     Attributes
     ----------
+    cfg : RoutingSettings
+        Settings of the router.
     least_times : LeastTimes
-        Least time that each route needs.
+        Minimum latency of each route.
     counts : RoutingCounts
-        What the router has counted.
+        Counters.
     """
 
     def __init__(
@@ -102,39 +116,42 @@
         self._pools: dict[ServiceName, _Pool] = {}
         self._candidates: dict[str, Candidate] = {}
         self._pending: tuple[Instance, ...] | None = None
-        self._absorbed: Milliseconds = NEVER
+        self._members_applied_at: Milliseconds = NEVER
 
     def update(self, members: tuple[Instance, ...]) -> None:
-        """Take over the list of live instances.
+        """Replace the list of live instances; it is applied before the next choice.
 
         Parameters
         ----------
         members : tuple of Instance
-            All known instances of all services; leaving ones may be among them.
+            All known instances of all services, including leaving ones.
         """
         self._pending = members
 
-    def _absorb(self) -> None:
-        """Work the latest list in; in a large fleet, only so often."""
+    def _apply_members(self) -> None:
+        """Apply the latest member list, at intervals of `update_pause` if large."""
         members = self._pending or ()
         now = self._clock.now()
         pause = self.cfg.update_pause if len(members) > _MANY_MEMBERS else 0.0
-        if now < self._absorbed + pause:
+        if now < self._members_applied_at + pause:
             return
         self._pending = None
-        self._absorbed = now
+        self._members_applied_at = now
         by_service: dict[ServiceName, list[Instance]] = {}
         for member in members:
             by_service.setdefault(member.service, []).append(member)
         self._members = {name: tuple(found) for name, found in by_service.items()}
-        self._note_members(members, now)
+        self._update_candidates(members, now)
         for service, pool in list(self._pools.items()):
             if self._members.get(service, ()) != pool.members:
                 del self._pools[service]
 
-    def _note_members(self, members: tuple[Instance, ...], now: Milliseconds) -> None:
+    def _update_candidates(
+        self, members: tuple[Instance, ...], now: Milliseconds
+    ) -> None:
         known = self._candidates
-        # Those found at the own start may have run for long.
+        # Instances known when this node starts may have run for long, so they get no
+        # slow start.
         started = now if known else NEVER
         self._candidates = {}
         for member in members:
@@ -157,16 +174,16 @@
         ----------
         service : ServiceName
             The called service.
-        excluded : frozenset of str
-            Names of nodes that have had their attempt.
+        excluded : frozenset of str, optional
+            Names of the nodes that earlier attempts were sent to; by default none.
 
         Returns
         -------
         Instance or None
-            None if there is no instance that is neither excluded nor leaving.
+            None if every instance is excluded or leaving.
         """
         if self._pending is not None:
-            self._absorb()
+            self._apply_members()
         pool = self._pools.get(service) or self._pool(service)
         now = self._clock.now()
         own = pool.own
@@ -185,7 +202,7 @@
     def _is_idle(
         self, own: Candidate, excluded: frozenset[str], now: Milliseconds
     ) -> bool:
-        """Whether the own backend server has room enough to save the hop."""
+        """Whether the own backend server has enough capacity to be used directly."""
         return (
             _is_usable(own, excluded, now)
             and own.utilisation(self.cfg, now) <= self.cfg.own_utilisation
@@ -198,7 +215,7 @@
         excluded: frozenset[str],
         now: Milliseconds,
     ) -> Candidate:
-        """Weigh the least used local instance against one elsewhere."""
+        """Choose between the least loaded local instance and a remote one."""
         cfg = self.cfg
         usable = _usable(pool.local, excluded, now)
         local = min(usable, key=lambda c: c.utilisation(cfg, now), default=local)
@@ -222,7 +239,7 @@
         if pair is None or not (
             _is_usable(pair[0], excluded, now) and _is_usable(pair[1], excluded, now)
         ):
-            # Rare, so that the usual case needs no list.
+            # Rare, so that the usual case does not build a list.
             usable = _usable(candidates, excluded, now)
             pair = self._two(usable)
             if pair is None:
@@ -230,7 +247,8 @@
         one, two = pair
         cfg = self.cfg
         if one.started != two.started:
-            # The one in its slow start is considered in proportion to its weight.
+            # An instance in its slow start is considered with the probability of its
+            # weight.
             draw = self._rng.random
             if draw() > one.weight(cfg, now):
                 return two
@@ -243,7 +261,7 @@
     def _two(
         self, candidates: Sequence[Candidate]
     ) -> tuple[Candidate, Candidate] | None:
-        """Return two different candidates at random; None if there are not two."""
+        """Return two different random candidates; None if there are fewer than two."""
         n_candidates = len(candidates)
         if n_candidates < 2:
             return None
@@ -255,7 +273,7 @@
         return candidates[at], candidates[other]
 
     def _last_resort(self, pool: _Pool, excluded: frozenset[str]) -> Instance | None:
-        """Return the ejected instance that comes back first."""
+        """Return the instance whose ejection ends first."""
         left = [
             candidate
             for candidate in (*pool.local, *pool.remote)
@@ -268,16 +286,16 @@
         return min(left, key=lambda c: c.out_until).instance
 
     def linked(self, service: ServiceName) -> tuple[str, ...]:
-        """Return the nodes of a service that this node may send calls to."""
+        """Return the names of the nodes of a service that this node may call."""
         if self._pending is not None:
-            self._absorb()
+            self._apply_members()
         pool = self._pools.get(service) or self._pool(service)
         return tuple(c.instance.node for c in (*pool.local, *pool.remote))
 
     def ejected(self, service: ServiceName) -> tuple[str, ...]:
-        """Return the nodes of a service that are ejected now."""
+        """Return the names of the nodes of a service that are ejected."""
         if self._pending is not None:
-            self._absorb()
+            self._apply_members()
         pool = self._pools.get(service) or self._pool(service)
         now = self._clock.now()
         return tuple(
@@ -287,7 +305,7 @@
         )
 
     def begin(self, instance: Instance) -> None:
-        """Count an attempt that is about to be sent."""
+        """Count an attempt that is about to be sent as in flight."""
         candidate = self._candidate(instance)
         if candidate is not None:
             candidate.in_flight += 1
@@ -295,14 +313,14 @@
     def end(
         self, instance: Instance, outcome: Outcome | None, latency: Milliseconds
     ) -> None:
-        """Learn from an attempt that `begin` counted.
+        """Record the outcome of an attempt that `begin` counted.
 
         Parameters
         ----------
         instance : Instance
-            The instance that had it.
+            The instance that the attempt was sent to.
         outcome : Outcome or None
-            What became of it; None if it was cancelled.
+            Its outcome; None if it was cancelled.
         latency : float
             Milliseconds since `begin`; not used.
         """
@@ -311,9 +329,9 @@
             return
         candidate.in_flight = max(candidate.in_flight - 1, 0)
         if outcome is not None:
-            self._learn(candidate, outcome)
+            self._apply_outcome(candidate, outcome)
 
-    def _learn(self, candidate: Candidate, outcome: Outcome) -> None:
+    def _apply_outcome(self, candidate: Candidate, outcome: Outcome) -> None:
         now = self._clock.now()
         if is_failure(candidate, outcome, self.cfg, now):
             service = candidate.instance.service
@@ -329,13 +347,13 @@
         if isinstance(outcome, Answered):
             candidate.n_ejections = 0
         elif isinstance(outcome, Refused) and outcome.reason is Reason.LEAVING:
-            # Members learn it from each other; this node knows it now.
+            # The member list shows it only once it has spread between the nodes.
             candidate.out_until = FOREVER
 
     def _candidate(self, instance: Instance) -> Candidate | None:
-        """Return the state of an instance, unless it has had a new life since."""
+        """Return the state of an instance; None if it is gone or has restarted."""
         if self._pending is not None:
-            self._absorb()
+            self._apply_members()
         candidate = self._candidates.get(instance.node)
         if candidate is None:
             return None
@@ -344,7 +362,7 @@
         return candidate
 
     def _pool(self, service: ServiceName) -> _Pool:
-        """Build and keep the pool of a service."""
+        """Build the pool of a service and cache it."""
         members = self._members.get(service, ())
         staying = [self._candidates[m.node] for m in members if not m.leaving]
         own_data_centre = self._data_centre
--- a/packages/fuchsiagap/src/fuchsiagap/core/routing/subset.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/routing/subset.py
@@ -1,4 +1,4 @@
-"""A deterministic subset of instances, stable when members change."""
+"""Deterministic subsetting of instances by rendezvous hashing."""
 
 from __future__ import annotations
 
@@ -17,42 +17,42 @@
 
 
 def rendezvous_rank(node: str, member: str) -> int:
-    """Return the rank of a member for a node, the same in every process.
+    """Return the rendezvous hash of a node and a member, the same in every process.
 
     Parameters
     ----------
     node : str
-        Name of the choosing node.
+        Name of the node that chooses.
     member : str
-        Name of the node to choose.
+        Name of the node to be chosen.
 
     Returns
     -------
     int
-        The lower, the sooner it is chosen.
+        Rank of the member for the node; the lowest ranks are chosen.
     """
     pair = f"{node}\0{member}".encode()
     digest = hashlib.blake2b(pair, digest_size=_RANK_BYTES).digest()
     return int.from_bytes(digest, "big")
 
 
-def subset_of(candidates: Sequence[Candidate], n_most: int) -> tuple[Candidate, ...]:
-    """Return the candidates of the lowest rank.
+def subset_of(candidates: Sequence[Candidate], n_max: int) -> tuple[Candidate, ...]:
+    """Return the candidates with the lowest ranks.
 
-    One that comes or goes changes at most one place of the subset.
+    Adding or removing one candidate changes at most one member of the subset.
 
     Parameters
     ----------
     candidates : sequence of Candidate
         Candidates to choose from.
-    n_most : int
-        Size of the subset.
+    n_max : int
+        Maximum size of the subset.
 
     Returns
     -------
     tuple of Candidate
-        All of them if they are at most `n_most`.
+        All candidates if there are at most `n_max`.
     """
-    if len(candidates) <= n_most:
+    if len(candidates) <= n_max:
         return tuple(candidates)
-    return tuple(nsmallest(n_most, candidates, key=_rank))
+    return tuple(nsmallest(n_max, candidates, key=_rank))
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/retries/test_backend_budget.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/retries/test_backend_budget.py
@@ -1,12 +1,11 @@
-"""The budget of repeats at the doors of a service.
-
-What users saw: at 195 nodes requests whose answer was reset were given up after a
-single arrival, 367 of 483 for want of a budget, while the bound allowed many more
-repeats than were made. The order of events: each entry owned a 195th of the slack and a
-share of its own few requests, and asked for a whole repeat at once. The cause: a share
-below one is nothing. The evidence: asked for by 5 in 100 requests, at 195 nodes none of
-11 repeats of a lookup was paid for, at 15 nodes 29 of 69; and the last two tests of
-`TestBound`.
+"""Retry budget at the backend queues of a service.
+
+Guards against a budget that is divided among the entry nodes. With many of them each
+owned a fraction of the slack below one retry, which never allowed any: at 195 nodes
+with 5 failures in 100 requests, none of 11 retries was allowed, at 15 nodes 29 of 69.
+Requests whose answer was reset were given up after a single attempt, 367 of 483 for
+lack of budget, although the limit permitted many more retries. See the last two tests
+of `TestBound`.
 """
 
 import bisect
@@ -23,126 +22,130 @@
 )
 
 CFG = ServiceRetryLimits(0.2, 48.0, 10_000.0)
-PLAIN = RetryRequest(rank=0, lot=0, is_call=False, calls=0.0)
+SINGLE_CALL = RetryRequest(rank=0, lot=0, is_call=False, calls=0.0)
 
 
 def call(rank=0, lot=0, calls=0.0):
-    """Return a repeat of a call of a tree."""
+    """Return a retry of a nested call."""
     return RetryRequest(rank, lot, True, calls)
 
 
-class Doors:
-    """Doors of one service, and what reached their servers, as a slow oracle."""
+class SimulatedBackends:
+    """Retry budgets of one service, with a record of arrivals to check the limit."""
 
-    def __init__(self, n_doors, cfg=CFG, seed=1):
+    def __init__(self, n_backends, cfg=CFG, seed=1):
         self.cfg = cfg
         self.rng = random.Random(seed)
         self.at = 0.0
         self.clock = Clock(now=lambda: self.at, wall=lambda: 0.0)
-        self.budgets = [self.new() for _ in range(n_doors)]
-        self.requests, self.repeats = [], []
+        self.budgets = [self.new() for _ in range(n_backends)]
+        self.requests, self.retries = [], []
         self.asked = 0
         self.at = cfg.window
 
     def new(self):
-        """Return the budget of a door that starts now."""
+        """Return the budget of a backend queue that starts now."""
         return BackendRetryBudget(self.cfg, self.clock, self.rng)
 
-    def restart(self, door):
-        """Let a door start again: it knows nothing of before."""
-        self.budgets[door] = self.new()
+    def restart(self, backend):
+        """Restart a backend queue, which loses its counts."""
+        self.budgets[backend] = self.new()
 
-    def request(self, fails, repeat, n_known=None, failing=0.02):
-        """Let a request arrive somewhere, and elsewhere again if it fails."""
+    def request(self, fails, retry, n_known=None, failing=0.02):
+        """Send a request to a random backend, and retry it at another if it fails."""
         budgets = self.budgets
         self.rng.choice(budgets).record_first_attempt()
         self.requests.append(self.at)
         if fails:
             self.asked += 1
-            n_doors = n_known or len(budgets)
-            if self.rng.choice(budgets).try_spend(repeat, n_doors, failing):
-                self.repeats.append(self.at)
+            n_backends = n_known or len(budgets)
+            if self.rng.choice(budgets).try_spend(retry, n_backends, failing):
+                self.retries.append(self.at)
 
     def excess(self):
-        """Return by how much a window held more repeats than are allowed, at most."""
+        """Return the maximum excess of the retries in a window over the limit."""
         cfg, worst = self.cfg, float("-inf")
-        for start in self.repeats:
-            n_repeats = between(self.repeats, start, start + cfg.window)
+        for start in self.retries:
+            n_retries = between(self.retries, start, start + cfg.window)
             n_requests = max(
                 between(self.requests, start - back, start - back + cfg.window)
                 for back in (0.0, cfg.window / 2.0, cfg.window)
             )
-            worst = max(worst, n_repeats - cfg.ratio * n_requests - cfg.slack)
+            worst = max(worst, n_retries - cfg.ratio * n_requests - cfg.slack)
         return worst
 
 
-def between(moments, start, end):
-    """Return how many moments, in order, lie in a span."""
-    return bisect.bisect_left(moments, end) - bisect.bisect_left(moments, start)
+def between(times, start, end):
+    """Return how many of the sorted times lie in a span."""
+    return bisect.bisect_left(times, end) - bisect.bisect_left(times, start)
 
 
 class TestBound(TestCase):
-    def play(self, n_doors, seed):
-        """Play requests that all fail, restarts, and doors that know too few others."""
+    def simulate(self, n_backends, seed):
+        """Simulate failing requests, restarts, and incomplete lists of backends."""
         slack = float(random.Random(seed).choice((20, 48, 213)))
-        doors = Doors(n_doors, ServiceRetryLimits(0.2, slack, 10_000.0), seed)
-        rng = doors.rng
+        backends = SimulatedBackends(
+            n_backends, ServiceRetryLimits(0.2, slack, 10_000.0), seed
+        )
+        rng = backends.rng
         per_step = rng.randint(1, 60)
         for _ in range(400):
-            doors.at += 100.0
+            backends.at += 100.0
             busy = per_step * rng.choice((0, 1, 1, 1, 3))
             for _ in range(busy):
-                known = max(round(n_doors * rng.uniform(0.75, 1.0)), 1)
-                repeat = RetryRequest(
+                known = max(round(n_backends * rng.uniform(0.75, 1.0)), 1)
+                retry = RetryRequest(
                     rng.randrange(3),
                     rng.randrange(N_LOTS),
                     rng.random() < 0.5,
                     rng.choice((0.0, 4.0, 12.0)),
                 )
-                doors.request(rng.random() < 0.9, repeat, known, rng.random())
-            for _ in range(1 + n_doors // 200):
+                backends.request(rng.random() < 0.9, retry, known, rng.random())
+            for _ in range(1 + n_backends // 200):
                 if rng.random() < 0.2:
-                    doors.restart(rng.randrange(n_doors))
-        return doors
+                    backends.restart(rng.randrange(n_backends))
+        return backends
 
-    def test_bound_holds_from_2_to_3200_doors(self):
-        for seed, n_doors in enumerate((2, 3, 5, 13, 29, 60, 93, 200, 800, 3_200)):
-            doors = self.play(n_doors, seed)
-            self.assertLessEqual(doors.excess(), 0.0, f"{n_doors} doors")
+    def test_limit_holds_from_2_to_3200_backends(self):
+        for seed, n_backends in enumerate((2, 3, 5, 13, 29, 60, 93, 200, 800, 3_200)):
+            backends = self.simulate(n_backends, seed)
+            self.assertLessEqual(backends.excess(), 0.0, f"{n_backends} backends")
 
-    def test_bound_holds_where_all_doors_start_again_at_once(self):
-        doors = Doors(13)
+    def test_limit_holds_when_all_backends_restart_at_once(self):
+        backends = SimulatedBackends(13)
         for step in range(600):
-            doors.at += 50.0
+            backends.at += 50.0
             for _ in range(10):
-                doors.request(True, PLAIN)
+                backends.request(True, SINGLE_CALL)
             if step % 50 == 49:
-                for door in range(13):
-                    doors.restart(door)
-        self.assertLessEqual(doors.excess(), 0.0)
+                for backend in range(13):
+                    backends.restart(backend)
+        self.assertLessEqual(backends.excess(), 0.0)
 
-    def test_bound_is_used_whatever_the_number_of_doors(self):
-        for n_doors in (20, 200, 2_000):
-            doors = Doors(n_doors)
+    def test_budget_is_used_whatever_the_number_of_backends(self):
+        for n_backends in (20, 200, 2_000):
+            backends = SimulatedBackends(n_backends)
             for _ in range(400):
-                doors.at += 100.0
-                for _ in range(n_doors // 2):
-                    fails = doors.rng.random() < 0.02
-                    doors.request(fails, call(lot=doors.rng.randrange(N_LOTS)))
-            self.assertGreater(len(doors.repeats), 0.8 * doors.asked, f"{n_doors}")
-
-    def test_few_requests_among_many_doors_are_repeated_too(self):
-        # Each of 195 doors sees less than one request a second, and its part of the
-        # slack is less than one repeat.
-        doors = Doors(195, ServiceRetryLimits(0.2, 213.0, 10_000.0))
+                backends.at += 100.0
+                for _ in range(n_backends // 2):
+                    fails = backends.rng.random() < 0.02
+                    backends.request(fails, call(lot=backends.rng.randrange(N_LOTS)))
+            self.assertGreater(
+                len(backends.retries), 0.8 * backends.asked, f"{n_backends}"
+            )
+
+    def test_few_requests_among_many_backends_are_retried(self):
+        # Each of 195 backends gets less than one request per second, and its part of
+        # the slack is below one retry.
+        backends = SimulatedBackends(195, ServiceRetryLimits(0.2, 213.0, 10_000.0))
         for _ in range(600):
-            doors.at += 100.0
+            backends.at += 100.0
             for _ in range(8):
-                doors.request(doors.rng.random() < 0.05, PLAIN)
-        self.assertGreater(len(doors.repeats), 0.8 * doors.asked)
+                backends.request(backends.rng.random() < 0.05, SINGLE_CALL)
+        self.assertGreater(len(backends.retries), 0.8 * backends.asked)
 
 
-class TestWho(TestCase):
+class TestAllocation(TestCase):
     def setUp(self):
         super().setUp()
         self.at = 0.0
@@ -152,74 +155,76 @@
         for _ in range(1_000):
             self.budget.record_first_attempt()
 
-    def paid(self, repeat, failing=0.0):
-        """Return how many repeats are paid for until none is."""
+    def n_allowed(self, retry, failing=0.0):
+        """Return how many retries are allowed before one is rejected."""
         n = 0
-        while self.budget.try_spend(repeat, 14, failing):
+        while self.budget.try_spend(retry, 14, failing):
             n += 1
         return n
 
-    def test_trees_with_a_small_lot_are_paid_for_where_many_calls_fail(self):
-        self.assertEqual(0, self.paid(call(lot=N_LOTS - 1), failing=0.55))
-        self.assertGreater(self.paid(call(lot=0), failing=0.55), 0)
+    def test_trees_with_a_low_lot_are_retried_at_a_high_failure_rate(self):
+        self.assertEqual(0, self.n_allowed(call(lot=N_LOTS - 1), failing=0.55))
+        self.assertGreater(self.n_allowed(call(lot=0), failing=0.55), 0)
 
-    def test_any_lot_is_paid_for_where_few_calls_fail(self):
-        self.assertGreater(self.paid(call(lot=N_LOTS - 1), failing=0.05), 0)
+    def test_any_lot_is_retried_at_a_low_failure_rate(self):
+        self.assertGreater(self.n_allowed(call(lot=N_LOTS - 1), failing=0.05), 0)
 
-    def test_worse_ranks_are_not_shut_out(self):
+    def test_less_important_ranks_are_not_shut_out(self):
         for _ in range(300):
             self.budget.record_first_attempt(rank=2)
-        self.assertEqual(0, self.paid(call(rank=2, lot=N_LOTS // 2), failing=0.55))
-        self.assertGreater(self.paid(call(rank=2, lot=0), failing=0.55), 0)
+        self.assertEqual(0, self.n_allowed(call(rank=2, lot=N_LOTS // 2), failing=0.55))
+        self.assertGreater(self.n_allowed(call(rank=2, lot=0), failing=0.55), 0)
 
-    def test_less_urgent_trees_leave_a_part_to_those_that_matter_more(self):
-        less_urgent = self.paid(call(rank=2))
-        urgent = self.paid(call(rank=0))
-        self.assertGreater(less_urgent, 0)
-        self.assertGreaterEqual(urgent, less_urgent / 2)
+    def test_less_important_trees_leave_budget_to_important_ones(self):
+        less_important = self.n_allowed(call(rank=2))
+        important = self.n_allowed(call(rank=0))
+        self.assertGreater(less_important, 0)
+        self.assertGreaterEqual(important, less_important / 2)
 
-    def test_request_that_is_one_call_comes_before_trees(self):
-        self.assertEqual(0, self.paid(call(rank=0, lot=N_LOTS - 1), failing=0.55))
-        repeat = RetryRequest(2, N_LOTS - 1, False, 0.0)
-        self.assertGreater(self.paid(repeat, failing=0.55), 0)
+    def test_single_calls_are_retried_before_call_trees(self):
+        self.assertEqual(0, self.n_allowed(call(rank=0, lot=N_LOTS - 1), failing=0.55))
+        retry = RetryRequest(2, N_LOTS - 1, False, 0.0)
+        self.assertGreater(self.n_allowed(retry, failing=0.55), 0)
 
-    def test_inherited_repeats_use_the_share_up(self):
+    def test_inherited_retries_use_up_the_budget(self):
         for _ in range(300):
             self.budget.record_inherited_retry()
-        self.assertEqual(0, self.paid(PLAIN))
-
-    def test_repeat_that_makes_calls_takes_little_of_the_slack(self):
-        empty = [Doors(3) for _ in range(2)]
-        paid = []
-        for doors, calls in zip(empty, (0.0, 9.0), strict=True):
-            repeat = call(calls=calls)
-            n = sum(b.try_spend(repeat, 3) for b in doors.budgets for _ in range(20))
-            paid.append(n)
-        self.assertLess(paid[1], paid[0] / 3)
-
-    def test_trees_are_completed_where_the_budget_is_short(self):
-        # Servers refuse 55 of 100; a tree needs eight calls.
-        drawn = sum(self.whole_trees(seed, N_LOTS) for seed in range(3))
-        alike = sum(self.whole_trees(seed, 1) for seed in range(3))
-        self.assertGreater(drawn, 1.5 * alike)
-
-    def whole_trees(self, seed, n_lots):
-        """Return how many trees are whole of those that come in ten seconds."""
+        self.assertEqual(0, self.n_allowed(SINGLE_CALL))
+
+    def test_retry_that_makes_calls_gets_little_of_the_slack(self):
+        idle = [SimulatedBackends(3) for _ in range(2)]
+        allowed = []
+        for backends, calls in zip(idle, (0.0, 9.0), strict=True):
+            retry = call(calls=calls)
+            n = sum(b.try_spend(retry, 3) for b in backends.budgets for _ in range(20))
+            allowed.append(n)
+        self.assertLess(allowed[1], allowed[0] / 3)
+
+    def test_lots_complete_more_trees_at_a_high_failure_rate(self):
+        # Servers fail 55 of 100 calls; a tree needs eight calls.
+        with_lots = sum(self.n_completed_trees(seed, N_LOTS) for seed in range(3))
+        without_lots = sum(self.n_completed_trees(seed, 1) for seed in range(3))
+        self.assertGreater(with_lots, 1.5 * without_lots)
+
+    def n_completed_trees(self, seed, n_lots):
+        """Return how many of the call trees that arrive in ten seconds complete."""
         rng = random.Random(seed)
-        doors = Doors(13, seed=seed + 10)
-        n_whole = 0
+        backends = SimulatedBackends(13, seed=seed + 10)
+        n_completed = 0
         for _ in range(2_000):
-            doors.at += 5.0
+            backends.at += 5.0
             lot = rng.randrange(n_lots)
-            n_whole += all(self.answered(doors, lot, rng) for _ in range(8))
-        return n_whole
+            n_completed += all(self.is_answered(backends, lot, rng) for _ in range(8))
+        return n_completed
 
-    def answered(self, doors, lot, rng):
-        """Return whether a call is answered, within six tries."""
-        doors.rng.choice(doors.budgets).record_first_attempt()
+    def is_answered(self, backends, lot, rng):
+        """Return whether a call is answered within six attempts."""
+        backends.rng.choice(backends.budgets).record_first_attempt()
         for _ in range(6):
             if rng.random() > 0.55:
                 return True
-            if not doors.rng.choice(doors.budgets).try_spend(call(lot=lot), 13, 0.55):
+            if not backends.rng.choice(backends.budgets).try_spend(
+                call(lot=lot), 13, 0.55
+            ):
                 return False
         return False
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/retries/test_budget.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/retries/test_budget.py
@@ -19,8 +19,8 @@
         self.cfg = RetrySettings(ratio=0.1, least_per_s=0.2)
         self.budget = RetryBudget(self.cfg, self.time.clock)
 
-    def retried(self, n_calls, ratio=None):
-        """Return how many of so many calls, one each 10 ms, may be retried."""
+    def n_retries_allowed(self, n_calls, ratio=None):
+        """Return the retries allowed for a number of calls, one every 10 ms."""
         n_retries = 0
         for _ in range(n_calls):
             self.budget.record_call(CERTS)
@@ -29,32 +29,32 @@
         return n_retries
 
     def test_retries_are_a_share_of_the_calls(self):
-        self.assertTrue(90 <= self.retried(1_000) <= 120)
+        self.assertTrue(90 <= self.n_retries_allowed(1_000) <= 120)
 
-    def test_route_has_its_own_share(self):
-        self.assertTrue(280 <= self.retried(1_000, ratio=0.3) <= 320)
-        self.assertLess(self.retried(1_000, ratio=0.0), 20)
+    def test_route_may_set_its_own_ratio(self):
+        self.assertTrue(280 <= self.n_retries_allowed(1_000, ratio=0.3) <= 320)
+        self.assertLess(self.n_retries_allowed(1_000, ratio=0.0), 20)
 
-    def test_a_quiet_service_may_retry_now_and_then(self):
+    def test_service_with_few_calls_may_retry_occasionally(self):
         self.assertTrue(self.budget.try_spend(CERTS))
         self.assertFalse(self.budget.try_spend(CERTS))
         self.time.advance(10_000.0)
         self.assertTrue(self.budget.try_spend(CERTS))
 
-    def test_services_do_not_share(self):
+    def test_services_have_separate_budgets(self):
         self.budget.try_spend(CERTS)
         self.assertFalse(self.budget.try_spend(CERTS))
         self.assertTrue(self.budget.try_spend(ServiceName("salt-fog", "cycles")))
 
-    def test_no_burst_is_saved_up(self):
-        self.retried(1_000, ratio=0.0)
+    def test_unused_budget_does_not_accumulate(self):
+        self.n_retries_allowed(1_000, ratio=0.0)
         self.time.advance(30_000.0)
         burst = sum(self.budget.try_spend(CERTS) for _ in range(200))
         self.assertLessEqual(burst, 2)
 
 
 class BackoffTest(TestCase):
-    def test_first_retry_at_once_later_ones_spread_and_bounded(self):
+    def test_first_retry_is_immediate_and_later_delays_are_bounded(self):
         cfg, rng = RetrySettings(backoff=4.0, backoff_max=20.0), random.Random(1)
         self.assertEqual(0.0, backoff(cfg, 0, rng))
         for n_retries, bound in ((1, 8.0), (2, 16.0), (3, 20.0), (40, 20.0)):
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/routing/a_router.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/routing/a_router.py
@@ -1,4 +1,4 @@
-"""A router, its instances and a clock that tests move."""
+"""Builders of routers, instances and outcomes, and a manual clock, for tests."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ManualClock:
-    """A clock that stands until it is moved."""
+    """Clock that only advances when told to."""
 
     def __init__(self):
         self.time = 0.0
@@ -72,7 +72,10 @@
 
 
 def run_calls(router, n_calls, outcome_of, hold=False):
-    """Run calls one after the other and count them by node."""
+    """Run calls one after the other, and return the number of calls by node.
+
+    With `hold`, the calls stay in flight.
+    """
     counts = {}
     for _ in range(n_calls):
         chosen = router.choose(CERTS)
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/routing/test_least_time.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/routing/test_least_time.py
@@ -1,4 +1,4 @@
-"""The least time that a route needs."""
+"""Estimate of the minimum latency of a route."""
 
 from __future__ import annotations
 
@@ -24,24 +24,24 @@
     def least(self):
         return self.times.least(CERTS, "certs/read", self.time.time)
 
-    def test_nothing_known_nothing_asked(self):
+    def test_unknown_route_has_no_minimum(self):
         self.assertEqual(0.0, self.least())
 
-    def test_follows_the_fast_answers(self):
+    def test_estimate_follows_the_fast_answers(self):
         rng = random.Random(3)
         self.learn(2_000, lambda: 10.0 + rng.expovariate(1 / 20.0))
         least = self.least()
         self.assertLess(10.0, least)
         self.assertLess(least, 20.0)
 
-    def test_comes_down_after_a_slow_spell(self):
+    def test_estimate_drops_after_a_slow_phase(self):
         self.learn(200, lambda: 10.0)
         self.learn(2_000, lambda: 50.0)
         self.assertGreater(self.least(), 30.0)
         self.learn(60, lambda: 10.0)
         self.assertLess(self.least(), 12.0)
 
-    def test_fades_without_answers_so_that_a_route_reopens(self):
+    def test_estimate_decays_without_answers(self):
         self.learn(50, lambda: 500.0)
         self.time.advance(60_000.0)
         self.assertEqual(0.0, self.least())
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/routing/test_subset.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/routing/test_subset.py
@@ -1,4 +1,4 @@
-"""The subset of instances: bounded, spread, stable."""
+"""Subset of instances: bounded, evenly spread and stable."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 
 
 class SubsetTest(TestCase):
-    def test_same_for_the_same_node_whatever_the_order(self):
+    def test_subset_depends_on_the_node_but_not_on_the_order(self):
         members = instances(100)
         subset = subset_for("results-1", members)
         self.assertEqual(SIZE, len(subset))
         self.assertEqual(subset, subset_for("results-1", members[::-1]))
         self.assertNotEqual(subset, subset_for("results-2", members))
 
-    def test_one_member_less_changes_one_place_at_most(self):
+    def test_removing_one_member_changes_at_most_one_place(self):
         members = instances(100)
         before = subset_for("results-1", members)
         for gone in range(100):
@@ -54,7 +54,7 @@
         self.assertLess(mean * 0.6, min(links.values()))
         self.assertLess(max(links.values()), mean * 1.5)
 
-    def test_router_links_to_no_more(self):
+    def test_router_uses_no_more_than_its_subset(self):
         router = a_router(ManualClock(), local_subset=4)
         router.update(instances(50))
         counts = run_calls(router, 500, lambda _: an_answer())
