--- a/packages/fuchsiagap/src/fuchsiagap/core/shedding/controller.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/shedding/controller.py
@@ -11,7 +11,7 @@
 # Offered load per slot that entry nodes aim at, just below the capacity. Queues stay
 # short at that load, since arrivals are counted and not queued requests. A target of
 # 0.92 leaves slots idle: under high load it scores 0.317, against 0.336 at 0.98. With
-# failing and departing servers both do alike (0.393 and 0.392).
+# failing and departing servers the scores are nearly equal (0.393 and 0.392).
 TARGET_FULLNESS = 0.97
 # Milliseconds in which the admitted share follows an excess by a factor of e (integral
 # term). Admissions take effect downstream only once earlier call trees have ended, 0.5
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/backend_queue/test_ranked_queue.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/backend_queue/test_ranked_queue.py
@@ -44,9 +44,9 @@
         self.assertEqual(["late", "then"], left)
 
     def test_short_objective_is_met_behind_queued_calls_with_long_ones(self):
-        # 12 nested calls wait for one slot with a service time of 15 ms when a request
-        # with a short objective arrives: by arrival it would start after 180 ms and be
-        # late.
+        # 12 requests wait for one slot with a service time of 15 ms when one with a
+        # short objective arrives: in order of arrival it would start after 180 ms and
+        # be late.
         queue = RankedQueue(1)
         for n in range(12):
             queue.push(f"tree-{n}", 2, 5_000.0, 1_000.0, 0.0)
