--- a/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/incarnation.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/incarnation.py
@@ -13,9 +13,9 @@
 # back. Delayed heartbeats seldom arrive in such a row; if they do, the next heartbeat
 # of the running incarnation corrects it.
 _EARLIER_START_REPORTS = 3
-# Heartbeats after a departure without a start time which show that an earlier
-# incarnation of the same identifier sent it. One or two may have been delayed and stem
-# from the departed incarnation itself.
+# Heartbeats received after an announced departure without a start time that show that
+# an earlier incarnation of the same identifier announced it. One or two may have been
+# delayed and stem from the departed incarnation itself.
 _REPORTS_AFTER_DEPARTURE = 3
 
 
@@ -90,8 +90,8 @@
 
     A departure without a start time is attributed to the current incarnation, since
     sending new requests to a departed server is worse than sending none to a running
-    one. If an earlier incarnation of the identifier never announced its departure,
-    several heartbeats after it show that the announcement was that one's.
+    one. If an earlier incarnation of the identifier never announced its departure, the
+    announcement may be that one's, and several later heartbeats revoke it.
 
     Attributes
     ----------
@@ -105,8 +105,8 @@
         self._superseded: dict[str, BackendReport] = {}
         # Departed incarnations, by identifier and start time.
         self._departed_starts: dict[tuple[str, int | None], None] = {}
-        # Latest heartbeat of an earlier start of the current identifier, and how many
-        # came in a row.
+        # Latest heartbeat of an earlier start of the current identifier, and number of
+        # such heartbeats in a row.
         self._earlier: BackendReport | None = None
         self._n_earlier = 0
         # Last report of the later start that was replaced by an earlier one.
@@ -127,7 +127,7 @@
         Returns
         -------
         bool
-            Whether the current incarnation or its state changed.
+            Whether `report` was replaced, also by a newer one of the same state.
         """
         later = self._later
         if later is not None and _is_same_incarnation(later, report):
--- a/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/queue_timeouts.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/queue_timeouts.py
@@ -9,11 +9,12 @@
 if TYPE_CHECKING:
     from fuchsiagap.core.clock import Milliseconds
 
-# Relative load added per share of a rank's nested calls that times out. A call that
-# times out fails its call tree, which wastes on average half of its ten to fifteen
-# calls, and call trees with little time to spare only complete at a lower load. For
-# trees that need 0.5 s of their 0.8 s, under three times the nominal load, 0.10 succeed
-# without this, 0.15 at 10 and 0.18 at 20; the best rank then has 0.98, 0.92 and 0.89.
+# Increase of the load factor per unit of the share of a rank's nested calls that time
+# out. A call that times out fails its call tree, which wastes on average half of its
+# ten to fifteen calls, and call trees with little time to spare only complete at a
+# lower load. Of trees that need 0.5 s of their 0.8 s, under three times the nominal
+# load, 0.10 succeed without this, 0.15 at 10 and 0.18 at 20; the success rates of the
+# best rank are then 0.98, 0.92 and 0.89.
 LOAD_PER_TIMEOUT_SHARE = 20.0
 # Upper bound of the factor. At 1.6, the same call trees succeed no more often (0.19 in
 # place of 0.20, with a larger guaranteed share): the time is then lost elsewhere.
--- a/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/ranked_queue.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/ranked_queue.py
@@ -59,7 +59,7 @@
     is_nested : bool
         Whether it is a call within a call tree for which work has been done.
     dropped : bool, default=False
-        Whether it was taken out of the queue.
+        Whether it was taken out of the queue, to be started or otherwise.
     """
 
     job: JobT
@@ -80,9 +80,10 @@
     Parameters
     ----------
     in_time : list
-        Heap, by due time, of the requests that can still meet their objective.
+        Heap, by due time, of the nested calls and of the requests that have not been
+        found late.
     late : deque
-        The other requests, in order of arrival.
+        The requests found late when they came up, in that order.
     by_arrival : deque
         All requests, in order of arrival.
     n_waiting : int
@@ -113,30 +114,33 @@
 
     def all(self) -> Iterator[QueueItem[JobT]]:
         """Yield all requests, including dropped ones that have not been swept."""
-        yield from (waiting for _, _, waiting in self.in_time)
+        yield from (item for _, _, item in self.in_time)
         yield from self.late
 
     def pop_next(self, now: Milliseconds) -> QueueItem[JobT] | None:
-        """Remove and return the request due first, else the oldest late one."""
+        """Remove and return the request due first, else the first late one.
+
+        A late nested call is not put behind the others.
+        """
         while self.in_time:
-            due, _, waiting = heapq.heappop(self.in_time)
-            if waiting.dropped:
+            due, _, item = heapq.heappop(self.in_time)
+            if item.dropped:
                 continue
-            if due >= now or waiting.is_nested:
-                return waiting
-            self.late.append(waiting)
+            if due >= now or item.is_nested:
+                return item
+            self.late.append(item)
         while self.late:
-            waiting = self.late.popleft()
-            if not waiting.dropped:
-                return waiting
+            item = self.late.popleft()
+            if not item.dropped:
+                return item
         return None
 
     def pop_last(self) -> QueueItem[JobT] | None:
         """Remove and return the newest late request, else the one due last."""
         while self.late:
-            waiting = self.late.pop()
-            if not waiting.dropped:
-                return waiting
+            item = self.late.pop()
+            if not item.dropped:
+                return item
         while self.in_time:
             entry = max(self.in_time)
             self.in_time.remove(entry)
@@ -147,7 +151,7 @@
 
     def sweep(self) -> None:
         """Remove dropped requests from the containers."""
-        if any(waiting.dropped for waiting in self.all()):
+        if any(item.dropped for item in self.all()):
             self.in_time = [entry for entry in self.in_time if not entry[2].dropped]
             heapq.heapify(self.in_time)
             self.late = deque(w for w in self.late if not w.dropped)
@@ -248,22 +252,22 @@
             The queued request, for `drop`.
         """
         yields_until = now + MAX_YIELD_SHARE * (deadline - now)
-        waiting = QueueItem(job, rank, deadline, due, yields_until, is_nested)
+        item = QueueItem(job, rank, deadline, due, yields_until, is_nested)
         queue = self._ranks.get(rank)
         if queue is None:
             queue = self._ranks[rank] = _RankQueue()
-        heapq.heappush(queue.in_time, (due, next(self._sequence), waiting))
-        queue.by_arrival.append(waiting)
+        heapq.heappush(queue.in_time, (due, next(self._sequence), item))
+        queue.by_arrival.append(item)
         queue.n_waiting += 1
         self._waiting += 1
-        return waiting
+        return item
 
-    def drop(self, waiting: QueueItem[JobT]) -> bool:
+    def drop(self, item: QueueItem[JobT]) -> bool:
         """Remove a request; return False if it is no longer queued."""
-        if waiting.dropped:
+        if item.dropped:
             return False
-        waiting.dropped = True
-        self._ranks[waiting.rank].n_waiting -= 1
+        item.dropped = True
+        self._ranks[item.rank].n_waiting -= 1
         self._waiting -= 1
         return True
 
@@ -283,10 +287,10 @@
         if self.running >= self.limit:
             return None
         rank = self._next_rank(now)
-        waiting = None if rank is None else self._ranks[rank].pop_next(now)
-        if waiting is not None:
-            self.drop(waiting)
-        return waiting
+        item = None if rank is None else self._ranks[rank].pop_next(now)
+        if item is not None:
+            self.drop(item)
+        return item
 
     def _next_rank(self, now: Milliseconds) -> int | None:
         """Return the rank that starts a request next; None if nothing is queued."""
@@ -317,7 +321,7 @@
 
         Each rank is guaranteed a share of the queue. The worst rank above its guarantee
         is evicted from first, if it is worse than `rank`; a rank below its guarantee
-        may displace any rank that is above it.
+        may displace any rank that is above its own guarantee.
 
         Parameters
         ----------
@@ -344,22 +348,22 @@
         return 0 if queue is None else queue.n_waiting
 
     def _evict(self, rank: int) -> QueueItem[JobT] | None:
-        """Remove and return the request of a rank whose loss costs least."""
-        waiting = self._ranks[rank].pop_last()
-        if waiting is not None:
-            self.drop(waiting)
-        return waiting
+        """Remove and return a late request of a rank, else the one due last."""
+        item = self._ranks[rank].pop_last()
+        if item is not None:
+            self.drop(item)
+        return item
 
     def expired(self, now: Milliseconds) -> Iterator[QueueItem[JobT]]:
         """Remove and yield the requests whose deadline has passed."""
         for queue in self._ranks.values():
-            for waiting in [w for w in queue.all() if w.deadline <= now]:
-                if self.drop(waiting):
-                    yield waiting
+            for item in [w for w in queue.all() if w.deadline <= now]:
+                if self.drop(item):
+                    yield item
             queue.sweep()
 
     def clear(self) -> Iterator[QueueItem[JobT]]:
         """Remove and yield all queued requests."""
         for rank in self._ranks:
-            while (waiting := self._evict(rank)) is not None:
-                yield waiting
+            while (item := self._evict(rank)) is not None:
+                yield item
--- a/packages/fuchsiagap/src/fuchsiagap/core/placement/choice.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/placement/choice.py
@@ -11,9 +11,9 @@
 
 # Fullness is requests per slot, as in `Target.fullness`, plus penalties in that unit.
 
-# Fullness by which a server of another data centre must be better, relative to its own
-# cost where that is above 1. Traffic between data centres is expensive, but overloading
-# a data centre is more so.
+# Fullness by which a server of another data centre must be better; multiplied by the
+# cost of that server where it is above 1. Traffic between data centres is expensive,
+# but overloading a data centre is more so.
 REMOTE_PENALTY = 0.5
 # Fullness added to it per kilobyte of a request and its answer, and the maximum added:
 # moving small requests to another data centre frees the same capacity at a lower price.
@@ -27,10 +27,10 @@
 # nodes, so that they refuse requests that could not be completed.
 FAILURE_FULLNESS = 1.5
 # Minimum share of a server's slots that counts as healthy, whatever its failure rate,
-# so that load on failing servers alone stays finite.
+# so that the fullness of a service stays finite if all its servers fail.
 _MIN_HEALTHY_SHARE = 0.1
-# Load per slot that is assumed of a server without offered load: the servers of an idle
-# service then count by their slots.
+# Load per slot that is added to a server's offered load when failure rates are
+# averaged, so that the servers of an idle service are weighted by their slots.
 _IDLE_WEIGHT = 0.02
 # Fullness added to a server in its warm-up, while requests take about twice as long.
 WARM_UP_PENALTY = 0.25
@@ -107,10 +107,11 @@
 
 
 # Fullness added to a server that is twice as slow as the mean while at least half of
-# the slots are free, and the maximum relative slowness that counts. With servers of 0.6
-# to 1.4 of the mean speed under partial failures, it lowers the median latency from
-# 1,416 to 1,308 ms and the failures from 27 to 30 in 1,000 requests to 22. It has no
-# effect under high load, where all servers are full.
+# the slots are free, and the maximum excess over the mean service time that counts, as
+# a multiple of the mean. With servers of 0.6 to 1.4 times the mean speed under partial
+# failures, this lowers the median latency from 1,416 to 1,308 ms, and the failures in
+# 1,000 requests from between 27 and 30 to 22. It has no effect under high load, where
+# all servers are full.
 SLOWNESS_PENALTY = 0.4
 MAX_SLOWNESS = 1.5
 
@@ -240,9 +241,10 @@
     """Return the fullness that the failures of a service add for its callers.
 
     A request that makes several calls needs each of them to succeed. Servers are
-    weighted by their offered load, which is how likely a call reaches them. Weighted by
-    slots, one of two servers that fails and no longer gets requests would make entry
-    nodes admit only 7 of 100 requests while the other server has capacity left.
+    weighted by their offered load, which is how likely a call reaches them. If they
+    were weighted by slots, a failed server without requests beside a healthy one would
+    make entry nodes admit only 7 of 100 requests while the healthy one has capacity
+    left.
 
     Parameters
     ----------
--- a/packages/fuchsiagap/src/fuchsiagap/core/retries/allowance.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/retries/allowance.py
@@ -128,6 +128,6 @@
         accounted = self.remaining + self.spent + self.lent + self.lost
         if accounted != self.granted or min(self.remaining, self.lent) < 0:
             raise AllowanceExceededError(
-                f"allowance of {self.granted} books {self.remaining} remaining,"
-                f" {self.spent} spent, {self.lent} lent, {self.lost} lost"
+                f"inconsistent allowance: {self.granted} granted, {self.remaining}"
+                f" remaining, {self.spent} spent, {self.lent} lent, {self.lost} lost"
             )
--- a/packages/fuchsiagap/src/fuchsiagap/core/retries/backend_budget.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/retries/backend_budget.py
@@ -27,8 +27,8 @@
 
 # Buckets of the sliding window.
 _N_BUCKETS = 20
-# Share of the ratio that backend queues use. The rest covers what they cannot know of
-# each other's windows.
+# Share of the ratio that backend queues use. The rest is a margin, since a backend
+# queue does not know the windows of the others.
 _RATIO_USED = 0.75
 # Share of the slack that all backend queues together use, since some may not be known
 # to the others.
@@ -36,8 +36,8 @@
 # Part of a backend queue's limit that call trees of other than the most important rank
 # may use, to keep some budget for the most important one.
 _LESS_IMPORTANT_PART = 0.6
-# Part of the call trees that can be completed that is left to less important ranks, so
-# that none is shut out.
+# Part of the completable call trees that is reserved for less important ranks, so that
+# none is shut out.
 _LEFT_TO_LESS_IMPORTANT = 0.1
 # Failure rate below which retries are allowed to any call tree.
 _LOW_FAILURE_RATE = 0.02
@@ -135,8 +135,8 @@
     clock : Clock
         Time in milliseconds.
     rng : random.Random
-        Rounds the limit randomly, so that some of the backend queues use one that is
-        below one retry.
+        Rounds the limit up or down at random, so that some backend queues allow a retry
+        even if the limit of each is below one.
     """
 
     def __init__(
--- a/packages/fuchsiagap/src/fuchsiagap/core/routing/least_time.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/routing/least_time.py
@@ -8,7 +8,8 @@
     from fuchsiagap.core.calls.head import ServiceName
     from fuchsiagap.core.clock import Milliseconds
 
-# Part of the distance to a new latency by which an estimate moves, before weighting.
+# Part of the difference to a new latency by which an estimate moves, before weighting
+# by the quantile.
 _STEP = 0.1
 # Quantile of the latencies that the estimates follow.
 _QUANTILE = 0.1
--- a/packages/fuchsiagap/src/fuchsiagap/core/routing/router.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/routing/router.py
@@ -119,7 +119,10 @@
         self._members_applied_at: Milliseconds = NEVER
 
     def update(self, members: tuple[Instance, ...]) -> None:
-        """Replace the list of live instances; it is applied before the next choice.
+        """Replace the list of live instances, before the next choice if it is short.
+
+        A list of more than `_MANY_MEMBERS` is applied at intervals of
+        `RoutingSettings.update_pause`.
 
         Parameters
         ----------
@@ -129,7 +132,7 @@
         self._pending = members
 
     def _apply_members(self) -> None:
-        """Apply the latest member list, at intervals of `update_pause` if large."""
+        """Apply the latest member list, a long one at most once per `update_pause`."""
         members = self._pending or ()
         now = self._clock.now()
         pause = self.cfg.update_pause if len(members) > _MANY_MEMBERS else 0.0
@@ -234,7 +237,7 @@
         excluded: frozenset[str],
         now: Milliseconds,
     ) -> Candidate | None:
-        """Return the less loaded of two random candidates."""
+        """Return the less loaded of two random usable candidates, if there are any."""
         pair = self._two(candidates)
         if pair is None or not (
             _is_usable(pair[0], excluded, now) and _is_usable(pair[1], excluded, now)
--- a/packages/fuchsiagap/src/fuchsiagap/core/shedding/allocation.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/shedding/allocation.py
@@ -1,4 +1,7 @@
-"""Division of the admitted load among the kinds of requests."""
+"""Division of the admitted load among the kinds of requests.
+
+A kind is a route, or its requests at one workspace priority; see `Route.kind`.
+"""
 
 from __future__ import annotations
 
@@ -10,8 +13,8 @@
     from collections.abc import Sequence
 
 # Guaranteed share of each kind, relative to the share of all requests that succeeds.
-# Each kind is promised a quarter of what all callers get; the rest is a margin for what
-# an entry node misjudges within a few seconds.
+# Each kind is promised a quarter of what all callers get; what exceeds the quarter is a
+# margin for the misjudgement of an entry node within a few seconds.
 GUARANTEED_PART = 0.3
 # Minimum share of each kind that is admitted, even if hardly any request succeeds:
 # these requests show when there is capacity again.
--- a/packages/fuchsiagap/src/fuchsiagap/core/shedding/controller.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/shedding/controller.py
@@ -10,8 +10,9 @@
 
 # Offered load per slot that entry nodes aim at, just below the capacity. Queues stay
 # short at that load, since arrivals are counted and not queued requests. A target of
-# 0.92 leaves slots idle: under high load it scores 0.317, against 0.336 at 0.98. With
-# failing and departing servers the scores are nearly equal (0.393 and 0.392).
+# 0.92 leaves slots idle: the overall score (higher is better) under high load is 0.317,
+# against 0.336 at 0.98. With failing and departing servers the scores are nearly equal
+# (0.393 and 0.392).
 TARGET_FULLNESS = 0.97
 # Milliseconds in which the admitted share follows an excess by a factor of e (integral
 # term). Admissions take effect downstream only once earlier call trees have ended, 0.5
@@ -21,33 +22,35 @@
 # times the nominal load, 0.18 succeed that way and 0.50 with this value.
 REACTION_MS = 1_200.0
 # Share of an excess that is cut at once, before the integral term (proportional term).
-# It brings twice the capacity down to 1.2 within half a second in place of 1.4, and
-# narrows the oscillation at a delay of 1.2 s from 0.7 to 1.2 down to 0.8 to 1.1. At
-# 0.5, oscillation begins at a delay of 0.8 s.
+# It reduces a load of twice the capacity to 1.2 within half a second in place of 1.4,
+# and narrows the range of the oscillation at a delay of 1.2 s from 0.7-1.2 to 0.8-1.1.
+# At 0.5, oscillation begins at a delay of 0.8 s.
 PROPORTIONAL_GAIN = 0.3
 # Reaction time in milliseconds once the least important kinds are down to their
 # guaranteed share: their earlier requests are still in progress, and more important
 # kinds must not be cut for them.
 DEEP_REACTION_MS = 2_400.0
-# Minimum fullness that recovery takes into account: for nearly idle services, such as
-# after their servers stop failing, the admitted share grows by 3.7 times each second.
+# Lower bound of the fullness in the control law. It limits recovery: for nearly idle
+# services, such as after their servers stop failing, the admitted share grows by a
+# factor of 3.7 each second.
 MIN_FULLNESS = 0.2
 # Excess (as a logarithm) that is tolerated per unit of cut, so that a deeper cut
 # settles at a higher load. All entry nodes see the same load; without this leak,
 # differences between their cuts, from noise or a link failure, would persist and leave
-# some data centres with a third of the share of others. They decay within
-# `REACTION_MS / CUT_LEAK`.
+# some data centres with a third of the share of others. With it, they decay with a time
+# constant of `REACTION_MS / CUT_LEAK` milliseconds.
 CUT_LEAK = 0.06
 
 
 class SheddingController:
-    """Controls the share of the load on a kind's path that may be admitted.
+    """Controls the share of the load on a kind's call path that may be admitted.
 
     The state is a single number on a logarithmic scale that refers to the total load
     and not to one kind, so that it follows an excess equally fast whichever kind is
-    shed. As a separate depth for one kind after the other, a sustained overload of a
-    quarter would have to cut a kind with next to no load to its minimum before the next
-    one is cut, and call trees with little time to spare would never complete.
+    shed. If the kinds had a cut each, deepened one after the other, then under a
+    sustained overload of a quarter a kind with next to no load would have to be cut to
+    its minimum before the next one, and call trees with little time to spare would
+    never complete.
 
     Attributes
     ----------
@@ -71,7 +74,8 @@
         Parameters
         ----------
         fullness : float
-            Offered load per slot, the larger of the service's own and downstream.
+            Offered load per slot, the larger of that of the service itself and that of
+            the services downstream.
         elapsed : float
             Milliseconds since the last step.
         least_important_cut : float
--- a/packages/fuchsiagap/src/fuchsiagap/core/shedding/fair_admission.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/shedding/fair_admission.py
@@ -8,8 +8,8 @@
 if TYPE_CHECKING:
     import random
 
-# Limits, in requests, of the credit of a caller (up and down) and of a kind. Older
-# arrivals and admissions say nothing about the capacity available now.
+# Maximum credit and debt of a caller, and maximum of either for a kind, in requests.
+# Older arrivals and admissions say nothing about the capacity available now.
 _MAX_CALLER_CREDIT = 2.0
 _MAX_CALLER_DEBT = 1.0
 _MAX_KIND_CREDIT = 3.0
@@ -26,7 +26,8 @@
     Parameters
     ----------
     owed : float, default=0.0
-        Sum of the admitted shares at its requests so far, less its admitted requests.
+        Sum of the admitted shares at its requests so far, less its admitted requests;
+        within `_MAX_CALLER_CREDIT` and ``-_MAX_CALLER_DEBT``.
     """
 
     owed: float = 0.0
--- a/packages/fuchsiagap/src/fuchsiagap/core/shedding/order.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/shedding/order.py
@@ -35,36 +35,39 @@
     ----------
     rank : int
         Priority of its route; 0 is the most important.
-    asked_at : float
+    last_request_at : float
         Time of the last request in milliseconds.
     calls : float
         Calls that a request makes, including those further downstream.
-    asked : float
-        Decaying count of requests as of `asked_at`.
+    n_requests : float
+        Decaying count of requests as of `last_request_at`.
     """
 
     rank: int
-    asked_at: Milliseconds
+    last_request_at: Milliseconds
     calls: float = 0.0
-    asked: float = 0.0
+    n_requests: float = 0.0
 
     def record_request(self, now: Milliseconds) -> None:
         """Count a request."""
-        self.asked = 1.0 + self.asked * math.exp((self.asked_at - now) / DECAY_MS)
-        self.asked_at = now
+        self.n_requests = 1.0 + self.n_requests * math.exp(
+            (self.last_request_at - now) / DECAY_MS
+        )
+        self.last_request_at = now
 
     def load(self, now: Milliseconds) -> float:
         """Return the load of its requests, including the calls that they make."""
-        factor = math.exp((self.asked_at - now) / DECAY_MS)
-        return self.asked * factor * (1.0 + self.calls)
+        factor = math.exp((self.last_request_at - now) / DECAY_MS)
+        return self.n_requests * factor * (1.0 + self.calls)
 
 
 class SheddingOrder:
     """Orders the kinds of requests that reach one entry node by importance.
 
     Kinds are ordered by the priority of their route; within a priority, kinds whose
-    requests make many calls are shed before those that make few. Only kinds with recent
-    requests count, so that a rank without requests is no step.
+    requests make many calls are shed before those that make few. Kinds that are shed
+    together form a step. Only kinds with recent requests count, so that there is no
+    step without any.
     """
 
     def __init__(self) -> None:
@@ -99,7 +102,7 @@
         idle = [
             name
             for name, kind in self._kinds.items()
-            if now - kind.asked_at > IDLE_KIND_MS
+            if now - kind.last_request_at > IDLE_KIND_MS
         ]
         for name in idle:
             del self._kinds[name]
@@ -112,7 +115,7 @@
         return self._steps
 
     def loads(self, now: Milliseconds) -> list[KindLoad]:
-        """Return step and load of each kind with recent requests."""
+        """Return the step and the load of each kind with recent requests."""
         steps = self.step_by_kind()
         return [
             KindLoad(steps[name], kind.load(now)) for name, kind in self._kinds.items()
--- a/packages/fuchsiagap/src/fuchsiagap/core/shedding/served.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/shedding/served.py
@@ -1,4 +1,4 @@
-"""Success rates of the requests that begin at one entry node, by kind."""
+"""Success rates of the requests that begin at one entry node, by route."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
     from fuchsiagap.core.clock import Milliseconds
 
-# Time constant (to 1/e) of the counts, in milliseconds. At ten requests of a kind each
-# second about fifty count, and a kind without answers is noticed before its callers
+# Time constant (to 1/e) of the counts, in milliseconds. At ten requests of a route each
+# second about fifty count, and a route without answers is noticed before its callers
 # give up.
 DECAY_MS = 5_000.0
-# Successful requests that each kind is assumed to start with, so that the first few
+# Successful requests that each route is assumed to start with, so that the first few
 # requests do not swing its rates.
 _PRIOR_REQUESTS = 5.0
 
 
 @dataclass(slots=True)
 class Served:
-    """Decaying counts of the requests of one kind.
+    """Decaying counts of the requests of one route.
 
     Parameters
     ----------
@@ -58,21 +58,21 @@
 
 
 class ServedShares:
-    """Counts the outcomes of the requests that begin at one entry node, by kind.
+    """Counts the outcomes of the requests that begin at one entry node, by route.
 
     The admitted share does not show what callers get: of the admitted requests of a
-    kind that makes many calls, half may fail further downstream.
+    route that makes many calls, half may fail further downstream.
     """
 
     def __init__(self) -> None:
-        self._kinds: dict[str, Served] = {}
+        self._routes: dict[str, Served] = {}
 
     def _of(self, route: str, now: Milliseconds) -> Served:
-        kind = self._kinds.get(route)
-        if kind is None:
-            kind = self._kinds[route] = Served(at=now)
-        kind.decay(now)
-        return kind
+        counts = self._routes.get(route)
+        if counts is None:
+            counts = self._routes[route] = Served(at=now)
+        counts.decay(now)
+        return counts
 
     def record_refused(self, route: str, now: Milliseconds) -> None:
         """Count a request that was not admitted."""
@@ -90,24 +90,24 @@
         now : float
             Time in milliseconds.
         """
-        kind = self._of(route, now)
-        kind.admitted += 1.0
-        kind.served += served
+        counts = self._of(route, now)
+        counts.admitted += 1.0
+        counts.served += served
 
     def overall_share(self, now: Milliseconds) -> float:
-        """Return the share of the requests of all kinds that succeeded."""
+        """Return the share of the requests of all routes that succeeded."""
         total = Served()
-        for _, kind in self.all(now):
-            total.admitted += kind.admitted
-            total.refused += kind.refused
-            total.served += kind.served
+        for _, counts in self.all(now):
+            total.admitted += counts.admitted
+            total.refused += counts.refused
+            total.served += counts.served
         return total.share()
 
     def all(self, now: Milliseconds) -> Iterator[tuple[str, Served]]:
-        """Yield each route with its counts, leaving out those without requests."""
-        for route in sorted(self._kinds):
-            kind = self._of(route, now)
-            if kind.admitted + kind.refused < 0.5:
-                del self._kinds[route]
+        """Yield each route with its counts; forget those without recent requests."""
+        for route in sorted(self._routes):
+            counts = self._of(route, now)
+            if counts.admitted + counts.refused < 0.5:
+                del self._routes[route]
             else:
-                yield route, kind
+                yield route, counts
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/shedding/test_allocation.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/shedding/test_allocation.py
@@ -34,7 +34,7 @@
         self.assertEqual(MIN_GUARANTEED_SHARE, guaranteed_share(0.0))
 
 
-class TestShareOf(TestCase):
+class TestShareOfStep(TestCase):
     def test_all_is_admitted_at_a_load_share_of_one(self):
         self.assertEqual([1.0, 1.0, 1.0], shares(1.0))
 
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/shedding/test_fair_admission.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/shedding/test_fair_admission.py
@@ -16,14 +16,14 @@
     The callers send requests in a fixed rotation. The credit of a caller that does not
     keep its connection is lost after each request.
     """
-    shares = FairAdmission(random.Random(seed))
+    admission = FairAdmission(random.Random(seed))
     caller_credits = [CallerCredit() for _ in range(n_callers)]
     n_admitted = [0] * n_callers
     decisions = []
     for _ in range(n_rounds):
         for number in range(n_callers):
             credit = caller_credits[number] if keeps_connection else CallerCredit()
-            admitted = shares.admits("read", share, credit)
+            admitted = admission.admits("read", share, credit)
             n_admitted[number] += admitted
             decisions.append(admitted)
     return n_admitted, decisions
@@ -70,13 +70,13 @@
             self.assertLess(statistics.pstdev(admitted_per_20), 1.0)
 
     def test_new_callers_are_not_put_behind_those_with_kept_connections(self):
-        shares = FairAdmission(random.Random(5))
+        admission = FairAdmission(random.Random(5))
         kept_credits = [CallerCredit() for _ in range(5)]
         n_admitted = {"kept": 0, "new": 0}
         for _ in range(N_REQUESTS):
             for credit in kept_credits:
-                n_admitted["kept"] += shares.admits("read", 0.2, credit)
-                n_admitted["new"] += shares.admits("read", 0.2, CallerCredit())
+                n_admitted["kept"] += admission.admits("read", 0.2, credit)
+                n_admitted["new"] += admission.admits("read", 0.2, CallerCredit())
         self.assertAlmostEqual(200, n_admitted["kept"], delta=20)
         self.assertAlmostEqual(200, n_admitted["new"], delta=20)
 
