--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/explain/test_explain.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/explain/test_explain.py
@@ -6,7 +6,7 @@
 from testtools import TestCase
 
 from fuchsiagap.core.quarantine.fingerprint import fingerprint
-from fuchsiagap.core.quarantine.quarantine import Held
+from fuchsiagap.core.quarantine.quarantine import HeldRequest
 from fuchsiagap.core.retries.shares import SharedBudget
 from fuchsiagap_ctl.exit_codes import ExitCode
 from fuchsiagap_ctl.explain.lines import read_lines
@@ -62,7 +62,7 @@
 
     def test_request_that_crashes_servers_is_told_apart(self):
         async def act(caller, served):
-            held = Held(fingerprint(*GUILTY), "certs", 4, 0.0)
+            held = HeldRequest(fingerprint(*GUILTY), "certs", 4, 0.0)
             caller.node.reports.handle(held, "certs-1")
             answer = await caller.send("/read/1", "r1")
             self.assertEqual(503, answer.status)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/dispatch.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/dispatch.py
@@ -79,7 +79,9 @@
     if parent is not None:
         outcome = await _run(state, head, body, parent.allowance)
         if outcome.load is not None:
-            state.gate.note_below(parent.head.route, head.service, outcome.load)
+            state.gate.record_downstream_load(
+                parent.head.route, head.service, outcome.load
+            )
         return _with_allowance(outcome, head.allowance)
     ledger = Allowance(head.allowance)
     outcome = await _run(state, head, body, ledger)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/entry.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/entry.py
@@ -192,7 +192,7 @@
             parent.allowance.write_off(share)
     parent.allowance.settle(share, outcome.allowance)
     if outcome.load is not None:
-        state.gate.note_below(parent.head.route, head.service, outcome.load)
+        state.gate.record_downstream_load(parent.head.route, head.service, outcome.load)
     return outcome
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_in_force.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_in_force.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from fuchsiagap.core.freshness.knowledge_age import KnowledgeAge
+from fuchsiagap.core.freshness.config_freshness import ConfigFreshness
 from fuchsiagap_node.core.mesh.messages import ConfigText
 
 if TYPE_CHECKING:
@@ -49,7 +49,7 @@
         self._put_in_force = put_in_force
         self._stored: StoredConfig | None = None
         self._adopted_at = clock.now()
-        self._knowledge = KnowledgeAge()
+        self._knowledge = ConfigFreshness()
         self.adopted = trio.Event()
 
     @property
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/crash_reports.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/crash_reports.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING
 
 from fuchsiagap.core.clock import MS_PER_S
-from fuchsiagap.core.quarantine.lost_servers import LostServers
-from fuchsiagap.core.quarantine.quarantine import Crash, Held, Quarantine
+from fuchsiagap.core.quarantine.lost_link_requests import LostLinkRequests
+from fuchsiagap.core.quarantine.quarantine import Crash, HeldRequest, Quarantine
 from fuchsiagap_node.core.mesh.messages import Cleared
 
 if TYPE_CHECKING:
@@ -22,7 +22,7 @@
     # Sends a message on the link to one node.
     Post: TypeAlias = Callable[[Message], None]
     # What nodes tell each other here.
-    Report: TypeAlias = Crash | Held | Cleared
+    Report: TypeAlias = Crash | HeldRequest | Cleared
 
 # Links up to which a crash is told on all of them, and on how many else: reports of
 # crashes are as long as servers have places. Holds are short, and told on all.
@@ -71,7 +71,7 @@
     ) -> None:
         self.quarantine = Quarantine(cfg, clock)
         self._clock = clock
-        self._lost = LostServers()
+        self._lost = LostLinkRequests()
         self._service = service
         self._rng = rng
         self._tell = teller
@@ -82,7 +82,9 @@
 
     def report_crash(self, incarnation: str, fingerprints: frozenset[bytes]) -> None:
         """Report a crash of the own server."""
-        unanswered = fingerprints.difference(self.quarantine.answered_of(fingerprints))
+        unanswered = fingerprints.difference(
+            self.quarantine.select_answered(fingerprints)
+        )
         crash = Crash(incarnation, self._service, 0.0, unanswered)
         self._handle_crash(crash, "")
 
@@ -97,14 +99,14 @@
         if found is None:
             return
         ended, at, lost = found
-        unanswered = lost.difference(self.quarantine.answered_of(lost))
+        unanswered = lost.difference(self.quarantine.select_answered(lost))
         if unanswered:
             age = self._clock.now() - at
             self._handle_crash(Crash(ended, service, age, unanswered), "")
 
     def record_answer(self, fingerprint: bytes) -> None:
         """Record that a server answered a request."""
-        is_urgent = self.quarantine.is_near_hold(fingerprint)
+        is_urgent = self.quarantine.is_strong_suspect(fingerprint)
         if self.quarantine.record_answer(fingerprint):
             self._clear([fingerprint], is_urgent, "")
 
@@ -113,11 +115,11 @@
         match report:
             case Crash():
                 self._handle_crash(report, sender)
-            case Held():
+            case HeldRequest():
                 self._handle_held(report, sender)
             case Cleared():
                 prints = report.fingerprints
-                is_urgent = any(map(self.quarantine.is_near_hold, prints))
+                is_urgent = any(map(self.quarantine.is_strong_suspect, prints))
                 news = list(filter(self.quarantine.apply_clearance, prints))
                 self._clear(news, is_urgent, sender)
 
@@ -179,9 +181,9 @@
         fresh = quarantine.record_crash(crash)
         if not fresh:
             return
-        answered = quarantine.answered_of(fresh)
+        answered = quarantine.select_answered(fresh)
         if answered:
-            self._clear(answered, any(map(quarantine.is_near_hold, answered)), "")
+            self._clear(answered, any(map(quarantine.is_strong_suspect, answered)), "")
         rest = Crash(
             crash.incarnation,
             crash.service,
@@ -193,13 +195,13 @@
         for held in quarantine.evaluate(rest):
             self._publish_held(held, "")
 
-    def _handle_held(self, held: Held, sender: str) -> None:
+    def _handle_held(self, held: HeldRequest, sender: str) -> None:
         if self.quarantine.was_answered(held.fingerprint):
             self._publish_cleared([held.fingerprint], "")
         elif self.quarantine.apply_hold(held):
             self._publish_held(held, sender)
 
-    def _publish_held(self, held: Held, sender: str) -> None:
+    def _publish_held(self, held: HeldRequest, sender: str) -> None:
         self._tell.event(
             "quarantine-held",
             fingerprint=held.fingerprint.hex(),
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/frames.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/frames.py
@@ -14,7 +14,7 @@
 
 from fuchsiagap.core.freshness.store_view import NO_EPOCH
 from fuchsiagap.core.quarantine.fingerprint import FINGERPRINT_BYTES
-from fuchsiagap.core.quarantine.quarantine import Crash, Held
+from fuchsiagap.core.quarantine.quarantine import Crash, HeldRequest
 from fuchsiagap.core.watching.watcher_rank import UpdateSource
 from fuchsiagap_node.core.mesh.messages import (
     NO_CALLS,
@@ -124,7 +124,7 @@
             return [_CONFIG, epoch, revision, text]
         case Crash(incarnation, service, age, fingerprints):
             return [_CRASH, incarnation, service, age, b"".join(sorted(fingerprints))]
-        case Held(fingerprint, service, crashes, age):
+        case HeldRequest(fingerprint, service, crashes, age):
             return [_HELD, fingerprint, service, crashes, age]
         case Cleared(fingerprints):
             return [_CLEARED, b"".join(fingerprints)]
@@ -242,7 +242,7 @@
             if not 0 <= crashes < _MOST:
                 raise ValueError(f"crashes out of range: {crashes}")
             (fingerprint,) = _fingerprints(fingerprint)
-            return Held(fingerprint, service, crashes, age)  # type: ignore[arg-type]
+            return HeldRequest(fingerprint, service, crashes, age)  # type: ignore[arg-type]
         case int(), [bytes() as joined]:
             return Cleared(tuple(_fingerprints(joined)))
     raise ValueError(f"no report: {kind}")
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/gauges.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/gauges.py
@@ -58,10 +58,10 @@
     age = config.in_force.knowledge_age
     yield Gauge("knowledge_age_ms", "", round(age) if age < float("inf") else -1.0)
     yield Gauge("quotas_owned", "", quotas.grants.n_owned)
-    for name, rate in quotas.holdings.busiest(_MOST_WORKSPACES):
+    for name, rate in quotas.token_cache.busiest(_MOST_WORKSPACES):
         labels = f'workspace="{name}"'
         yield Gauge("workspace_requests_a_second", labels, round(rate, 1))
-        yield Gauge("workspace_tokens", labels, quotas.holdings.tokens(name))
+        yield Gauge("workspace_tokens", labels, quotas.token_cache.tokens(name))
         level = quotas.grants.level(name)
         if level is not None:
             yield Gauge("workspace_quota_left", labels, round(level, 1))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/knowledge_exchange.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/knowledge_exchange.py
@@ -5,7 +5,7 @@
 from itertools import count
 from typing import TYPE_CHECKING
 
-from fuchsiagap.core.freshness.sources import Source, Sources
+from fuchsiagap.core.freshness.source_selector import FreshnessSource, SourceSelector
 from fuchsiagap.core.watching.watcher_rank import UpdateSource
 from fuchsiagap_node.core.mesh.messages import Age, AgeWanted
 
@@ -61,7 +61,7 @@
         self._clock = clock
         self._questions = count(1)
         self._asked: dict[int, Milliseconds] = {}
-        self._sources = Sources(rng)
+        self._sources = SourceSelector(rng)
 
     def is_too_old(self) -> bool:
         """Whether a key that this node knows may have been taken away too long ago."""
@@ -84,7 +84,9 @@
         }
         links = {link.member.node: link for link in self._links() if link.is_heard()}
         nodes = [
-            Source(name, link.update_source is UpdateSource.STORE, link.target.local)
+            FreshnessSource(
+                name, link.update_source is UpdateSource.STORE, link.target.local
+            )
             for name, link in links.items()
         ]
         is_urgent = age > self._bound * _URGENT_AT
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/messages.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/messages.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, NamedTuple, TypeAlias
 
 from fuchsiagap.core.freshness.store_view import NO_EPOCH
-from fuchsiagap.core.quarantine.quarantine import Crash, Held
+from fuchsiagap.core.quarantine.quarantine import Crash, HeldRequest
 from fuchsiagap.core.watching.watcher_rank import UpdateSource
 
 if TYPE_CHECKING:
@@ -313,7 +313,7 @@
     | ConfigWanted
     | ConfigText
     | Crash
-    | Held
+    | HeldRequest
     | Cleared
     | AgeWanted
     | Age
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/quota_owners.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/quota_owners.py
@@ -81,8 +81,8 @@
         own = self._own.data_centre
         places = self._links().by_data_centre()
         heard = {place for place, nodes in places.items() if self._hears(nodes)}
-        hears_own = own not in places or own in heard
-        return granted_share(own, places, heard, hears_own or self._has_store())
+        reaches_own = own not in places or own in heard
+        return granted_share(own, places, heard, reaches_own or self._has_store())
 
     def _hears(self, nodes: Sequence[str]) -> bool:
         """Whether one of the nodes of a data centre is up."""
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/quotas.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/quotas.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from fuchsiagap.core.workspaces.grants import Grant, QuotaGrants
-from fuchsiagap.core.workspaces.holdings import QuotaHoldings
+from fuchsiagap.core.workspaces.token_cache import TokenCache
 from fuchsiagap_node.core.mesh.messages import TokensGranted, TokensWanted
 
 if TYPE_CHECKING:
@@ -125,7 +125,7 @@
     ----------
     workspaces : dict of str to Workspace
         Workspaces in force, by name.
-    holdings : QuotaHoldings
+    token_cache : TokenCache
         Tokens for requests that begin here.
     grants : QuotaGrants
         Quotas that this node owns.
@@ -146,7 +146,7 @@
         self._tell = teller
         self._questions = count(1)
         self._asking: dict[str, _Asking] = {}
-        self.holdings = QuotaHoldings()
+        self.token_cache = TokenCache()
         self.grants = QuotaGrants()
         self.workspaces: dict[str, Workspace] = {}
 
@@ -172,12 +172,12 @@
             return None
         now = self._clock.now()
         name = workspace.name
-        self.holdings.count_request(name, now)
-        if self.holdings.take(name, now):
+        self.token_cache.count_request(name, now)
+        if self.token_cache.take(name, now):
             decide(_WITHIN)
             self._fetch(workspace, now)
             return None
-        wait = self.holdings.denied_for(name, now)
+        wait = self.token_cache.denied_for(name, now)
         if wait > 0.0:
             decide(QuotaAnswer(Verdict.OVER, wait))
             return None
@@ -189,7 +189,7 @@
     def put_back(self, workspace: Workspace) -> None:
         """Return the token of a request that has not run."""
         if workspace.rate > 0.0:
-            self.holdings.put_back(workspace.name)
+            self.token_cache.put_back(workspace.name)
 
     def look(self) -> None:
         """Ask again for what was not answered, and refuse what has waited too long."""
@@ -205,7 +205,7 @@
     def forget(self) -> None:
         """Forget the workspaces without a request of late."""
         now = self._clock.now()
-        self.holdings.forget(now)
+        self.token_cache.forget(now)
         self.grants.forget(now)
 
     def adopt(self, workspaces: Iterable[Workspace]) -> None:
@@ -223,7 +223,7 @@
         """Ask for tokens, if more are needed and none are on their way."""
         asking = self._asking.get(workspace.name)
         n_waiting = 0 if asking is None else asking.n_waiting()
-        wanted = self.holdings.wanted(workspace.name, n_waiting, now)
+        wanted = self.token_cache.wanted(workspace.name, n_waiting, now)
         if not wanted:
             return
         asking = asking or self._asking_for(workspace)
@@ -275,12 +275,12 @@
         """Give tokens to the requests that wait, and refuse the others."""
         asking = self._asking[name]
         asking.ask_at = now
-        self.holdings.add(name, grant, now)
+        self.token_cache.add(name, grant, now)
         waiting, asking.waiting = asking.waiting, deque()
         for waiter in waiting:
             if waiter.is_decided:
                 continue
-            if self.holdings.take(name, now):
+            if self.token_cache.take(name, now):
                 waiter.settle(_WITHIN)
             elif grant.wait > 0.0:
                 waiter.settle(QuotaAnswer(Verdict.OVER, grant.wait))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/sending.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/sending.py
@@ -10,7 +10,7 @@
 from fuchsiagap.core.clock import MS_PER_S
 from fuchsiagap.core.freshness.store_view import NO_EPOCH
 from fuchsiagap.core.placement.choice import Target
-from fuchsiagap.core.quarantine.quarantine import Crash, Held
+from fuchsiagap.core.quarantine.quarantine import Crash, HeldRequest
 from fuchsiagap.core.watching.watcher_rank import UpdateSource
 from fuchsiagap_node.core.mesh.frames import BadFrame
 from fuchsiagap_node.core.mesh.link import FramedLink
@@ -284,7 +284,7 @@
                 self._take_status(status)
             case ConfigText() as config:
                 self.on_config(config)
-            case Crash() | Held() | Cleared() as report:
+            case Crash() | HeldRequest() | Cleared() as report:
                 self.on_report(report, self.member.node)
             case Age() as age:
                 self.on_age(age, self.member.node)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/server_crashes.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/server_crashes.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from fuchsiagap.core.door.incarnation import BackendState
-from fuchsiagap.core.quarantine.crash_watch import CrashWatch
+from fuchsiagap.core.quarantine.crash_tracker import CrashTracker
 from fuchsiagap_node.core.mesh.outcome import OTHER_INCARNATION, Answered, NotRun
 from fuchsiagap_node.core.mesh.stream import RefusedStream, SilentStream
 
@@ -47,7 +47,7 @@
         self._clock = clock
         self._tell = teller
         self._at_work = at_work
-        self._watch = CrashWatch()
+        self._watch = CrashTracker()
         self._is_ready = False
         self.on_crash: Callable[[str, frozenset[bytes]], None] = _ignore
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/taking.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/taking.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field, replace
 from typing import TYPE_CHECKING
 
-from fuchsiagap.core.quarantine.quarantine import Crash, Held
+from fuchsiagap.core.quarantine.quarantine import Crash, HeldRequest
 from fuchsiagap_node.core.mesh.frames import BadFrame
 from fuchsiagap_node.core.mesh.job import Job
 from fuchsiagap_node.core.mesh.link import FramedLink
@@ -181,7 +181,7 @@
                 link.post(Pong())
             case Hello() as hello:
                 self._greet(link, sender, hello)
-            case Crash() | Held() | Cleared() as report:
+            case Crash() | HeldRequest() | Cleared() as report:
                 self.on_report(report, sender.node)
             case AgeWanted() as question:
                 age = self.answer_age(question)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/node.py
@@ -8,7 +8,7 @@
 import trio
 
 from fuchsiagap.core.admission.gate import Gate
-from fuchsiagap.core.admission.levels import Levels
+from fuchsiagap.core.admission.reported_levels import ReportedLevels
 from fuchsiagap.core.clock import sleep_ms
 from fuchsiagap.core.membership.table import Membership
 from fuchsiagap.core.retries.budget import RetryBudget
@@ -203,7 +203,7 @@
         rng=rng,
         book=SettingsBook(),
         gate=Gate(cfg.gate, clock, rng),
-        levels=Levels(clock),
+        levels=ReportedLevels(clock),
         router=router,
         budget=RetryBudget(cfg.retries, clock),
         membership=membership,
@@ -243,7 +243,7 @@
         load = await state.backend.load()
         is_up = load is not None and load.healthy
         if load is not None:
-            state.gate.reported(load.slots, load.in_flight)
+            state.gate.apply_report(load.slots, load.in_flight)
         if is_up is not was_up:
             kind = EventKind.BACKEND_UP if is_up else EventKind.BACKEND_DOWN
             state.telemetry.ring.record(kind)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/state.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/state.py
@@ -15,7 +15,7 @@
     from collections.abc import Awaitable, Callable
 
     from fuchsiagap.core.admission.gate import Gate
-    from fuchsiagap.core.admission.levels import Levels
+    from fuchsiagap.core.admission.reported_levels import ReportedLevels
     from fuchsiagap.core.calls.head import CallHead
     from fuchsiagap.core.calls.outcome import Outcome
     from fuchsiagap.core.clock import Clock
@@ -51,7 +51,7 @@
         Settings of all teams.
     gate : Gate
         Admission of calls to the backend server beside this node.
-    levels : Levels
+    levels : ReportedLevels
         Admission levels of the services that this node calls.
     router : Router
         Choice of backend servers.
@@ -88,7 +88,7 @@
     rng: random.Random
     book: SettingsBook
     gate: Gate
-    levels: Levels
+    levels: ReportedLevels
     router: Router
     budget: RetryBudget
     membership: Membership
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/a_fleet.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/a_fleet.py
@@ -9,7 +9,7 @@
 import trio
 
 from fuchsiagap.core.admission.gate import Admitted
-from fuchsiagap.core.admission.levels import Levels
+from fuchsiagap.core.admission.reported_levels import ReportedLevels
 from fuchsiagap.core.calls.head import ServiceName
 from fuchsiagap.core.calls.outcome import Answered, Reason, Refused
 from fuchsiagap.core.clock import trio_clock
@@ -46,7 +46,7 @@
     def report(self, route):
         return self.fleet.load
 
-    def note_below(self, route, service, load):
+    def record_downstream_load(self, route, service, load):
         self.below.append((route, str(service)))
 
 
@@ -97,7 +97,7 @@
             rng=rng,
             router=router,
             budget=RetryBudget(self.retries, clock),
-            levels=Levels(clock),
+            levels=ReportedLevels(clock),
             book=SimpleNamespace(route_for=lambda *_: None),
             gate=FakeGate(self, member.node),
             backend=FakeBackend(self, member.node),
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_crash_reports.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_crash_reports.py
@@ -5,7 +5,7 @@
 from testtools import TestCase
 
 from fuchsiagap.core.clock import Clock
-from fuchsiagap.core.quarantine.quarantine import Crash, Held, QuarantineSettings
+from fuchsiagap.core.quarantine.quarantine import Crash, HeldRequest, QuarantineSettings
 from fuchsiagap_node.core.mesh.crash_reports import CrashReports
 from fuchsiagap_node.core.mesh.frames import FrameReader, encode
 from fuchsiagap_node.core.mesh.telling import Teller
@@ -121,7 +121,7 @@
     def test_hold_that_an_answer_disproves_ends_everywhere(self):
         nodes = Nodes(4)
         nodes.reports[3].record_answer(GUILTY)
-        nodes.reports[0].handle(Held(GUILTY, "certs", 3, 0.0), "")
+        nodes.reports[0].handle(HeldRequest(GUILTY, "certs", 3, 0.0), "")
         self.assertEqual(0, nodes.holding())
 
     def test_server_runs_one_trial_and_all_know_of_it(self):
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_frames.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_frames.py
@@ -7,7 +7,7 @@
 import cbor2
 from testtools import TestCase
 
-from fuchsiagap.core.quarantine.quarantine import Crash, Held
+from fuchsiagap.core.quarantine.quarantine import Crash, HeldRequest
 from fuchsiagap_node.core.mesh.frames import BadFrame, decode, encode
 from fuchsiagap_node.core.mesh.messages import (
     NO_CALLS,
@@ -44,7 +44,7 @@
     ConfigText(2, 3, b"{}"),
     Age(5, 7, 12.5),
     Crash("i-1 17", "certs", 12.5, frozenset({b"a" * 16, b"b" * 16})),
-    Held(b"a" * 16, "certs", 3, 0.0),
+    HeldRequest(b"a" * 16, "certs", 3, 0.0),
     Cleared((b"a" * 16, b"b" * 16)),
 )
 # Mutated frames; 100,000 by hand: `FUZZ_RUNS=100000`.
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_state_events.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_state_events.py
@@ -44,12 +44,12 @@
 
         async def use(fleet: SettingsFleet, state: NodeState) -> None:
             below = a_service("results")
-            state.gate.note_below(ROUTE, below, a_load(level_priority=2))
+            state.gate.record_downstream_load(ROUTE, below, a_load(level_priority=2))
             await trio.sleep(1.5)
             self.assertEqual([EventKind.OVERLOAD_STARTED], self.kinds(state, *kinds))
             full = a_load(level_priority=9, level_cohort=127)
             for _ in range(100):
-                state.gate.note_below(ROUTE, below, full)
+                state.gate.record_downstream_load(ROUTE, below, full)
                 await trio.sleep(0.1)
             await trio.sleep(2 * state_events.CALM_MS / 1000)
             self.assertEqual(list(kinds), self.kinds(state, *kinds))
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/fleet.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, cast
 
-from fuchsiagap.core.admission.levels import Levels
+from fuchsiagap.core.admission.reported_levels import ReportedLevels
 from fuchsiagap.core.membership.member import Member
 from fuchsiagap.core.settings.model import TeamText
 from fuchsiagap.core.telemetry.telemetry import TelemetrySettings
@@ -149,7 +149,7 @@
         node.book.adopt(TeamText(graph.team, 1, text, False))
         team = node.book.team(graph.team)
         assert team is not None
-        node.gate.weigh(team.weight)
+        node.gate.set_weight(team.weight)
         for other in fleet.nodes:
             if other is not node:
                 node.membership.apply(_member(other.cfg))
@@ -180,7 +180,7 @@
     )
     node = make_state(cfg, ports, nursery)
     node.gate = MeteredGate(policy.gate, clock, rng, records)
-    node.levels = Levels(clock, policy.levels)
+    node.levels = ReportedLevels(clock, policy.levels)
     for part in (serve, relay, home_tickets):
         part.register(node)
     return node
@@ -208,7 +208,7 @@
     while True:
         load = await node.backend.load()
         if load is not None:
-            node.gate.reported(load.slots, load.in_flight)
+            node.gate.apply_report(load.slots, load.in_flight)
         await ticks.sleep(_REPORT_MS)
 
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/gates.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/gates.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from fuchsiagap.core.admission.gate import LEVEL_BELOW, Admitted, Gate
+from fuchsiagap.core.admission.gate import DOWNSTREAM_LEVEL, Admitted, Gate
 from fuchsiagap.core.calls.outcome import Reason, Refused
 
 if TYPE_CHECKING:
@@ -56,7 +56,7 @@
         now = self._time.now()
         if isinstance(outcome, Refused):
             if outcome.reason is Reason.OVERLOAD:
-                is_below = outcome.detail == LEVEL_BELOW
+                is_below = outcome.detail == DOWNSTREAM_LEVEL
                 scope = head.route if is_below else _OWN
                 self._refused_at.setdefault(scope, {})[head.priority] = now
         elif self._is_inversion(head, now):
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/policies.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/policies.py
@@ -6,9 +6,9 @@
 
 from fuchsiagap.core.admission.settings import (
     GateSettings,
-    LevelsSettings,
     LimitPolicy,
     QueueOrder,
+    ReportedLevelsSettings,
 )
 from fuchsiagap.core.retries.budget import RetrySettings
 from fuchsiagap.core.routing.instance import RoutingSettings
@@ -33,7 +33,7 @@
     """
 
     gate: GateSettings = field(default_factory=GateSettings)
-    levels: LevelsSettings = field(default_factory=LevelsSettings)
+    levels: ReportedLevelsSettings = field(default_factory=ReportedLevelsSettings)
     routing: RoutingSettings = field(default_factory=RoutingSettings)
     retries: RetrySettings = field(default_factory=RetrySettings)
     at_most_once: bool = True
@@ -42,7 +42,7 @@
 
 
 _FULL = BenchPolicy()
-_NO_LEVELS = LevelsSettings(enabled=False)
+_NO_LEVELS = ReportedLevelsSettings(enabled=False)
 _FIXED = BenchPolicy(
     levels=_NO_LEVELS,
     gate=GateSettings(
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/quotas/ways.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/quotas/ways.py
@@ -7,9 +7,9 @@
 from typing import TYPE_CHECKING, Protocol
 
 from fuchsiagap.core.workspaces.grants import Grant, QuotaGrants
-from fuchsiagap.core.workspaces.holdings import QuotaHoldings
 from fuchsiagap.core.workspaces.ownership import candidates, owner_of
 from fuchsiagap.core.workspaces.token_bucket import TokenBucket
+from fuchsiagap.core.workspaces.token_cache import TokenCache
 from fuchsiagap_standins.quotas.scenario import N_PLACES
 
 if TYPE_CHECKING:
@@ -180,27 +180,27 @@
             [int(name[1:]) for name in candidates(workspace.name, nodes)]
             for workspace in workspaces
         ]
-        self._holdings = [QuotaHoldings() for _ in nodes]
+        self._token_caches = [TokenCache() for _ in nodes]
         self._grants = [QuotaGrants() for _ in nodes]
         self.messages = self.n_bytes = 0
 
     def admits(self, node: int, workspace: int, now: Milliseconds) -> bool:
         """Return whether a request is let in."""
-        holdings, quota = self._holdings[node], self._workspaces[workspace]
-        holdings.count_request(quota.name, now)
-        if holdings.take(quota.name, now):
+        token_cache, quota = self._token_caches[node], self._workspaces[workspace]
+        token_cache.count_request(quota.name, now)
+        if token_cache.take(quota.name, now):
             self._fetch(node, workspace, 0, now)
             return True
-        if holdings.denied_for(quota.name, now) > 0.0:
+        if token_cache.denied_for(quota.name, now) > 0.0:
             return False
         self._fetch(node, workspace, 1, now)
-        return holdings.take(quota.name, now)
+        return token_cache.take(quota.name, now)
 
     def _fetch(
         self, node: int, workspace: int, n_waiting: int, now: Milliseconds
     ) -> None:
         quota = self._workspaces[workspace]
-        wanted = self._holdings[node].wanted(quota.name, n_waiting, now)
+        wanted = self._token_caches[node].wanted(quota.name, n_waiting, now)
         owner = self._owner(node, workspace, now)
         if not wanted or owner is None:
             return
@@ -214,7 +214,7 @@
         grant = self._grants[owner].grant(
             quota, wanted, now, self._part(owner, now), begins_full
         )
-        self._holdings[node].add(quota.name, Grant(grant.tokens, grant.wait), now)
+        self._token_caches[node].add(quota.name, Grant(grant.tokens, grant.wait), now)
 
     def _owner(self, node: int, workspace: int, now: Milliseconds) -> int | None:
         def is_up(name: str) -> bool:
@@ -237,7 +237,7 @@
 
     def restart(self, node: int) -> None:
         """Forget what a node knew."""
-        self._holdings[node] = QuotaHoldings()
+        self._token_caches[node] = TokenCache()
         self._grants[node] = QuotaGrants()
 
 
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/admitted.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/admitted.py
@@ -8,14 +8,16 @@
 from fuchsiagap.core.admission.position import level_at, position_of
 
 if TYPE_CHECKING:
-    from fuchsiagap.core.admission.below import LevelsBelow
+    from fuchsiagap.core.admission.downstream import DownstreamLevels
     from fuchsiagap.core.admission.level import AdmissionLevel
     from fuchsiagap.core.calls.head import CallHead
     from fuchsiagap.core.clock import Milliseconds
 
 # Details of refusals, for people.
 OWN_LEVEL = "the admission level of this instance is below the call's"
-LEVEL_BELOW = "the admission level of a service that the call needs is below its own"
+DOWNSTREAM_LEVEL = (
+    "the admission level of a service that the call needs is below its own"
+)
 QUEUE_FULL = "the queue of this instance is full of calls at least as important"
 
 
@@ -41,8 +43,8 @@
     in_flight: int
 
 
-def what_shuts_out(
-    head: CallHead, level: AdmissionLevel, below: LevelsBelow
+def find_rejecting_level(
+    head: CallHead, level: AdmissionLevel, below: DownstreamLevels
 ) -> str | None:
     """Return which level shuts a call out.
 
@@ -52,13 +54,13 @@
         Head of the call.
     level : AdmissionLevel
         The gate's own level.
-    below : LevelsBelow
+    below : DownstreamLevels
         Levels of the services below.
 
     Returns
     -------
     str or None
-        `OWN_LEVEL` or `LEVEL_BELOW`; None if the call may enter.
+        `OWN_LEVEL` or `DOWNSTREAM_LEVEL`; None if the call may enter.
     """
     wanted = position_of(head.priority, head.cohort)
     # A chain that was let in further up has work behind it: it is judged by the
@@ -66,11 +68,11 @@
     in_chain = head.depth > 1
     own = level.position
     if wanted > own:
-        is_late_in_chain = in_chain and wanted <= level.loose_position
+        is_late_in_chain = in_chain and wanted <= level.chain_position
         if not is_late_in_chain or head.priority > level_at(own)[0]:
             return OWN_LEVEL
     if in_chain:
-        return LEVEL_BELOW if wanted > below.loose_position(head.route) else None
+        return DOWNSTREAM_LEVEL if wanted > below.chain_position(head.route) else None
     if wanted > below.position(head.route) and not below.may_probe(head):
-        return LEVEL_BELOW
+        return DOWNSTREAM_LEVEL
     return None
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/below.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/downstream.py
@@ -40,7 +40,7 @@
     probe_at: Milliseconds
 
 
-class LevelsBelow:
+class DownstreamLevels:
     """Levels of the services that the calls of each route call in turn.
 
     Parameters
@@ -93,7 +93,7 @@
             return OPEN_POSITION
         return min(self._noted[service].position for service in services)
 
-    def loose_position(self, route: str) -> float:
+    def chain_position(self, route: str) -> float:
         """Return the lowest position that the services below had of late."""
         services = self._services.get(route)
         if not services:
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/gate.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/gate.py
@@ -9,14 +9,14 @@
 import trio
 
 from fuchsiagap.core.admission.admitted import (
-    LEVEL_BELOW,
+    DOWNSTREAM_LEVEL,
     OWN_LEVEL,
     QUEUE_FULL,
     Admitted,
-    what_shuts_out,
+    find_rejecting_level,
 )
-from fuchsiagap.core.admission.below import LevelsBelow
 from fuchsiagap.core.admission.capacity import Capacity
+from fuchsiagap.core.admission.downstream import DownstreamLevels
 from fuchsiagap.core.admission.level import AdmissionLevel, Pressure
 from fuchsiagap.core.admission.limit import ConcurrencyLimit
 from fuchsiagap.core.admission.position import level_at
@@ -24,7 +24,7 @@
     GateSettings,
     LimitPolicy,
     QueueOrder,
-    weighed,
+    apply_weight,
 )
 from fuchsiagap.core.admission.waiting import Waiter, WaitingCalls
 from fuchsiagap.core.calls.outcome import Answered, LoadReport, Reason, Refused
@@ -37,7 +37,7 @@
     from fuchsiagap.core.calls.outcome import Outcome
     from fuchsiagap.core.clock import Clock, Milliseconds
 
-__all__ = ["LEVEL_BELOW", "OWN_LEVEL", "QUEUE_FULL", "Admitted", "Gate"]
+__all__ = ["DOWNSTREAM_LEVEL", "OWN_LEVEL", "QUEUE_FULL", "Admitted", "Gate"]
 
 _RETRY_AFTER_STEPS = 20
 # However many wait, the level lets in this share of what the server gets through; the
@@ -66,19 +66,19 @@
 
     See Also
     --------
-    fuchsiagap.core.admission.levels.Levels : The other end of the load reports.
+    fuchsiagap.core.admission.reported_levels.ReportedLevels : Receives load reports.
     """
 
     def __init__(self, cfg: GateSettings, clock: Clock, rng: random.Random) -> None:
         self._base = cfg
-        cfg = self._cfg = weighed(cfg)
+        cfg = self._cfg = apply_weight(cfg)
         self._clock = clock
         self._rng = rng
         self._in_flight = 0
         self._waiting = WaitingCalls(cfg.by_priority)
         self._limit = ConcurrencyLimit(cfg)
         self._level = AdmissionLevel(cfg)
-        self._below = LevelsBelow(cfg, clock)
+        self._below = DownstreamLevels(cfg, clock)
         self._capacity = Capacity()
         self._times = self._capacity.times
         self._stepped_at = clock.now()
@@ -101,11 +101,11 @@
     def adopt(self, cfg: GateSettings) -> None:
         """Go on under other settings, for example after the team's changed."""
         self._base = cfg
-        self._cfg = weighed(cfg)
+        self._cfg = apply_weight(cfg)
         for part in (self._limit, self._level, self._below):
             part.adopt(self._cfg)
 
-    def weigh(self, weight: float) -> None:
+    def set_weight(self, weight: float) -> None:
         """Take over the weight of the team that owns the backend server.
 
         Parameters
@@ -132,7 +132,7 @@
         now = self._clock.now()
         self._level.see(head)
         if self._cfg.use_level:
-            shut_by = what_shuts_out(head, self._level, self._below)
+            shut_by = find_rejecting_level(head, self._level, self._below)
             if shut_by is not None:
                 return self._refuse(head, Reason.OVERLOAD, shut_by)
         if self._is_hopeless(head, now):
@@ -172,7 +172,7 @@
         reason : Reason
             What they are told.
         """
-        while (waiter := self._waiting.pop_worst()) is not None:
+        while (waiter := self._waiting.pop_least_important()) is not None:
             self._drop(waiter, reason)
 
     def step(self) -> None:
@@ -209,7 +209,7 @@
             queued=len(self._waiting),
         )
 
-    def reported(self, slots: int, in_flight: int) -> None:
+    def apply_report(self, slots: int, in_flight: int) -> None:
         """Take in what the backend server says of itself: a start value only.
 
         Parameters
@@ -219,9 +219,11 @@
         in_flight : int
             Calls it says it works on; not used, since it lags.
         """
-        self._limit.reported(slots)
+        self._limit.apply_report(slots)
 
-    def note_below(self, route: str, service: ServiceName, load: LoadReport) -> None:
+    def record_downstream_load(
+        self, route: str, service: ServiceName, load: LoadReport
+    ) -> None:
         """Take in the load of a service that a route's calls call in turn.
 
         Parameters
@@ -275,10 +277,10 @@
         most = max(int(self._limit.value * self._cfg.queue_share), 1)
         if len(self._waiting) < most:
             return True
-        worst = self._waiting.worst_priority()
+        worst = self._waiting.least_important_priority()
         if not self._cfg.by_priority or worst is None or worst <= head.priority:
             return False
-        dropped = self._waiting.pop_worst()
+        dropped = self._waiting.pop_least_important()
         if dropped is not None:
             self._drop(dropped, Reason.OVERLOAD)
         return True
@@ -393,6 +395,6 @@
             load=(self._in_flight + n_waiting) / limit,
             is_late=self._is_overloaded(),
             is_flooded=self._is_flooded(),
-            worst_waiting=self._waiting.worst_priority(),
+            worst_waiting=self._waiting.least_important_priority(),
             capacity=self._startable_by_server(elapsed),
         )
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/level.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/level.py
@@ -125,7 +125,7 @@
         return self._position
 
     @property
-    def loose_position(self) -> int:
+    def chain_position(self) -> int:
         """The highest position that was admitted of late."""
         return self._loose_position
 
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/limit.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/limit.py
@@ -67,10 +67,10 @@
     def value(self) -> int:
         """The limit now."""
         if self._cfg.limit_policy is LimitPolicy.NONE:
-            return self._cfg.most_limit
+            return self._cfg.max_limit
         return int(self._state.limit)
 
-    def reported(self, slots: int) -> None:
+    def apply_report(self, slots: int) -> None:
         """Take the slots the backend server reports as a start value.
 
         Only a change of the report counts: a report that is frozen steers nothing.
@@ -150,4 +150,4 @@
         return max(least, int(min(self._state.limit, _MANY_SAMPLES)))
 
     def _bounded(self, limit: float) -> float:
-        return min(max(float(limit), self._cfg.least_limit), self._cfg.most_limit)
+        return min(max(float(limit), self._cfg.min_limit), self._cfg.max_limit)
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/levels.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/reported_levels.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from fuchsiagap.core.admission.position import OPEN_POSITION, level_at, position_of
-from fuchsiagap.core.admission.settings import LevelsSettings
+from fuchsiagap.core.admission.settings import ReportedLevelsSettings
 from fuchsiagap.core.calls.head import N_COHORTS
 from fuchsiagap.core.calls.outcome import LoadReport, Reason, Refused
 
@@ -26,20 +26,20 @@
     at: Milliseconds
 
 
-class Levels:
+class ReportedLevels:
     """The levels that an entry node has heard of, by route and instance.
 
     Parameters
     ----------
     clock : Clock
         Clock of the process.
-    cfg : LevelsSettings
+    cfg : ReportedLevelsSettings
         Settings.
     """
 
-    def __init__(self, clock: Clock, cfg: LevelsSettings | None = None) -> None:
+    def __init__(self, clock: Clock, cfg: ReportedLevelsSettings | None = None) -> None:
         self._clock = clock
-        self._cfg = cfg or LevelsSettings()
+        self._cfg = cfg or ReportedLevelsSettings()
         self._probe_at: dict[tuple[ServiceName, str], Milliseconds] = {}
         self._learnt: dict[tuple[ServiceName, str], dict[str, _Learnt]] = {}
 
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/settings.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/settings.py
@@ -46,7 +46,7 @@
         How the concurrency limit is found.
     start_limit : int
         Limit until the backend server has reported its slots.
-    least_limit, most_limit : int
+    min_limit, max_limit : int
         Bounds of the limit.
     queue_order : QueueOrder
         Order within one priority.
@@ -85,8 +85,8 @@
     step_ms: Milliseconds = 50.0
     limit_policy: LimitPolicy = LimitPolicy.PROBING
     start_limit: int = 32
-    least_limit: int = 1
-    most_limit: int = 10_000
+    min_limit: int = 1
+    max_limit: int = 10_000
     queue_order: QueueOrder = QueueOrder.DEADLINE_FIRST
     by_priority: bool = True
     queue_share: float = 0.7
@@ -104,7 +104,7 @@
     weight: float = 0.5
 
 
-def weighed(cfg: GateSettings) -> GateSettings:
+def apply_weight(cfg: GateSettings) -> GateSettings:
     """Return the settings as a team's weight shifts them.
 
     For goodput, more calls wait so that no place stays free; for recovery, the level
@@ -124,7 +124,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LevelsSettings:
+class ReportedLevelsSettings:
     """Settings of the levels an entry node has learnt.
 
     Parameters
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/waiting.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/waiting.py
@@ -87,7 +87,7 @@
                 return waiter
         return None
 
-    def pop_worst(self) -> Waiter | None:
+    def pop_least_important(self) -> Waiter | None:
         """Take out the oldest call of the least important priority."""
         for key in sorted(self._lines, reverse=True):
             line = self._lines[key]
@@ -104,7 +104,7 @@
             default=None,
         )
 
-    def worst_priority(self) -> int | None:
+    def least_important_priority(self) -> int | None:
         """Return the least important priority among the waiting calls."""
         return max((key for key, line in self._lines.items() if line), default=None)
 
--- a/packages/fuchsiagap/src/fuchsiagap/core/freshness/knowledge_age.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/freshness/config_freshness.py
@@ -18,7 +18,7 @@
     from fuchsiagap.core.clock import Milliseconds
 
 
-class KnowledgeAge:
+class ConfigFreshness:
     """The moment up to which the configuration in force is known to be the newest.
 
     Attributes
@@ -30,8 +30,8 @@
     def __init__(self) -> None:
         self.as_of: Milliseconds = float("-inf")
         # A moment at which a version was the newest that is not in force here yet.
-        self._ahead_version = 0
-        self._ahead_as_of: Milliseconds = float("-inf")
+        self._pending_version = 0
+        self._pending_as_of: Milliseconds = float("-inf")
 
     def confirm(self, version: int, as_of: Milliseconds, in_force: int) -> None:
         """Take in that a version was the newest at a moment.
@@ -50,11 +50,11 @@
         """
         if version == in_force:
             self.as_of = max(self.as_of, as_of)
-        elif version > in_force and as_of > self._ahead_as_of:
-            self._ahead_version = version
-            self._ahead_as_of = as_of
+        elif version > in_force and as_of > self._pending_as_of:
+            self._pending_version = version
+            self._pending_as_of = as_of
 
     def adopt(self, version: int) -> None:
         """Take in that a version is in force here from now on."""
-        if version >= self._ahead_version:
-            self.as_of = max(self.as_of, self._ahead_as_of)
+        if version >= self._pending_version:
+            self.as_of = max(self.as_of, self._pending_as_of)
--- a/packages/fuchsiagap/src/fuchsiagap/core/freshness/sources.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/freshness/source_selector.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Source:
+class FreshnessSource:
     """A node that can be asked.
 
     Parameters
@@ -37,7 +37,7 @@
     local: bool
 
 
-class Sources:
+class SourceSelector:
     """Remembers how fresh the answers of each node were.
 
     Parameters
@@ -55,13 +55,13 @@
         self._ages[name] = age, now
 
     def choose(
-        self, nodes: Sequence[Source], now: Milliseconds, is_urgent: bool
+        self, nodes: Sequence[FreshnessSource], now: Milliseconds, is_urgent: bool
     ) -> list[str]:
         """Return the nodes to ask.
 
         Parameters
         ----------
-        nodes : sequence of Source
+        nodes : sequence of FreshnessSource
             Those in reach.
         now : float
             Time.
@@ -76,7 +76,7 @@
         return [first, other] if is_urgent and other != first else [first]
 
     def _order(
-        self, source: Source, now: Milliseconds
+        self, source: FreshnessSource, now: Milliseconds
     ) -> tuple[bool, bool, Milliseconds, float]:
         age, at = self._ages.get(source.name, (_REMEMBERED_MS, float("-inf")))
         if now - at > _REMEMBERED_MS:
@@ -86,7 +86,7 @@
         rank = 0.0 if is_good else age
         return not likely, not source.local, rank, self._rng.random()
 
-    def forget(self, nodes: Sequence[Source]) -> None:
+    def forget(self, nodes: Sequence[FreshnessSource]) -> None:
         """Forget the nodes that are not among these."""
         names = {source.name for source in nodes}
         self._ages = {name: age for name, age in self._ages.items() if name in names}
--- a/packages/fuchsiagap/src/fuchsiagap/core/freshness/store_view.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/freshness/store_view.py
@@ -58,7 +58,7 @@
 
     def __init__(self, settle: Milliseconds = 0.0) -> None:
         self._settle = settle
-        self._sound_from: Milliseconds = float("-inf")
+        self._reliable_from: Milliseconds = float("-inf")
         self._as_of: Milliseconds = float("-inf")
         self._peer_epoch = NO_EPOCH
         self.epoch = NO_EPOCH
@@ -71,7 +71,7 @@
             return False
         cursor_epoch = NO_EPOCH if self.cursor is None else self.cursor.epoch
         if {self.epoch, self._peer_epoch, cursor_epoch} - {NO_EPOCH, epoch}:
-            self._sound_from = now + self._settle
+            self._reliable_from = now + self._settle
         self.epoch = epoch
         if cursor_epoch in (NO_EPOCH, epoch):
             return False
@@ -88,7 +88,7 @@
         self.note_epoch(cursor.epoch, now)
         if self.cursor is not None and cursor.revision < self.cursor.revision:
             # A return that the store does not tell of.
-            self._sound_from = now + self._settle
+            self._reliable_from = now + self._settle
         self._move_to(cursor, version, now)
 
     def note_older_read(self, cursor: Cursor, version: int, now: Milliseconds) -> None:
@@ -146,4 +146,4 @@
         A store that holds an older one than this node has lost it, and may have lost
         newer ones besides. So may one that has just come back.
         """
-        return self.version == version and asked_at >= self._sound_from
+        return self.version == version and asked_at >= self._reliable_from
--- a/packages/fuchsiagap/src/fuchsiagap/core/quarantine/crash_watch.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/quarantine/crash_tracker.py
@@ -14,7 +14,7 @@
 _READ_LATE_MS = 100.0
 
 
-class CrashWatch:
+class CrashTracker:
     """Requests of one server that ended without an answer, until it answers again.
 
     The connections of a server that crashes all end at once, those of requests that
--- a/packages/fuchsiagap/src/fuchsiagap/core/quarantine/verdict.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/quarantine/hold_rule.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Case:
+class CrashEvidence:
     """What speaks for and against one request.
 
     Parameters
@@ -34,7 +34,7 @@
     others: int
 
 
-def is_convincing(case: Case) -> bool:
+def should_hold(case: CrashEvidence) -> bool:
     """Whether a request is to be kept from all servers."""
     if case.crashes >= CERTAIN_CAUSE:
         return case.rivals < _MOST_RIVALS
--- a/packages/fuchsiagap/src/fuchsiagap/core/quarantine/lost_servers.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/quarantine/lost_link_requests.py
@@ -22,7 +22,7 @@
     fingerprints: set[bytes] = field(default_factory=set)
 
 
-class LostServers:
+class LostLinkRequests:
     """Distinguishes servers that ended with their node from links that were cut.
 
     A lost link says nothing of the server behind it. Once the node is linked again, its
--- a/packages/fuchsiagap/src/fuchsiagap/core/quarantine/quarantine.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/quarantine/quarantine.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
+from fuchsiagap.core.quarantine.hold_rule import ONLY_CAUSE, CrashEvidence, should_hold
 from fuchsiagap.core.quarantine.recent_answers import RecentAnswers
-from fuchsiagap.core.quarantine.verdict import ONLY_CAUSE, Case, is_convincing
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
@@ -35,7 +35,7 @@
     ----------
     evidence_ms : float
         Milliseconds for which a crash counts as evidence.
-    other_ms : float
+    unrelated_ms : float
         Milliseconds for which crashes without a request speak for it.
     answered_ms : float
         Milliseconds for which an answer shows that a request crashes nothing.
@@ -43,21 +43,21 @@
         Milliseconds until a request that crashed three servers is tried again.
     idle_ms : float
         Milliseconds without being asked for after which a request is no longer held.
-    most_suspects, most_held, most_answered : int
+    max_suspects, max_held, max_answered : int
         Fingerprints that are remembered of each kind.
-    most_crashes : int
+    max_crashes : int
         Crashes that are remembered.
     """
 
     evidence_ms: Milliseconds = 600_000.0
-    other_ms: Milliseconds = 60_000.0
+    unrelated_ms: Milliseconds = 60_000.0
     answered_ms: Milliseconds = 60_000.0
     probe_ms: Milliseconds = 60_000.0
     idle_ms: Milliseconds = 3_600_000.0
-    most_suspects: int = 4_096
-    most_held: int = 1_024
-    most_answered: int = 8_192
-    most_crashes: int = 1_024
+    max_suspects: int = 4_096
+    max_held: int = 1_024
+    max_answered: int = 8_192
+    max_crashes: int = 1_024
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,7 +83,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class HeldRequest:
     """A request that no server may run.
 
     Parameters
@@ -149,7 +149,7 @@
     def __init__(self, cfg: QuarantineSettings, clock: Clock) -> None:
         self._cfg = cfg
         self._clock = clock
-        self._answered = RecentAnswers(cfg.answered_ms, cfg.most_answered)
+        self._answered = RecentAnswers(cfg.answered_ms, cfg.max_answered)
         self._suspects: OrderedDict[bytes, _Suspect] = OrderedDict()
         self._crashes: OrderedDict[str, _Known] = OrderedDict()
         self._held: OrderedDict[bytes, _Hold] = OrderedDict()
@@ -191,7 +191,7 @@
         was_held = self._held.pop(fingerprint, None) is not None
         return was_suspect or was_held
 
-    def is_near_hold(self, fingerprint: bytes) -> bool:
+    def is_strong_suspect(self, fingerprint: bytes) -> bool:
         """Whether a request is held, or was at work at more than one crash."""
         return fingerprint in self._held or self._is_repeated(fingerprint)
 
@@ -208,21 +208,21 @@
         _, _, known = self._crashes.setdefault(crash.incarnation, entry)
         fresh = crash.fingerprints - known
         known |= fresh
-        _trim(self._crashes, self._cfg.most_crashes)
+        _trim(self._crashes, self._cfg.max_crashes)
         for fingerprint in sorted(fresh):
             if fingerprint in self._answered:
                 continue
             suspect = self._suspects.setdefault(fingerprint, _Suspect())
             self._suspects.move_to_end(fingerprint)
             suspect.crashes[crash.incarnation] = at
-        _trim(self._suspects, self._cfg.most_suspects)
+        _trim(self._suspects, self._cfg.max_suspects)
         return fresh
 
-    def answered_of(self, fingerprints: Iterable[bytes]) -> list[bytes]:
+    def select_answered(self, fingerprints: Iterable[bytes]) -> list[bytes]:
         """Return which of some requests were answered of late."""
         return [f for f in fingerprints if f in self._answered]
 
-    def evaluate(self, crash: Crash) -> list[Held]:
+    def evaluate(self, crash: Crash) -> list[HeldRequest]:
         """Hold those of a crash's requests that cause crashes; return the new ones."""
         held = []
         background = self._background()
@@ -235,7 +235,7 @@
                 if not self._is_convicted(fingerprint, suspect, background):
                     continue
             n_crashes = len(suspect.crashes)
-            found = Held(fingerprint, crash.service, n_crashes, crash.age)
+            found = HeldRequest(fingerprint, crash.service, n_crashes, crash.age)
             if self.apply_hold(found):
                 held.append(found)
                 background = self._background()
@@ -248,7 +248,7 @@
 
     def _background(self) -> _Background:
         """Return what all suspects are compared with."""
-        since = self._clock.now() - self._cfg.other_ms
+        since = self._clock.now() - self._cfg.unrelated_ms
         counts = Counter(
             len(suspect.crashes)
             for name, suspect in self._suspects.items()
@@ -271,9 +271,9 @@
         counts = background.counts
         rivals = sum(many for crashes, many in counts.items() if crashes >= least) - 1
         others = sum(fingerprint not in at for at in background.unexplained)
-        return is_convincing(Case(n_crashes, rivals, others))
+        return should_hold(CrashEvidence(n_crashes, rivals, others))
 
-    def apply_hold(self, held: Held) -> bool:
+    def apply_hold(self, held: HeldRequest) -> bool:
         """Hold a request; return whether that, or its last crash, is news."""
         if held.fingerprint in self._answered:
             return False
@@ -282,7 +282,7 @@
         known = self._held.get(held.fingerprint)
         if known is None:
             self._held[held.fingerprint] = _Hold(held.service, held.crashes, since, now)
-            _trim(self._held, self._cfg.most_held)
+            _trim(self._held, self._cfg.max_held)
             return True
         is_news = held.crashes > known.crashes or since > known.since + _SAME_MS
         known.crashes = max(known.crashes, held.crashes)
@@ -303,13 +303,13 @@
         hold.asked_at = now
         return False
 
-    def start_probe(self, fingerprint: bytes) -> Held | None:
+    def start_probe(self, fingerprint: bytes) -> HeldRequest | None:
         """Return what all nodes are to be told if a held request may be tried now."""
         hold = self._held.get(fingerprint)
         if hold is None or self.retry_after(fingerprint) > 0.0:
             return None
         hold.since = self._clock.now()
-        return Held(fingerprint, hold.service, hold.crashes, 0.0)
+        return HeldRequest(fingerprint, hold.service, hold.crashes, 0.0)
 
     def retry_after(self, fingerprint: bytes) -> Milliseconds:
         """Return the milliseconds until a held request may be tried; 0 if it may."""
@@ -321,12 +321,12 @@
         wait = self._cfg.probe_ms * _BACKOFF ** max(hold.crashes - ONLY_CAUSE, 0)
         return max(hold.since + wait - self._clock.now(), 0.0)
 
-    def held(self) -> Iterator[Held]:
+    def held(self) -> Iterator[HeldRequest]:
         """Yield the requests that are held."""
         now = self._clock.now()
         for fingerprint, hold in self._held.items():
             age = max(now - hold.since, 0.0)
-            yield Held(fingerprint, hold.service, hold.crashes, age)
+            yield HeldRequest(fingerprint, hold.service, hold.crashes, age)
 
     def evidence(self) -> Iterator[Crash]:
         """Yield crashes with the requests that were at work at more than one."""
--- a/packages/fuchsiagap/src/fuchsiagap/core/routes/table.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/routes/table.py
@@ -29,7 +29,7 @@
 
     Raises
     ------
-    SharedKey
+    DuplicateKeyError
         If two workspaces hold the same key.
     """
 
--- a/packages/fuchsiagap/src/fuchsiagap/core/workspaces/grants.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/workspaces/grants.py
@@ -24,8 +24,8 @@
 # Milliseconds over which requests that got no token are counted (to 1/e).
 _DENIED_MS = 1_000.0
 # Milliseconds that a request without a token is to stay away, at least and at most.
-LEAST_WAIT_MS = 100.0
-MOST_WAIT_MS = 5_000.0
+MIN_WAIT_MS = 100.0
+MAX_WAIT_MS = 5_000.0
 # Milliseconds without a question after which a bucket is forgotten, with a burst that
 # has come in meanwhile.
 _FORGOTTEN_MS = 60_000.0
@@ -106,8 +106,8 @@
         owned.count_denied(wanted - tokens if is_short else 0, now)
         if not is_short:
             return Grant(tokens)
-        wait = MS_PER_S * owned.denied / rate if rate > 0.0 else MOST_WAIT_MS
-        return Grant(tokens, min(max(wait, LEAST_WAIT_MS), MOST_WAIT_MS))
+        wait = MS_PER_S * owned.denied / rate if rate > 0.0 else MAX_WAIT_MS
+        return Grant(tokens, min(max(wait, MIN_WAIT_MS), MAX_WAIT_MS))
 
     @property
     def n_owned(self) -> int:
--- a/packages/fuchsiagap/src/fuchsiagap/core/workspaces/keys.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/workspaces/keys.py
@@ -24,7 +24,7 @@
     return hashlib.blake2b(key, digest_size=DIGEST_BYTES, person=_PERSON).digest()
 
 
-class SharedKey(Exception):
+class DuplicateKeyError(Exception):
     """Two workspaces hold the same key.
 
     Parameters
@@ -49,7 +49,7 @@
 
     Raises
     ------
-    SharedKey
+    DuplicateKeyError
         If two of them hold the same key.
     """
 
@@ -59,7 +59,7 @@
             for digest in workspace.key_digests:
                 holder = self._holders.setdefault(digest, workspace)
                 if holder is not workspace:
-                    raise SharedKey(holder.name, workspace.name)
+                    raise DuplicateKeyError(holder.name, workspace.name)
 
     def find(self, digest: bytes) -> Workspace | None:
         """Return the workspace that holds a key, by the digest of the key."""
--- a/packages/fuchsiagap/src/fuchsiagap/core/workspaces/ownership.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/workspaces/ownership.py
@@ -37,7 +37,7 @@
 
 
 def granted_share(
-    own: str, known: Collection[str], heard: Collection[str], hears_own: bool
+    own: str, known: Collection[str], heard: Collection[str], reaches_own: bool
 ) -> float:
     """Return the part of each quota that a node may hand out as its owner.
 
@@ -53,13 +53,13 @@
         Data centres that have nodes.
     heard : collection of str
         Data centres of which a node is heard.
-    hears_own : bool
+    reaches_own : bool
         Whether a node of its own data centre is heard, or there is no other, or the
         store answers this node: one that hears nobody is cut off by itself, and those
         beside it count for their data centre.
     """
     places = {own, *known}
     reached = set(heard) & places
-    if hears_own:
+    if reaches_own:
         reached.add(own)
     return len(reached) / len(places)
--- a/packages/fuchsiagap/src/fuchsiagap/core/workspaces/holdings.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/workspaces/token_cache.py
@@ -15,7 +15,7 @@
 
 # Milliseconds for which a token may be used. Tokens that are kept for longer than a
 # window allows could be used together with those of a later one.
-TOKEN_LIFE_MS = 1_000.0
+TOKEN_LIFETIME_MS = 1_000.0
 # Milliseconds of requests that a node asks tokens for in advance, and what is left of
 # them when it asks again.
 _AHEAD_MS = 300.0
@@ -49,7 +49,7 @@
         return self.asked * span / _COUNTED_MS
 
 
-class QuotaHoldings:
+class TokenCache:
     """Tokens by workspace, and how many to ask for."""
 
     def __init__(self) -> None:
@@ -106,7 +106,7 @@
         if now >= held.until:
             held.tokens = 0
         held.tokens += grant.tokens
-        held.until = now + TOKEN_LIFE_MS
+        held.until = now + TOKEN_LIFETIME_MS
         if grant.wait > 0.0:
             held.denied_until = now + min(grant.wait, _DENIED_MS)
             held.come_back_at = now + grant.wait
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/admission/test_fast_backend.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/admission/test_fast_backend.py
@@ -35,7 +35,7 @@
     rng = random.Random(seed)
     clock = trio_clock(wall_offset=0.0)
     gate = Gate(GateSettings(start_limit=256), clock, rng)
-    gate.reported(256, 0)
+    gate.apply_report(256, 0)
     refused = 0
     spike_until = 0.0
 
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/admission/test_gate.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/admission/test_gate.py
@@ -160,7 +160,7 @@
     def test_a_level_below_shuts_the_routes_that_need_it(self) -> None:
         async def main() -> list[str]:
             gate = a_gate(start_limit=9)
-            gate.note_below(
+            gate.record_downstream_load(
                 "certs/read", a_service("results"), a_load(level_priority=4)
             )
             order: list[str] = []
@@ -180,7 +180,7 @@
     def test_silence_below_lets_one_call_ask_again(self) -> None:
         async def main() -> list[str]:
             gate = a_gate(start_limit=9)
-            gate.note_below(
+            gate.record_downstream_load(
                 "certs/read", a_service("results"), a_load(level_priority=4)
             )
             order: list[str] = []
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/admission/test_limit.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/admission/test_limit.py
@@ -21,7 +21,7 @@
 ) -> tuple[int, int]:
     """Return the limit, and the calls answered in the last five seconds."""
     gate = a_gate()
-    gate.reported(reported, 0)
+    gate.apply_report(reported, 0)
     load = Load(
         gate, _TRUE_SLOTS, lambda now: 5.0 if slow_from <= now < slow_to else 1.0
     )
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/admission/test_levels.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/admission/test_reported_levels.py
@@ -4,8 +4,8 @@
 
 from testtools import TestCase
 
-from fuchsiagap.core.admission.levels import Levels
-from fuchsiagap.core.admission.settings import LevelsSettings
+from fuchsiagap.core.admission.reported_levels import ReportedLevels
+from fuchsiagap.core.admission.settings import ReportedLevelsSettings
 from fuchsiagap.core.clock import Clock
 from fuchsiagap_standins.builders import a_head, a_load, a_service
 
@@ -15,8 +15,8 @@
         super().setUp()
         self.now = 0.0
         clock = Clock(now=lambda: self.now, wall=lambda: self.now)
-        self.cfg = LevelsSettings()
-        self.levels = Levels(clock, self.cfg)
+        self.cfg = ReportedLevelsSettings()
+        self.levels = ReportedLevels(clock, self.cfg)
 
     def learn(
         self, priority: int, cohort: int = 127, instance: str = "certs-1"
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/freshness/test_all_orders.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/freshness/test_config_freshness_exhaustive.py
@@ -10,7 +10,7 @@
 
 from testtools import TestCase
 
-from fuchsiagap.core.freshness.knowledge_age import KnowledgeAge
+from fuchsiagap.core.freshness.config_freshness import ConfigFreshness
 
 N_NODES = 3
 DEEPEST = 8
@@ -48,10 +48,10 @@
 
 def knowledge(node):
     """Return the product's object in the state of a node."""
-    known = KnowledgeAge()
+    known = ConfigFreshness()
     known.as_of = node.as_of
-    known._ahead_version = node.ahead_version
-    known._ahead_as_of = node.ahead_as_of
+    known._pending_version = node.ahead_version
+    known._pending_as_of = node.ahead_as_of
     return known
 
 
@@ -61,8 +61,8 @@
         node,
         in_force=in_force,
         as_of=known.as_of,
-        ahead_version=known._ahead_version,
-        ahead_as_of=known._ahead_as_of,
+        ahead_version=known._pending_version,
+        ahead_as_of=known._pending_as_of,
     )
 
 
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/freshness/test_sources.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/freshness/test_source_selector.py
@@ -2,15 +2,15 @@
 
 from testtools import TestCase
 
-from fuchsiagap.core.freshness.sources import Source, Sources
+from fuchsiagap.core.freshness.source_selector import FreshnessSource, SourceSelector
 
-NODES = [Source(f"n{n}", watches=n == 3, local=n < 8) for n in range(12)]
+NODES = [FreshnessSource(f"n{n}", watches=n == 3, local=n < 8) for n in range(12)]
 
 
 class TestSources(TestCase):
     def setUp(self):
         super().setUp()
-        self.sources = Sources(random.Random(1))
+        self.sources = SourceSelector(random.Random(1))
 
     def test_one_that_the_store_answers_is_asked_first(self):
         self.assertEqual(["n3"], self.sources.choose(NODES, 0.0, is_urgent=False))
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/freshness/test_all_returns.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/freshness/test_store_view_exhaustive.py
@@ -12,7 +12,7 @@
 
 from testtools import TestCase
 
-from fuchsiagap.core.freshness.knowledge_age import KnowledgeAge
+from fuchsiagap.core.freshness.config_freshness import ConfigFreshness
 from fuchsiagap.core.freshness.store_view import Cursor, StoreView
 
 # Three by hand: `RETURN_NODES=3`.
@@ -74,7 +74,7 @@
     view = StoreView(SETTLE)
     (
         view._as_of,
-        view._sound_from,
+        view._reliable_from,
         view.epoch,
         view._peer_epoch,
         view.cursor,
@@ -87,7 +87,7 @@
     """Return a node in the state of the product's object."""
     state = (
         view._as_of,
-        view._sound_from,
+        view._reliable_from,
         view.epoch,
         view._peer_epoch,
         view.cursor,
@@ -98,10 +98,10 @@
 
 def with_knowledge(node, change):
     """Return a node whose knowledge a function has changed."""
-    known = KnowledgeAge()
-    known.as_of, known._ahead_version, known._ahead_as_of = node.knowledge
+    known = ConfigFreshness()
+    known.as_of, known._pending_version, known._pending_as_of = node.knowledge
     change(known)
-    state = known.as_of, known._ahead_version, known._ahead_as_of
+    state = known.as_of, known._pending_version, known._pending_as_of
     return replace(node, knowledge=state)
 
 
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/quarantine/test_crash_watch.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/quarantine/test_crash_tracker.py
@@ -1,11 +1,11 @@
 from testtools import TestCase
 
-from fuchsiagap.core.quarantine.crash_watch import CrashWatch
+from fuchsiagap.core.quarantine.crash_tracker import CrashTracker
 
 
 def a_watch(now=0.0):
     """Return a watch of one incarnation."""
-    watch = CrashWatch()
+    watch = CrashTracker()
     watch.start_incarnation("i-1", now)
     return watch
 
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/quarantine/test_quarantine.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/quarantine/test_quarantine.py
@@ -5,7 +5,7 @@
 from fuchsiagap.core.clock import Clock
 from fuchsiagap.core.quarantine.quarantine import (
     Crash,
-    Held,
+    HeldRequest,
     Quarantine,
     QuarantineSettings,
 )
@@ -64,9 +64,9 @@
     def test_one_crash_is_far_from_a_hold(self):
         play = APlay()
         play.crash(1, b"a")
-        self.assertFalse(play.quarantine.is_near_hold(b"a"))
+        self.assertFalse(play.quarantine.is_strong_suspect(b"a"))
         play.crash(2, b"a")
-        self.assertTrue(play.quarantine.is_near_hold(b"a"))
+        self.assertTrue(play.quarantine.is_strong_suspect(b"a"))
 
     def test_answer_that_another_node_saw_frees_a_request_that_is_held(self):
         play = APlay()
@@ -76,7 +76,7 @@
         self.assertTrue(play.quarantine.apply_clearance(b"a"))
         self.assertTrue(play.quarantine.admits(b"a"))
         self.assertFalse(play.quarantine.apply_clearance(b"a"))
-        self.assertFalse(play.quarantine.apply_hold(Held(b"a", "certs", 3, 0.0)))
+        self.assertFalse(play.quarantine.apply_hold(HeldRequest(b"a", "certs", 3, 0.0)))
 
     def test_crashes_without_a_request_speak_for_it(self):
         play = APlay()
@@ -153,17 +153,19 @@
 
     def test_what_others_hold_is_held_here_and_news_once(self):
         play = APlay()
-        held = Held(b"a", "certs", 4, 500.0)
+        held = HeldRequest(b"a", "certs", 4, 500.0)
         self.assertTrue(play.quarantine.apply_hold(held))
         self.assertFalse(play.quarantine.apply_hold(held))
         self.assertFalse(play.quarantine.admits(b"a"))
         self.assertEqual([held], list(play.quarantine.held()))
-        self.assertTrue(play.quarantine.apply_hold(Held(b"a", "certs", 5, 500.0)))
+        self.assertTrue(
+            play.quarantine.apply_hold(HeldRequest(b"a", "certs", 5, 500.0))
+        )
 
     def test_memory_is_bounded_however_many_requests_crash_servers(self):
-        play = APlay(most_suspects=50, most_held=20, most_crashes=30)
+        play = APlay(max_suspects=50, max_held=20, max_crashes=30)
         for number in range(200):
             play.crash(number, *(b"%d-%d" % (number, n) for n in range(5)))
-            play.quarantine.apply_hold(Held(b"%d" % number, "certs", 3, 0.0))
+            play.quarantine.apply_hold(HeldRequest(b"%d" % number, "certs", 3, 0.0))
         self.assertLessEqual(play.quarantine.n_suspects, 50)
         self.assertLessEqual(play.quarantine.n_held, 20)
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/workspaces/test_grants.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/workspaces/test_grants.py
@@ -1,6 +1,6 @@
 from testtools import TestCase
 
-from fuchsiagap.core.workspaces.grants import LEAST_WAIT_MS, MOST_WAIT_MS, QuotaGrants
+from fuchsiagap.core.workspaces.grants import MAX_WAIT_MS, MIN_WAIT_MS, QuotaGrants
 from fuchsiagap.core.workspaces.model import Workspace
 
 TEN = Workspace("ten", rate=10.0, burst=8.0)
@@ -20,7 +20,7 @@
         grants = QuotaGrants()
         grant = grants.grant(TEN, 3, 0.0)
         self.assertEqual(0, grant.tokens)
-        self.assertGreaterEqual(grant.wait, LEAST_WAIT_MS)
+        self.assertGreaterEqual(grant.wait, MIN_WAIT_MS)
         self.assertGreater(grants.grant(TEN, 3, 300.0).tokens, 0)
 
     def test_one_node_leaves_something_to_the_others(self):
@@ -34,7 +34,7 @@
         grants = QuotaGrants()
         waits = [grants.grant(TEN, 10, 0.0).wait for _ in range(20)]
         self.assertEqual(sorted(waits), waits)
-        self.assertEqual(MOST_WAIT_MS, waits[-1])
+        self.assertEqual(MAX_WAIT_MS, waits[-1])
 
     def test_part_of_a_quota_on_one_side_of_a_partition(self):
         grants = QuotaGrants()
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/workspaces/test_keys.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/workspaces/test_keys.py
@@ -1,6 +1,6 @@
 from testtools import TestCase
 
-from fuchsiagap.core.workspaces.keys import KeyTable, SharedKey, key_digest
+from fuchsiagap.core.workspaces.keys import DuplicateKeyError, KeyTable, key_digest
 from fuchsiagap.core.workspaces.model import Workspace
 
 
@@ -17,7 +17,7 @@
     def test_key_of_two_workspaces_is_rejected_without_naming_it(self):
         both = (key_digest(b"secret"),)
         workspaces = Workspace("one", both), Workspace("two", both)
-        exc = self.assertRaises(SharedKey, KeyTable, workspaces)
+        exc = self.assertRaises(DuplicateKeyError, KeyTable, workspaces)
         self.assertIn("'one'", str(exc))
         self.assertIn("'two'", str(exc))
         self.assertNotIn("secret", str(exc))
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/workspaces/test_ownership.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/workspaces/test_ownership.py
@@ -30,14 +30,14 @@
 
     def test_parts_of_all_sides_of_a_partition_are_never_above_the_whole(self):
         places = {"a", "b", "c"}
-        whole = granted_share("a", places, places, hears_own=True)
+        whole = granted_share("a", places, places, reaches_own=True)
         self.assertEqual(1.0, whole)
-        alone = granted_share("a", places, {"a"}, hears_own=True)
-        others = granted_share("b", places, {"b", "c"}, hears_own=True)
+        alone = granted_share("a", places, {"a"}, reaches_own=True)
+        others = granted_share("b", places, {"b", "c"}, reaches_own=True)
         self.assertAlmostEqual(1.0, alone + others)
 
     def test_node_that_hears_nobody_hands_out_nothing(self):
-        self.assertEqual(0.0, granted_share("a", {"a", "b"}, (), hears_own=False))
+        self.assertEqual(0.0, granted_share("a", {"a", "b"}, (), reaches_own=False))
 
     def test_only_node_of_all_hands_out_the_whole(self):
-        self.assertEqual(1.0, granted_share("a", (), (), hears_own=True))
+        self.assertEqual(1.0, granted_share("a", (), (), reaches_own=True))
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/workspaces/test_holdings.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/workspaces/test_token_cache.py
@@ -1,13 +1,13 @@
 from testtools import TestCase
 
 from fuchsiagap.core.workspaces.grants import Grant
-from fuchsiagap.core.workspaces.holdings import TOKEN_LIFE_MS, QuotaHoldings
+from fuchsiagap.core.workspaces.token_cache import TOKEN_LIFETIME_MS, TokenCache
 
 
 class TestQuotaHoldings(TestCase):
     def setUp(self):
         super().setUp()
-        self.held = QuotaHoldings()
+        self.held = TokenCache()
 
     def test_token_is_used_once(self):
         self.held.add("one", Grant(1), 0.0)
@@ -22,8 +22,8 @@
 
     def test_token_is_not_kept_for_a_later_window(self):
         self.held.add("one", Grant(5), 0.0)
-        self.assertFalse(self.held.take("one", TOKEN_LIFE_MS))
-        self.held.add("one", Grant(1), TOKEN_LIFE_MS)
+        self.assertFalse(self.held.take("one", TOKEN_LIFETIME_MS))
+        self.held.add("one", Grant(1), TOKEN_LIFETIME_MS)
         self.assertEqual(1, self.held.tokens("one"))
 
     def test_workspace_with_few_requests_holds_nothing_in_advance(self):
