--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/__init__.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/__init__.py
@@ -1,9 +1,9 @@
-"""Admission beside one backend server: limit, queue, level, and levels learnt.
+"""Admission control for one backend server: concurrency limit, queue and level.
 
 Attributes
 ----------
 gate
-    What each call passes before it is handed to the backend server.
-levels
-    What an entry node has learnt of the levels elsewhere.
+    Admits, queues or refuses each call before it is handed to the backend server.
+reported_levels
+    Admission levels that other nodes have reported to an entry node.
 """
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/admitted.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/admitted.py
@@ -1,4 +1,4 @@
-"""What a gate says of a call: that it passed, or why not."""
+"""The decision on one call: admitted, or which admission level rejects it."""
 
 from __future__ import annotations
 
@@ -13,11 +13,9 @@
     from fuchsiagap.core.calls.head import CallHead
     from fuchsiagap.core.clock import Milliseconds
 
-# Details of refusals, for people.
-OWN_LEVEL = "the admission level of this instance is below the call's"
-DOWNSTREAM_LEVEL = (
-    "the admission level of a service that the call needs is below its own"
-)
+# Human-readable details of refusals.
+OWN_LEVEL = "the admission level of this instance does not admit the call"
+DOWNSTREAM_LEVEL = "the admission level of a downstream service does not admit the call"
 QUEUE_FULL = "the queue of this instance is full of calls at least as important"
 
 
@@ -30,11 +28,11 @@
     head : CallHead
         Head of the call.
     started_at : float
-        When it passed the gate.
+        Time of admission in milliseconds.
     waited : float
-        Milliseconds it waited before.
+        Milliseconds the call spent in the queue.
     in_flight : int
-        Calls in progress then, itself included.
+        Calls in progress at admission, including this one.
     """
 
     head: CallHead
@@ -44,27 +42,28 @@
 
 
 def find_rejecting_level(
-    head: CallHead, level: AdmissionLevel, below: DownstreamLevels
+    head: CallHead, level: AdmissionLevel, downstream: DownstreamLevels
 ) -> str | None:
-    """Return which level shuts a call out.
+    """Return which level rejects a call.
 
     Parameters
     ----------
     head : CallHead
         Head of the call.
     level : AdmissionLevel
-        The gate's own level.
-    below : DownstreamLevels
-        Levels of the services below.
+        Level of this gate.
+    downstream : DownstreamLevels
+        Levels of the downstream services.
 
     Returns
     -------
     str or None
-        `OWN_LEVEL` or `DOWNSTREAM_LEVEL`; None if the call may enter.
+        `OWN_LEVEL` or `DOWNSTREAM_LEVEL`; None if the call is admitted.
     """
     wanted = position_of(head.priority, head.cohort)
-    # A chain that was let in further up has work behind it: it is judged by the
-    # levels of that time, but never goes before a more important call.
+    # Refusing a chain that was admitted upstream wastes the work already done for it.
+    # So it is judged by the highest recent level, but never ahead of a call of a more
+    # important priority.
     in_chain = head.depth > 1
     own = level.position
     if wanted > own:
@@ -72,7 +71,9 @@
         if not is_late_in_chain or head.priority > level_at(own)[0]:
             return OWN_LEVEL
     if in_chain:
-        return DOWNSTREAM_LEVEL if wanted > below.chain_position(head.route) else None
-    if wanted > below.position(head.route) and not below.may_probe(head):
+        return (
+            DOWNSTREAM_LEVEL if wanted > downstream.chain_position(head.route) else None
+        )
+    if wanted > downstream.position(head.route) and not downstream.may_probe(head):
         return DOWNSTREAM_LEVEL
     return None
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/capacity.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/capacity.py
@@ -1,4 +1,4 @@
-"""How many calls the backend server gets through, estimated while it changes."""
+"""Estimates how many calls the backend server completes in a time span."""
 
 from __future__ import annotations
 
@@ -9,69 +9,88 @@
 if TYPE_CHECKING:
     from fuchsiagap.core.clock import Milliseconds
 
+# Weight of one step in the moving average of throughput.
 _THROUGHPUT_SMOOTHING = 0.25
-_ROUGHLY = 1.6
-_LEAST_LATENCY = 1.0
+# Factor by which the two estimates may differ before throughput overrides latency.
+_MAX_DISAGREEMENT = 1.6
+_MIN_LATENCY_MS = 1.0
 
 
 class Capacity:
-    """The capacity, from latency as a rule, and from throughput after a change.
+    """Capacity of one backend server, by Little's law from its latency.
+
+    After a sudden change of the backend server's speed, its throughput is used instead,
+    until the latency of answered calls reflects the change.
 
     Attributes
     ----------
-    times : ServiceTimes
+    service_times : ServiceTimes
         Latency of answered calls.
     """
 
     def __init__(self) -> None:
-        self.times = ServiceTimes()
+        self.service_times = ServiceTimes()
         # Sum of the start times of the calls in progress, for their mean age.
         self._started_sum = 0.0
-        # Calls that left in this step, and their average over saturated steps.
-        self._n_left = 0
+        # Calls that ended in this step, and their average over saturated steps.
+        self._n_ended = 0
         self._throughput: float | None = None
 
-    def started(self, now: Milliseconds) -> None:
+    def record_start(self, now: Milliseconds) -> None:
         """Count a call that starts."""
         self._started_sum += now
 
-    def left(self, started_at: Milliseconds) -> None:
-        """Count a call that has ended, however it did."""
+    def record_end(self, started_at: Milliseconds) -> None:
+        """Count a call that has ended, with any outcome."""
         self._started_sum -= started_at
-        self._n_left += 1
+        self._n_ended += 1
 
     def step(
         self, now: Milliseconds, elapsed: Milliseconds, in_flight: int, limit: int
     ) -> None:
-        """Average the calls that leave, over steps in which all places were taken."""
-        n_left, self._n_left = self._n_left, 0
+        """Update the throughput; only steps at the concurrency limit count.
+
+        Parameters
+        ----------
+        now, elapsed : float
+            Time, and time since the last step, in milliseconds.
+        in_flight, limit : int
+            Calls in progress, and the concurrency limit.
+        """
+        n_ended, self._n_ended = self._n_ended, 0
         if in_flight < limit:
             self._throughput = None
         elif self._throughput is None:
             self._throughput = in_flight * elapsed / self._latency(now, in_flight)
         else:
-            self._throughput += _THROUGHPUT_SMOOTHING * (n_left - self._throughput)
+            self._throughput += _THROUGHPUT_SMOOTHING * (n_ended - self._throughput)
 
-    def within(
+    def estimate(
         self, now: Milliseconds, elapsed: Milliseconds, in_flight: int, limit: int
     ) -> float:
-        """Return how many calls the backend server gets through in a time.
+        """Return how many calls the backend server completes in a time span.
 
         Parameters
         ----------
         now, elapsed : float
-            The moment, and the time in question.
+            Time, and the length of the span, in milliseconds.
         in_flight, limit : int
-            Calls in progress, and their limit.
+            Calls in progress, and the concurrency limit.
         """
-        capacity = limit * elapsed / self._latency(now, in_flight)
-        # Latency tells of a change late, throughput at once but roughly.
-        rough = self._throughput
-        if rough is None or capacity / _ROUGHLY <= rough <= capacity * _ROUGHLY:
-            return capacity
-        return rough
+        by_latency = limit * elapsed / self._latency(now, in_flight)
+        # Latency shows a change of speed late; throughput shows it at once, but varies
+        # more from step to step.
+        measured = self._throughput
+        if (
+            measured is None
+            or by_latency / _MAX_DISAGREEMENT
+            <= measured
+            <= by_latency * _MAX_DISAGREEMENT
+        ):
+            return by_latency
+        return measured
 
     def _latency(self, now: Milliseconds, in_flight: int) -> Milliseconds:
-        """Return the latency; no less than the calls in progress have taken so far."""
+        """Return the mean latency, at least the mean age of the calls in progress."""
         mean_age = now - self._started_sum / in_flight if in_flight else 0.0
-        return max(self.times.overall, mean_age, _LEAST_LATENCY)
+        return max(self.service_times.overall, mean_age, _MIN_LATENCY_MS)
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/downstream.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/downstream.py
@@ -1,4 +1,4 @@
-"""What the services below a route have reported."""
+"""Admission levels that the services downstream of a route have reported."""
 
 from __future__ import annotations
 
@@ -14,34 +14,36 @@
     from fuchsiagap.core.calls.outcome import LoadReport
     from fuchsiagap.core.clock import Clock, Milliseconds
 
+# Weight of a new report in the moving average, and of one that is far more open.
 _SMOOTHING = 0.3
-_OPENING = 0.7
+_OPENING_SMOOTHING = 0.7
 
 
 @dataclass(slots=True)
-class _Below:
-    """What is known of one service.
+class _DownstreamLevel:
+    """The level of one service.
 
     Parameters
     ----------
     position : float
-        Smoothed over the reports of its instances.
-    loose : float
-        Where the position has been of late; it falls more slowly.
-    at : float
-        When it was last heard of.
-    probe_at : float
-        When a call may pass next, only to hear of it again.
+        Moving average over the reports of the service's instances.
+    chain_position : float
+        Highest recent position, for calls within a chain; falls more slowly than
+        `position`.
+    reported_at : float
+        Time of the last report in milliseconds.
+    next_probe_at : float
+        Time from which a call may pass only to bring back a fresh report.
     """
 
     position: float
-    loose: float
-    at: Milliseconds
-    probe_at: Milliseconds
+    chain_position: float
+    reported_at: Milliseconds
+    next_probe_at: Milliseconds
 
 
 class DownstreamLevels:
-    """Levels of the services that the calls of each route call in turn.
+    """Admission levels of the services that the calls of each route call in turn.
 
     Parameters
     ----------
@@ -55,66 +57,71 @@
         self._cfg = cfg
         self._clock = clock
         self._services: dict[str, set[ServiceName]] = {}
-        self._noted: dict[ServiceName, _Below] = {}
+        self._levels: dict[ServiceName, _DownstreamLevel] = {}
 
     def adopt(self, cfg: GateSettings) -> None:
-        """Go on under other settings."""
+        """Apply changed settings."""
         self._cfg = cfg
 
-    def note(self, route: str, service: ServiceName, load: LoadReport) -> None:
-        """Take in one report.
+    def record(self, route: str, service: ServiceName, load: LoadReport) -> None:
+        """Record the load report of a service that a route's calls have called.
 
-        What one route's calls learn of a service holds for all routes that call it:
-        a route which is shut has no calls of its own to learn from.
+        The reported level applies to every route that calls the service, since a
+        route whose calls are all refused receives no reports of its own.
         """
         self._services.setdefault(route, set()).add(service)
         now = self._clock.now()
         position = position_of(load.level_priority, load.level_cohort)
-        below = self._noted.get(service)
-        if below is None:
-            self._noted[service] = _Below(position, position, now, 0.0)
+        level = self._levels.get(service)
+        if level is None:
+            self._levels[service] = _DownstreamLevel(position, position, now, 0.0)
             return
-        # Instances differ a little; a priority more is news.
-        is_news = position > below.position + N_COHORTS
-        smoothing = _OPENING if is_news else _SMOOTHING
-        below.position += smoothing * (position - below.position)
-        if abs(position - below.position) < 1.0:
-            # A mean comes near and never arrives; half a cohort is no difference.
-            below.position = position
-        fallen = min((now - below.at) / self._cfg.chain_ms, 1.0)
-        below.loose -= fallen * (below.loose - below.position)
-        below.loose = max(below.loose, below.position)
-        below.at = now
+        # Instances of one service differ by some cohorts; a difference of more than a
+        # whole priority means that the service has opened.
+        has_opened = position > level.position + N_COHORTS
+        smoothing = _OPENING_SMOOTHING if has_opened else _SMOOTHING
+        level.position += smoothing * (position - level.position)
+        if abs(position - level.position) < 1.0:
+            # A moving average never quite reaches its target; less than one cohort
+            # makes no difference.
+            level.position = position
+        fallen = min((now - level.reported_at) / self._cfg.chain_ms, 1.0)
+        level.chain_position -= fallen * (level.chain_position - level.position)
+        level.chain_position = max(level.chain_position, level.position)
+        level.reported_at = now
 
     def position(self, route: str) -> float:
-        """Return the lowest position among the services below a route."""
+        """Return the lowest position among the services downstream of a route."""
         services = self._services.get(route)
         if not services:
             return OPEN_POSITION
-        return min(self._noted[service].position for service in services)
+        return min(self._levels[service].position for service in services)
 
     def chain_position(self, route: str) -> float:
-        """Return the lowest position that the services below had of late."""
+        """Return the lowest recent position, for calls within a chain."""
         services = self._services.get(route)
         if not services:
             return OPEN_POSITION
-        return min(self._noted[service].loose for service in services)
+        return min(self._levels[service].chain_position for service in services)
 
     def may_probe(self, head: CallHead) -> bool:
-        """Whether a call shall pass although it is shut out below.
+        """Whether a call passes although a downstream level rejects it.
 
-        Without calls nothing is heard of the services below; so one passes now and
-        then, and brings a fresh report.
+        Without calls no reports come back from the downstream services. So one call
+        passes every `GateSettings.probe_ms` and brings back a fresh report.
         """
         now = self._clock.now()
         wanted = position_of(head.priority, head.cohort)
-        stale = [
-            below
+        rejecting = [
+            level
             for service in self._services.get(head.route, ())
-            if (below := self._noted[service]).position < wanted
+            if (level := self._levels[service]).position < wanted
         ]
-        if any(now < max(b.at + self._cfg.probe_ms, b.probe_at) for b in stale):
+        if any(
+            now < max(level.reported_at + self._cfg.probe_ms, level.next_probe_at)
+            for level in rejecting
+        ):
             return False
-        for below in stale:
-            below.probe_at = now + self._cfg.probe_ms
+        for level in rejecting:
+            level.next_probe_at = now + self._cfg.probe_ms
         return True
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/gate.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/gate.py
@@ -1,4 +1,4 @@
-"""The gate beside one backend server: each call passes it before it is run."""
+"""The admission gate of one backend server, which each call passes before it runs."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 )
 from fuchsiagap.core.admission.capacity import Capacity
 from fuchsiagap.core.admission.downstream import DownstreamLevels
-from fuchsiagap.core.admission.level import AdmissionLevel, Pressure
+from fuchsiagap.core.admission.level import AdmissionLevel, GateLoad
 from fuchsiagap.core.admission.limit import ConcurrencyLimit
 from fuchsiagap.core.admission.position import level_at
 from fuchsiagap.core.admission.settings import (
@@ -39,21 +39,22 @@
 
 __all__ = ["DOWNSTREAM_LEVEL", "OWN_LEVEL", "QUEUE_FULL", "Admitted", "Gate"]
 
+# Mean retry-after of a refusal, in adjustment steps.
 _RETRY_AFTER_STEPS = 20
-# However many wait, the level lets in this share of what the server gets through; the
-# smaller share is for the first steps of a flood, when the many chains that were let
-# in before it are still to come.
-_LEAST_SHARE = 0.7
-_ONSET_SHARE = 0.25
+# The level admits at least this share of the capacity, however long the queue is. At
+# the onset of an overload the share is smaller, since the calls of the many chains
+# that were admitted before it are still to arrive.
+_MIN_ADMITTED_SHARE = 0.7
+_ONSET_ADMITTED_SHARE = 0.25
 _ONSET_MS = 700.0
-# Surplus calls are worked off faster than missing ones are let in.
-_DRAINING = 2.0
-# Waiting calls, as a multiple of those aimed at, beyond which load is shed at once.
-_FLOODED = 3.0
+# Gain for surplus calls, as a multiple of the gain for missing ones.
+_SURPLUS_GAIN = 2.0
+# Queue length, as a multiple of the target, beyond which load is shed at once.
+_OVERFULL_FACTOR = 3.0
 
 
 class Gate:
-    """Admission, concurrency limit and queue of one backend server.
+    """Admission level, concurrency limit and queue of one backend server.
 
     Parameters
     ----------
@@ -66,11 +67,11 @@
 
     See Also
     --------
-    fuchsiagap.core.admission.reported_levels.ReportedLevels : Receives load reports.
+    fuchsiagap.core.admission.reported_levels.ReportedLevels : Uses the load reports.
     """
 
     def __init__(self, cfg: GateSettings, clock: Clock, rng: random.Random) -> None:
-        self._base = cfg
+        self._base_cfg = cfg
         cfg = self._cfg = apply_weight(cfg)
         self._clock = clock
         self._rng = rng
@@ -78,19 +79,19 @@
         self._waiting = WaitingCalls(cfg.by_priority)
         self._limit = ConcurrencyLimit(cfg)
         self._level = AdmissionLevel(cfg)
-        self._below = DownstreamLevels(cfg, clock)
+        self._downstream = DownstreamLevels(cfg, clock)
         self._capacity = Capacity()
-        self._times = self._capacity.times
+        self._service_times = self._capacity.service_times
         self._stepped_at = clock.now()
 
     @property
     def in_flight(self) -> int:
-        """Calls the backend server works on."""
+        """Calls in progress at the backend server."""
         return self._in_flight
 
     @property
     def limit(self) -> int:
-        """Concurrency limit now."""
+        """Current concurrency limit."""
         return self._limit.value
 
     @property
@@ -99,25 +100,25 @@
         return len(self._waiting)
 
     def adopt(self, cfg: GateSettings) -> None:
-        """Go on under other settings, for example after the team's changed."""
-        self._base = cfg
+        """Apply changed settings, for example after a change of the team's."""
+        self._base_cfg = cfg
         self._cfg = apply_weight(cfg)
-        for part in (self._limit, self._level, self._below):
-            part.adopt(self._cfg)
+        for component in (self._limit, self._level, self._downstream):
+            component.adopt(self._cfg)
 
     def set_weight(self, weight: float) -> None:
-        """Take over the weight of the team that owns the backend server.
+        """Apply the weight of the team that owns the backend server.
 
         Parameters
         ----------
         weight : float
-            0 favours goodput, 1 recovery.
+            0 favours goodput, 1 favours recovery.
         """
-        if weight != self._base.weight:
-            self.adopt(replace(self._base, weight=weight))
+        if weight != self._base_cfg.weight:
+            self.adopt(replace(self._base_cfg, weight=weight))
 
     async def enter(self, head: CallHead) -> Admitted | Refused:
-        """Wait until the call may be handed to the backend server.
+        """Admit a call, wait in the queue until it can be admitted, or refuse it.
 
         Parameters
         ----------
@@ -127,15 +128,15 @@
         Returns
         -------
         Admitted or Refused
-            What was admitted has to be given back by `leave`.
+            An admitted call occupies a slot until `leave` is called.
         """
         now = self._clock.now()
-        self._level.see(head)
+        self._level.record_arrival(head)
         if self._cfg.use_level:
-            shut_by = find_rejecting_level(head, self._level, self._below)
-            if shut_by is not None:
-                return self._refuse(head, Reason.OVERLOAD, shut_by)
-        if self._is_hopeless(head, now):
+            rejected_by = find_rejecting_level(head, self._level, self._downstream)
+            if rejected_by is not None:
+                return self._refuse(head, Reason.OVERLOAD, rejected_by)
+        if self._misses_deadline(head, now):
             return self._refuse(head, Reason.DEADLINE)
         if self._in_flight < self._limit.value and not self._waiting:
             return self._start(head, 0.0)
@@ -144,7 +145,7 @@
         return await self._wait(Waiter(head, now))
 
     def leave(self, admitted: Admitted, outcome: Outcome) -> None:
-        """Give back the place of a call that has ended.
+        """Release the slot of a call that has ended.
 
         Parameters
         ----------
@@ -154,52 +155,52 @@
             How the call ended.
         """
         self._in_flight -= 1
-        self._capacity.left(admitted.started_at)
+        self._capacity.record_end(admitted.started_at)
         latency = self._latency(admitted, outcome)
         route = admitted.head.route
         if latency is not None:
-            self._times.add(route, latency)
-        self._limit.ended(route, admitted.started_at, latency, admitted.in_flight)
+            self._service_times.add(route, latency)
+        self._limit.record_end(route, admitted.started_at, latency, admitted.in_flight)
         if isinstance(outcome, Refused) and outcome.reason is Reason.BACKEND_REFUSED:
-            self._limit.shed(admitted.in_flight)
+            self._limit.record_refusal(admitted.in_flight)
         self._start_waiting()
 
     def refuse_waiting(self, reason: Reason) -> None:
-        """Refuse every call that waits, for example since the node is leaving.
+        """Refuse every waiting call, for example because the node is leaving.
 
         Parameters
         ----------
         reason : Reason
-            What they are told.
+            Reason of the refusals.
         """
         while (waiter := self._waiting.pop_least_important()) is not None:
             self._drop(waiter, reason)
 
     def step(self) -> None:
-        """Adjust limit and level; called every `cfg.step_ms`."""
+        """Adjust limit and level; to be called every `GateSettings.step_ms`."""
         now = self._clock.now()
         elapsed, self._stepped_at = now - self._stepped_at, now
         self._limit.step(now)
         self._start_waiting()
         self._capacity.step(now, elapsed, self._in_flight, self._limit.value)
         if self._cfg.use_level:
-            self._level.step(self._startable(elapsed), self._pressure(elapsed))
-            self._drop_shut_out()
+            self._level.step(self._target_arrivals(elapsed), self._load(elapsed))
+            self._drop_rejected()
 
     def report(self, route: str) -> LoadReport:
-        """Return the load as calls of a route meet it.
+        """Return the load that calls of a route encounter.
 
         Parameters
         ----------
         route : str
-            Route; the level covers what was learnt of the services below it.
+            Route; the reported level covers its downstream services too.
 
         Returns
         -------
         LoadReport
             Sent back with each answer and refusal.
         """
-        position = min(self._level.position, self._below.position(route))
+        position = min(self._level.position, self._downstream.position(route))
         priority, cohort = level_at(position)
         return LoadReport(
             level_priority=priority,
@@ -210,21 +211,21 @@
         )
 
     def apply_report(self, slots: int, in_flight: int) -> None:
-        """Take in what the backend server says of itself: a start value only.
+        """Apply a load report of the backend server, as a start value of the limit.
 
         Parameters
         ----------
         slots : int
-            Concurrent calls it says it can serve.
+            Concurrent calls that the server claims to support.
         in_flight : int
-            Calls it says it works on; not used, since it lags.
+            Calls in progress according to the server; not used, since the figure lags.
         """
         self._limit.apply_report(slots)
 
     def record_downstream_load(
         self, route: str, service: ServiceName, load: LoadReport
     ) -> None:
-        """Take in the load of a service that a route's calls call in turn.
+        """Record the load of a service that a route's calls call in turn.
 
         Parameters
         ----------
@@ -233,27 +234,27 @@
         service : ServiceName
             The called service.
         load : LoadReport
-            What came back with its answer or refusal.
+            Load report of its answer or refusal.
         """
-        self._below.note(route, service, load)
+        self._downstream.record(route, service, load)
 
     def _latency(self, admitted: Admitted, outcome: Outcome) -> Milliseconds | None:
-        """Return the latency of a call that ended; None if it says nothing."""
+        """Return the latency of a call that ended; None if it is not meaningful."""
         if isinstance(outcome, Refused):
             return None
         latency = self._clock.now() - admitted.started_at
         if isinstance(outcome, Answered):
             return latency
-        # A call that was cut short took at least that.
-        expected = self._times.expected(admitted.head.route)
+        # The time until a call was cut short is a lower bound of its latency.
+        expected = self._service_times.expected(admitted.head.route)
         return latency if latency >= expected else None
 
-    def _is_hopeless(self, head: CallHead, now: Milliseconds) -> bool:
+    def _misses_deadline(self, head: CallHead, now: Milliseconds) -> bool:
         if head.deadline <= now:
             return True
         if not self._cfg.use_deadline or self._in_flight == 0:
             return False
-        return now + self._times.expected(head.route) > head.deadline
+        return now + self._service_times.expected(head.route) > head.deadline
 
     def _refuse(self, head: CallHead, reason: Reason, detail: str = "") -> Refused:
         pause = self._cfg.step_ms * _RETRY_AFTER_STEPS
@@ -268,17 +269,21 @@
     def _start(self, head: CallHead, waited: Milliseconds) -> Admitted:
         now = self._clock.now()
         self._in_flight += 1
-        self._capacity.started(now)
-        self._limit.started(now)
+        self._capacity.record_start(now)
+        self._limit.record_start(now)
         return Admitted(head, now, waited, self._in_flight)
 
     def _make_room(self, head: CallHead) -> bool:
-        """Return whether the call may wait, dropping a less important one if full."""
-        most = max(int(self._limit.value * self._cfg.queue_share), 1)
-        if len(self._waiting) < most:
+        """Return whether a call may wait; a full queue drops a less important one."""
+        max_waiting = max(int(self._limit.value * self._cfg.queue_share), 1)
+        if len(self._waiting) < max_waiting:
             return True
-        worst = self._waiting.least_important_priority()
-        if not self._cfg.by_priority or worst is None or worst <= head.priority:
+        least_important = self._waiting.least_important_priority()
+        if (
+            not self._cfg.by_priority
+            or least_important is None
+            or least_important <= head.priority
+        ):
             return False
         dropped = self._waiting.pop_least_important()
         if dropped is not None:
@@ -286,49 +291,49 @@
         return True
 
     def _drop(self, waiter: Waiter, reason: Reason) -> None:
-        waiter.dropped_for = reason
+        waiter.drop_reason = reason
         waiter.ready.set()
 
     async def _wait(self, waiter: Waiter) -> Admitted | Refused:
-        """Wait in the queue until started, dropped or too late."""
+        """Wait in the queue until the call is started, dropped or too late."""
         self._waiting.add(waiter)
         try:
-            with trio.move_on_after(self._patience(waiter.head) / MS_PER_S):
+            with trio.move_on_after(self._max_wait(waiter.head) / MS_PER_S):
                 await waiter.ready.wait()
         except BaseException:
-            # The caller left, perhaps in the moment its call was given a place.
-            self._give_up(waiter)
+            # The caller was cancelled, perhaps just as its call was granted a slot.
+            self._abandon(waiter)
             raise
         self._waiting.discard(waiter)
-        waited = self._clock.now() - waiter.since
+        waited = self._clock.now() - waiter.enqueued_at
         if waiter.granted:
             self._in_flight -= 1
             return self._start(waiter.head, waited)
-        if waiter.dropped_for is Reason.OVERLOAD:
+        if waiter.drop_reason is Reason.OVERLOAD:
             return self._refuse(waiter.head, Reason.OVERLOAD, QUEUE_FULL)
-        return self._refuse(waiter.head, waiter.dropped_for or Reason.DEADLINE)
+        return self._refuse(waiter.head, waiter.drop_reason or Reason.DEADLINE)
 
-    def _give_up(self, waiter: Waiter) -> None:
+    def _abandon(self, waiter: Waiter) -> None:
         self._waiting.discard(waiter)
         if waiter.granted:
             self._in_flight -= 1
             self._start_waiting()
 
-    def _patience(self, head: CallHead) -> Milliseconds:
-        """Return how long a call can wait and still end in time."""
+    def _max_wait(self, head: CallHead) -> Milliseconds:
+        """Return how long a call can wait and still meet its deadline."""
         left = head.deadline - self._clock.now()
         if self._cfg.use_deadline:
-            left -= self._times.expected(head.route)
+            left -= self._service_times.expected(head.route)
         return max(left, 0.0)
 
     def _start_waiting(self) -> None:
-        """Start waiting calls while there are places."""
+        """Start waiting calls while there are free slots."""
         order = self._order()
         while self._in_flight < self._limit.value:
             waiter = self._waiting.pop_next(order)
             if waiter is None:
                 return
-            if self._is_hopeless(waiter.head, self._clock.now()):
+            if self._misses_deadline(waiter.head, self._clock.now()):
                 self._drop(waiter, Reason.DEADLINE)
                 continue
             waiter.granted = True
@@ -339,62 +344,65 @@
         order = self._cfg.queue_order
         if order is not QueueOrder.ADAPTIVE:
             return order
-        late = self._is_overloaded()
-        return QueueOrder.NEWEST_FIRST if late else QueueOrder.OLDEST_FIRST
+        is_overloaded = self._is_overloaded()
+        return QueueOrder.NEWEST_FIRST if is_overloaded else QueueOrder.OLDEST_FIRST
 
     def _is_overloaded(self) -> bool:
-        oldest = self._waiting.oldest_since()
+        oldest = self._waiting.oldest_enqueued_at()
         if oldest is None:
             return False
         return self._clock.now() - oldest > self._cfg.target_wait
 
-    def _startable(self, elapsed: Milliseconds) -> float:
+    def _target_arrivals(self, elapsed: Milliseconds) -> float:
         """Return how many calls the next step should admit.
 
-        They are what the backend server gets through, and a share of what is
-        missing to full slots and a queue that is just not empty.
+        They are the capacity of a step, plus a share of what is missing to full slots
+        and the target queue length, or less a share of what exceeds them.
         """
         limit = self._limit.value
-        per_step = self._startable_by_server(elapsed)
-        missing = limit + self._aim() - self._in_flight - len(self._waiting)
-        if self._is_flooded() and self._level.closed_ms < _ONSET_MS:
-            to_come = self._level.chain_share
-            return (_LEAST_SHARE + to_come * (_ONSET_SHARE - _LEAST_SHARE)) * per_step
-        gain = self._cfg.gain if missing > 0.0 else _DRAINING * self._cfg.gain
-        return max(per_step + gain * missing, _LEAST_SHARE * per_step)
-
-    def _drop_shut_out(self) -> None:
-        """Drop waiting calls of priorities that the level has shut by now."""
+        per_step = self._step_capacity(elapsed)
+        missing = limit + self._target_queue() - self._in_flight - len(self._waiting)
+        if self._is_overfull() and self._level.closed_ms < _ONSET_MS:
+            in_chains = self._level.chain_share
+            return (
+                _MIN_ADMITTED_SHARE
+                + in_chains * (_ONSET_ADMITTED_SHARE - _MIN_ADMITTED_SHARE)
+            ) * per_step
+        gain = self._cfg.gain if missing > 0.0 else _SURPLUS_GAIN * self._cfg.gain
+        return max(per_step + gain * missing, _MIN_ADMITTED_SHARE * per_step)
+
+    def _drop_rejected(self) -> None:
+        """Drop waiting calls of priorities that the level no longer admits."""
         priority, _ = level_at(self._level.position)
         for waiter in self._waiting.less_important_than(priority):
             self._waiting.discard(waiter)
             self._drop(waiter, Reason.OVERLOAD)
 
-    def _is_flooded(self) -> bool:
-        return len(self._waiting) > _FLOODED * self._aim()
+    def _is_overfull(self) -> bool:
+        return len(self._waiting) > _OVERFULL_FACTOR * self._target_queue()
 
-    def _aim(self) -> float:
-        """Return how many calls should wait, so that no place stays free by chance.
+    def _target_queue(self) -> float:
+        """Return how many calls should wait, so that no slot idles by chance.
 
-        Chance leaves about the square root of the places free.
+        Random variation of arrivals leaves about the square root of the slots free.
         """
-        return max(self._cfg.queue_aim * math.sqrt(self._limit.value), 1.0)
+        return max(self._cfg.queue_target * math.sqrt(self._limit.value), 1.0)
 
-    def _startable_by_server(self, elapsed: Milliseconds) -> float:
-        """Return how many calls the backend server gets through in a time."""
+    def _step_capacity(self, elapsed: Milliseconds) -> float:
+        """Return how many calls the backend server completes in a time span."""
         limit = self._limit.value
         if self._cfg.limit_policy is LimitPolicy.NONE:
             return float(limit)
         now = self._clock.now()
-        return self._capacity.within(now, elapsed, self._in_flight, limit)
+        return self._capacity.estimate(now, elapsed, self._in_flight, limit)
 
-    def _pressure(self, elapsed: Milliseconds) -> Pressure:
+    def _load(self, elapsed: Milliseconds) -> GateLoad:
         limit = self._limit.value
         n_waiting = len(self._waiting)
-        return Pressure(
-            load=(self._in_flight + n_waiting) / limit,
-            is_late=self._is_overloaded(),
-            is_flooded=self._is_flooded(),
-            worst_waiting=self._waiting.least_important_priority(),
-            capacity=self._startable_by_server(elapsed),
+        return GateLoad(
+            utilization=(self._in_flight + n_waiting) / limit,
+            is_overloaded=self._is_overloaded(),
+            is_overfull=self._is_overfull(),
+            least_important_waiting=self._waiting.least_important_priority(),
+            capacity=self._step_capacity(elapsed),
         )
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/level.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/level.py
@@ -1,10 +1,11 @@
-"""The admission level of one gate: which (priority, cohort) pairs may enter.
-
-The level is reckoned from two figures: how many calls the next step can start, and
-how many calls arrive for each cohort of a priority. Nodes above refuse what the level
-refuses, and later than it moves; so what arrives from beyond the level says little of
-the demand there. Arrivals are therefore counted only below the lowest level of the
-last steps, where everything gets through, and the demand beyond is remembered.
+"""The admission level of one gate: which (priority, cohort) pairs are admitted.
+
+The level follows from two figures: how many calls the next step can start, and how many
+calls arrive for each cohort of a priority. Upstream nodes refuse what the level
+rejects, but learn of a change with a delay, so arrivals beyond the level say little
+about the demand there. Arrivals are therefore counted only up to the lowest level of
+the last steps, where upstream nodes refuse nothing, and the estimate of the demand
+beyond it is retained.
 """
 
 from __future__ import annotations
@@ -22,81 +23,90 @@
     from fuchsiagap.core.calls.head import CallHead
     from fuchsiagap.core.clock import Milliseconds
 
-# Steps after which nodes above have heard of a level.
-_HEARD_STEPS = 30
-_FAST = 0.18
-_SLOW = 0.03
-# Beyond this factor between the two averages, demand has changed.
-_CHANGED = 1.6
-_FADING = 0.985
-_LEAST_DENSITY = 1e-4
-# Demand, as a multiple of capacity, that is met at once and not step by step.
-_SEVERE = 2.0
+# Steps after which upstream nodes have learned of a level.
+_PROPAGATION_STEPS = 30
+# Weights of a new sample in the two moving averages of demand.
+_FAST_SMOOTHING = 0.18
+_SLOW_SMOOTHING = 0.03
+# Factor between the two averages beyond which demand has changed.
+_DEMAND_CHANGE_FACTOR = 1.6
+# Decay per step of a demand estimate that has no new samples.
+_UNOBSERVED_DECAY = 0.985
+# Lower bound of the demand, in calls per step and cohort; avoids division by zero.
+_MIN_DENSITY = 1e-4
+# Demand, as a multiple of capacity, beyond which the level may skip whole priorities.
+_SEVERE_OVERLOAD_FACTOR = 2.0
 _CHAIN_SMOOTHING = 0.02
-# Part of a priority's cohorts that chance may not shut out while nothing is flooded.
-_MARGIN = 0.2 * N_COHORTS
+# Cohorts of a priority that random variation may not reject, unless the queue is
+# overfull.
+_COHORT_MARGIN = 0.2 * N_COHORTS
 
 
 @dataclass(frozen=True, slots=True)
-class Pressure:
-    """How the gate stands at the end of a step.
+class GateLoad:
+    """Load of the gate at the end of a step.
 
     Parameters
     ----------
-    load : float
+    utilization : float
         Calls in progress and waiting, as a share of the limit.
-    is_late : bool
-        Whether calls wait too long; an open level closes only then.
-    is_flooded : bool
-        Whether far more calls wait than the level aims at.
-    worst_waiting : int or None
+    is_overloaded : bool
+        Whether calls wait too long; without this or `is_overfull` an open level stays
+        open.
+    is_overfull : bool
+        Whether the queue is far beyond its target length.
+    least_important_waiting : int or None
         The least important priority among the waiting calls.
     capacity : float
-        Calls that the backend server gets through in a step.
+        Calls that the backend server completes in a step.
     """
 
-    load: float
-    is_late: bool
-    is_flooded: bool
-    worst_waiting: int | None = None
+    utilization: float
+    is_overloaded: bool
+    is_overfull: bool
+    least_important_waiting: int | None = None
     capacity: float = 0.0
 
 
 @dataclass(slots=True)
-class _Tier:
-    """Demand of one priority, in calls a step for each cohort.
+class _PriorityDemand:
+    """Demand of one priority, in calls per step and cohort.
 
     Parameters
     ----------
     n_counted : int
-        Calls of this step below the level that all have heard of.
+        Calls of this step up to the propagated level.
     fast, slow : float
-        Averages over a few and over many steps.
+        Moving averages over few and over many steps.
     """
 
     n_counted: int = 0
     fast: float = 0.0
     slow: float = 0.0
 
-    def take(self, cohorts: float) -> None:
-        """Take in a step's count over a number of cohorts."""
+    def update(self, cohorts: float) -> None:
+        """Add the count of a step, made over a number of cohorts, to the averages."""
         sample = self.n_counted / cohorts
-        self.fast += _FAST * (sample - self.fast)
-        self.slow += _SLOW * (sample - self.slow)
-        if not self.slow / _CHANGED <= self.fast <= self.slow * _CHANGED:
-            self.slow += _FAST * (self.fast - self.slow)
+        self.fast += _FAST_SMOOTHING * (sample - self.fast)
+        self.slow += _SLOW_SMOOTHING * (sample - self.slow)
+        if (
+            not self.slow / _DEMAND_CHANGE_FACTOR
+            <= self.fast
+            <= self.slow * _DEMAND_CHANGE_FACTOR
+        ):
+            self.slow += _FAST_SMOOTHING * (self.fast - self.slow)
 
-    def density(self, flooded: bool) -> float:
-        """Return the calls a step for each cohort; the higher view if flooded."""
-        density = max(self.fast, self.slow) if flooded else self.slow
-        return max(density, _LEAST_DENSITY)
+    def density(self, is_overfull: bool) -> float:
+        """Return the calls per step and cohort; the higher average if overfull."""
+        density = max(self.fast, self.slow) if is_overfull else self.slow
+        return max(density, _MIN_DENSITY)
 
 
 class AdmissionLevel:
-    """The level, moved once a step.
+    """The admission level of one gate, moved once per step.
 
-    It stands in the space of the priorities seen so far, so that it crosses
-    priorities which nobody uses at once.
+    It counts cohorts through the priorities that have occurred so far, so that it skips
+    unused priorities.
 
     Parameters
     ----------
@@ -107,17 +117,20 @@
     def __init__(self, cfg: GateSettings) -> None:
         self._cfg = cfg
         self._priorities: list[int] = []
-        self._tiers: dict[int, _Tier] = {}
-        # Cohorts admitted, counted through the priorities seen; None is open.
+        self._demand_of: dict[int, _PriorityDemand] = {}
+        # Cohorts admitted, counted through the known priorities; None if open.
         self._admitted: float | None = None
         self._n_closed_steps = 0
         self._chain_share = 0.0
         self._position = OPEN_POSITION
-        self._heard: deque[int] = deque([OPEN_POSITION], maxlen=_HEARD_STEPS)
-        self._heard_position = OPEN_POSITION
+        # Positions that may still be in force at upstream nodes, and their minimum.
+        self._propagating: deque[int] = deque(
+            [OPEN_POSITION], maxlen=_PROPAGATION_STEPS
+        )
+        self._propagated_position = OPEN_POSITION
         n_steps = max(int(cfg.chain_ms / cfg.step_ms), 1)
-        self._past: deque[int] = deque([OPEN_POSITION], maxlen=n_steps)
-        self._loose_position = OPEN_POSITION
+        self._recent: deque[int] = deque([OPEN_POSITION], maxlen=n_steps)
+        self._chain_position = OPEN_POSITION
 
     @property
     def position(self) -> int:
@@ -126,120 +139,124 @@
 
     @property
     def chain_position(self) -> int:
-        """The highest position that was admitted of late."""
-        return self._loose_position
+        """The highest position admitted in the last `GateSettings.chain_ms`."""
+        return self._chain_position
 
     @property
     def chain_share(self) -> float:
-        """Share of the arrivals that are made within a chain, not by a caller."""
+        """Share of the arrivals that are made within a chain, not by a client."""
         return self._chain_share
 
     @property
     def closed_ms(self) -> Milliseconds:
-        """For how long the level has not been open."""
+        """Milliseconds for which the level has not been open."""
         return self._n_closed_steps * self._cfg.step_ms
 
     def adopt(self, cfg: GateSettings) -> None:
-        """Go on under other settings."""
+        """Apply changed settings."""
         self._cfg = cfg
 
-    def see(self, head: CallHead) -> None:
-        """Count the arrival of a call, whether it is admitted or not."""
-        tier = self._tiers.get(head.priority)
-        if tier is None:
-            tier = self._tiers[head.priority] = _Tier()
+    def record_arrival(self, head: CallHead) -> None:
+        """Count the arrival of a call, admitted or not."""
+        demand = self._demand_of.get(head.priority)
+        if demand is None:
+            demand = self._demand_of[head.priority] = _PriorityDemand()
             self._add_priority(head.priority)
         self._chain_share += _CHAIN_SMOOTHING * ((head.depth > 1) - self._chain_share)
-        if position_of(head.priority, head.cohort) <= self._heard_position:
-            tier.n_counted += 1
+        if position_of(head.priority, head.cohort) <= self._propagated_position:
+            demand.n_counted += 1
 
-    def step(self, startable: float, pressure: Pressure) -> None:
-        """Move the level so that about `startable` calls a step arrive.
+    def step(self, target_arrivals: float, load: GateLoad) -> None:
+        """Move the level so that about `target_arrivals` calls arrive per step.
 
         Parameters
         ----------
-        startable : float
+        target_arrivals : float
             Calls that the next step should admit.
-        pressure : Pressure
-            How the gate stands.
+        load : GateLoad
+            Load of the gate.
         """
-        self._measure()
+        self._update_demand()
         self._n_closed_steps = 0 if self._admitted is None else self._n_closed_steps + 1
-        if self._admitted is not None or pressure.is_late or pressure.is_flooded:
-            target = self._target(startable, pressure.is_flooded)
-            if self._demand() <= _SEVERE * pressure.capacity:
-                target = max(target, self._floor(pressure.worst_waiting))
-            self._move(target, pressure.is_flooded)
-        if self._admitted is not None and pressure.load < self._cfg.busy:
-            idle = 1.0 - pressure.load / self._cfg.busy
+        if self._admitted is not None or load.is_overloaded or load.is_overfull:
+            target = self._target(target_arrivals, load.is_overfull)
+            if self._total_demand() <= _SEVERE_OVERLOAD_FACTOR * load.capacity:
+                target = max(target, self._floor(load.least_important_waiting))
+            self._move(target, load.is_overfull)
+        if self._admitted is not None and load.utilization < self._cfg.busy:
+            idle = 1.0 - load.utilization / self._cfg.busy
             self._set(self._admitted * (1.0 + self._cfg.reopening * idle))
-        self._heard.append(self._position)
-        self._heard_position = min(self._heard)
-        self._past.append(self._position)
-        self._loose_position = max(self._past)
-
-    def _measure(self) -> None:
-        """Take in what arrived in this step."""
-        for priority, tier in self._tiers.items():
-            cohorts = self._heard_position - position_of(priority, 0) + 1
+        self._propagating.append(self._position)
+        self._propagated_position = min(self._propagating)
+        self._recent.append(self._position)
+        self._chain_position = max(self._recent)
+
+    def _update_demand(self) -> None:
+        """Add the arrivals of this step to the demand estimates."""
+        for priority, demand in self._demand_of.items():
+            cohorts = self._propagated_position - position_of(priority, 0) + 1
             if cohorts > 0:
-                tier.take(min(cohorts, N_COHORTS))
+                demand.update(min(cohorts, N_COHORTS))
             else:
-                tier.fast *= _FADING
-                tier.slow *= _FADING
-            tier.n_counted = 0
+                demand.fast *= _UNOBSERVED_DECAY
+                demand.slow *= _UNOBSERVED_DECAY
+            demand.n_counted = 0
 
-    def _target(self, startable: float, flooded: bool) -> float:
-        """Return the level, in admitted cohorts, at which `startable` calls arrive."""
+    def _target(self, target_arrivals: float, is_overfull: bool) -> float:
+        """Return how many cohorts to admit so that `target_arrivals` calls arrive."""
         cohorts = 0.0
         for priority in self._priorities:
-            density = self._tiers[priority].density(flooded)
-            if startable <= density * N_COHORTS:
-                return cohorts + startable / density
-            startable -= density * N_COHORTS
+            density = self._demand_of[priority].density(is_overfull)
+            if target_arrivals <= density * N_COHORTS:
+                return cohorts + target_arrivals / density
+            target_arrivals -= density * N_COHORTS
             cohorts += N_COHORTS
         return cohorts
 
-    def _demand(self) -> float:
-        """Return how many calls a step want to enter, as far as is known."""
-        return N_COHORTS * sum(tier.fast for tier in self._tiers.values())
+    def _total_demand(self) -> float:
+        """Return the estimated calls per step over all priorities."""
+        return N_COHORTS * sum(demand.fast for demand in self._demand_of.values())
 
-    def _floor(self, worst_waiting: int | None) -> float:
-        """Return the level that shuts out the least important waiting calls.
+    def _floor(self, least_important_waiting: int | None) -> float:
+        """Return the level that rejects just the least important waiting priority.
 
-        It goes no lower at once: when they are gone, there may be room.
+        Lower levels are not considered in the same step, since capacity may suffice
+        once these calls have left the queue.
         """
-        if worst_waiting is None or worst_waiting not in self._tiers:
+        if (
+            least_important_waiting is None
+            or least_important_waiting not in self._demand_of
+        ):
             return 0.0
-        return float(N_COHORTS * self._priorities.index(worst_waiting))
-
-    def _move(self, target: float, flooded: bool) -> None:
-        """Go to the target at once to shed load, and part of the way otherwise."""
-        most = float(N_COHORTS * len(self._priorities))
-        before = most if self._admitted is None else self._admitted
-        over = -target % N_COHORTS
-        if not flooded and over < _MARGIN:
-            target += over
+        return float(N_COHORTS * self._priorities.index(least_important_waiting))
+
+    def _move(self, target: float, is_overfull: bool) -> None:
+        """Move to the target: at once to shed load, else a share of the distance."""
+        highest = float(N_COHORTS * len(self._priorities))
+        before = highest if self._admitted is None else self._admitted
+        to_next_priority = -target % N_COHORTS
+        if not is_overfull and to_next_priority < _COHORT_MARGIN:
+            target += to_next_priority
         if target >= before:
             share = self._cfg.opening
         else:
-            share = 1.0 if flooded else self._cfg.closing
+            share = 1.0 if is_overfull else self._cfg.closing
         self._set(max(before + share * (target - before), 1.0))
 
     def _set(self, admitted: float) -> None:
-        most = float(N_COHORTS * len(self._priorities))
-        self._admitted = None if admitted >= most - 1.0 else admitted
+        highest = float(N_COHORTS * len(self._priorities))
+        self._admitted = None if admitted >= highest - 1.0 else admitted
         self._position = self._position_now()
 
     def _position_now(self) -> int:
         if self._admitted is None:
             return OPEN_POSITION
-        tier, cohort = divmod(max(int(self._admitted), 1) - 1, N_COHORTS)
-        return position_of(self._priorities[tier], cohort)
+        index, cohort = divmod(max(int(self._admitted), 1) - 1, N_COHORTS)
+        return position_of(self._priorities[index], cohort)
 
     def _add_priority(self, priority: int) -> None:
-        """Make room for a priority, keeping what is admitted as it is."""
-        tier = bisect_right(self._priorities, priority)
+        """Insert a priority without changing which calls of others are admitted."""
+        index = bisect_right(self._priorities, priority)
         insort(self._priorities, priority)
-        if self._admitted is not None and self._admitted > tier * N_COHORTS:
+        if self._admitted is not None and self._admitted > index * N_COHORTS:
             self._admitted += N_COHORTS
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/position.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/position.py
@@ -1,4 +1,4 @@
-"""The admission level as one number, so that it can be averaged and opened.
+"""The admission level as one number, so that it can be averaged and moved gradually.
 
 A call of priority ``p`` and cohort ``c`` has the position ``p * N_COHORTS + c``. It
 is admitted if its position is at most that of the level.
@@ -8,6 +8,7 @@
 
 from fuchsiagap.core.calls.head import LEAST_PRIORITY, N_COHORTS
 
+# Position of a level that admits every call.
 OPEN_POSITION = (LEAST_PRIORITY + 1) * N_COHORTS - 1
 
 
@@ -33,7 +34,7 @@
     Parameters
     ----------
     position : float
-        Rounded down, and kept within 0 and `OPEN_POSITION`.
+        Rounded down and clipped to the range from 0 to `OPEN_POSITION`.
 
     Returns
     -------
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/reported_levels.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/reported_levels.py
@@ -1,4 +1,4 @@
-"""Levels learnt from load reports, by which an entry node refuses early."""
+"""Admission levels from load reports, by which an entry node refuses calls early."""
 
 from __future__ import annotations
 
@@ -14,57 +14,57 @@
     from fuchsiagap.core.calls.head import CallHead, ServiceName
     from fuchsiagap.core.clock import Clock, Milliseconds
 
-_RETRY_AFTER = 1_000.0
+_RETRY_AFTER_MS = 1_000.0
 
 
 @dataclass(frozen=True, slots=True)
-class _Learnt:
-    """What one instance reported last, and when."""
+class _Report:
+    """The last load report of one instance, and when it was received."""
 
     position: int
     load: LoadReport
-    at: Milliseconds
+    received_at: Milliseconds
 
 
 class ReportedLevels:
-    """The levels that an entry node has heard of, by route and instance.
+    """The levels reported to an entry node, by route and instance.
 
     Parameters
     ----------
     clock : Clock
         Clock of the process.
-    cfg : ReportedLevelsSettings
+    cfg : ReportedLevelsSettings, optional
         Settings.
     """
 
     def __init__(self, clock: Clock, cfg: ReportedLevelsSettings | None = None) -> None:
         self._clock = clock
         self._cfg = cfg or ReportedLevelsSettings()
-        self._probe_at: dict[tuple[ServiceName, str], Milliseconds] = {}
-        self._learnt: dict[tuple[ServiceName, str], dict[str, _Learnt]] = {}
+        self._next_probe_at: dict[tuple[ServiceName, str], Milliseconds] = {}
+        self._reports: dict[tuple[ServiceName, str], dict[str, _Report]] = {}
 
     def learn(
         self, service: ServiceName, route: str, instance: str, load: LoadReport
     ) -> None:
-        """Take in the load report that came with an answer or a refusal.
+        """Record the load report that came with an answer or a refusal.
 
         Parameters
         ----------
         service : ServiceName
             Service of the instance.
         route : str
-            Route of the call the report came with.
+            Route of the call that returned the report.
         instance : str
-            Name of the node beside the instance.
+            Name of the node that fronts the instance.
         load : LoadReport
             Its report for the route.
         """
         position = position_of(load.level_priority, load.level_cohort)
-        entry = _Learnt(position, load, self._clock.now())
-        self._learnt.setdefault((service, route), {})[instance] = entry
+        report = _Report(position, load, self._clock.now())
+        self._reports.setdefault((service, route), {})[instance] = report
 
     def refusal(self, head: CallHead) -> Refused | None:
-        """Refuse a call that every instance heard of would refuse.
+        """Refuse a call that every instance with a valid report would refuse.
 
         Parameters
         ----------
@@ -74,13 +74,13 @@
         Returns
         -------
         Refused or None
-            None if the call may go on.
+            None if the call may proceed.
         """
-        # A chain that was let in goes on: its next gate decides.
+        # Calls within an admitted chain are decided by the gate they reach.
         if not self._cfg.enabled or head.depth > 1:
             return None
         key = (head.service, head.route)
-        by_instance = self._learnt.get(key)
+        by_instance = self._reports.get(key)
         if not by_instance:
             return None
         position = self._position(by_instance)
@@ -91,7 +91,7 @@
         priority, cohort = level_at(position)
         return Refused(
             Reason.OVERLOAD,
-            retry_after=_RETRY_AFTER,
+            retry_after=_RETRY_AFTER_MS,
             allowance=head.allowance,
             load=LoadReport(priority, cohort, 0, 0, 0),
             detail=f"{head.service} admits up to priority {priority}, "
@@ -99,24 +99,24 @@
         )
 
     def _may_probe(self, key: tuple[ServiceName, str]) -> bool:
-        """Return whether a call shall pass only to bring a fresh report back."""
+        """Return whether a call passes only to bring back a fresh report."""
         now = self._clock.now()
-        if now < self._probe_at.get(key, 0.0):
+        if now < self._next_probe_at.get(key, 0.0):
             return False
-        self._probe_at[key] = now + self._cfg.probe_ms
+        self._next_probe_at[key] = now + self._cfg.probe_ms
         return True
 
-    def _position(self, by_instance: dict[str, _Learnt]) -> float | None:
-        """Return the most open of the levels that still count."""
+    def _position(self, by_instance: dict[str, _Report]) -> float | None:
+        """Return the most open level among the reports that are still valid."""
         now = self._clock.now()
-        best: float | None = None
-        for instance, learnt in list(by_instance.items()):
-            age = now - learnt.at
+        highest: float | None = None
+        for instance, report in list(by_instance.items()):
+            age = now - report.received_at
             if age > self._cfg.forget_ms:
                 del by_instance[instance]
                 continue
-            stale = max(age - self._cfg.fresh_ms, 0.0)
-            reopened = learnt.position + N_COHORTS * stale / self._cfg.reopen_ms
+            stale_for = max(age - self._cfg.fresh_ms, 0.0)
+            reopened = report.position + N_COHORTS * stale_for / self._cfg.reopen_ms
             position = min(reopened, OPEN_POSITION)
-            best = position if best is None else max(best, position)
-        return best
+            highest = position if highest is None else max(highest, position)
+        return highest
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/service_time.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/service_time.py
@@ -1,4 +1,4 @@
-"""How long calls take at the backend server, by route."""
+"""Mean latency of calls at the backend server, by route."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 if TYPE_CHECKING:
     from fuchsiagap.core.clock import Milliseconds
 
+# Weight of a new sample in the moving averages.
 _SMOOTHING = 0.1
 
 
@@ -19,20 +20,20 @@
 
     @property
     def overall(self) -> Milliseconds:
-        """Average over all routes; 0 before the first answer."""
+        """Average over all routes in milliseconds; 0 before the first answer."""
         return self._overall
 
     def add(self, route: str, latency: Milliseconds) -> None:
-        """Take in the latency of an answered call."""
-        self._overall = _moved(self._overall, latency)
-        self._by_route[route] = _moved(self._by_route.get(route, 0.0), latency)
+        """Record the latency of an answered call."""
+        self._overall = _smoothed(self._overall, latency)
+        self._by_route[route] = _smoothed(self._by_route.get(route, 0.0), latency)
 
     def expected(self, route: str) -> Milliseconds:
-        """Return how long a call of a route is expected to take; 0 if unknown."""
+        """Return the expected latency of a route's calls; 0 if unknown."""
         return self._by_route.get(route, 0.0)
 
 
-def _moved(average: Milliseconds, sample: Milliseconds) -> Milliseconds:
+def _smoothed(average: Milliseconds, sample: Milliseconds) -> Milliseconds:
     if average == 0.0:
         return sample
     return average + _SMOOTHING * (sample - average)
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/settings.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/settings.py
@@ -1,4 +1,4 @@
-"""Settings of admission, passed whole."""
+"""Settings of admission control."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
     from fuchsiagap.core.clock import Milliseconds
 
 
-# By how much the weight shifts a setting at most, as a share of it.
-_AIM_SHIFT = 0.1
+# Largest change of a setting by the team's weight, as a share of the setting.
+_QUEUE_TARGET_SHIFT = 0.1
 _REOPENING_SHIFT = 0.3
 
 
 class LimitPolicy(Enum):
-    """How the concurrency limit follows the backend server."""
+    """How the concurrency limit adapts to the backend server."""
 
     NONE = "none"
     FIXED = "fixed"
@@ -36,48 +36,48 @@
 
 @dataclass(frozen=True, slots=True)
 class GateSettings:
-    """Settings of the gate beside one backend server.
+    """Settings of the gate in front of one backend server.
 
     Parameters
     ----------
     step_ms : float
-        Time between two adjustments of limit and level.
+        Milliseconds between two adjustments of limit and level.
     limit_policy : LimitPolicy
-        How the concurrency limit is found.
+        How the concurrency limit adapts.
     start_limit : int
-        Limit until the backend server has reported its slots.
+        Concurrency limit until the backend server has reported its slots.
     min_limit, max_limit : int
-        Bounds of the limit.
+        Bounds of the concurrency limit.
     queue_order : QueueOrder
         Order within one priority.
     by_priority : bool
         Whether the queue orders by priority, and a full queue drops the least
         important call.
     queue_share : float
-        Most waiting calls, as a share of the limit.
+        Maximum queue length, as a share of the concurrency limit.
     target_wait : float
         Milliseconds a call may wait in the queue before the level closes.
-    queue_aim : float
-        Waiting calls the level aims at, as a multiple of the limit's square root.
+    queue_target : float
+        Target queue length, as a multiple of the square root of the concurrency limit.
     gain : float
-        Share of a surplus or deficit of calls that one step makes up for.
+        Share of a surplus or deficit of calls that one step corrects.
     opening, closing : float
-        Share of the way to its target that the level goes in one step.
+        Share of the distance to its target that the level moves in one step.
     busy : float
-        Calls in progress and waiting, as a share of the limit, below which the
-        level opens further than demand as it was would have it.
+        Calls in progress and waiting, as a share of the concurrency limit, below which
+        the level opens further than the demand estimate suggests.
     reopening : float
-        Growth of the level a step when nothing is in progress.
+        Growth of the level per step when no call is in progress, as a share of it.
     chain_ms : float
-        Time a chain of calls takes from its admission to its last call; so long it
-        is judged by the levels of that time.
+        Milliseconds from the admission of a chain to its last call; for so long its
+        calls are judged by the highest level of that time.
     probe_ms : float
-        Time without news of a service below after which one call passes although
-        that service was shut.
+        Milliseconds without a report of a downstream service after which one call
+        passes although the service's level rejects it.
     use_level : bool
         Whether the admission level closes under overload.
     use_deadline : bool
-        Whether calls that can't finish in time are refused.
+        Whether calls that cannot finish in time are refused.
     weight : float
         0 favours goodput, 1 favours recovery.
     """
@@ -91,7 +91,7 @@
     by_priority: bool = True
     queue_share: float = 0.7
     target_wait: Milliseconds = 50.0
-    queue_aim: float = 0.5
+    queue_target: float = 0.5
     gain: float = 0.02
     opening: float = 0.3
     closing: float = 0.25
@@ -105,41 +105,42 @@
 
 
 def apply_weight(cfg: GateSettings) -> GateSettings:
-    """Return the settings as a team's weight shifts them.
+    """Return the settings adjusted by the team's weight.
 
-    For goodput, more calls wait so that no place stays free; for recovery, the level
-    reopens faster and fewer wait.
+    To favour goodput, more calls wait so that no slot idles; to favour recovery, fewer
+    wait and the level reopens faster.
 
     Parameters
     ----------
     cfg : GateSettings
-        With the team's weight; at 0.5 nothing is shifted.
+        Settings with the team's weight; 0.5 changes nothing.
     """
-    lean = 2.0 * min(max(cfg.weight, 0.0), 1.0) - 1.0
+    bias = 2.0 * min(max(cfg.weight, 0.0), 1.0) - 1.0
     return replace(
         cfg,
-        queue_aim=cfg.queue_aim * (1.0 - _AIM_SHIFT * lean),
-        reopening=cfg.reopening * (1.0 + _REOPENING_SHIFT * lean),
+        queue_target=cfg.queue_target * (1.0 - _QUEUE_TARGET_SHIFT * bias),
+        reopening=cfg.reopening * (1.0 + _REOPENING_SHIFT * bias),
     )
 
 
 @dataclass(frozen=True, slots=True)
 class ReportedLevelsSettings:
-    """Settings of the levels an entry node has learnt.
+    """Settings of the levels reported to an entry node.
 
     Parameters
     ----------
     enabled : bool
-        Whether the entry node refuses early at all.
+        Whether the entry node refuses calls early.
     fresh_ms : float
-        Age up to which a learnt level stands as it was reported.
+        Age up to which a reported level applies unchanged.
     reopen_ms : float
-        Time after which a level that isn't renewed has opened by one priority.
+        Milliseconds in which a level without new reports opens by one priority.
     probe_ms : float
-        Time after which one call of a route passes although the level shuts it out;
-        the node it meets refuses it unrun, with a fresh report.
+        Milliseconds after which one call of a route passes although the level rejects
+        it; the node it reaches refuses it without running it and returns a fresh
+        report.
     forget_ms : float
-        Age at which a learnt level is dropped.
+        Age at which a reported level is dropped.
     """
 
     enabled: bool = True
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/waiting.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/waiting.py
@@ -1,4 +1,4 @@
-"""The short queue in front of one backend server."""
+"""The bounded queue of calls in front of one backend server."""
 
 from __future__ import annotations
 
@@ -25,15 +25,21 @@
     ----------
     head : CallHead
         Head of the call.
-    since : float
-        When it began to wait.
+    enqueued_at : float
+        Time at which the call entered the queue, in milliseconds.
+    ready : trio.Event
+        Set once the call is granted a slot or dropped.
+    granted : bool
+        Whether the call has a slot at the backend server.
+    drop_reason : Reason or None
+        Why the call was dropped; None if it was not.
     """
 
     head: CallHead
-    since: Milliseconds
+    enqueued_at: Milliseconds
     ready: trio.Event = field(default_factory=trio.Event)
     granted: bool = False
-    dropped_for: Reason | None = None
+    drop_reason: Reason | None = None
 
 
 class WaitingCalls:
@@ -42,98 +48,99 @@
     Parameters
     ----------
     by_priority : bool
-        Whether priorities count; otherwise all calls stand in one line.
+        Whether each priority has its own queue; otherwise all calls share one.
     """
 
     def __init__(self, by_priority: bool = True) -> None:
         self._by_priority = by_priority
-        # Dicts keep the order of arrival, and a call that leaves costs no search.
-        self._lines: dict[int, dict[Waiter, None]] = {}
+        # A dict keeps the order of arrival and removes any call in constant time.
+        self._queues: dict[int, dict[Waiter, None]] = {}
         self._n_waiting = 0
 
     def __len__(self) -> int:
         return self._n_waiting
 
     def add(self, waiter: Waiter) -> None:
-        """Put a call at the end of its line."""
-        self._lines.setdefault(self._key(waiter), {})[waiter] = None
+        """Append a call to the queue of its priority."""
+        self._queues.setdefault(self._key(waiter), {})[waiter] = None
         self._n_waiting += 1
 
     def discard(self, waiter: Waiter) -> None:
-        """Take out a call that has left, if it is still there."""
-        line = self._lines.get(self._key(waiter))
-        if line is not None and waiter in line:
-            del line[waiter]
+        """Remove a call if it is still in its queue."""
+        queue = self._queues.get(self._key(waiter))
+        if queue is not None and waiter in queue:
+            del queue[waiter]
             self._n_waiting -= 1
 
     def pop_next(self, order: QueueOrder) -> Waiter | None:
-        """Take out the call that shall start next.
+        """Remove and return the call to start next.
 
         Parameters
         ----------
         order : QueueOrder
-            Which one of the most important priority; `ADAPTIVE` isn't one of them.
+            Order within the most important priority; not `QueueOrder.ADAPTIVE`, which
+            the caller resolves to another order first.
 
         Returns
         -------
         Waiter or None
-            None if nothing waits.
+            None if no call waits.
         """
-        for key in sorted(self._lines):
-            line = self._lines[key]
-            if line:
-                waiter = _PICKS[order](line)
+        for key in sorted(self._queues):
+            queue = self._queues[key]
+            if queue:
+                waiter = _SELECTORS[order](queue)
                 self.discard(waiter)
                 return waiter
         return None
 
     def pop_least_important(self) -> Waiter | None:
-        """Take out the oldest call of the least important priority."""
-        for key in sorted(self._lines, reverse=True):
-            line = self._lines[key]
-            if line:
-                waiter = next(iter(line))
+        """Remove and return the oldest call of the least important priority."""
+        for key in sorted(self._queues, reverse=True):
+            queue = self._queues[key]
+            if queue:
+                waiter = next(iter(queue))
                 self.discard(waiter)
                 return waiter
         return None
 
-    def oldest_since(self) -> Milliseconds | None:
-        """Return since when the longest waiting call has waited."""
+    def oldest_enqueued_at(self) -> Milliseconds | None:
+        """Return when the longest waiting call entered the queue; None if empty."""
         return min(
-            (next(iter(line)).since for line in self._lines.values() if line),
+            (next(iter(queue)).enqueued_at for queue in self._queues.values() if queue),
             default=None,
         )
 
     def least_important_priority(self) -> int | None:
         """Return the least important priority among the waiting calls."""
-        return max((key for key, line in self._lines.items() if line), default=None)
+        return max((key for key, queue in self._queues.items() if queue), default=None)
 
     def less_important_than(self, priority: int) -> list[Waiter]:
         """Return the waiting calls that are less important than a priority."""
         return [
             waiter
-            for key, line in self._lines.items()
+            for key, queue in self._queues.items()
             if key > priority
-            for waiter in line
+            for waiter in queue
         ]
 
     def _key(self, waiter: Waiter) -> int:
         return waiter.head.priority if self._by_priority else 0
 
 
-def _oldest(line: dict[Waiter, None]) -> Waiter:
-    return next(iter(line))
+def _oldest(queue: dict[Waiter, None]) -> Waiter:
+    return next(iter(queue))
 
 
-def _newest(line: dict[Waiter, None]) -> Waiter:
-    return next(reversed(line))
+def _newest(queue: dict[Waiter, None]) -> Waiter:
+    return next(reversed(queue))
 
 
-def _earliest_deadline(line: dict[Waiter, None]) -> Waiter:
-    return min(line, key=lambda waiter: waiter.head.deadline)
+def _earliest_deadline(queue: dict[Waiter, None]) -> Waiter:
+    return min(queue, key=lambda waiter: waiter.head.deadline)
 
 
-_PICKS: dict[QueueOrder, Callable[[dict[Waiter, None]], Waiter]] = {
+_SELECTORS: dict[QueueOrder, Callable[[dict[Waiter, None]], Waiter]] = {
     QueueOrder.OLDEST_FIRST: _oldest,
     QueueOrder.NEWEST_FIRST: _newest,
     QueueOrder.DEADLINE_FIRST: _earliest_deadline,
