--- a/packages/fuchsiagap/src/fuchsiagap/core/freshness/__init__.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/freshness/__init__.py
@@ -1,1 +1,1 @@
-"""How old a node's knowledge of the configuration is."""
+"""How up to date a node's copy of the configuration is."""
--- a/packages/fuchsiagap/src/fuchsiagap/core/freshness/config_freshness.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/freshness/config_freshness.py
@@ -1,13 +1,15 @@
-"""Since when a node cannot know of changes to the configuration.
-
-A revocation has to be in force everywhere within a bound, at nodes that are cut off as
-well. So each node knows a moment up to which no change can have escaped it, and past
-the bound it answers no more for keys.
-
-That moment comes from the store: whoever asked it at a time and got an answer knows all
-that was acknowledged before the question. Passed on by another node it counts from the
-question to that node less the age in its answer. Both are times of the asking node's
-own clock, and time under way makes the moment earlier, never later.
+"""The time up to which a node's configuration is known to be the newest.
+
+A revocation has to be in force everywhere within a bound, even at nodes that have lost
+the connection to the store. So each node keeps the latest time at which its
+configuration was certainly the newest. Once that is longer ago than the bound, the node
+refuses requests that carry API keys.
+
+The time comes from the store: a node that asked it at a time and got an answer knows
+every change that was acknowledged before the question. Passed on by another node, the
+time is that of the question to that node minus the age in its answer. Both are readings
+of the asking node's own clock, and delays in transit make the result earlier, never
+later.
 """
 
 from __future__ import annotations
@@ -19,34 +21,34 @@
 
 
 class ConfigFreshness:
-    """The moment up to which the configuration in force is known to be the newest.
+    """The time up to which the configuration in force is known to be the newest.
 
     Attributes
     ----------
     as_of : float
-        That moment; minus infinity before the first.
+        That time in milliseconds; minus infinity if none is known yet.
     """
 
     def __init__(self) -> None:
         self.as_of: Milliseconds = float("-inf")
-        # A moment at which a version was the newest that is not in force here yet.
+        # A newer version that is not in force here yet, and when it was the newest.
         self._pending_version = 0
         self._pending_as_of: Milliseconds = float("-inf")
 
     def confirm(self, version: int, as_of: Milliseconds, in_force: int) -> None:
-        """Take in that a version was the newest at a moment.
+        """Record that a version was the newest at a time.
 
-        One that is older than the one in force here proves nothing: whoever says so may
-        have it from a store that has lost the newer ones.
+        A version older than the one in force proves nothing, since it may come from a
+        store that has lost the newer ones.
 
         Parameters
         ----------
         version : int
             The version.
         as_of : float
-            The moment.
+            Time in milliseconds at which it was the newest.
         in_force : int
-            Version in force here.
+            Version in force on this node.
         """
         if version == in_force:
             self.as_of = max(self.as_of, as_of)
@@ -55,6 +57,6 @@
             self._pending_as_of = as_of
 
     def adopt(self, version: int) -> None:
-        """Take in that a version is in force here from now on."""
+        """Record that a version is in force on this node from now on."""
         if version >= self._pending_version:
             self.as_of = max(self.as_of, self._pending_as_of)
--- a/packages/fuchsiagap/src/fuchsiagap/core/freshness/source_selector.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/freshness/source_selector.py
@@ -1,4 +1,4 @@
-"""Whom a node asks how old its knowledge is."""
+"""Selects the nodes to ask how fresh their configuration is."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
     from fuchsiagap.core.clock import Milliseconds
 
-# Milliseconds for which an answer says how good a source is.
-_REMEMBERED_MS = 10_000.0
-# Age of a source's knowledge, in milliseconds, that is as good as any: those that ask
-# spread over all such sources, so that none is asked by a whole data centre.
-_GOOD_AGE_MS = 1_000.0
+# Milliseconds for which an answer is used to judge its source.
+_RETENTION_MS = 10_000.0
+# Ages of a source's configuration below this, in milliseconds, rank equal. Requests
+# then spread over all such sources, and no node is asked by a whole data centre.
+_FRESH_AGE_MS = 1_000.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,9 +25,9 @@
     Parameters
     ----------
     name : str
-        Its name.
+        Name of the node.
     watches : bool
-        Whether the store answers it.
+        Whether it watches the store and the store answers it.
     local : bool
         Whether it is in the same data centre.
     """
@@ -38,12 +38,12 @@
 
 
 class SourceSelector:
-    """Remembers how fresh the answers of each node were.
+    """Ranks nodes by how fresh their last answers were.
 
     Parameters
     ----------
     rng : random.Random
-        Chooses among equal ones, and one more.
+        Breaks ties, and draws the additional node of an urgent query.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -51,42 +51,43 @@
         self._ages: dict[str, tuple[Milliseconds, Milliseconds]] = {}
 
     def record(self, name: str, age: Milliseconds, now: Milliseconds) -> None:
-        """Take in the age of a node's knowledge, as it was received."""
+        """Record the age of a node's configuration, as received in its answer."""
         self._ages[name] = age, now
 
     def choose(
         self, nodes: Sequence[FreshnessSource], now: Milliseconds, is_urgent: bool
     ) -> list[str]:
-        """Return the nodes to ask.
+        """Return the names of the nodes to ask.
 
         Parameters
         ----------
         nodes : sequence of FreshnessSource
-            Those in reach.
+            Reachable nodes.
         now : float
-            Time.
+            Time in milliseconds.
         is_urgent : bool
-            Whether to ask another one at random as well, which finds a way round where
-            the likely ones have lost touch themselves.
+            Whether to ask a random second node too, which finds a fresh one when the
+            highest-ranked ones have lost their own connections.
         """
         if not nodes:
             return []
         first = min(nodes, key=lambda source: self._order(source, now)).name
-        other = self._rng.choice(nodes).name
-        return [first, other] if is_urgent and other != first else [first]
+        second = self._rng.choice(nodes).name
+        return [first, second] if is_urgent and second != first else [first]
 
     def _order(
         self, source: FreshnessSource, now: Milliseconds
     ) -> tuple[bool, bool, Milliseconds, float]:
-        age, at = self._ages.get(source.name, (_REMEMBERED_MS, float("-inf")))
-        if now - at > _REMEMBERED_MS:
-            age = _REMEMBERED_MS
-        is_good = age < _GOOD_AGE_MS
-        likely = is_good or (source.watches and age == _REMEMBERED_MS)
-        rank = 0.0 if is_good else age
-        return not likely, not source.local, rank, self._rng.random()
+        """Return the sort key of a node; the smallest is asked first."""
+        age, at = self._ages.get(source.name, (_RETENTION_MS, float("-inf")))
+        if now - at > _RETENTION_MS:
+            age = _RETENTION_MS
+        is_fresh = age < _FRESH_AGE_MS
+        is_preferred = is_fresh or (source.watches and age == _RETENTION_MS)
+        rank = 0.0 if is_fresh else age
+        return not is_preferred, not source.local, rank, self._rng.random()
 
     def forget(self, nodes: Sequence[FreshnessSource]) -> None:
-        """Forget the nodes that are not among these."""
+        """Forget all nodes but the given ones."""
         names = {source.name for source in nodes}
         self._ages = {name: age for name, age in self._ages.items() if name in names}
--- a/packages/fuchsiagap/src/fuchsiagap/core/freshness/store_timeouts.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/freshness/store_timeouts.py
@@ -1,8 +1,8 @@
-"""How long the store may be silent, from the bound on changes.
+"""Timeouts of requests to the store, derived from the bound on changes.
 
-A change has to be in force everywhere within a bound of its acknowledgement, also where
-the store was silent until just before it. So every wait for the store is a share of
-that bound, and what is left is for the change to reach the other nodes.
+A change has to be in force everywhere within a bound of its acknowledgement, even if
+the store did not respond until shortly before. So every timeout is a share of that
+bound, and the rest remains for the change to reach the other nodes.
 """
 
 from __future__ import annotations
@@ -13,26 +13,27 @@
 if TYPE_CHECKING:
     from fuchsiagap.core.clock import Milliseconds
 
-# Shares of the bound; see `StoreTimeouts`.
+# Shares of the bound, in the order of the fields of `StoreTimeouts`.
 _HEDGE_SHARE = 0.2
 _PROBE_SHARE = 0.6
 _BACKOFF_SHARE = 0.075
 _MAX_BACKOFF_SHARE = 0.25
-_MOST_DOUBLINGS = 16
+# Bounds the exponent of the backoff, so that it cannot overflow.
+_MAX_DOUBLINGS = 16
 
 
 @dataclass(frozen=True, slots=True)
 class StoreTimeouts:
-    """Waits for the store, in milliseconds.
+    """Timeouts of requests to the store, in milliseconds.
 
     Parameters
     ----------
     hedge_delay : float
-        Until a request that has no answer is hedged by another one.
+        Until a request without an answer is hedged by a second one.
     probe_interval : float
-        Between two probes of the store while a watch waits.
+        Between two probes of the store while a watch is open.
     initial_backoff, max_backoff : float
-        Until a store that turned a request away is asked again, at first and at most.
+        First and longest delay until a store that rejected a request is asked again.
     """
 
     hedge_delay: Milliseconds
@@ -41,13 +42,19 @@
     max_backoff: Milliseconds
 
     def backoff(self, n_failed: int) -> Milliseconds:
-        """Return the pause after so many failures in a row."""
-        doubled = self.initial_backoff * 2.0 ** min(n_failed - 1, _MOST_DOUBLINGS)
+        """Return the delay in milliseconds after consecutive failures.
+
+        Parameters
+        ----------
+        n_failed : int
+            Number of consecutive failures, at least 1.
+        """
+        doubled = self.initial_backoff * 2.0 ** min(n_failed - 1, _MAX_DOUBLINGS)
         return min(doubled, self.max_backoff)
 
 
 def timeouts_within(bound: Milliseconds) -> StoreTimeouts:
-    """Return the waits that leave a change time to be in force within a bound.
+    """Return the timeouts that let a change be in force within a bound.
 
     Parameters
     ----------
--- a/packages/fuchsiagap/src/fuchsiagap/core/freshness/store_view.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/freshness/store_view.py
@@ -1,9 +1,9 @@
-"""What a node knows of the store: epoch, place in its history, newest version.
+"""What a node knows of the store: epoch, position in its history, newest version.
 
-A store that is restored from a copy begins a new epoch: it lacks what was written after
-the copy, and gives the same revisions out again. So a revision is compared within one
-epoch only, and versions of the configuration, which the operators count, decide which
-of two is newer.
+A store that is restored from a backup begins a new epoch: it lacks what was written
+after the backup, and assigns the same revisions again. So revisions are compared only
+within one epoch. Across epochs, the version numbers that operators assign to
+configurations decide which one is newer.
 """
 
 from __future__ import annotations
@@ -14,23 +14,23 @@
 if TYPE_CHECKING:
     from fuchsiagap.core.clock import Milliseconds
 
-# Epoch of an answer that does not tell one.
+# Epoch of an answer that does not contain one.
 NO_EPOCH = -1
-# Milliseconds for which a cursor is good to watch from; a store keeps its history for
-# some tens of seconds, and less at times.
-_GOOD_CURSOR_MS = 10_000.0
+# Milliseconds for which a cursor can be used to start a watch. A store keeps its
+# history for some tens of seconds, and sometimes for less.
+_CURSOR_LIFETIME_MS = 10_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class Cursor:
-    """A place in the history of the store.
+    """A position in the history of the store.
 
     Parameters
     ----------
     epoch : int
-        Epoch of the store; `NO_EPOCH` if it told none.
+        Epoch of the store; `NO_EPOCH` if unknown.
     revision : int
-        Changes before this place, as the store counts in that epoch.
+        Number of changes before this position, as counted by the store in that epoch.
     """
 
     epoch: int
@@ -38,22 +38,22 @@
 
 
 class StoreView:
-    """What the answers of the store have shown.
+    """State of the store as far as its answers show it.
 
     Parameters
     ----------
     settle : float
-        Milliseconds after a return for which the store may lack versions that it had
-        acknowledged before, until they are written again.
+        Milliseconds after a restore in which the store may lack acknowledged versions,
+        until they are written again.
 
     Attributes
     ----------
     epoch : int
-        Epoch of the last answer that told one.
+        Epoch of the last answer that contained one.
     cursor : Cursor or None
-        Where to watch from; None where the configuration has to be read.
+        Where to start the next watch; None if the configuration has to be read first.
     version : int
-        Newest version that the store held at the cursor.
+        Newest version in the store at the cursor.
     """
 
     def __init__(self, settle: Milliseconds = 0.0) -> None:
@@ -66,7 +66,7 @@
         self.version = 0
 
     def note_epoch(self, epoch: int, now: Milliseconds) -> bool:
-        """Take in the epoch of an answer; return whether the cursor is void by it."""
+        """Record the epoch of an answer; return whether it invalidates the cursor."""
         if epoch in (NO_EPOCH, self.epoch):
             return False
         cursor_epoch = NO_EPOCH if self.cursor is None else self.cursor.epoch
@@ -79,20 +79,40 @@
         return True
 
     def note_peer_epoch(self, epoch: int) -> None:
-        """Take in an epoch that another node knows, before the store has told one."""
+        """Record an epoch known to another node, until the store has sent one."""
         if self.epoch == NO_EPOCH and epoch != NO_EPOCH:
             self._peer_epoch = epoch
 
     def note_read(self, cursor: Cursor, version: int, now: Milliseconds) -> None:
-        """Take in that a version was the newest when the store was asked."""
+        """Record that a version was the newest when the store was asked.
+
+        Parameters
+        ----------
+        cursor : Cursor
+            Position of the answer.
+        version : int
+            The version.
+        now : float
+            Time in milliseconds.
+        """
         self.note_epoch(cursor.epoch, now)
         if self.cursor is not None and cursor.revision < self.cursor.revision:
-            # A return that the store does not tell of.
+            # The store was restored without announcing a new epoch.
             self._reliable_from = now + self._settle
         self._move_to(cursor, version, now)
 
     def note_older_read(self, cursor: Cursor, version: int, now: Milliseconds) -> None:
-        """Take in a version that may have been replaced since."""
+        """Record a version that may have been replaced since.
+
+        Parameters
+        ----------
+        cursor : Cursor
+            Position of the answer.
+        version : int
+            The version.
+        now : float
+            Time in milliseconds.
+        """
         self.note_epoch(cursor.epoch, now)
         if self.cursor is None:
             self._move_to(cursor, version, now)
@@ -100,16 +120,16 @@
     def note_watch(
         self, cursor: Cursor, version: int | None, now: Milliseconds
     ) -> bool:
-        """Take in what a watch from the cursor gave; return whether it counts.
+        """Record the result of a watch from the cursor; return whether it is valid.
 
         Parameters
         ----------
         cursor : Cursor
-            Where to go on.
+            Where to start the next watch.
         version : int or None
             Newest version among the changes; None if there was none.
         now : float
-            Current time in milliseconds.
+            Time in milliseconds.
         """
         if self.note_epoch(cursor.epoch, now) or self.cursor is None:
             return False
@@ -120,7 +140,17 @@
         return True
 
     def note_version(self, cursor: Cursor, version: int, now: Milliseconds) -> None:
-        """Take in where another node says that a version stands in the history."""
+        """Record the position of a version in the history, as told by another node.
+
+        Parameters
+        ----------
+        cursor : Cursor
+            The position.
+        version : int
+            The version.
+        now : float
+            Time in milliseconds.
+        """
         if NO_EPOCH not in (cursor.epoch, self.epoch) and cursor.epoch != self.epoch:
             return
         if self.cursor is None or cursor.revision > self.cursor.revision:
@@ -133,17 +163,24 @@
         self._as_of = now
 
     def drop_cursor(self) -> None:
-        """Take in that the history since the cursor is gone."""
+        """Record that the store no longer has the history since the cursor."""
         self.cursor = None
 
     def can_watch(self, now: Milliseconds) -> bool:
-        """Whether the store is likely to have the history since the cursor."""
-        return self.cursor is not None and now - self._as_of <= _GOOD_CURSOR_MS
+        """Whether the store is likely to still have the history since the cursor."""
+        return self.cursor is not None and now - self._as_of <= _CURSOR_LIFETIME_MS
 
     def proves(self, version: int, asked_at: Milliseconds) -> bool:
-        """Whether a version was the newest when a question was asked.
+        """Whether a version was certainly the newest when a question was asked.
+
+        A store with an older version than this node has lost some, perhaps including
+        even newer ones. The same holds for a store that was just restored.
 
-        A store that holds an older one than this node has lost it, and may have lost
-        newer ones besides. So may one that has just come back.
+        Parameters
+        ----------
+        version : int
+            Version in force on this node.
+        asked_at : float
+            Time of the question in milliseconds.
         """
         return self.version == version and asked_at >= self._reliable_from
--- a/packages/fuchsiagap/src/fuchsiagap/core/quarantine/__init__.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that crash the servers that run them, and how they are kept from others."""
+"""Detection and quarantine of requests that crash the servers that run them."""
--- a/packages/fuchsiagap/src/fuchsiagap/core/quarantine/crash_tracker.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/quarantine/crash_tracker.py
@@ -1,4 +1,4 @@
-"""Which requests were at work when a server crashed."""
+"""Tracks which requests were in flight at a server when it crashed."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 if TYPE_CHECKING:
     from fuchsiagap.core.clock import Milliseconds
 
-# Requests without an answer that are remembered of one server.
-_MOST_UNANSWERED = 1_024
+# Unanswered requests that are remembered per server, to bound memory.
+_MAX_UNANSWERED = 1_024
 # Milliseconds by which an answer may be read later than the end of other connections
 # that broke after it was sent.
-_READ_LATE_MS = 100.0
+_LATE_READ_MS = 100.0
 
 
 class CrashTracker:
     """Requests of one server that ended without an answer, until it answers again.
 
-    The connections of a server that crashes all end at once, those of requests that
-    were merely at work there, too; and a connection may end while its server lives. So
-    requests are remembered until the server answers another one, or is known to have
+    When a server crashes, all its connections end at once, including those of requests
+    that did not cause the crash; and a connection may end while its server lives. So
+    requests are remembered until the server answers another one or is known to have
     crashed.
 
     Attributes
     ----------
     incarnation : str
-        What names the start of the server; empty until one is known.
+        Identifies the current start of the server; empty until one is known.
     has_crashed : bool
         Whether this incarnation is known to have crashed.
     """
@@ -33,9 +33,9 @@
     def __init__(self) -> None:
         self.incarnation = ""
         self.has_crashed = False
-        self._began_at: Milliseconds = 0.0
+        self._started_at: Milliseconds = 0.0
         self._unanswered: dict[bytes, Milliseconds] = {}
-        self._earlier = ""
+        self._previous_crashed = ""
         self._reported: set[bytes] = set()
 
     @property
@@ -44,17 +44,17 @@
         return bool(self._unanswered)
 
     def start_incarnation(self, incarnation: str, now: Milliseconds) -> None:
-        """Follow another incarnation."""
-        self._earlier = self.incarnation if self.has_crashed else ""
+        """Start tracking another incarnation."""
+        self._previous_crashed = self.incarnation if self.has_crashed else ""
         self.incarnation = incarnation
         self.has_crashed = False
-        self._began_at = now
+        self._started_at = now
         self._unanswered.clear()
 
     def record_answer(self, now: Milliseconds) -> None:
         """Record that the server answered a request."""
         if self._unanswered:
-            before = now - _READ_LATE_MS
+            before = now - _LATE_READ_MS
             self._unanswered = {f: t for f, t in self._unanswered.items() if t > before}
 
     def record_unanswered(
@@ -65,20 +65,21 @@
         Parameters
         ----------
         fingerprint : bytes
-            The request.
+            Fingerprint of the request.
         started : float
-            When it was handed to the server.
+            Time in milliseconds at which it was handed to the server.
         now : float
             Time in milliseconds.
 
         Returns
         -------
         str
-            The incarnation that turns out to have crashed with it; else empty.
+            The crashed incarnation that ran the request, if its crash is known and the
+            request is not reported with it yet; else empty.
         """
         crashed = self.incarnation if self.has_crashed else ""
-        if started < self._began_at:
-            crashed = self._earlier
+        if started < self._started_at:
+            crashed = self._previous_crashed
         elif not crashed:
             self._remember(fingerprint, now)
         if not crashed or fingerprint in self._reported:
@@ -87,25 +88,28 @@
         return crashed
 
     def _remember(self, fingerprint: bytes, now: Milliseconds) -> None:
-        if len(self._unanswered) < _MOST_UNANSWERED:
+        if len(self._unanswered) < _MAX_UNANSWERED:
             self._unanswered[fingerprint] = now
 
-    def record_crash(self, at_work: frozenset[bytes] = frozenset()) -> frozenset[bytes]:
+    def record_crash(
+        self, in_flight: frozenset[bytes] = frozenset()
+    ) -> frozenset[bytes]:
         """Record that the server has crashed.
 
         Parameters
         ----------
-        at_work : frozenset of bytes
-            Requests that it has still not answered.
+        in_flight : frozenset of bytes
+            Fingerprints of requests that are still without an answer.
 
         Returns
         -------
         frozenset of bytes
-            All requests that it ran; none if its crash was known.
+            Fingerprints of all requests that the server ran; empty if the crash was
+            already known.
         """
         if self.has_crashed:
             return frozenset()
         self.has_crashed = True
-        self._reported = set(self._unanswered) | at_work
+        self._reported = set(self._unanswered) | in_flight
         self._unanswered.clear()
         return frozenset(self._reported)
--- a/packages/fuchsiagap/src/fuchsiagap/core/quarantine/fingerprint.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/quarantine/fingerprint.py
@@ -1,4 +1,4 @@
-"""What makes two requests the same one."""
+"""Fingerprints by which repeats of a request are recognised."""
 
 from __future__ import annotations
 
@@ -14,26 +14,27 @@
 def fingerprint(
     method: bytes, host: str, target: bytes, identity: Iterable[bytes], body: bytes
 ) -> bytes:
-    """Return a digest that repeats of a request share, whichever node takes them.
+    """Return a digest that all repeats of a request share, on every node.
 
     Parameters
     ----------
     method, target : bytes
-        Method and request target, with its query.
+        Method and request target, including the query.
     host : str
         Value of the ``Host`` header.
     identity : iterable of bytes
-        Header lines that name the caller.
+        Header lines that identify the caller.
     body : bytes
-        Whole body.
+        Complete body.
 
     Returns
     -------
     bytes
-        `FINGERPRINT_BYTES` bytes. BLAKE2b (RFC 7693) resists second preimages, so no
-        caller can make a request with the digest of another's.
+        `FINGERPRINT_BYTES` bytes. BLAKE2b (RFC 7693) resists second preimages, so a
+        caller cannot craft a request with the digest of another caller's request.
     """
-    # Lengths keep the parts apart: a longer host and a shorter target differ.
+    # Length prefixes keep adjacent parts apart, so that a longer host and a shorter
+    # target do not give the same input.
     parts = (method, host.encode(), target, *identity)
     head = b"".join([b"%d:%b" % (len(part), part) for part in parts])
     digest = hashlib.blake2b(head, digest_size=FINGERPRINT_BYTES)
--- a/packages/fuchsiagap/src/fuchsiagap/core/quarantine/hold_rule.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/quarantine/hold_rule.py
@@ -1,45 +1,46 @@
-"""Whether the crashes at which a request was at work show that it causes them."""
+"""The rule that decides whether the evidence against a request suffices to hold it."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# Crashes of a request that was never answered since. With the first number it has to be
-# the only explanation, with the second the best one; with the last it is held whatever
-# else crashes servers, unless too many requests explain the same crashes.
+# Crashes since the request was last answered. At `ONLY_CAUSE` it is held if nothing
+# else explains the crashes, at `LIKELY_CAUSE` if nothing else explains them as well,
+# and at `CERTAIN_CAUSE` even if servers crash without it, unless too many other
+# requests explain the same crashes.
 ONLY_CAUSE = 3
 LIKELY_CAUSE = 4
 CERTAIN_CAUSE = 5
-# Other requests with hardly fewer crashes from which on none of them is held: servers
-# that crash whatever they run would lose all their requests.
-_MOST_RIVALS = 3
+# Competing requests from which on none is held. Otherwise a server that crashes
+# whatever it runs would get all its requests held.
+_MAX_COMPETING = 3
 
 
 @dataclass(frozen=True, slots=True)
 class CrashEvidence:
-    """What speaks for and against one request.
+    """Evidence for and against one request as the cause of crashes.
 
     Parameters
     ----------
     crashes : int
-        Crashes at which it was at work, since it was last answered.
-    rivals : int
-        Other requests that were at work at as many, or at one less.
-    others : int
-        Recent crashes at which neither it nor a request that is held was at work.
+        Crashes at which it was in flight, since it was last answered.
+    competing : int
+        Other requests that were in flight at as many crashes, or at one less.
+    unrelated : int
+        Recent crashes at which neither it nor a held request was in flight.
     """
 
     crashes: int
-    rivals: int
-    others: int
+    competing: int
+    unrelated: int
 
 
-def should_hold(case: CrashEvidence) -> bool:
+def should_hold(evidence: CrashEvidence) -> bool:
     """Whether a request is to be kept from all servers."""
-    if case.crashes >= CERTAIN_CAUSE:
-        return case.rivals < _MOST_RIVALS
-    if case.rivals:
+    if evidence.crashes >= CERTAIN_CAUSE:
+        return evidence.competing < _MAX_COMPETING
+    if evidence.competing:
         return False
-    if case.crashes >= LIKELY_CAUSE:
+    if evidence.crashes >= LIKELY_CAUSE:
         return True
-    return case.crashes >= ONLY_CAUSE and not case.others
+    return evidence.crashes >= ONLY_CAUSE and not evidence.unrelated
--- a/packages/fuchsiagap/src/fuchsiagap/core/quarantine/lost_link_requests.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/quarantine/lost_link_requests.py
@@ -1,4 +1,4 @@
-"""Requests that were sent to nodes whose links were lost meanwhile."""
+"""Requests that were in flight to nodes when the links to them were lost."""
 
 from __future__ import annotations
 
@@ -8,30 +8,30 @@
 if TYPE_CHECKING:
     from fuchsiagap.core.clock import Milliseconds
 
-# Nodes, and requests of each, that are remembered at most.
-_MOST_NODES = 1_024
-_MOST_OF_ONE = 256
+# Maximum number of nodes, and of requests per node, that are remembered.
+_MAX_NODES = 1_024
+_MAX_PER_NODE = 256
 
 
 @dataclass(slots=True)
-class _Lost:
-    """What was on its way to one incarnation."""
+class _LostLink:
+    """Requests in flight to one incarnation when the link was lost."""
 
     instance: str
-    at: Milliseconds
+    lost_at: Milliseconds
     fingerprints: set[bytes] = field(default_factory=set)
 
 
 class LostLinkRequests:
-    """Distinguishes servers that ended with their node from links that were cut.
+    """Distinguishes servers that ended with their node from links that merely broke.
 
-    A lost link says nothing of the server behind it. Once the node is linked again, its
-    server is either the one that it was, or another: then that one has ended, with what
-    was sent to it last.
+    A lost link does not show whether the server behind it still runs. Once the node is
+    linked again, its server is either the same incarnation or another one. In the
+    latter case the earlier one has ended with the requests that were in flight to it.
     """
 
     def __init__(self) -> None:
-        self._lost: dict[str, _Lost] = {}
+        self._lost: dict[str, _LostLink] = {}
 
     def record_lost(
         self, node: str, instance: str, fingerprint: bytes, now: Milliseconds
@@ -41,31 +41,37 @@
         Parameters
         ----------
         node, instance : str
-            The node, and the incarnation of its server that the request was for.
+            The node, and the incarnation of its server that the request was sent to.
         fingerprint : bytes
-            The request.
+            Fingerprint of the request.
         now : float
             Time in milliseconds.
         """
         lost = self._lost.get(node)
         if lost is None or lost.instance != instance:
             self._lost.pop(node, None)
-            lost = self._lost[node] = _Lost(instance, now)
-            if len(self._lost) > _MOST_NODES:
+            lost = self._lost[node] = _LostLink(instance, now)
+            if len(self._lost) > _MAX_NODES:
                 del self._lost[next(iter(self._lost))]
-        if len(lost.fingerprints) < _MOST_OF_ONE:
+        if len(lost.fingerprints) < _MAX_PER_NODE:
             lost.fingerprints.add(fingerprint)
 
     def resolve(
         self, node: str, instance: str
     ) -> tuple[str, Milliseconds, frozenset[bytes]] | None:
-        """Record which server stands beside a node.
+        """Record which server incarnation a node has now.
+
+        Parameters
+        ----------
+        node, instance : str
+            The node, and the incarnation of its server; empty if not known yet.
 
         Returns
         -------
         tuple of str, float and frozenset of bytes, or None
-            The incarnation that has ended, when its link was lost, and what was on its
-            way to it; None if it lives, or nothing was.
+            The incarnation that has ended, the time in milliseconds at which its link
+            was lost, and the fingerprints in flight to it; None if it still runs or
+            nothing was in flight to it.
         """
         lost = self._lost.get(node)
         if lost is None or not instance:
@@ -73,4 +79,4 @@
         del self._lost[node]
         if lost.instance == instance:
             return None
-        return lost.instance, lost.at, frozenset(lost.fingerprints)
+        return lost.instance, lost.lost_at, frozenset(lost.fingerprints)
--- a/packages/fuchsiagap/src/fuchsiagap/core/quarantine/quarantine.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/quarantine/quarantine.py
@@ -1,4 +1,4 @@
-"""Evidence against requests, and which of them no server may run."""
+"""Evidence that requests crash servers, and the requests held because of it."""
 
 from __future__ import annotations
 
@@ -15,38 +15,39 @@
 
     from fuchsiagap.core.clock import Clock, Milliseconds
 
-    # When a crash was, the service of the server, and what it ran.
-    _Known: TypeAlias = tuple[Milliseconds, str, set[bytes]]
+    # Time of a crash, service of the server, and fingerprints of what it ran.
+    _CrashRecord: TypeAlias = tuple[Milliseconds, str, set[bytes]]
 
-# Crashes from which on a request is not tried again while it is asked for: each probe
-# crashes one more server.
-_NO_MORE_PROBES = 6
-# By what the time until the next probe grows with each crash.
-_BACKOFF = 5.0
-# Milliseconds by which the ages of one event differ that nodes tell, at most.
-_SAME_MS = 1_000.0
+# Crashes from which on a held request is no longer probed while clients repeat it,
+# since each probe crashes one more server.
+_MAX_PROBED_CRASHES = 6
+# Growth of the time until the next probe with each crash.
+_PROBE_BACKOFF = 5.0
+# Largest difference in milliseconds between the ages that nodes report of one event.
+_SAME_EVENT_MS = 1_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class QuarantineSettings:
-    """Bounds on what is remembered and for how long.
+    """Retention times and memory bounds of the quarantine.
 
     Parameters
     ----------
     evidence_ms : float
         Milliseconds for which a crash counts as evidence.
     unrelated_ms : float
-        Milliseconds for which crashes without a request speak for it.
+        Milliseconds for which a crash at which a request was not in flight counts in
+        the request's favour.
     answered_ms : float
-        Milliseconds for which an answer shows that a request crashes nothing.
+        Milliseconds for which an answer proves a request harmless.
     probe_ms : float
-        Milliseconds until a request that crashed three servers is tried again.
+        Milliseconds until a request that crashed three servers is probed.
     idle_ms : float
-        Milliseconds without being asked for after which a request is no longer held.
+        Milliseconds after which a held request that no client repeats is released.
     max_suspects, max_held, max_answered : int
-        Fingerprints that are remembered of each kind.
+        Maximum number of fingerprints remembered of each kind.
     max_crashes : int
-        Crashes that are remembered.
+        Maximum number of crashes remembered.
     """
 
     evidence_ms: Milliseconds = 600_000.0
@@ -62,18 +63,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Crash:
-    """The end of a server amid requests.
+    """The crash of a server while it ran requests.
 
     Parameters
     ----------
     incarnation : str
-        What names the server's start.
+        Identifies the start of the server.
     service : str
         Its service.
     age : float
-        Milliseconds since then.
+        Milliseconds since the crash.
     fingerprints : frozenset of bytes
-        Requests that it ran, but for those that were answered of late.
+        Requests that it ran, except those answered recently.
     """
 
     incarnation: str
@@ -89,13 +90,13 @@
     Parameters
     ----------
     fingerprint : bytes
-        The request.
+        Fingerprint of the request.
     service : str
         Service whose servers it crashed.
     crashes : int
-        How many, as far as is known.
+        Number of crashes known.
     age : float
-        Milliseconds since the last of them, or since its last probe.
+        Milliseconds since the last crash or probe.
     """
 
     fingerprint: bytes
@@ -106,14 +107,14 @@
 
 @dataclass(slots=True)
 class _Suspect:
-    """Crashes at which a request was at work, by incarnation, and when."""
+    """Times of the crashes at which a request was in flight, by incarnation."""
 
     crashes: dict[str, Milliseconds] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class _Background:
-    """Suspects by their number of crashes, and crashes that no held one explains."""
+    """Number of suspects by their crashes, and crashes without a held request."""
 
     counts: Counter[int]
     unexplained: list[set[bytes]]
@@ -121,29 +122,30 @@
 
 @dataclass(slots=True)
 class _Hold:
-    """A request that is held, in local time."""
+    """State of a held request, with times of the local clock."""
 
     service: str
     crashes: int
     since: Milliseconds
-    asked_at: Milliseconds
+    requested_at: Milliseconds
     refused: int = 0
 
 
 class Quarantine:
-    """What one node knows of requests that crash servers.
+    """Detects the requests that crash servers and decides which to hold, on one node.
 
-    A request that crashes servers was never answered: an answer anywhere clears it. One
-    that was merely at work where servers crashed is answered sooner or later. Requests
-    are held once the crashes have no better explanation, and all nodes tell each other
-    of crashes, answers to suspects, and holds, so that each decides alike.
+    A request that crashes servers never gets an answer, so an answer on any node clears
+    it. A request that was merely in flight when servers crashed gets an answer sooner
+    or later. Requests are held once nothing else explains the crashes better. All nodes
+    exchange crashes, answers to suspects, and holds, so that they reach the same
+    decisions.
 
     Parameters
     ----------
     cfg : QuarantineSettings
         Settings.
     clock : Clock
-        Time in milliseconds.
+        Clock of the process.
     """
 
     def __init__(self, cfg: QuarantineSettings, clock: Clock) -> None:
@@ -151,17 +153,17 @@
         self._clock = clock
         self._answered = RecentAnswers(cfg.answered_ms, cfg.max_answered)
         self._suspects: OrderedDict[bytes, _Suspect] = OrderedDict()
-        self._crashes: OrderedDict[str, _Known] = OrderedDict()
+        self._crashes: OrderedDict[str, _CrashRecord] = OrderedDict()
         self._held: OrderedDict[bytes, _Hold] = OrderedDict()
 
     @property
     def n_held(self) -> int:
-        """Requests that are held."""
+        """Number of held requests."""
         return len(self._held)
 
     @property
     def n_suspects(self) -> int:
-        """Requests with evidence against them that are not held."""
+        """Number of requests with evidence against them."""
         return len(self._suspects)
 
     def record_answer(self, fingerprint: bytes) -> bool:
@@ -170,21 +172,21 @@
         Returns
         -------
         bool
-            Whether other nodes are to know, since it was suspected or held.
+            Whether to notify other nodes, because the request was suspected or held.
         """
         self._answered.add(fingerprint, self._clock.now())
         return self._clear(fingerprint)
 
     def was_answered(self, fingerprint: bytes) -> bool:
-        """Whether a request was answered of late."""
+        """Whether a request was answered recently."""
         return fingerprint in self._answered
 
     def apply_clearance(self, fingerprint: bytes) -> bool:
-        """Record that another node saw an answer; return whether that is news."""
-        is_news = fingerprint not in self._answered
+        """Record that another node saw an answer; return whether that is new."""
+        is_new = fingerprint not in self._answered
         self._answered.add(fingerprint, self._clock.now())
         self._clear(fingerprint)
-        return is_news
+        return is_new
 
     def _clear(self, fingerprint: bytes) -> bool:
         was_suspect = self._suspects.pop(fingerprint, None) is not None
@@ -192,8 +194,8 @@
         return was_suspect or was_held
 
     def is_strong_suspect(self, fingerprint: bytes) -> bool:
-        """Whether a request is held, or was at work at more than one crash."""
-        return fingerprint in self._held or self._is_repeated(fingerprint)
+        """Whether a request is held, or was in flight at more than one crash."""
+        return fingerprint in self._held or self._has_repeated_crashes(fingerprint)
 
     def record_crash(self, crash: Crash) -> frozenset[bytes]:
         """Record the crash of a server.
@@ -201,29 +203,29 @@
         Returns
         -------
         frozenset of bytes
-            What of it was not known; empty if all was.
+            Fingerprints that were not known for this crash; empty if all were.
         """
         at = self._clock.now() - crash.age
         entry = (at, crash.service, set[bytes]())
         _, _, known = self._crashes.setdefault(crash.incarnation, entry)
-        fresh = crash.fingerprints - known
-        known |= fresh
+        new = crash.fingerprints - known
+        known |= new
         _trim(self._crashes, self._cfg.max_crashes)
-        for fingerprint in sorted(fresh):
+        for fingerprint in sorted(new):
             if fingerprint in self._answered:
                 continue
             suspect = self._suspects.setdefault(fingerprint, _Suspect())
             self._suspects.move_to_end(fingerprint)
             suspect.crashes[crash.incarnation] = at
         _trim(self._suspects, self._cfg.max_suspects)
-        return fresh
+        return new
 
     def select_answered(self, fingerprints: Iterable[bytes]) -> list[bytes]:
-        """Return which of some requests were answered of late."""
+        """Return those of the requests that were answered recently."""
         return [f for f in fingerprints if f in self._answered]
 
     def evaluate(self, crash: Crash) -> list[HeldRequest]:
-        """Hold those of a crash's requests that cause crashes; return the new ones."""
+        """Hold the requests of a crash that cause crashes; return the new holds."""
         held = []
         background = self._background()
         for fingerprint in sorted(crash.fingerprints):
@@ -232,7 +234,7 @@
                 continue
             if fingerprint not in self._held:
                 self._forget_old(suspect)
-                if not self._is_convicted(fingerprint, suspect, background):
+                if not self._should_hold(fingerprint, suspect, background):
                     continue
             n_crashes = len(suspect.crashes)
             found = HeldRequest(fingerprint, crash.service, n_crashes, crash.age)
@@ -247,34 +249,38 @@
             del suspect.crashes[incarnation]
 
     def _background(self) -> _Background:
-        """Return what all suspects are compared with."""
+        """Return the figures that each suspect is compared with."""
         since = self._clock.now() - self._cfg.unrelated_ms
         counts = Counter(
             len(suspect.crashes)
-            for name, suspect in self._suspects.items()
-            if name not in self._held
+            for fingerprint, suspect in self._suspects.items()
+            if fingerprint not in self._held
         )
         unexplained = [
-            present
-            for at, _, present in self._crashes.values()
-            if at >= since and present.isdisjoint(self._held)
+            fingerprints
+            for at, _, fingerprints in self._crashes.values()
+            if at >= since and fingerprints.isdisjoint(self._held)
         ]
         return _Background(counts, unexplained)
 
-    def _is_convicted(
+    def _should_hold(
         self, fingerprint: bytes, suspect: _Suspect, background: _Background
     ) -> bool:
         n_crashes = len(suspect.crashes)
         if n_crashes < ONLY_CAUSE:
             return False
-        least = max(n_crashes - 1, ONLY_CAUSE)
+        at_least = max(n_crashes - 1, ONLY_CAUSE)
         counts = background.counts
-        rivals = sum(many for crashes, many in counts.items() if crashes >= least) - 1
-        others = sum(fingerprint not in at for at in background.unexplained)
-        return should_hold(CrashEvidence(n_crashes, rivals, others))
+        competing = (
+            sum(count for crashes, count in counts.items() if crashes >= at_least) - 1
+        )
+        unrelated = sum(
+            fingerprint not in fingerprints for fingerprints in background.unexplained
+        )
+        return should_hold(CrashEvidence(n_crashes, competing, unrelated))
 
     def apply_hold(self, held: HeldRequest) -> bool:
-        """Hold a request; return whether that, or its last crash, is news."""
+        """Hold a request; return whether the hold, or its last crash, is new."""
         if held.fingerprint in self._answered:
             return False
         now = self._clock.now()
@@ -284,27 +290,33 @@
             self._held[held.fingerprint] = _Hold(held.service, held.crashes, since, now)
             _trim(self._held, self._cfg.max_held)
             return True
-        is_news = held.crashes > known.crashes or since > known.since + _SAME_MS
+        is_new = held.crashes > known.crashes or since > known.since + _SAME_EVENT_MS
         known.crashes = max(known.crashes, held.crashes)
         known.since = max(known.since, since)
-        known.asked_at = max(known.asked_at, since)
-        return is_news
+        known.requested_at = max(known.requested_at, since)
+        return is_new
 
     def admits(self, fingerprint: bytes) -> bool:
-        """Whether a request is not held, or has not been asked for in a long time."""
+        """Whether a request is not held; releases a hold that was idle too long."""
         hold = self._held.get(fingerprint)
         if hold is None:
             return True
         now = self._clock.now()
-        if now - hold.asked_at > self._cfg.idle_ms:
+        if now - hold.requested_at > self._cfg.idle_ms:
             del self._held[fingerprint]
             self._suspects.pop(fingerprint, None)
             return True
-        hold.asked_at = now
+        hold.requested_at = now
         return False
 
     def start_probe(self, fingerprint: bytes) -> HeldRequest | None:
-        """Return what all nodes are to be told if a held request may be tried now."""
+        """Start a probe of a held request if one is due.
+
+        Returns
+        -------
+        HeldRequest or None
+            The hold to announce to all nodes; None if no probe is due.
+        """
         hold = self._held.get(fingerprint)
         if hold is None or self.retry_after(fingerprint) > 0.0:
             return None
@@ -312,36 +324,38 @@
         return HeldRequest(fingerprint, hold.service, hold.crashes, 0.0)
 
     def retry_after(self, fingerprint: bytes) -> Milliseconds:
-        """Return the milliseconds until a held request may be tried; 0 if it may."""
+        """Return the milliseconds until a held request may be probed; 0 if due."""
         hold = self._held.get(fingerprint)
         if hold is None:
             return 0.0
-        if hold.crashes >= _NO_MORE_PROBES:
+        if hold.crashes >= _MAX_PROBED_CRASHES:
             return self._cfg.idle_ms
-        wait = self._cfg.probe_ms * _BACKOFF ** max(hold.crashes - ONLY_CAUSE, 0)
+        wait = self._cfg.probe_ms * _PROBE_BACKOFF ** max(hold.crashes - ONLY_CAUSE, 0)
         return max(hold.since + wait - self._clock.now(), 0.0)
 
     def held(self) -> Iterator[HeldRequest]:
-        """Yield the requests that are held."""
+        """Yield the held requests."""
         now = self._clock.now()
         for fingerprint, hold in self._held.items():
             age = max(now - hold.since, 0.0)
             yield HeldRequest(fingerprint, hold.service, hold.crashes, age)
 
     def evidence(self) -> Iterator[Crash]:
-        """Yield crashes with the requests that were at work at more than one."""
+        """Yield crashes with those requests that were in flight at more than one."""
         now = self._clock.now()
-        for incarnation, (at, service, present) in self._crashes.items():
-            repeated = frozenset(f for f in present if self._is_repeated(f))
+        for incarnation, (at, service, fingerprints) in self._crashes.items():
+            repeated = frozenset(
+                f for f in fingerprints if self._has_repeated_crashes(f)
+            )
             if repeated:
                 yield Crash(incarnation, service, max(now - at, 0.0), repeated)
 
-    def _is_repeated(self, fingerprint: bytes) -> bool:
+    def _has_repeated_crashes(self, fingerprint: bytes) -> bool:
         suspect = self._suspects.get(fingerprint)
         return suspect is not None and len(suspect.crashes) > 1
 
 
-def _trim(table: OrderedDict[Any, Any], most: int) -> None:
-    """Forget the oldest entries beyond a number."""
-    while len(table) > most:
+def _trim(table: OrderedDict[Any, Any], max_entries: int) -> None:
+    """Remove the oldest entries beyond a number."""
+    while len(table) > max_entries:
         table.popitem(last=False)
--- a/packages/fuchsiagap/src/fuchsiagap/core/quarantine/recent_answers.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/quarantine/recent_answers.py
@@ -1,4 +1,4 @@
-"""Requests that were answered of late."""
+"""Fingerprints of requests that were answered recently."""
 
 from __future__ import annotations
 
@@ -9,39 +9,42 @@
 
 
 class RecentAnswers:
-    """Remembers fingerprints for a time, in bounded memory.
+    """Remembers fingerprints for a limited time in bounded memory.
 
-    Two generations take turns, so that remembering one more is a single look-up on the
-    path of each answer.
+    Fingerprints are kept in two generations, so that adding one costs a single set
+    insertion for each answer.
 
     Parameters
     ----------
-    memory_ms : float
-        Milliseconds for which a fingerprint is remembered, at least, unless more come
-        than there is room for.
-    most : int
+    retention_ms : float
+        Minimum milliseconds for which a fingerprint is remembered, unless more arrive
+        than the generations hold.
+    max_per_generation : int
         Fingerprints of each generation.
     """
 
-    def __init__(self, memory_ms: Milliseconds, most: int) -> None:
-        self._memory_ms = memory_ms
-        self._most = most
-        self._young: set[bytes] = set()
-        self._old: set[bytes] = set()
+    def __init__(self, retention_ms: Milliseconds, max_per_generation: int) -> None:
+        self._retention_ms = retention_ms
+        self._max_per_generation = max_per_generation
+        self._current: set[bytes] = set()
+        self._previous: set[bytes] = set()
         self._rotated_at = float("-inf")
 
     def __contains__(self, fingerprint: bytes) -> bool:
-        return fingerprint in self._young or fingerprint in self._old
+        return fingerprint in self._current or fingerprint in self._previous
 
     def add(self, fingerprint: bytes, now: Milliseconds) -> None:
         """Remember a fingerprint."""
-        if len(self._young) >= self._most or now - self._rotated_at > self._memory_ms:
+        if (
+            len(self._current) >= self._max_per_generation
+            or now - self._rotated_at > self._retention_ms
+        ):
             self.rotate(now)
-        self._young.add(fingerprint)
+        self._current.add(fingerprint)
 
     def rotate(self, now: Milliseconds) -> None:
-        """Forget what was not added since the last turn."""
-        if now - self._rotated_at > 2.0 * self._memory_ms:
-            self._young = set()
-        self._old, self._young = self._young, set()
+        """Start a new generation and drop the one before the current."""
+        if now - self._rotated_at > 2.0 * self._retention_ms:
+            self._current = set()
+        self._previous, self._current = self._current, set()
         self._rotated_at = now
--- a/packages/fuchsiagap/src/fuchsiagap/core/watching/__init__.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/watching/__init__.py
@@ -1,1 +1,1 @@
-"""Which nodes of a data centre ask the store for all the others."""
+"""Which nodes of a data centre watch the store on behalf of the others."""
--- a/packages/fuchsiagap/src/fuchsiagap/core/watching/watcher_rank.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/watching/watcher_rank.py
@@ -1,14 +1,14 @@
-"""Which nodes watch the store, decided by each node for itself.
+"""Decides on each node whether it watches the store.
 
-Where every node watches, one change of the configuration wakes all of them, and each
-call is paid for: 195 nodes made 14 calls each in 49 s, with three changes. Here the
-first nodes of a data centre watch, in the order of their names, and the others hear of
-a change on their links.
+If every node watched the store, each change of the configuration would wake all of
+them, and each store request is billed: 195 nodes made 14 requests each in 49 s with
+three changes. Instead, the first nodes of a data centre in the order of their names
+watch, and the others learn of changes over their links.
 
-No election: a node looks at those that it has links to. Each of the others relies on
-one that stands before it and hears of changes; that one watches itself or relies on one
-before it in turn, and the chain ends at a node that watches, since names have an order.
-Nodes that see different others watch at most in vain.
+There is no election. A node considers the nodes that it has links to. A node that does
+not watch relies on one with a smaller name that learns of changes. That one watches
+itself or relies on a node with a smaller name in turn, so the chain ends at a node that
+watches. Nodes that are linked to different nodes cause redundant watches at worst.
 """
 
 from __future__ import annotations
@@ -22,35 +22,35 @@
 
     from fuchsiagap.core.clock import Milliseconds
 
-# Milliseconds for which a node waits, for each that stands before it, until it asks a
-# store that does not answer those: one that turns a third of the nodes away is heard of
-# by one of the first three in 26 of 27 cases, and one that is away is not asked by all.
+# Milliseconds by which a node delays, for each node before it, its own requests to a
+# store that does not answer those nodes. If the store rejects a third of the nodes, one
+# of the first three reaches it in 26 of 27 cases; if it is down, not all nodes ask it.
 _TAKEOVER_MS = 800.0
 
 
 class UpdateSource(IntEnum):
-    """How a node hears of changes.
+    """How a node learns of changes.
 
-    One without a source stays so until the store answers it again or one before it has
-    a source. If it counted as having one because a node behind it does, the two would
-    rely on each other.
+    A node without a source keeps this state until the store answers it again or a node
+    with a smaller name has a source. If a node with a larger name counted as a source,
+    the two could rely on each other.
     """
 
-    PEERS = 0  # other nodes
+    PEERS = 0  # from other nodes
     STORE = 1  # it watches the store, which has answered
     NONE = 2  # the store does not answer, and no node before it has a source
 
 
 @dataclass(frozen=True, slots=True)
 class Neighbour:
-    """A node of the same data centre that is in reach.
+    """A reachable node of the same data centre.
 
     Parameters
     ----------
     name : str
-        Its name.
+        Name of the node.
     update_source : UpdateSource
-        How it hears of changes.
+        How it learns of changes.
     """
 
     name: str
@@ -59,16 +59,16 @@
 
 @dataclass(frozen=True, slots=True)
 class WatcherRank:
-    """Whether a node is to ask the store, and after which others.
+    """Whether a node should watch the store, and its position among the others.
 
     Parameters
     ----------
     should_watch : bool
-        Whether too few of those before it hear of changes.
+        Whether too few of the nodes before it learn of changes.
     position : int
-        How many of those that are in reach stand before it.
+        Number of reachable nodes with smaller names.
     others_watch : bool
-        Whether one of them, before or behind it, watches.
+        Whether any reachable node watches the store.
     """
 
     should_watch: bool
@@ -76,11 +76,11 @@
     others_watch: bool
 
     def is_first(self, n_watchers: int) -> bool:
-        """Whether it would watch where all hear of changes."""
+        """Whether the node is among those that watch when all learn of changes."""
         return self.position < n_watchers
 
     def takeover_delay(self, n_watchers: int) -> Milliseconds:
-        """Return how long it must have been to watch before it asks."""
+        """Return for how long `should_watch` must hold before the node watches."""
         return max(self.position - n_watchers + 1, 0) * _TAKEOVER_MS
 
 
@@ -90,17 +90,17 @@
     Parameters
     ----------
     own : str
-        Its name.
+        Name of the node.
     neighbours : iterable of Neighbour
         Nodes of its data centre that it has links to.
     n_watchers : int
-        Nodes that watch in each data centre where all hear of changes.
+        Number of nodes per data centre that watch when all learn of changes.
     """
     position = n_updated = 0
     others_watch = False
-    for one in neighbours:
-        others_watch |= one.update_source is UpdateSource.STORE
-        if one.name < own:
+    for neighbour in neighbours:
+        others_watch |= neighbour.update_source is UpdateSource.STORE
+        if neighbour.name < own:
             position += 1
-            n_updated += one.update_source is not UpdateSource.NONE
+            n_updated += neighbour.update_source is not UpdateSource.NONE
     return WatcherRank(n_updated < n_watchers, position, others_watch)
--- a/packages/fuchsiagap/src/fuchsiagap/core/workspaces/grants.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/workspaces/grants.py
@@ -1,8 +1,8 @@
-"""What the owner of a workspace's quota grants to the nodes that take its requests.
+"""Grants quota tokens of workspaces to the nodes that receive their requests.
 
 One node owns the quota of a workspace and keeps its only token bucket; the others ask
-it for tokens. So the sum over all nodes is bounded by one bucket whatever the nodes
-know of each other. See `docs/design/tenants.md` for the ways weighed.
+it for tokens. So the sum over all nodes is bounded by one bucket, whatever the nodes
+know of each other. See `docs/design/tenants.md` for the alternatives.
 """
 
 from __future__ import annotations
@@ -18,32 +18,32 @@
     from fuchsiagap.core.clock import Milliseconds
     from fuchsiagap.core.workspaces.model import Workspace
 
-# Part of the bucket that one node gets at a time, beyond a first token: a node that
-# asks for more than it needs leaves something to the others.
-_MOST_PART = 0.25
-# Milliseconds over which requests that got no token are counted (to 1/e).
-_DENIED_MS = 1_000.0
-# Milliseconds that a request without a token is to stay away, at least and at most.
+# Largest share of the bucket that one grant takes, though at least one token: a node
+# that asks for more than it needs leaves some for the others.
+_MAX_GRANT_SHARE = 0.25
+# Time constant in milliseconds of the count of requests that got no token.
+_DENIED_DECAY_MS = 1_000.0
+# Bounds in milliseconds of the wait announced to requests without a token.
 MIN_WAIT_MS = 100.0
 MAX_WAIT_MS = 5_000.0
-# Milliseconds without a question after which a bucket is forgotten, with a burst that
-# has come in meanwhile.
-_FORGOTTEN_MS = 60_000.0
-# Milliseconds between two looks for buckets to forget.
+# Milliseconds after which the bucket of a workspace that nobody asks for is removed.
+# By then it has refilled up to its burst.
+_IDLE_MS = 60_000.0
+# Milliseconds between two searches for idle buckets.
 SWEEP_MS = 10_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """An answer to a node that asked for tokens.
+    """The answer to a node that asked for tokens.
 
     Parameters
     ----------
     tokens : int
-        Requests that may be sent on.
+        Requests that the node may admit.
     wait : float
-        Milliseconds after which a request without a token may find one; 0 if all that
-        was asked for is granted.
+        Milliseconds after which a request without a token may get one; 0 if the node
+        may ask again at once.
     """
 
     tokens: int
@@ -51,7 +51,7 @@
 
 
 @dataclass(slots=True)
-class _Owned:
+class _OwnedQuota:
     """The quota of one workspace."""
 
     bucket: TokenBucket
@@ -59,16 +59,16 @@
     denied: float = 0.0
 
     def count_denied(self, n_denied: int, now: Milliseconds) -> None:
-        kept = math.exp((self.asked_at - now) / _DENIED_MS)
-        self.denied = self.denied * kept + n_denied
+        decay = math.exp((self.asked_at - now) / _DENIED_DECAY_MS)
+        self.denied = self.denied * decay + n_denied
         self.asked_at = now
 
 
 class QuotaGrants:
-    """Buckets of the workspaces whose quota this node owns."""
+    """Token buckets of the workspaces whose quota this node owns."""
 
     def __init__(self) -> None:
-        self._owned: dict[str, _Owned] = {}
+        self._owned: dict[str, _OwnedQuota] = {}
 
     def grant(
         self,
@@ -83,25 +83,26 @@
         Parameters
         ----------
         workspace : Workspace
-            Whose quota.
+            Workspace whose quota is used.
         wanted : int
-            Tokens that are asked for.
+            Number of tokens asked for.
         now : float
-            Time.
+            Time in milliseconds.
         share : float, default=1
-            Part of the quota that this node may hand out; less where another node may
-            own the rest, on the other side of a partition.
+            Share of the quota that this node may grant; less than 1 while another node
+            may own the rest on the other side of a partition.
         begins_full : bool, default=False
-            Whether nothing can have been granted before the first question.
+            Whether a new bucket starts full, because no other node can have granted
+            tokens before.
         """
         owned = self._owned.get(workspace.name)
         if owned is None:
-            owned = _Owned(TokenBucket(now, begins_full), now)
+            owned = _OwnedQuota(TokenBucket(now, begins_full), now)
             self._owned[workspace.name] = owned
         rate = workspace.rate * share
         owned.bucket.fill(rate, workspace.burst * share, now)
-        part = math.ceil(owned.bucket.level * _MOST_PART)
-        tokens = owned.bucket.take(min(wanted, max(part, 1)))
+        max_grant = math.ceil(owned.bucket.level * _MAX_GRANT_SHARE)
+        tokens = owned.bucket.take(min(wanted, max(max_grant, 1)))
         is_short = tokens < wanted and owned.bucket.level < 1.0
         owned.count_denied(wanted - tokens if is_short else 0, now)
         if not is_short:
@@ -111,7 +112,7 @@
 
     @property
     def n_owned(self) -> int:
-        """Number of workspaces whose quota this node was asked for of late."""
+        """Number of workspaces whose quota this node was asked for recently."""
         return len(self._owned)
 
     def level(self, name: str) -> float | None:
@@ -120,7 +121,7 @@
         return None if owned is None else owned.bucket.level
 
     def forget(self, now: Milliseconds) -> None:
-        """Forget the workspaces that nobody asked for of late."""
+        """Remove the buckets of workspaces that nobody asked for recently."""
         for name, owned in list(self._owned.items()):
-            if now - owned.asked_at > _FORGOTTEN_MS:
+            if now - owned.asked_at > _IDLE_MS:
                 del self._owned[name]
--- a/packages/fuchsiagap/src/fuchsiagap/core/workspaces/keys.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/workspaces/keys.py
@@ -1,4 +1,4 @@
-"""API keys, of which a node keeps digests only."""
+"""Look-up of workspaces by API key; nodes keep only digests of the keys."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
     from fuchsiagap.core.workspaces.model import Workspace
 
 DIGEST_BYTES = 16
-# Keeps digests of keys apart from other digests of the same bytes.
+# BLAKE2b personalization, which separates these digests from others of the same bytes.
 _PERSON = b"fuchsiagap-key"
 
 
 def key_digest(key: bytes) -> bytes:
     """Return the digest by which a key is looked up.
 
-    BLAKE2b (RFC 7693) resists preimages, so neither a log nor a dump of memory gives a
-    key away, and how long a look-up takes says nothing of the keys that are held.
+    BLAKE2b (RFC 7693) resists preimages, so neither a log nor a memory dump reveals a
+    key, and the time of a look-up reveals nothing about the stored keys.
     """
     return hashlib.blake2b(key, digest_size=DIGEST_BYTES, person=_PERSON).digest()
 
 
 class DuplicateKeyError(Exception):
-    """Two workspaces hold the same key.
+    """Two workspaces hold the same API key.
 
     Parameters
     ----------
@@ -40,7 +40,7 @@
 
 
 class KeyTable:
-    """The keys of one configuration.
+    """The API keys of one configuration.
 
     Parameters
     ----------
@@ -62,5 +62,5 @@
                     raise DuplicateKeyError(holder.name, workspace.name)
 
     def find(self, digest: bytes) -> Workspace | None:
-        """Return the workspace that holds a key, by the digest of the key."""
+        """Return the workspace that holds the key with a digest; None if none does."""
         return self._holders.get(digest)
--- a/packages/fuchsiagap/src/fuchsiagap/core/workspaces/model.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/workspaces/model.py
@@ -1,4 +1,4 @@
-"""What an accepted configuration says of a workspace."""
+"""The part of a configuration that describes one workspace."""
 
 from __future__ import annotations
 
@@ -16,11 +16,12 @@
     key_digests : tuple of bytes
         Digests of its API keys; see `fuchsiagap.core.workspaces.keys`.
     priority : int or None
-        Rank of its requests, in place of that of their route; None leaves the route's.
+        Priority of its requests, instead of that of their route; None keeps the
+        route's.
     rate : float
-        Requests a second over all nodes together; 0 for no limit.
+        Requests per second over all nodes together; 0 for no limit.
     burst : float
-        Requests on top of them.
+        Requests allowed at once on top of the rate.
     """
 
     name: str
--- a/packages/fuchsiagap/src/fuchsiagap/core/workspaces/ownership.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/workspaces/ownership.py
@@ -1,4 +1,4 @@
-"""Which node owns the quota of a workspace, and how much of it."""
+"""Which node owns the quota of a workspace, and the share it may grant."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection, Iterable
 
-# Nodes that may own a quota where those before them are out of reach.
-_MOST_CANDIDATES = 5
+# Nodes that may own one quota; each takes over if those before it are unreachable.
+_N_CANDIDATES = 5
 
 
 def candidates(workspace: str, nodes: Iterable[str]) -> tuple[str, ...]:
-    """Return the nodes that may own a quota, in order, the same at every node.
+    """Return the nodes that may own a quota, in an order that all nodes share.
 
     Parameters
     ----------
     workspace : str
         Name of the workspace.
     nodes : iterable of str
-        All nodes that are known, in reach or not.
+        All known nodes, reachable or not.
     """
 
     def rank(node: str) -> int:
         return rendezvous_rank(workspace, node)
 
-    return tuple(nsmallest(_MOST_CANDIDATES, nodes, key=rank))
+    return tuple(nsmallest(_N_CANDIDATES, nodes, key=rank))
 
 
 def owner_of(order: Iterable[str], is_up: Callable[[str], bool]) -> str | None:
@@ -37,13 +37,13 @@
 
 
 def granted_share(
-    own: str, known: Collection[str], heard: Collection[str], reaches_own: bool
+    own: str, known: Collection[str], reachable: Collection[str], reaches_own: bool
 ) -> float:
-    """Return the part of each quota that a node may hand out as its owner.
+    """Return the share of each quota that a node may grant as its owner.
 
-    Each data centre stands for an equal part, and a node hands out the parts of those
-    that it hears: on both sides of a partition together they are never above the whole,
-    while a side goes on with its part.
+    Each data centre has an equal share, and a node grants the shares of the data
+    centres that it reaches. So the sides of a partition together never exceed the
+    quota, while each side continues with its share.
 
     Parameters
     ----------
@@ -51,15 +51,15 @@
         Data centre of the node.
     known : collection of str
         Data centres that have nodes.
-    heard : collection of str
-        Data centres of which a node is heard.
+    reachable : collection of str
+        Data centres of which a node is reachable.
     reaches_own : bool
-        Whether a node of its own data centre is heard, or there is no other, or the
-        store answers this node: one that hears nobody is cut off by itself, and those
-        beside it count for their data centre.
+        Whether another node of its own data centre is reachable, there is none, or the
+        store answers this node. A node that reaches nobody is itself cut off, and its
+        data centre's share belongs to the other nodes there.
     """
-    places = {own, *known}
-    reached = set(heard) & places
+    data_centres = {own, *known}
+    reached = set(reachable) & data_centres
     if reaches_own:
         reached.add(own)
-    return len(reached) / len(places)
+    return len(reached) / len(data_centres)
--- a/packages/fuchsiagap/src/fuchsiagap/core/workspaces/token_bucket.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/workspaces/token_bucket.py
@@ -11,43 +11,44 @@
 
 
 class TokenBucket:
-    """Tokens that come in at a rate, up to a burst.
+    """A bucket that refills at a rate, up to a burst.
 
     Parameters
     ----------
     now : float
-        Time.
+        Time in milliseconds.
     is_full : bool
-        Whether it begins with the whole burst; it is filled at the first `fill`.
+        Whether the first `fill` fills it up to the burst; otherwise it starts empty.
 
     Attributes
     ----------
     level : float
-        Tokens that it holds.
+        Current tokens.
     """
 
     def __init__(self, now: Milliseconds, is_full: bool) -> None:
-        self._at = now
+        self._filled_at = now
         self.level = float("inf") if is_full else 0.0
 
     def fill(self, rate: float, burst: float, now: Milliseconds) -> None:
-        """Let in what has come since the last call.
+        """Add the tokens of the time since the last call.
 
         Parameters
         ----------
         rate : float
-            Tokens a second.
+            Tokens per second.
         burst : float
-            Most that it holds; one token at least, without which none could be taken.
+            Capacity of the bucket; at least one token is allowed, since otherwise none
+            could ever be taken.
         now : float
-            Time.
+            Time in milliseconds.
         """
-        come = rate * (now - self._at) / MS_PER_S
-        self._at = now
-        self.level = min(self.level + come, max(burst, 1.0))
+        added = rate * (now - self._filled_at) / MS_PER_S
+        self._filled_at = now
+        self.level = min(self.level + added, max(burst, 1.0))
 
-    def take(self, most: int) -> int:
-        """Take up to so many whole tokens, and return how many."""
-        taken = min(most, int(self.level))
+    def take(self, max_tokens: int) -> int:
+        """Take up to a number of whole tokens, and return how many were taken."""
+        taken = min(max_tokens, int(self.level))
         self.level -= taken
         return taken
