--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/admission/a_gate.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/admission/gate_load.py
@@ -1,4 +1,4 @@
-"""A gate in front of a server with some true number of slots, and load on it."""
+"""A gate in front of a simulated server with a known number of slots, under load."""
 
 from __future__ import annotations
 
@@ -22,30 +22,42 @@
 SERVICE_MS = 100.0
 
 
-def a_gate(**changes: object) -> Gate:
-    """Return a gate; to be used within a virtual run."""
+def make_gate(**changes: object) -> Gate:
+    """Return a gate, for use within `run_virtual`."""
     clock = trio_clock(wall_offset=0.0)
     return Gate(GateSettings(**changes), clock, random.Random(1))
 
 
 @dataclass
 class Load:
-    """Calls on one gate, and what became of them.
-
-    `slots` is how many calls the server truly works on at once; it queues the rest
-    inside. `slowness` multiplies its time at a moment.
+    """Calls through one gate, and their outcomes.
+
+    Parameters
+    ----------
+    gate : Gate
+        The gate.
+    slots : int
+        Calls that the server runs concurrently; it queues the others internally.
+    slowdown : callable
+        Returns the factor of the service time at a time in milliseconds.
+    priorities : tuple of int
+        Priorities of the calls, in turn.
+    entered, answered : list of (float, CallHead)
+        Admitted and answered calls with their times in milliseconds.
+    refused : list of (float, CallHead, Reason)
+        Refused calls with their times in milliseconds.
     """
 
     gate: Gate
     slots: int
-    slowness: Callable[[float], float] = lambda _now: 1.0
+    slowdown: Callable[[float], float] = lambda _now: 1.0
     priorities: tuple[int, ...] = (0,)
     entered: list[tuple[float, CallHead]] = field(default_factory=list)
     answered: list[tuple[float, CallHead]] = field(default_factory=list)
     refused: list[tuple[float, CallHead, Reason]] = field(default_factory=list)
 
     async def run(self, rate_per_s: Callable[[float], float], seconds: float) -> None:
-        """Send calls at a rate for a time, and step the gate."""
+        """Send calls at a rate for some seconds, and step the gate."""
         rng = random.Random(7)
         server = trio.Semaphore(self.slots)
         with trio.move_on_after(seconds):
@@ -76,8 +88,8 @@
         outcome = an_unknown(Reason.DEADLINE)
         with trio.move_on_after(max(head.deadline - now, 0.0) / 1000.0):
             async with server:
-                slowness = self.slowness(trio.current_time() * 1000.0)
-                await sleep_ms(SERVICE_MS * slowness * rng.lognormvariate(-0.08, 0.4))
+                slowdown = self.slowdown(trio.current_time() * 1000.0)
+                await sleep_ms(SERVICE_MS * slowdown * rng.lognormvariate(-0.08, 0.4))
             outcome = an_answer()
             self.answered.append((trio.current_time() * 1000.0, head))
         self.gate.leave(entered, outcome)
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/admission/test_fast_backend.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/admission/test_fast_backend.py
@@ -1,8 +1,8 @@
-"""A fast backend server with jitter, far from its limits, is never refused calls.
+"""Jitter of a fast backend server far below its capacity is not taken for overload.
 
-Found on real processes (`bench path`): an echo that answers in 0.3 ms was called one
-by one, then 266 times a second; the host's own jitter passed for queueing, the limit
-fell to a few calls, and 9 in 100 were refused.
+An echo server that answers in 0.3 ms gets calls one by one, then 266 per second. If the
+host's scheduling jitter counts as queueing, the limit falls to a few calls, and 9 of
+100 calls are refused.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class TestFastBackend(TestCase):
-    def test_jitter_is_no_overload(self) -> None:
+    def test_jitter_is_not_taken_for_overload(self) -> None:
         for seed in range(5):
             refused, limit = run_virtual(_refusals, seed)
             self.assertEqual(0, refused, f"seed {seed}")
@@ -46,8 +46,8 @@
         if isinstance(entered, Refused):
             refused += 1
             return
-        # Now and then the host is busy elsewhere for some milliseconds, and what
-        # came meanwhile ends together.
+        # Occasionally the host stalls for some milliseconds, and all calls that arrive
+        # meanwhile end together.
         if rng.random() < 0.02:
             spike_until = clock.now() + rng.uniform(3.0, 15.0)
         await sleep_ms(0.3 + rng.random() + max(spike_until - clock.now(), 0.0))
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/admission/test_gate.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/admission/test_gate.py
@@ -1,4 +1,4 @@
-"""Who waits, who starts, who is refused."""
+"""Which calls the gate starts, queues and refuses."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from fuchsiagap.core.admission.settings import GateSettings, QueueOrder
 from fuchsiagap.core.calls.outcome import Reason, Refused
 from fuchsiagap.core.clock import sleep_ms
-from fuchsiagap.tests.core.admission.a_gate import Load, a_gate
+from fuchsiagap.tests.core.admission.gate_load import Load, make_gate
 from fuchsiagap_standins.builders import a_head, a_load, a_service, an_answer
 from fuchsiagap_standins.testing import run_virtual
 
@@ -40,11 +40,11 @@
         self.assertIn("lookup overload 4", order)
         self.assertEqual(["first", "issue", "cycle", "book"], self.started(order))
 
-    def test_a_full_queue_refuses_what_is_no_more_important(self) -> None:
+    def test_a_full_queue_refuses_calls_of_equal_priority(self) -> None:
         order = self.orders(("first", 5), ("a", 2), ("b", 2), ("c", 2), ("d", 2))
         self.assertIn("d overload 4", order)
 
-    def test_within_a_priority_the_order_is_a_setting(self) -> None:
+    def test_order_within_a_priority_is_configurable(self) -> None:
         for setting, expected in (
             (QueueOrder.OLDEST_FIRST, ["first", "a", "b", "c"]),
             (QueueOrder.NEWEST_FIRST, ["first", "c", "b", "a"]),
@@ -56,14 +56,14 @@
             )  # fmt: skip
             self.assertEqual(expected, order, setting)
 
-    def test_expired_work_leaves_the_queue_at_once(self) -> None:
+    def test_expired_calls_leave_the_queue_at_once(self) -> None:
         order = self.orders(("first", 5), ("late", 5, 40.0), ("in-time", 5, 900.0))
         self.assertIn("late deadline 40", order)
         self.assertEqual(["first", "in-time"], self.started(order))
 
-    def test_what_waits_is_refused_at_once_when_the_node_leaves(self) -> None:
+    def test_waiting_calls_are_refused_when_the_node_leaves(self) -> None:
         async def run() -> list[str]:
-            gate = a_gate(start_limit=1)
+            gate = make_gate(start_limit=1)
             order: list[str] = []
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(_wait, gate, order, "first")
@@ -75,24 +75,24 @@
 
         self.assertEqual(["first", "second leaving 11"], run_virtual(run))
 
-    def test_what_cannot_end_in_time_does_not_start(self) -> None:
+    def test_calls_that_would_miss_their_deadline_are_refused(self) -> None:
         async def main() -> list[str]:
-            gate = a_gate(start_limit=1)
+            gate = make_gate(start_limit=1)
             order: list[str] = []
-            await _wait(gate, order, "teaches")
+            await _wait(gate, order, "warm-up")
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(_wait, gate, order, "first")
                 await sleep_ms(1.0)
-                await _wait(gate, order, "hopeless", deadline=150.0)
+                await _wait(gate, order, "too-late", deadline=150.0)
             return order
 
         self.assertEqual(
-            ["teaches", "first", "hopeless deadline 101"], run_virtual(main)
+            ["warm-up", "first", "too-late deadline 101"], run_virtual(main)
         )
 
-    def test_a_caller_that_leaves_as_it_is_started_gives_its_place_back(self) -> None:
+    def test_a_cancelled_caller_releases_the_slot_it_was_just_granted(self) -> None:
         async def main() -> int:
-            gate = a_gate(start_limit=1)
+            gate = make_gate(start_limit=1)
             first = await gate.enter(a_head("first", deadline=1e6))
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(_wait, gate, [], "leaves")
@@ -105,7 +105,7 @@
 
     def orders(self, *waiters: tuple[object, ...], **settings: object) -> list[str]:
         async def main() -> list[str]:
-            gate = a_gate(start_limit=1, queue_share=3.0, **settings)
+            gate = make_gate(start_limit=1, queue_share=3.0, **settings)
             order: list[str] = []
             async with trio.open_nursery() as nursery:
                 for name, priority, *deadline in waiters:
@@ -146,20 +146,21 @@
         load = self.overloaded(priorities=(0,), rate=700.0)
         answered = [head.cohort for at, head in load.answered if at > 3_000.0]
         refused = [head.cohort for at, head, _ in load.refused if at > 3_000.0]
-        # 30 slots and 100 ms are 300 a second; the level lets in less than half.
+        # 30 slots at 100 ms complete 300 calls per second; the level admits less than
+        # half of the arrivals.
         self.assertGreater(len(answered) / 5.0, 280.0)
         high = sum(cohort > 75 for cohort in answered) / len(answered)
         low = sum(cohort < 35 for cohort in refused) / len(refused)
         self.assertLess(max(high, low), 0.05)
 
-    def test_it_opens_when_the_pressure_ends(self) -> None:
-        load = self.overloaded(priorities=(0, 7), rate=700.0, calm_from=5_000.0)
+    def test_it_opens_when_the_overload_ends(self) -> None:
+        load = self.overloaded(priorities=(0, 7), rate=700.0, normal_from=5_000.0)
         after = [at for at, _, _ in load.refused if at > 6_000.0]
         self.assertEqual([], after)
 
-    def test_a_level_below_shuts_the_routes_that_need_it(self) -> None:
+    def test_a_downstream_level_rejects_calls_of_the_routes_that_need_it(self) -> None:
         async def main() -> list[str]:
-            gate = a_gate(start_limit=9)
+            gate = make_gate(start_limit=9)
             gate.record_downstream_load(
                 "certs/read", a_service("results"), a_load(level_priority=4)
             )
@@ -177,9 +178,9 @@
             order,
         )
 
-    def test_silence_below_lets_one_call_ask_again(self) -> None:
+    def test_one_call_probes_a_downstream_service_without_reports(self) -> None:
         async def main() -> list[str]:
-            gate = a_gate(start_limit=9)
+            gate = make_gate(start_limit=9)
             gate.record_downstream_load(
                 "certs/read", a_service("results"), a_load(level_priority=4)
             )
@@ -193,9 +194,9 @@
 
         self.assertEqual(["asks"], run_virtual(main))
 
-    def test_a_refusal_says_why(self) -> None:
+    def test_a_refusal_states_its_reason(self) -> None:
         async def main() -> Refused:
-            gate = a_gate(start_limit=1, queue_share=0.0)
+            gate = make_gate(start_limit=1, queue_share=0.0)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(_wait, gate, [], "first")
                 nursery.start_soon(_wait, gate, [], "waits")
@@ -213,12 +214,12 @@
         self.assertGreater(refused.retry_after, 0.0)
 
     def overloaded(
-        self, priorities: tuple[int, ...], rate: float, calm_from: float = 1e9
+        self, priorities: tuple[int, ...], rate: float, normal_from: float = 1e9
     ) -> Load:
         async def main() -> Load:
-            gate = a_gate(start_limit=30)
+            gate = make_gate(start_limit=30)
             load = Load(gate, 30, priorities=priorities)
-            await load.run(lambda now: rate if now < calm_from else 100.0, 8.0)
+            await load.run(lambda now: rate if now < normal_from else 100.0, 8.0)
             return load
 
         return run_virtual(main)
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/admission/test_limit.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/admission/test_limit.py
@@ -1,11 +1,11 @@
-"""The limit ends near the true slots, whatever the server says of itself."""
+"""The concurrency limit converges to the true slots, whatever the server reports."""
 
 from __future__ import annotations
 
 from testtools import TestCase
 
 from fuchsiagap.core.calls.outcome import Reason
-from fuchsiagap.tests.core.admission.a_gate import Load, a_gate
+from fuchsiagap.tests.core.admission.gate_load import Load, make_gate
 from fuchsiagap_standins.builders import a_head, a_refusal
 from fuchsiagap_standins.testing import run_virtual
 
@@ -20,7 +20,7 @@
     reported: int, seconds: float, slow_from: float = 1e9, slow_to: float = 1e9
 ) -> tuple[int, int]:
     """Return the limit, and the calls answered in the last five seconds."""
-    gate = a_gate()
+    gate = make_gate()
     gate.apply_report(reported, 0)
     load = Load(
         gate, _TRUE_SLOTS, lambda now: 5.0 if slow_from <= now < slow_to else 1.0
@@ -31,17 +31,17 @@
 
 
 class TestLimit(TestCase):
-    def test_a_report_that_is_frozen_far_too_high_is_left(self) -> None:
+    def test_a_constant_report_far_too_high_is_corrected(self) -> None:
         limit, answered = run_virtual(_limit_after, 300, 13.0)
         self.assertTrue(25 <= limit <= 45, limit)
         self.assertGreater(answered, 1_300)
 
-    def test_a_report_that_is_far_too_low_does_not_hold_it_low(self) -> None:
+    def test_a_report_far_too_low_is_corrected(self) -> None:
         limit, answered = run_virtual(_limit_after, 3, 20.0)
         self.assertTrue(25 <= limit <= 45, limit)
         self.assertGreater(answered, 1_300)
 
-    def test_a_true_report_is_kept_to(self) -> None:
+    def test_a_correct_report_is_kept(self) -> None:
         limit, _ = run_virtual(_limit_after, 30, 13.0)
         self.assertTrue(25 <= limit <= 45, limit)
 
@@ -50,14 +50,14 @@
         self.assertTrue(25 <= limit <= 45, limit)
         self.assertGreater(answered, 250)
 
-    def test_it_is_not_stuck_low_after_a_slow_spell(self) -> None:
+    def test_it_recovers_after_a_slow_period(self) -> None:
         limit, answered = run_virtual(_limit_after, 30, 20.0, 3_000.0, 10_000.0)
         self.assertGreaterEqual(limit, 25)
         self.assertGreater(answered, 1_300)
 
-    def test_a_server_that_sheds_lowers_it(self) -> None:
+    def test_a_refusal_by_the_server_lowers_it(self) -> None:
         async def main() -> int:
-            gate = a_gate(start_limit=20)
+            gate = make_gate(start_limit=20)
             entered = await gate.enter(a_head(deadline=1e9))
             gate.leave(entered, a_refusal(Reason.BACKEND_REFUSED))
             return gate.limit
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/admission/test_reported_levels.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/admission/test_reported_levels.py
@@ -1,4 +1,4 @@
-"""What an entry node has learnt of levels elsewhere."""
+"""Refusals by an entry node according to the levels reported to it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from fuchsiagap_standins.builders import a_head, a_load, a_service
 
 
-class TestLevels(TestCase):
+class TestReportedLevels(TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.now = 0.0
@@ -37,11 +37,11 @@
         self.assertTrue(self.passes(priority=5, cohort=60))
         self.assertTrue(self.passes(priority=4, cohort=127))
 
-    def test_what_no_instance_has_said_is_open(self) -> None:
+    def test_routes_without_reports_are_open(self) -> None:
         self.learn(0)
         self.assertTrue(self.passes(priority=9, route="certs/other"))
 
-    def test_an_instance_that_is_more_open_counts(self) -> None:
+    def test_the_most_open_instance_counts(self) -> None:
         self.learn(0)
         self.learn(6, instance="certs-2")
         self.assertTrue(self.passes(priority=6))
@@ -51,14 +51,14 @@
         self.learn(0)
         self.assertTrue(self.passes(priority=9, depth=2))
 
-    def test_now_and_then_one_call_passes_to_ask(self) -> None:
+    def test_one_call_passes_periodically_as_a_probe(self) -> None:
         self.learn(0)
         self.assertEqual([True, False], [self.passes(priority=7) for _ in range(2)])
         self.now = self.cfg.probe_ms
         self.learn(0)
         self.assertEqual([True, False], [self.passes(priority=7) for _ in range(2)])
 
-    def test_a_level_that_is_not_renewed_opens_and_is_forgotten(self) -> None:
+    def test_a_level_without_new_reports_opens_and_is_dropped(self) -> None:
         self.learn(0)
         self.passes(priority=1)
         self.now = self.cfg.fresh_ms + self.cfg.reopen_ms
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/freshness/test_store_view.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/freshness/test_store_view.py
@@ -1,4 +1,4 @@
-"""Epochs, cursors and versions of a store that may come back from a copy."""
+"""Epochs, cursors and versions of a store that may be restored from a backup."""
 
 from testtools import TestCase
 
@@ -15,58 +15,58 @@
 
 
 class TestStoreView(TestCase):
-    def test_watch_goes_on_from_what_the_one_before_gave(self):
+    def test_watch_continues_from_the_previous_cursor(self):
         view = view_at()
         self.assertTrue(view.note_watch(Cursor(3, 60), 8, 10.0))
         self.assertEqual((Cursor(3, 60), 8), (view.cursor, view.version))
         self.assertTrue(view.note_watch(Cursor(3, 61), None, 20.0))
         self.assertEqual((Cursor(3, 61), 8), (view.cursor, view.version))
 
-    def test_watch_that_another_epoch_answers_does_not_count(self):
+    def test_watch_answered_in_another_epoch_is_invalid(self):
         view = view_at()
         self.assertFalse(view.note_watch(Cursor(4, 70), None, 10.0))
         self.assertIsNone(view.cursor)
         view.note_read(Cursor(4, 20), 6, 20.0)
         self.assertEqual((Cursor(4, 20), 6), (view.cursor, view.version))
 
-    def test_probe_of_another_epoch_makes_the_cursor_void(self):
+    def test_probe_in_another_epoch_invalidates_the_cursor(self):
         view = view_at()
         self.assertFalse(view.note_epoch(3, 10.0))
         self.assertTrue(view.note_epoch(4, 10.0))
         self.assertIsNone(view.cursor)
 
-    def test_answer_of_an_older_epoch_leads_to_a_read_and_to_no_end(self):
+    def test_answer_of_an_older_epoch_causes_one_read(self):
         view = view_at(epoch=4)
         self.assertTrue(view.note_epoch(3, 10.0))
         view.note_read(Cursor(4, 55), 8, 20.0)
         self.assertEqual(Cursor(4, 55), view.cursor)
 
-    def test_answer_without_an_epoch_is_of_the_one_known(self):
+    def test_answer_without_an_epoch_belongs_to_the_known_one(self):
         view = view_at()
         self.assertFalse(view.note_epoch(NO_EPOCH, 10.0))
         self.assertTrue(view.note_watch(Cursor(NO_EPOCH, 51), 8, 10.0))
         self.assertEqual(Cursor(3, 51), view.cursor)
 
-    def test_store_that_tells_no_epochs_and_goes_back_is_noticed_by_its_revision(self):
+    def test_restore_without_epochs_is_detected_by_the_revision(self):
         view = view_at(epoch=NO_EPOCH)
         self.assertFalse(view.note_watch(Cursor(NO_EPOCH, 49), None, 10.0))
         view.note_read(Cursor(NO_EPOCH, 20), 7, 10.0)
         self.assertEqual(20, view.cursor.revision)
 
-    def test_cursor_of_another_epoch_on_a_link_is_not_used(self):
+    def test_cursor_of_another_epoch_from_a_peer_is_ignored(self):
         view = view_at(epoch=4, revision=20)
         view.note_version(Cursor(3, 90), 9, 10.0)
         self.assertEqual(Cursor(4, 20), view.cursor)
         view.note_version(Cursor(4, 30), 9, 10.0)
         self.assertEqual((Cursor(4, 30), 9), (view.cursor, view.version))
 
-    def test_cursor_of_a_link_is_void_once_the_store_tells_another_epoch(self):
+    def test_cursor_from_a_peer_is_invalid_in_another_epoch_of_the_store(self):
         view = StoreView(SETTLE_MS)
         view.note_version(Cursor(3, 90), 9, 0.0)
         self.assertTrue(view.note_epoch(4, 10.0))
         self.assertIsNone(view.cursor)
 
-    def test_older_read_gives_a_place_only_where_there_is_none(self):
+    def test_older_read_sets_the_cursor_only_if_there_is_none(self):
         view = view_at()
         view.note_older_read(Cursor(3, 40), 6, 10.0)
         self.assertEqual((Cursor(3, 50), 7), (view.cursor, view.version))
@@ -74,7 +74,7 @@
         fresh.note_older_read(Cursor(3, 40), 6, 10.0)
         self.assertEqual(Cursor(3, 40), fresh.cursor)
 
-    def test_cursor_is_good_to_watch_from_for_a_time(self):
+    def test_cursor_expires(self):
         view = view_at()
         self.assertTrue(view.can_watch(9_000.0))
         self.assertFalse(view.can_watch(11_000.0))
@@ -87,17 +87,17 @@
         self.assertFalse(view.proves(8, 0.0))
         self.assertFalse(view.proves(6, 0.0))
 
-    def test_store_that_came_back_proves_nothing_until_it_has_settled(self):
+    def test_restored_store_proves_nothing_until_it_has_settled(self):
         view = view_at()
         view.note_epoch(4, 1_000.0)
         view.note_read(Cursor(4, 20), 7, 1_010.0)
         self.assertFalse(view.proves(7, 1_000.0 + SETTLE_MS - 1.0))
         self.assertTrue(view.proves(7, 1_000.0 + SETTLE_MS))
 
-    def test_first_epoch_is_no_return(self):
+    def test_first_epoch_is_not_taken_for_a_restore(self):
         self.assertTrue(view_at(epoch=9).proves(7, 0.0))
 
-    def test_node_that_starts_after_a_return_knows_of_it_from_others(self):
+    def test_node_started_after_a_restore_learns_of_it_from_peers(self):
         view = StoreView(SETTLE_MS)
         view.note_peer_epoch(3)
         view.note_read(Cursor(4, 20), 7, 0.0)
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/freshness/test_store_view_exhaustive.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/freshness/test_store_view_exhaustive.py
@@ -1,10 +1,10 @@
-"""Every order of asking, answering, passing on, killing and returning.
+"""Model checking of `StoreView` and `ConfigFreshness` over all orders of events.
 
-A store holds the configuration. It may be silent once, and come back once from a copy
-that was taken after the first version; what it lost is written again within the time
-that nodes give it. Nodes read, watch from their cursor, probe, and pass on what they
-have; one is killed once and starts knowing nothing. Whatever the order, no node goes
-back, none is stuck, and none takes its knowledge for better than it is.
+The store may be unresponsive once, and may be restored once from a backup that was
+taken after the first version; what it lost is written again within the settling time.
+Nodes read, watch from their cursor, probe, and pass on their state; one node is killed
+once and restarts without state. In every reachable state, no node returns to an older
+version, none fails to reach the newest one, and none has an `as_of` that is too late.
 """
 
 import os
@@ -15,21 +15,21 @@
 from fuchsiagap.core.freshness.config_freshness import ConfigFreshness
 from fuchsiagap.core.freshness.store_view import Cursor, StoreView
 
-# Three by hand: `RETURN_NODES=3`.
+# For a longer run: `RETURN_NODES=3`.
 N_NODES = int(os.environ.get("RETURN_NODES", "2"))
 N_VERSIONS = 3
-# Steps of an order; more by hand: `RETURN_STEPS=7`.
-DEEPEST = int(os.environ.get("RETURN_STEPS", "6"))
-# Steps within which the operator writes again what the store has lost.
-SETTLE = 6
-# Questions after which a node has to watch a store that answers, with all that it has.
-MOST_QUESTIONS = 4
+# Steps explored; for a longer run: `RETURN_STEPS=7`.
+MAX_DEPTH = int(os.environ.get("RETURN_STEPS", "6"))
+# Settling time: steps within which the operator writes lost versions again.
+SETTLE_STEPS = 6
+# Requests within which a node has to watch a responsive store at the newest version.
+MAX_REQUESTS = 4
 NEVER = float("-inf")
 
 
 @dataclass(frozen=True)
 class Answer:
-    """What the store said to a question; no cursor where history is gone."""
+    """An answer of the store; without a cursor if it lacks the history."""
 
     is_watch: bool
     asked_at: int
@@ -39,39 +39,39 @@
 
 @dataclass(frozen=True)
 class Node:
-    """What a node knows, and what it waits for."""
+    """State of one node, and the request or answer that it waits for."""
 
     in_force: int = 0
     stored_at: Cursor | None = None
-    knowledge: tuple = (NEVER, 0, NEVER)
+    freshness: tuple = (NEVER, 0, NEVER)
     view: tuple = (NEVER, NEVER, -1, -1, None, 0)
-    # Whether it watches and since when, or the answer that is under way.
-    waits: tuple | Answer | None = None
-    # Whether it had heard of the epoch before when it first heard of the one that the
-    # return began.
-    can_tell: bool = True
+    # Cursor and time of the open request, or the answer in transit; None if neither.
+    pending: tuple | Answer | None = None
+    # Whether it knew the previous epoch when it first learned of the one that the
+    # restore began.
+    can_detect: bool = True
 
 
 @dataclass(frozen=True)
-class World:
-    """The store, all nodes, and what has happened once."""
+class System:
+    """State of the store and all nodes, and which one-time events have occurred."""
 
     now: int = 0
     epoch: int = 1
     revision: int = 1
     changed_at: int = 1
     version: int = 1
-    copy: tuple = (1, 1, 1)
+    backup: tuple = (1, 1, 1)
     accepted: tuple = ((1, 0),)
-    returned_at: int | None = None
-    silence: str = "to come"
-    has_killed: bool = False
+    restored_at: int | None = None
+    outage: str = "to come"
+    was_killed: bool = False
     nodes: tuple = (Node(),) * N_NODES
 
 
 def view_of(node):
-    """Return the product's object in the state of a node."""
-    view = StoreView(SETTLE)
+    """Return a `StoreView` in the state of a node."""
+    view = StoreView(SETTLE_STEPS)
     (
         view._as_of,
         view._reliable_from,
@@ -84,7 +84,7 @@
 
 
 def with_view(node, view):
-    """Return a node in the state of the product's object."""
+    """Return a node with the state of a `StoreView`."""
     state = (
         view._as_of,
         view._reliable_from,
@@ -96,255 +96,272 @@
     return replace(node, view=state)
 
 
-def with_knowledge(node, change):
-    """Return a node whose knowledge a function has changed."""
-    known = ConfigFreshness()
-    known.as_of, known._pending_version, known._pending_as_of = node.knowledge
-    change(known)
-    state = known.as_of, known._pending_version, known._pending_as_of
-    return replace(node, knowledge=state)
+def with_freshness(node, change):
+    """Return a node after a function has changed its `ConfigFreshness`."""
+    freshness = ConfigFreshness()
+    freshness.as_of, freshness._pending_version, freshness._pending_as_of = (
+        node.freshness
+    )
+    change(freshness)
+    state = freshness.as_of, freshness._pending_version, freshness._pending_as_of
+    return replace(node, freshness=state)
 
 
 def adopted(node, version, cursor):
-    """Return a node that was given a version."""
+    """Return a node after it received a version."""
     if version == node.in_force:
         return replace(node, stored_at=cursor)
     if version < node.in_force:
         return node
     node = replace(node, in_force=version, stored_at=cursor)
-    return with_knowledge(node, lambda known: known.adopt(version))
+    return with_freshness(node, lambda freshness: freshness.adopt(version))
 
 
-def put(world, index, node):
-    """Return the world a step later, with another state of one node."""
-    nodes = (*world.nodes[:index], node, *world.nodes[index + 1 :])
-    return replace(world, now=world.now + 1, nodes=nodes)
+def with_node(system, index, node):
+    """Return the system one step later, with another state of one node."""
+    nodes = (*system.nodes[:index], node, *system.nodes[index + 1 :])
+    return replace(system, now=system.now + 1, nodes=nodes)
 
 
-def asked(world, node):
-    """Return a node that asks the store."""
-    return replace(node, waits=(view_of(node).cursor, world.now))
+def with_request(system, node):
+    """Return a node after it sent a request to the store."""
+    return replace(node, pending=(view_of(node).cursor, system.now))
 
 
-def served(world, node):
-    """Return a node to which the store has answered, not heard of yet."""
-    cursor, asked_at = node.waits
-    place = Cursor(world.epoch, world.revision)
+def answered(system, node):
+    """Return a node after the store answered, before the answer arrives."""
+    cursor, asked_at = node.pending
+    position = Cursor(system.epoch, system.revision)
     if cursor is None:
-        answer = Answer(False, asked_at, place, world.version)
-    elif cursor.revision > world.revision:
+        answer = Answer(False, asked_at, position, system.version)
+    elif cursor.revision > system.revision:
         answer = Answer(True, asked_at, None, None)
     else:
-        is_news = world.changed_at > cursor.revision
-        answer = Answer(True, asked_at, place, world.version if is_news else None)
-    return replace(node, waits=answer)
+        has_changed = system.changed_at > cursor.revision
+        answer = Answer(
+            True, asked_at, position, system.version if has_changed else None
+        )
+    return replace(node, pending=answer)
 
 
-def heard(world, node):
-    """Return a node that has heard the answer which is under way."""
-    answer = node.waits
+def received(system, node):
+    """Return a node after the answer in transit has arrived."""
+    answer = node.pending
     view = view_of(node)
-    node = replace(node, waits=None, can_tell=node.can_tell and can_tell(world, view))
+    node = replace(
+        node, pending=None, can_detect=node.can_detect and can_detect(system, view)
+    )
     if answer.cursor is None:
         view.drop_cursor()
         return with_view(node, view)
     if answer.is_watch:
-        is_sound = view.note_watch(answer.cursor, answer.version, world.now)
+        is_valid = view.note_watch(answer.cursor, answer.version, system.now)
     else:
-        view.note_read(answer.cursor, answer.version, world.now)
-        is_sound = True
+        view.note_read(answer.cursor, answer.version, system.now)
+        is_valid = True
     node = with_view(node, view)
     if answer.version is not None:
         node = adopted(node, answer.version, answer.cursor)
     in_force = node.in_force
-    if is_sound and view.proves(in_force, answer.asked_at):
-        node = with_knowledge(
-            node, lambda known: known.confirm(in_force, answer.asked_at, in_force)
+    if is_valid and view.proves(in_force, answer.asked_at):
+        node = with_freshness(
+            node,
+            lambda freshness: freshness.confirm(in_force, answer.asked_at, in_force),
         )
     return node
 
 
-def can_tell(world, view):
-    """Whether a node that hears from the store can tell that it has come back."""
-    cursor_epoch = world.epoch if view.cursor is None else view.cursor.epoch
-    heard_of = {view.epoch, view._peer_epoch, cursor_epoch} - {-1, world.epoch}
-    return world.returned_at is None or view.epoch == world.epoch or bool(heard_of)
+def can_detect(system, view):
+    """Whether a node that hears from the store can detect that it was restored."""
+    cursor_epoch = system.epoch if view.cursor is None else view.cursor.epoch
+    known_epochs = {view.epoch, view._peer_epoch, cursor_epoch} - {-1, system.epoch}
+    return (
+        system.restored_at is None or view.epoch == system.epoch or bool(known_epochs)
+    )
 
 
-def probed(world, node):
-    """Return a node that has probed the store; a void cursor ends its watch."""
+def probed(system, node):
+    """Return a node after a probe of the store; an invalid cursor ends its watch."""
     view = view_of(node)
-    node = replace(node, can_tell=node.can_tell and can_tell(world, view))
-    is_void = view.note_epoch(world.epoch, world.now)
+    node = replace(node, can_detect=node.can_detect and can_detect(system, view))
+    is_invalid = view.note_epoch(system.epoch, system.now)
     node = with_view(node, view)
-    return replace(node, waits=None) if is_void else node
+    return replace(node, pending=None) if is_invalid else node
 
 
-def told(world, node, other):
-    """Return a node to which another one has passed on what it has."""
+def informed(system, node, other):
+    """Return a node after another one has passed on its state."""
     view = view_of(node)
     view.note_peer_epoch(view_of(other).epoch)
     node = with_view(node, view)
     if other.in_force > node.in_force:
         node = adopted(node, other.in_force, other.stored_at)
         view = view_of(node)
-        view.note_version(other.stored_at, other.in_force, world.now)
+        view.note_version(other.stored_at, other.in_force, system.now)
         node = with_view(node, view)
-    as_of = other.knowledge[0]
+    as_of = other.freshness[0]
     in_force = node.in_force
-    node = replace(node, can_tell=node.can_tell and other.can_tell)
-    return with_knowledge(
-        node, lambda known: known.confirm(other.in_force, as_of, in_force)
+    node = replace(node, can_detect=node.can_detect and other.can_detect)
+    return with_freshness(
+        node, lambda freshness: freshness.confirm(other.in_force, as_of, in_force)
     )
 
 
-def following(world):
-    """Yield each state that may follow."""
-    lost = world.version < len(world.accepted)
-    if world.returned_at is not None and lost:
-        yield written(world, len(world.accepted))
-        if world.now - world.returned_at >= SETTLE - 1:
+def successors(system):
+    """Yield each state that can follow a state of the system."""
+    lost = system.version < len(system.accepted)
+    if system.restored_at is not None and lost:
+        yield written(system, len(system.accepted))
+        if system.now - system.restored_at >= SETTLE_STEPS - 1:
             return
-    yield from _store_steps(world, lost)
-    for index, node in enumerate(world.nodes):
-        for following_node in _node_steps(world, index, node):
-            yield put(world, index, following_node)
-        if not world.has_killed and node != Node():
-            yield replace(put(world, index, Node()), has_killed=True)
+    yield from _store_steps(system, lost)
+    for index, node in enumerate(system.nodes):
+        for next_node in _node_steps(system, index, node):
+            yield with_node(system, index, next_node)
+        if not system.was_killed and node != Node():
+            yield replace(with_node(system, index, Node()), was_killed=True)
 
 
-def written(world, version):
-    """Return the world once a version is in the store."""
-    revision = world.revision + 1
+def written(system, version):
+    """Return the system after a version was written to the store."""
+    revision = system.revision + 1
     return replace(
-        world,
-        now=world.now + 1,
+        system,
+        now=system.now + 1,
         revision=revision,
         changed_at=revision,
         version=version,
     )
 
 
-def _store_steps(world, lost):
-    if len(world.accepted) < N_VERSIONS and not lost and world.silence != "on":
-        version = len(world.accepted) + 1
-        accepted = (*world.accepted, (version, world.now))
-        yield replace(written(world, version), accepted=accepted)
-    if world.returned_at is None:
-        revision, changed_at, version = world.copy
+def _store_steps(system, lost):
+    if len(system.accepted) < N_VERSIONS and not lost and system.outage != "on":
+        version = len(system.accepted) + 1
+        accepted = (*system.accepted, (version, system.now))
+        yield replace(written(system, version), accepted=accepted)
+    if system.restored_at is None:
+        revision, changed_at, version = system.backup
         yield replace(
-            world,
-            now=world.now + 1,
-            epoch=world.epoch + 1,
+            system,
+            now=system.now + 1,
+            epoch=system.epoch + 1,
             revision=revision,
             changed_at=changed_at,
             version=version,
-            returned_at=world.now,
+            restored_at=system.now,
         )
-    if world.silence == "to come":
-        yield replace(world, now=world.now + 1, silence="on")
-    elif world.silence == "on":
-        yield replace(world, now=world.now + 1, silence="over")
-
-
-def _node_steps(world, index, node):
-    if node.waits is None:
-        yield asked(world, node)
-    elif isinstance(node.waits, Answer):
-        yield heard(world, node)
-    elif world.silence == "on":
-        # The question is dropped, and probes without an answer show it.
-        yield replace(node, waits=None)
+    if system.outage == "to come":
+        yield replace(system, now=system.now + 1, outage="on")
+    elif system.outage == "on":
+        yield replace(system, now=system.now + 1, outage="over")
+
+
+def _node_steps(system, index, node):
+    if node.pending is None:
+        yield with_request(system, node)
+    elif isinstance(node.pending, Answer):
+        yield received(system, node)
+    elif system.outage == "on":
+        # The request is lost, which unanswered probes reveal.
+        yield replace(node, pending=None)
     else:
-        yield served(world, node)
-    if world.silence != "on":
-        yield probed(world, node)
-    other = world.nodes[(index + 1) % len(world.nodes)]
+        yield answered(system, node)
+    if system.outage != "on":
+        yield probed(system, node)
+    other = system.nodes[(index + 1) % len(system.nodes)]
     if other.in_force:
-        yield told(world, node, other)
-
-
-def check(world):
-    """Raise `AssertionError` where a promise is broken in a state."""
-    for node in world.nodes:
-        for version, accepted_at in world.accepted:
-            knows = accepted_at >= node.knowledge[0] or node.in_force >= version
-            assert knows or not node.can_tell, f"believes itself fresh: {world}"
-
-
-def check_not_stuck(world):
-    """Raise `AssertionError` if a node does not come to watch the newest version."""
-    newest = len(world.accepted)
-    world = replace(world, silence="over")
-    if world.version < newest:
-        world = written(world, newest)
-    for node in world.nodes:
-        if not isinstance(node.waits, Answer) and node.waits is not None:
-            # A watch that waits is ended by a probe, or by its time.
-            node = replace(probed(world, node), waits=None)
-        questions = 0
+        yield informed(system, node, other)
+
+
+def check(system):
+    """Raise `AssertionError` if the `as_of` of a node is too late."""
+    for node in system.nodes:
+        for version, accepted_at in system.accepted:
+            knows = accepted_at >= node.freshness[0] or node.in_force >= version
+            assert knows or not node.can_detect, f"as_of is too late: {system}"
+
+
+def check_not_stuck(system):
+    """Raise `AssertionError` if a node does not get to watch the newest version."""
+    newest = len(system.accepted)
+    system = replace(system, outage="over")
+    if system.version < newest:
+        system = written(system, newest)
+    for node in system.nodes:
+        if not isinstance(node.pending, Answer) and node.pending is not None:
+            # An open watch is ended by a probe or by its timeout.
+            node = replace(probed(system, node), pending=None)
+        n_requests = 0
         is_watching = False
         while node.in_force < newest or not is_watching:
-            questions += 1
-            assert questions <= MOST_QUESTIONS, f"stuck: {world}"
-            if not isinstance(node.waits, Answer):
-                node = served(world, asked(world, node))
-            is_calm = node.waits.is_watch and node.waits.version is None
-            node = heard(world, node)
-            is_watching = is_calm and view_of(node).cursor is not None
+            n_requests += 1
+            assert n_requests <= MAX_REQUESTS, f"stuck: {system}"
+            if not isinstance(node.pending, Answer):
+                node = answered(system, with_request(system, node))
+            is_unchanged_watch = node.pending.is_watch and node.pending.version is None
+            node = received(system, node)
+            is_watching = is_unchanged_watch and view_of(node).cursor is not None
 
 
-def blank():
-    """Return a world in which no node has heard anything yet."""
-    return World()
+def initial_system():
+    """Return a system in which no node has any state yet."""
+    return System()
 
 
-def calm():
-    """Return a world in which all nodes have the first version and one watches.
+def synchronized_system():
+    """Return a system in which all nodes have the first version and one watches.
 
-    Other changes came after the one that the copy holds.
+    The store has made further changes since the backup.
     """
-    place = Cursor(1, 4)
-    node = Node(1, place, (0, 0, NEVER), (0, NEVER, 1, -1, place, 1))
-    watches = replace(node, waits=(place, 0))
-    return World(now=1, revision=4, nodes=(watches, *(node,) * (N_NODES - 1)))
-
-
-def after_return():
-    """Return a calm world that has lost the second version, which one node has."""
-    world = calm()
-    place = Cursor(1, 5)
-    ahead = Node(2, place, (2, 0, NEVER), (3, NEVER, 1, -1, place, 2))
-    nodes = (ahead, *world.nodes[1:])
-    accepted = (*world.accepted, (2, 1))
+    position = Cursor(1, 4)
+    node = Node(1, position, (0, 0, NEVER), (0, NEVER, 1, -1, position, 1))
+    watcher = replace(node, pending=(position, 0))
+    return System(now=1, revision=4, nodes=(watcher, *(node,) * (N_NODES - 1)))
+
+
+def restored_system():
+    """Return a system whose store has lost the second version, which one node has."""
+    system = synchronized_system()
+    position = Cursor(1, 5)
+    ahead = Node(2, position, (2, 0, NEVER), (3, NEVER, 1, -1, position, 2))
+    nodes = (ahead, *system.nodes[1:])
+    accepted = (*system.accepted, (2, 1))
     return replace(
-        world, now=4, epoch=2, revision=1, accepted=accepted, returned_at=3, nodes=nodes
+        system,
+        now=4,
+        epoch=2,
+        revision=1,
+        accepted=accepted,
+        restored_at=3,
+        nodes=nodes,
     )
 
 
-def explore(start, deepest):
-    """Return how many states there are within so many steps; each is checked."""
-    seen = {start}
+def explore(start, max_depth):
+    """Check each state within a number of steps; return the number of states."""
+    visited = {start}
     level = [start]
-    for _ in range(deepest):
-        level = list(_next_level(level, seen))
-    return len(seen)
+    for _ in range(max_depth):
+        level = list(_next_level(level, visited))
+    return len(visited)
 
 
-def _next_level(level, seen):
-    for world in level:
-        for other in following(world):
-            if other in seen:
+def _next_level(level, visited):
+    for system in level:
+        for other in successors(system):
+            if other in visited:
                 continue
-            seen.add(other)
-            for before, after in zip(world.nodes, other.nodes, strict=True):
-                assert after == Node() or after.in_force >= before.in_force, "went back"
+            visited.add(other)
+            for before, after in zip(system.nodes, other.nodes, strict=True):
+                assert after == Node() or after.in_force >= before.in_force, (
+                    "returned to an older version"
+                )
             check(other)
             check_not_stuck(other)
             yield other
 
 
-class TestAllReturns(TestCase):
+class TestStoreViewExhaustive(TestCase):
     def test_no_order_brings_a_node_back_stuck_or_to_false_knowledge(self):
-        for start in (blank(), calm(), after_return()):
-            self.assertGreater(explore(start, DEEPEST), 1_000)
+        for start in (initial_system(), synchronized_system(), restored_system()):
+            self.assertGreater(explore(start, MAX_DEPTH), 1_000)
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/quarantine/test_fingerprint.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/quarantine/test_fingerprint.py
@@ -6,11 +6,11 @@
 
 
 class TestFingerprint(TestCase):
-    def test_repeats_share_it(self):
+    def test_repeats_share_a_fingerprint(self):
         self.assertEqual(fingerprint(*REQUEST), fingerprint(*REQUEST))
         self.assertEqual(FINGERPRINT_BYTES, len(fingerprint(*REQUEST)))
 
-    def test_each_part_counts(self):
+    def test_each_part_changes_the_fingerprint(self):
         others = [
             (b"PUT", *REQUEST[1:]),
             (b"POST", "api.other", *REQUEST[2:]),
@@ -22,7 +22,7 @@
         found = {fingerprint(*parts) for parts in [REQUEST, *others]}
         self.assertEqual(1 + len(others), len(found))
 
-    def test_a_part_cannot_be_moved_into_the_next_one(self):
+    def test_bytes_cannot_move_between_adjacent_parts(self):
         one = fingerprint(b"GET", "api", b"/ab", (), b"c")
         two = fingerprint(b"GET", "api", b"/a", (), b"bc")
         three = fingerprint(b"GET", "api", b"/a", (b"b",), b"c")
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/quarantine/test_quarantine.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/quarantine/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Evidence of one node against requests, under a clock of the test."""
+"""Evidence against requests on one node, with a simulated clock."""
 
 from testtools import TestCase
 
@@ -13,8 +13,8 @@
 CFG = QuarantineSettings()
 
 
-class APlay:
-    """A quarantine and its clock."""
+class QuarantineFixture:
+    """A quarantine and its simulated clock."""
 
     def __init__(self, **changes):
         self.now = 0.0
@@ -22,150 +22,152 @@
         self.quarantine = Quarantine(cfg, Clock(lambda: self.now, lambda: 0.0))
 
     def crash(self, number, *fingerprints, age=0.0):
-        """Let a server crash; return the fingerprints that are held from now on."""
+        """Record the crash of a server; return the fingerprints newly held."""
         crash = Crash(f"i-{number}", "certs", age, frozenset(fingerprints))
         self.quarantine.record_crash(crash)
         return [held.fingerprint for held in self.quarantine.evaluate(crash)]
 
 
 class TestQuarantine(TestCase):
-    def test_request_that_was_at_work_at_three_crashes_is_held(self):
-        play = APlay()
-        self.assertEqual([], play.crash(1, b"guilty", b"a"))
-        self.assertEqual([], play.crash(2, b"guilty", b"b"))
-        self.assertTrue(play.quarantine.admits(b"guilty"))
-        self.assertEqual([b"guilty"], play.crash(3, b"guilty", b"c"))
-        self.assertFalse(play.quarantine.admits(b"guilty"))
-        self.assertTrue(play.quarantine.admits(b"a"))
-
-    def test_crash_that_is_told_again_counts_once(self):
-        play = APlay()
+    def test_request_in_flight_at_three_crashes_is_held(self):
+        fixture = QuarantineFixture()
+        self.assertEqual([], fixture.crash(1, b"crashing", b"a"))
+        self.assertEqual([], fixture.crash(2, b"crashing", b"b"))
+        self.assertTrue(fixture.quarantine.admits(b"crashing"))
+        self.assertEqual([b"crashing"], fixture.crash(3, b"crashing", b"c"))
+        self.assertFalse(fixture.quarantine.admits(b"crashing"))
+        self.assertTrue(fixture.quarantine.admits(b"a"))
+
+    def test_crash_reported_again_counts_once(self):
+        fixture = QuarantineFixture()
         for _ in range(5):
-            self.assertEqual([], play.crash(1, b"guilty"))
+            self.assertEqual([], fixture.crash(1, b"crashing"))
         self.assertEqual(
             frozenset(),
-            play.quarantine.record_crash(
-                Crash("i-1", "certs", 0.0, frozenset({b"guilty"}))
+            fixture.quarantine.record_crash(
+                Crash("i-1", "certs", 0.0, frozenset({b"crashing"}))
             ),
         )
 
-    def test_answer_clears_a_request_and_shields_it_for_its_time(self):
-        play = APlay()
-        play.crash(1, b"common")
-        self.assertTrue(play.quarantine.record_answer(b"common"))
+    def test_answer_clears_a_request_for_the_retention_time(self):
+        fixture = QuarantineFixture()
+        fixture.crash(1, b"common")
+        self.assertTrue(fixture.quarantine.record_answer(b"common"))
         for number in range(2, 9):
-            self.assertEqual([], play.crash(number, b"common"))
-        play.now = 3.0 * CFG.answered_ms
-        play.quarantine.record_answer(b"other")
+            self.assertEqual([], fixture.crash(number, b"common"))
+        fixture.now = 3.0 * CFG.answered_ms
+        fixture.quarantine.record_answer(b"other")
         for number in (11, 12):
-            self.assertEqual([], play.crash(number, b"common"))
-        self.assertEqual([b"common"], play.crash(13, b"common"))
-
-    def test_one_crash_is_far_from_a_hold(self):
-        play = APlay()
-        play.crash(1, b"a")
-        self.assertFalse(play.quarantine.is_strong_suspect(b"a"))
-        play.crash(2, b"a")
-        self.assertTrue(play.quarantine.is_strong_suspect(b"a"))
-
-    def test_answer_that_another_node_saw_frees_a_request_that_is_held(self):
-        play = APlay()
+            self.assertEqual([], fixture.crash(number, b"common"))
+        self.assertEqual([b"common"], fixture.crash(13, b"common"))
+
+    def test_one_crash_makes_no_strong_suspect(self):
+        fixture = QuarantineFixture()
+        fixture.crash(1, b"a")
+        self.assertFalse(fixture.quarantine.is_strong_suspect(b"a"))
+        fixture.crash(2, b"a")
+        self.assertTrue(fixture.quarantine.is_strong_suspect(b"a"))
+
+    def test_answer_seen_by_another_node_releases_a_held_request(self):
+        fixture = QuarantineFixture()
         for number in range(3):
-            play.crash(number, b"a")
-        self.assertFalse(play.quarantine.admits(b"a"))
-        self.assertTrue(play.quarantine.apply_clearance(b"a"))
-        self.assertTrue(play.quarantine.admits(b"a"))
-        self.assertFalse(play.quarantine.apply_clearance(b"a"))
-        self.assertFalse(play.quarantine.apply_hold(HeldRequest(b"a", "certs", 3, 0.0)))
-
-    def test_crashes_without_a_request_speak_for_it(self):
-        play = APlay()
+            fixture.crash(number, b"a")
+        self.assertFalse(fixture.quarantine.admits(b"a"))
+        self.assertTrue(fixture.quarantine.apply_clearance(b"a"))
+        self.assertTrue(fixture.quarantine.admits(b"a"))
+        self.assertFalse(fixture.quarantine.apply_clearance(b"a"))
+        self.assertFalse(
+            fixture.quarantine.apply_hold(HeldRequest(b"a", "certs", 3, 0.0))
+        )
+
+    def test_unrelated_crashes_count_in_favour_of_a_request(self):
+        fixture = QuarantineFixture()
         for number in range(10):
-            play.crash(f"other-{number}", b"%d" % number)
+            fixture.crash(f"other-{number}", b"%d" % number)
         for number in range(3):
-            self.assertEqual([], play.crash(number, b"a"))
-        self.assertEqual([b"a"], play.crash(3, b"a"))
+            self.assertEqual([], fixture.crash(number, b"a"))
+        self.assertEqual([b"a"], fixture.crash(3, b"a"))
 
-    def test_crashes_that_a_held_request_explains_speak_for_nobody(self):
-        play = APlay()
+    def test_crashes_explained_by_a_held_request_are_not_unrelated(self):
+        fixture = QuarantineFixture()
         for number in range(3):
-            play.crash(f"first-{number}", b"one")
+            fixture.crash(f"first-{number}", b"one")
         for number in range(2):
-            play.crash(number, b"two")
-        self.assertEqual([b"two"], play.crash(2, b"two"))
+            fixture.crash(number, b"two")
+        self.assertEqual([b"two"], fixture.crash(2, b"two"))
 
-    def test_of_requests_at_the_same_crashes_none_is_held_at_first(self):
-        play = APlay()
+    def test_requests_at_the_same_crashes_are_not_held_at_first(self):
+        fixture = QuarantineFixture()
         for number in range(4):
-            self.assertEqual([], play.crash(number, b"a", b"b"))
-        play.quarantine.record_answer(b"b")
-        self.assertEqual([b"a"], play.crash(5, b"a"))
+            self.assertEqual([], fixture.crash(number, b"a", b"b"))
+        fixture.quarantine.record_answer(b"b")
+        self.assertEqual([b"a"], fixture.crash(5, b"a"))
 
-    def test_three_requests_that_always_come_together_are_held_in_the_end(self):
-        play = APlay()
-        guilty = [b"a", b"b", b"c"]
+    def test_three_requests_always_in_flight_together_are_held_eventually(self):
+        fixture = QuarantineFixture()
+        crashing = [b"a", b"b", b"c"]
         for number in range(4):
-            self.assertEqual([], play.crash(number, *guilty))
-        self.assertEqual(guilty, play.crash(5, *guilty))
+            self.assertEqual([], fixture.crash(number, *crashing))
+        self.assertEqual(crashing, fixture.crash(5, *crashing))
 
     def test_requests_that_share_all_crashes_with_many_are_not_held(self):
-        play = APlay()
+        fixture = QuarantineFixture()
         for number in range(20):
-            self.assertEqual([], play.crash(number, *(b"%d" % n for n in range(9))))
+            self.assertEqual([], fixture.crash(number, *(b"%d" % n for n in range(9))))
 
     def test_old_crashes_are_no_evidence(self):
-        play = APlay()
-        play.crash(1, b"a")
-        play.crash(2, b"a")
-        play.now = 2.0 * CFG.evidence_ms
-        self.assertEqual([], play.crash(3, b"a"))
-
-    def test_held_request_is_tried_ever_more_seldom_and_at_last_no_more(self):
-        play = APlay()
+        fixture = QuarantineFixture()
+        fixture.crash(1, b"a")
+        fixture.crash(2, b"a")
+        fixture.now = 2.0 * CFG.evidence_ms
+        self.assertEqual([], fixture.crash(3, b"a"))
+
+    def test_held_request_is_probed_with_growing_delays_and_finally_not_at_all(self):
+        fixture = QuarantineFixture()
         for number in range(3):
-            play.crash(number, b"a")
+            fixture.crash(number, b"a")
         waits = []
         for number in range(3, 7):
-            wait = play.quarantine.retry_after(b"a")
+            wait = fixture.quarantine.retry_after(b"a")
             waits.append(wait)
-            self.assertIsNone(play.quarantine.start_probe(b"a"))
-            play.now += wait
-            self.assertFalse(play.quarantine.admits(b"a"))
-            probe = play.quarantine.start_probe(b"a")
+            self.assertIsNone(fixture.quarantine.start_probe(b"a"))
+            fixture.now += wait
+            self.assertFalse(fixture.quarantine.admits(b"a"))
+            probe = fixture.quarantine.start_probe(b"a")
             if number < 6:
                 self.assertEqual((number, 0.0), (probe.crashes, probe.age))
-                self.assertIsNone(play.quarantine.start_probe(b"a"))
-                play.crash(number, b"a")
+                self.assertIsNone(fixture.quarantine.start_probe(b"a"))
+                fixture.crash(number, b"a")
         self.assertEqual(sorted(waits), waits)
         self.assertEqual(CFG.probe_ms, waits[0])
         self.assertIsNone(probe)
 
-    def test_held_request_that_nobody_asks_for_is_forgotten(self):
-        play = APlay()
+    def test_idle_held_request_is_released(self):
+        fixture = QuarantineFixture()
         for number in range(3):
-            play.crash(number, b"a")
-        play.now += CFG.idle_ms - 1.0
-        self.assertFalse(play.quarantine.admits(b"a"))
-        play.now += CFG.idle_ms - 1.0
-        self.assertFalse(play.quarantine.admits(b"a"))
-        play.now += CFG.idle_ms + 1.0
-        self.assertTrue(play.quarantine.admits(b"a"))
-
-    def test_what_others_hold_is_held_here_and_news_once(self):
-        play = APlay()
+            fixture.crash(number, b"a")
+        fixture.now += CFG.idle_ms - 1.0
+        self.assertFalse(fixture.quarantine.admits(b"a"))
+        fixture.now += CFG.idle_ms - 1.0
+        self.assertFalse(fixture.quarantine.admits(b"a"))
+        fixture.now += CFG.idle_ms + 1.0
+        self.assertTrue(fixture.quarantine.admits(b"a"))
+
+    def test_hold_of_another_node_is_applied_and_new_once(self):
+        fixture = QuarantineFixture()
         held = HeldRequest(b"a", "certs", 4, 500.0)
-        self.assertTrue(play.quarantine.apply_hold(held))
-        self.assertFalse(play.quarantine.apply_hold(held))
-        self.assertFalse(play.quarantine.admits(b"a"))
-        self.assertEqual([held], list(play.quarantine.held()))
+        self.assertTrue(fixture.quarantine.apply_hold(held))
+        self.assertFalse(fixture.quarantine.apply_hold(held))
+        self.assertFalse(fixture.quarantine.admits(b"a"))
+        self.assertEqual([held], list(fixture.quarantine.held()))
         self.assertTrue(
-            play.quarantine.apply_hold(HeldRequest(b"a", "certs", 5, 500.0))
+            fixture.quarantine.apply_hold(HeldRequest(b"a", "certs", 5, 500.0))
         )
 
-    def test_memory_is_bounded_however_many_requests_crash_servers(self):
-        play = APlay(max_suspects=50, max_held=20, max_crashes=30)
+    def test_memory_is_bounded(self):
+        fixture = QuarantineFixture(max_suspects=50, max_held=20, max_crashes=30)
         for number in range(200):
-            play.crash(number, *(b"%d-%d" % (number, n) for n in range(5)))
-            play.quarantine.apply_hold(HeldRequest(b"%d" % number, "certs", 3, 0.0))
-        self.assertLessEqual(play.quarantine.n_suspects, 50)
-        self.assertLessEqual(play.quarantine.n_held, 20)
+            fixture.crash(number, *(b"%d-%d" % (number, n) for n in range(5)))
+            fixture.quarantine.apply_hold(HeldRequest(b"%d" % number, "certs", 3, 0.0))
+        self.assertLessEqual(fixture.quarantine.n_suspects, 50)
+        self.assertLessEqual(fixture.quarantine.n_held, 20)
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/watching/test_watcher_rank.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/watching/test_watcher_rank.py
@@ -1,4 +1,4 @@
-"""Which nodes watch, in random networks of links too."""
+"""Which nodes watch the store, also in random link topologies."""
 
 import random
 
@@ -7,10 +7,12 @@
 from fuchsiagap.core.watching.watcher_rank import Neighbour, UpdateSource, rank_of
 
 
-def neighbours(*names, deaf=()):
-    """Return nodes in reach, of which some are deaf."""
+def neighbours(*names, without_source=()):
+    """Return reachable nodes, of which some have no source of changes."""
     return [
-        Neighbour(name, UpdateSource.NONE if name in deaf else UpdateSource.PEERS)
+        Neighbour(
+            name, UpdateSource.NONE if name in without_source else UpdateSource.PEERS
+        )
         for name in names
     ]
 
@@ -19,19 +21,19 @@
     def test_first_of_a_data_centre_watches(self):
         self.assertTrue(rank_of("a", neighbours("b", "c"), 1).should_watch)
 
-    def test_those_behind_a_watcher_do_not(self):
+    def test_nodes_after_a_watcher_do_not_watch(self):
         self.assertFalse(rank_of("c", neighbours("a", "d"), 1).should_watch)
 
-    def test_node_alone_watches(self):
+    def test_single_node_watches(self):
         self.assertTrue(rank_of("c", [], 1).should_watch)
 
-    def test_next_one_watches_where_the_first_is_deaf(self):
-        rank = rank_of("b", neighbours("a", "c", deaf="a"), 1)
+    def test_next_node_watches_if_the_first_has_no_source(self):
+        rank = rank_of("b", neighbours("a", "c", without_source="a"), 1)
         self.assertTrue(rank.should_watch)
         self.assertFalse(rank.is_first(1))
         self.assertGreater(rank.takeover_delay(1), 0.0)
 
-    def test_as_many_watch_as_are_asked_for(self):
+    def test_configured_number_of_nodes_watches(self):
         names = "abcdef"
         watching = [
             own
@@ -40,26 +42,26 @@
         ]
         self.assertEqual(["a", "b"], watching)
 
-    def test_later_ones_wait_longer_for_a_store_that_answers_nobody(self):
+    def test_takeover_delay_grows_with_the_position(self):
         names = "abcdef"
         waits = [
             rank_of(
-                own, neighbours(*names.replace(own, ""), deaf=names), 1
+                own, neighbours(*names.replace(own, ""), without_source=names), 1
             ).takeover_delay(1)
             for own in names
         ]
         self.assertEqual(sorted(set(waits)), waits)
         self.assertEqual(0.0, waits[0])
 
-    def test_each_node_reaches_a_watcher_whatever_the_links(self):
+    def test_every_node_reaches_a_watcher_in_random_topologies(self):
         rng = random.Random(7)
         for _ in range(300):
             self.check_network(rng)
 
     def check_network(self, rng):
-        """Follow each node to one that watches, over links that it has itself."""
+        """Follow each node over its links to one that watches."""
         names = [f"n{n:02}" for n in range(rng.randint(2, 30))]
-        deaf = {name for name in names if rng.random() < 0.3}
+        without_source = {name for name in names if rng.random() < 0.3}
         chance = rng.random()
         links = {
             own: [n for n in names if n != own and rng.random() < chance]
@@ -67,7 +69,9 @@
         }
         for name in names:
             at = name
-            while not rank_of(at, neighbours(*links[at], deaf=deaf), 1).should_watch:
-                at = min(n for n in links[at] if n not in deaf)
-            # Whoever the chain ends at asks the store, and is not known to fail.
-            self.assertTrue(at == name or at not in deaf)
+            while not rank_of(
+                at, neighbours(*links[at], without_source=without_source), 1
+            ).should_watch:
+                at = min(n for n in links[at] if n not in without_source)
+            # The chain ends at a node that watches and is not known to have no source.
+            self.assertTrue(at == name or at not in without_source)
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/workspaces/test_token_bucket.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/workspaces/test_token_bucket.py
@@ -4,7 +4,7 @@
 
 
 class TestTokenBucket(TestCase):
-    def test_tokens_come_at_the_rate_up_to_the_burst(self):
+    def test_refills_at_the_rate_up_to_the_burst(self):
         bucket = TokenBucket(0.0, is_full=False)
         bucket.fill(10.0, 5.0, 200.0)
         self.assertEqual(2, bucket.take(9))
@@ -22,7 +22,7 @@
         bucket.fill(1.0, 3.0, 1.0)
         self.assertEqual(3, bucket.take(9))
 
-    def test_rate_without_a_burst_lets_single_requests_through(self):
+    def test_rate_without_a_burst_admits_single_requests(self):
         bucket = TokenBucket(0.0, is_full=False)
         bucket.fill(2.0, 0.0, 600.0)
         self.assertEqual(1, bucket.take(9))
