--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/admitted.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/admitted.py
@@ -61,9 +61,10 @@
         `OWN_LEVEL` or `DOWNSTREAM_LEVEL`; None if the call is admitted.
     """
     wanted = position_of(head.priority, head.cohort)
-    # Refusing a chain that was admitted upstream wastes the work already done for it.
-    # So it is judged by the highest recent level, but never ahead of a call of a more
-    # important priority.
+    # Refusing a call of a chain that was admitted upstream wastes the work already done
+    # for the chain, so such a call is judged by the highest recent level. But it must
+    # not run before more important calls, so its priority has to be within the current
+    # level.
     in_chain = head.depth > 1
     own = level.position
     if wanted > own:
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/downstream.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/downstream.py
@@ -1,4 +1,7 @@
-"""Admission levels that the services downstream of a route have reported."""
+"""Admission levels that the services downstream of a route have reported.
+
+The downstream services of a route are those that its calls call in turn.
+"""
 
 from __future__ import annotations
 
@@ -68,6 +71,15 @@
 
         The reported level applies to every route that calls the service, since a
         route whose calls are all refused receives no reports of its own.
+
+        Parameters
+        ----------
+        route : str
+            Route of the calling call.
+        service : ServiceName
+            The called service.
+        load : LoadReport
+            Load report of its answer or refusal.
         """
         self._services.setdefault(route, set()).add(service)
         now = self._clock.now()
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/gate.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/gate.py
@@ -356,8 +356,8 @@
     def _target_arrivals(self, elapsed: Milliseconds) -> float:
         """Return how many calls the next step should admit.
 
-        They are the capacity of a step, plus a share of what is missing to full slots
-        and the target queue length, or less a share of what exceeds them.
+        That is the capacity of a step, plus a share of the calls that are missing to
+        full slots and the target queue length, or minus a share of the surplus.
         """
         limit = self._limit.value
         per_step = self._step_capacity(elapsed)
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/level.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/level.py
@@ -1,11 +1,11 @@
 """The admission level of one gate: which (priority, cohort) pairs are admitted.
 
 The level follows from two figures: how many calls the next step can start, and how many
-calls arrive for each cohort of a priority. Upstream nodes refuse what the level
-rejects, but learn of a change with a delay, so arrivals beyond the level say little
-about the demand there. Arrivals are therefore counted only up to the lowest level of
-the last steps, where upstream nodes refuse nothing, and the estimate of the demand
-beyond it is retained.
+calls arrive for each cohort of a priority. The upstream nodes, which send the calls,
+refuse what the level rejects, but learn of a change with a delay. So arrivals beyond
+the level say little about the demand there. Arrivals are therefore counted only up to
+the lowest level of the last steps, where upstream nodes refuse nothing, and the
+estimate of the demand beyond it is retained.
 """
 
 from __future__ import annotations
@@ -34,11 +34,12 @@
 _UNOBSERVED_DECAY = 0.985
 # Lower bound of the demand, in calls per step and cohort; avoids division by zero.
 _MIN_DENSITY = 1e-4
-# Demand, as a multiple of capacity, beyond which the level may skip whole priorities.
+# Demand, as a multiple of capacity, beyond which the level may reject several
+# priorities in one step.
 _SEVERE_OVERLOAD_FACTOR = 2.0
 _CHAIN_SMOOTHING = 0.02
-# Cohorts of a priority that random variation may not reject, unless the queue is
-# overfull.
+# A level within this many cohorts of the end of a priority is rounded up to it, so that
+# random variation rejects none of its calls, unless the queue is overfull.
 _COHORT_MARGIN = 0.2 * N_COHORTS
 
 
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/limit.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/limit.py
@@ -20,7 +20,7 @@
 # Calls of a route that define its reference latency.
 _N_REFERENCE_CALLS = 100
 _MIN_LATENCY_MS = 0.1
-# Calls of a sample window, at least; the second while a higher limit is probed.
+# Minimum calls of a sample window; the larger number while a higher limit is probed.
 _MIN_SAMPLES = 40
 _PROBE_SAMPLES = 100
 _MIN_WINDOW_MS = 400.0
--- a/packages/fuchsiagap/src/fuchsiagap/core/quarantine/crash_tracker.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/quarantine/crash_tracker.py
@@ -9,8 +9,8 @@
 
 # Unanswered requests that are remembered per server, to bound memory.
 _MAX_UNANSWERED = 1_024
-# Milliseconds by which an answer may be read later than the end of other connections
-# that broke after it was sent.
+# An answer that was sent before a crash may be read up to this many milliseconds after
+# the end of the other connections.
 _LATE_READ_MS = 100.0
 
 
--- a/packages/fuchsiagap/src/fuchsiagap/core/quarantine/hold_rule.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/quarantine/hold_rule.py
@@ -13,7 +13,7 @@
 CERTAIN_CAUSE = 5
 # Competing requests from which on none is held. Otherwise a server that crashes
 # whatever it runs would get all its requests held.
-_MAX_COMPETING = 3
+_TOO_MANY_COMPETING = 3
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,7 +38,7 @@
 def should_hold(evidence: CrashEvidence) -> bool:
     """Whether a request is to be kept from all servers."""
     if evidence.crashes >= CERTAIN_CAUSE:
-        return evidence.competing < _MAX_COMPETING
+        return evidence.competing < _TOO_MANY_COMPETING
     if evidence.competing:
         return False
     if evidence.crashes >= LIKELY_CAUSE:
--- a/packages/fuchsiagap/src/fuchsiagap/core/quarantine/quarantine.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/quarantine/quarantine.py
@@ -20,7 +20,7 @@
 
 # Crashes from which on a held request is no longer probed while clients repeat it,
 # since each probe crashes one more server.
-_MAX_PROBED_CRASHES = 6
+_PROBE_STOP_CRASHES = 6
 # Growth of the time until the next probe with each crash.
 _PROBE_BACKOFF = 5.0
 # Largest difference in milliseconds between the ages that nodes report of one event.
@@ -225,7 +225,7 @@
         return [f for f in fingerprints if f in self._answered]
 
     def evaluate(self, crash: Crash) -> list[HeldRequest]:
-        """Hold the requests of a crash that cause crashes; return the new holds."""
+        """Hold the requests of a crash that likely caused it; return the new holds."""
         held = []
         background = self._background()
         for fingerprint in sorted(crash.fingerprints):
@@ -328,7 +328,7 @@
         hold = self._held.get(fingerprint)
         if hold is None:
             return 0.0
-        if hold.crashes >= _MAX_PROBED_CRASHES:
+        if hold.crashes >= _PROBE_STOP_CRASHES:
             return self._cfg.idle_ms
         wait = self._cfg.probe_ms * _PROBE_BACKOFF ** max(hold.crashes - ONLY_CAUSE, 0)
         return max(hold.since + wait - self._clock.now(), 0.0)
--- a/packages/fuchsiagap/src/fuchsiagap/core/workspaces/grants.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/workspaces/grants.py
@@ -26,8 +26,8 @@
 # Bounds in milliseconds of the wait announced to requests without a token.
 MIN_WAIT_MS = 100.0
 MAX_WAIT_MS = 5_000.0
-# Milliseconds after which the bucket of a workspace that nobody asks for is removed.
-# By then it has refilled up to its burst.
+# Milliseconds after which the bucket of a workspace that no node asks for is removed,
+# including the burst that it has accumulated.
 _IDLE_MS = 60_000.0
 # Milliseconds between two searches for idle buckets.
 SWEEP_MS = 10_000.0
@@ -121,7 +121,7 @@
         return None if owned is None else owned.bucket.level
 
     def forget(self, now: Milliseconds) -> None:
-        """Remove the buckets of workspaces that nobody asked for recently."""
+        """Remove the buckets of workspaces that no node asked for recently."""
         for name, owned in list(self._owned.items()):
             if now - owned.asked_at > _IDLE_MS:
                 del self._owned[name]
