--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/watching/test_watcher_rank.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/watching/test_watcher_rank.py
@@ -73,5 +73,6 @@
                 at, neighbours(*links[at], without_source=without_source), 1
             ).should_watch:
                 at = min(n for n in links[at] if n not in without_source)
-            # The chain ends at a node that watches and is not known to have no source.
+            # The chain ends at a node that watches; unless it is the first, it has a
+            # source.
             self.assertTrue(at == name or at not in without_source)
