--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/downstream.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/downstream.py
@@ -17,7 +17,8 @@
     from fuchsiagap.core.calls.outcome import LoadReport
     from fuchsiagap.core.clock import Clock, Milliseconds
 
-# Weight of a new report in the moving average, and of one that is far more open.
+# Weight of a new report in the moving average, and of one whose level is more than a
+# whole priority higher.
 _SMOOTHING = 0.3
 _OPENING_SMOOTHING = 0.7
 
@@ -110,7 +111,10 @@
         return min(self._levels[service].position for service in services)
 
     def chain_position(self, route: str) -> float:
-        """Return the lowest recent position, for calls within a chain."""
+        """Return the lowest position for calls within a chain.
+
+        For each service downstream of the route, its highest recent position counts.
+        """
         services = self._services.get(route)
         if not services:
             return OPEN_POSITION
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/gate.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/gate.py
@@ -41,13 +41,15 @@
 
 # Mean retry-after of a refusal, in adjustment steps.
 _RETRY_AFTER_STEPS = 20
-# The level admits at least this share of the capacity, however long the queue is. At
-# the onset of an overload the share is smaller, since the calls of the many chains
-# that were admitted before it are still to arrive.
+# The level admits at least this share of the capacity, however long the queue is. In
+# the first `_ONSET_MS` after it closes, while the queue is overfull, the share is
+# smaller, since the calls of the many chains that were admitted before are still to
+# arrive: down to `_ONSET_ADMITTED_SHARE` if all arrivals are made within chains.
 _MIN_ADMITTED_SHARE = 0.7
 _ONSET_ADMITTED_SHARE = 0.25
 _ONSET_MS = 700.0
-# Gain for surplus calls, as a multiple of the gain for missing ones.
+# Gain for surplus calls, as a multiple of the gain for missing ones: a surplus is
+# corrected faster than a shortfall.
 _SURPLUS_GAIN = 2.0
 # Queue length, as a multiple of the target, beyond which load is shed at once.
 _OVERFULL_FACTOR = 3.0
@@ -100,7 +102,7 @@
         return len(self._waiting)
 
     def adopt(self, cfg: GateSettings) -> None:
-        """Apply changed settings, for example after a change of the team's."""
+        """Apply changed settings, for example when the team changes its own."""
         self._base_cfg = cfg
         self._cfg = apply_weight(cfg)
         for component in (self._limit, self._level, self._downstream):
@@ -356,8 +358,8 @@
     def _target_arrivals(self, elapsed: Milliseconds) -> float:
         """Return how many calls the next step should admit.
 
-        That is the capacity of a step, plus a share of the calls that are missing to
-        full slots and the target queue length, or minus a share of the surplus.
+        That is the capacity of a step, plus a share of the shortfall against full slots
+        and the target queue length, or minus a share of the surplus.
         """
         limit = self._limit.value
         per_step = self._step_capacity(elapsed)
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/level.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/level.py
@@ -5,7 +5,7 @@
 refuse what the level rejects, but learn of a change with a delay. So arrivals beyond
 the level say little about the demand there. Arrivals are therefore counted only up to
 the lowest level of the last steps, where upstream nodes refuse nothing, and the
-estimate of the demand beyond it is retained.
+estimate of the demand beyond it decays slowly.
 """
 
 from __future__ import annotations
@@ -37,6 +37,7 @@
 # Demand, as a multiple of capacity, beyond which the level may reject several
 # priorities in one step.
 _SEVERE_OVERLOAD_FACTOR = 2.0
+# Weight of an arrival in the average share of arrivals within chains.
 _CHAIN_SMOOTHING = 0.02
 # A level within this many cohorts of the end of a priority is rounded up to it, so that
 # random variation rejects none of its calls, unless the queue is overfull.
@@ -52,8 +53,8 @@
     utilization : float
         Calls in progress and waiting, as a share of the limit.
     is_overloaded : bool
-        Whether calls wait too long; without this or `is_overfull` an open level stays
-        open.
+        Whether calls wait too long; an open level closes only if this or `is_overfull`
+        is true.
     is_overfull : bool
         Whether the queue is far beyond its target length.
     least_important_waiting : int or None
@@ -106,8 +107,8 @@
 class AdmissionLevel:
     """The admission level of one gate, moved once per step.
 
-    It counts cohorts through the priorities that have occurred so far, so that it skips
-    unused priorities.
+    It is kept as the number of admitted cohorts, counted over the priorities that have
+    occurred so far, so that it skips unused priorities.
 
     Parameters
     ----------
@@ -219,7 +220,7 @@
         return N_COHORTS * sum(demand.fast for demand in self._demand_of.values())
 
     def _floor(self, least_important_waiting: int | None) -> float:
-        """Return the level that rejects just the least important waiting priority.
+        """Return the cohorts to admit to reject just the least important waiting calls.
 
         Lower levels are not considered in the same step, since capacity may suffice
         once these calls have left the queue.
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/limit.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/limit.py
@@ -23,6 +23,7 @@
 # Minimum calls of a sample window; the larger number while a higher limit is probed.
 _MIN_SAMPLES = 40
 _PROBE_SAMPLES = 100
+# Minimum milliseconds for which a sample window collects calls.
 _MIN_WINDOW_MS = 400.0
 # Factor of the limit after the backend server refused a call.
 _REFUSAL_BACKOFF = 0.8
@@ -30,10 +31,10 @@
 
 @dataclass(slots=True)
 class _ReferenceLatencies:
-    """Reference latency of each route, so that latencies of all routes compare.
+    """Reference latency of each route, so that latencies of routes can be averaged.
 
-    A reference is the mean latency of a route's first calls and does not change
-    afterwards.
+    A reference is the mean latency of a route's first calls. It does not change
+    afterwards, so that later latencies are compared with it.
     """
 
     by_route: dict[str, tuple[int, Milliseconds]] = field(default_factory=dict)
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/limit_rules.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/limit_rules.py
@@ -33,7 +33,8 @@
 # Bound on the gradual rise of the baseline, as a multiple of its minimum.
 _MAX_BASELINE_RISE = 1.15
 _BASELINE_SMOOTHING = 0.2
-# Latency grows with the calls in progress, to a power of about 1, if they queue.
+# If calls queue, latency grows as a power of the calls in progress, with an exponent
+# near 1; these are the bounds of that exponent.
 _MIN_QUEUEING_EXPONENT = 0.5
 _MAX_QUEUEING_EXPONENT = 1.5
 # Growth of the calls in progress from which on the exponent is meaningful.
@@ -151,9 +152,9 @@
     last_latency, last_in_flight : float
         Mean relative latency and calls in progress of the previous window.
     probe_delay : float
-        Milliseconds until the next probe of a higher limit.
+        Milliseconds from the next failed probe of a higher limit to the probe after it.
     next_probe_at : float
-        Time of that probe in milliseconds.
+        Time in milliseconds before which no higher limit is probed.
     """
 
     limit: float
@@ -299,7 +300,7 @@
 
 
 def _aimd(state: LimitState, window: SampleWindow, now: Milliseconds) -> None:
-    """Increase the limit by one while latency is low, else reduce it by a tenth."""
+    """Increase a saturated limit by one; reduce it by a tenth while latency is high."""
     if state.baseline == 0.0:
         state.baseline = window.mean_latency
     if window.mean_latency > 2.0 * state.baseline:
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/reported_levels.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/reported_levels.py
@@ -107,7 +107,7 @@
         return True
 
     def _position(self, by_instance: dict[str, _Report]) -> float | None:
-        """Return the most open level among the reports that are still valid."""
+        """Return the most open level among the valid reports; None if none is valid."""
         now = self._clock.now()
         highest: float | None = None
         for instance, report in list(by_instance.items()):
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/settings.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/settings.py
@@ -67,10 +67,11 @@
         Calls in progress and waiting, as a share of the concurrency limit, below which
         the level opens further than the demand estimate suggests.
     reopening : float
-        Growth of the level per step when no call is in progress, as a share of it.
+        Growth of the level per step when no call is in progress or waiting, as a share
+        of the level.
     chain_ms : float
-        Milliseconds from the admission of a chain to its last call; for so long its
-        calls are judged by the highest level of that time.
+        Milliseconds from the admission of a chain to its last call; calls within a
+        chain are judged by the highest level of the last period of this length.
     probe_ms : float
         Milliseconds without a report of a downstream service after which one call
         passes although the service's level rejects it.
--- a/packages/fuchsiagap/src/fuchsiagap/core/freshness/config_freshness.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/freshness/config_freshness.py
@@ -5,11 +5,11 @@
 configuration was certainly the newest. Once that is longer ago than the bound, the node
 refuses requests that carry API keys.
 
-The time comes from the store: a node that asked it at a time and got an answer knows
-every change that was acknowledged before the question. Passed on by another node, the
-time is that of the question to that node minus the age in its answer. Both are readings
-of the asking node's own clock, and delays in transit make the result earlier, never
-later.
+The time comes from the store: a node that queried the store and got an answer knows
+every change that was acknowledged before the query was sent. A node that queries
+another node uses the time at which it sent the query, minus the age in the answer. Both
+times are readings of the querying node's own clock, and delays in transit make the
+result earlier, never later.
 """
 
 from __future__ import annotations
--- a/packages/fuchsiagap/src/fuchsiagap/core/freshness/store_timeouts.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/freshness/store_timeouts.py
@@ -1,4 +1,4 @@
-"""Timeouts of requests to the store, derived from the bound on changes.
+"""Timeouts of store requests, derived from the bound within which changes apply.
 
 A change has to be in force everywhere within a bound of its acknowledgement, even if
 the store did not respond until shortly before. So every timeout is a share of that
--- a/packages/fuchsiagap/src/fuchsiagap/core/freshness/store_view.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/freshness/store_view.py
@@ -70,6 +70,7 @@
         if epoch in (NO_EPOCH, self.epoch):
             return False
         cursor_epoch = NO_EPOCH if self.cursor is None else self.cursor.epoch
+        # If any other epoch was known before, the store has been restored.
         if {self.epoch, self._peer_epoch, cursor_epoch} - {NO_EPOCH, epoch}:
             self._reliable_from = now + self._settle
         self.epoch = epoch
@@ -171,16 +172,17 @@
         return self.cursor is not None and now - self._as_of <= _CURSOR_LIFETIME_MS
 
     def proves(self, version: int, asked_at: Milliseconds) -> bool:
-        """Whether a version was certainly the newest when a question was asked.
+        """Whether a version was certainly the newest when a query was sent.
 
-        A store with an older version than this node has lost some, perhaps including
-        even newer ones. The same holds for a store that was just restored.
+        A store whose version is older than this node's has lost versions, perhaps also
+        some that this node never received. A store that was just restored may have,
+        too.
 
         Parameters
         ----------
         version : int
             Version in force on this node.
         asked_at : float
-            Time of the question in milliseconds.
+            Time of the query in milliseconds.
         """
         return self.version == version and asked_at >= self._reliable_from
--- a/packages/fuchsiagap/src/fuchsiagap/core/quarantine/crash_tracker.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/quarantine/crash_tracker.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from fuchsiagap.core.clock import Milliseconds
 
-# Unanswered requests that are remembered per server, to bound memory.
+# Maximum number of unanswered requests that are remembered per server.
 _MAX_UNANSWERED = 1_024
 # An answer that was sent before a crash may be read up to this many milliseconds after
 # the end of the other connections.
@@ -25,7 +25,7 @@
     Attributes
     ----------
     incarnation : str
-        Identifies the current start of the server; empty until one is known.
+        Identifies the current run of the server; empty until one is known.
     has_crashed : bool
         Whether this incarnation is known to have crashed.
     """
--- a/packages/fuchsiagap/src/fuchsiagap/core/quarantine/hold_rule.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/quarantine/hold_rule.py
@@ -4,15 +4,15 @@
 
 from dataclasses import dataclass
 
-# Crashes since the request was last answered. At `ONLY_CAUSE` it is held if nothing
-# else explains the crashes, at `LIKELY_CAUSE` if nothing else explains them as well,
-# and at `CERTAIN_CAUSE` even if servers crash without it, unless too many other
-# requests explain the same crashes.
+# Thresholds of the crashes since the request was last answered. From `ONLY_CAUSE` on,
+# it is held if there are no competing requests and no unrelated crashes. From
+# `LIKELY_CAUSE` on, unrelated crashes are disregarded. From `CERTAIN_CAUSE` on,
+# competing requests are disregarded as well, unless there are too many.
 ONLY_CAUSE = 3
 LIKELY_CAUSE = 4
 CERTAIN_CAUSE = 5
-# Competing requests from which on none is held. Otherwise a server that crashes
-# whatever it runs would get all its requests held.
+# Number of competing requests from which on none of them is held. Otherwise a server
+# that crashes whatever it runs would get all its requests held.
 _TOO_MANY_COMPETING = 3
 
 
@@ -25,7 +25,8 @@
     crashes : int
         Crashes at which it was in flight, since it was last answered.
     competing : int
-        Other requests that were in flight at as many crashes, or at one less.
+        Other requests, not held, that were in flight at no fewer than `crashes` - 1
+        crashes, and at no fewer than `ONLY_CAUSE`.
     unrelated : int
         Recent crashes at which neither it nor a held request was in flight.
     """
--- a/packages/fuchsiagap/src/fuchsiagap/core/quarantine/lost_link_requests.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/quarantine/lost_link_requests.py
@@ -23,7 +23,7 @@
 
 
 class LostLinkRequests:
-    """Distinguishes servers that ended with their node from links that merely broke.
+    """Requests in flight over lost links, until the state of their servers is known.
 
     A lost link does not show whether the server behind it still runs. Once the node is
     linked again, its server is either the same incarnation or another one. In the
--- a/packages/fuchsiagap/src/fuchsiagap/core/quarantine/quarantine.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/quarantine/quarantine.py
@@ -21,7 +21,7 @@
 # Crashes from which on a held request is no longer probed while clients repeat it,
 # since each probe crashes one more server.
 _PROBE_STOP_CRASHES = 6
-# Growth of the time until the next probe with each crash.
+# Factor by which the time until the next probe grows with each crash.
 _PROBE_BACKOFF = 5.0
 # Largest difference in milliseconds between the ages that nodes report of one event.
 _SAME_EVENT_MS = 1_000.0
@@ -68,7 +68,7 @@
     Parameters
     ----------
     incarnation : str
-        Identifies the start of the server.
+        Identifies the run of the server that crashed.
     service : str
         Its service.
     age : float
@@ -114,7 +114,16 @@
 
 @dataclass(frozen=True, slots=True)
 class _Background:
-    """Number of suspects by their crashes, and crashes without a held request."""
+    """Figures that each suspect is compared with.
+
+    Parameters
+    ----------
+    counts : Counter of int
+        Number of suspects that are not held, by their number of crashes.
+    unexplained : list of set of bytes
+        For each recent crash at which no held request was in flight, the fingerprints
+        of the requests that were.
+    """
 
     counts: Counter[int]
     unexplained: list[set[bytes]]
@@ -341,7 +350,7 @@
             yield HeldRequest(fingerprint, hold.service, hold.crashes, age)
 
     def evidence(self) -> Iterator[Crash]:
-        """Yield crashes with those requests that were in flight at more than one."""
+        """Yield crashes with their requests that were in flight at several crashes."""
         now = self._clock.now()
         for incarnation, (at, service, fingerprints) in self._crashes.items():
             repeated = frozenset(
--- a/packages/fuchsiagap/src/fuchsiagap/core/quarantine/recent_answers.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/quarantine/recent_answers.py
@@ -20,7 +20,7 @@
         Minimum milliseconds for which a fingerprint is remembered, unless more arrive
         than the generations hold.
     max_per_generation : int
-        Fingerprints of each generation.
+        Maximum number of fingerprints in each generation.
     """
 
     def __init__(self, retention_ms: Milliseconds, max_per_generation: int) -> None:
@@ -43,7 +43,7 @@
         self._current.add(fingerprint)
 
     def rotate(self, now: Milliseconds) -> None:
-        """Start a new generation and drop the one before the current."""
+        """Start a new generation and drop the oldest; after a long pause, drop both."""
         if now - self._rotated_at > 2.0 * self._retention_ms:
             self._current = set()
         self._previous, self._current = self._current, set()
--- a/packages/fuchsiagap/src/fuchsiagap/core/watching/watcher_rank.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/watching/watcher_rank.py
@@ -76,11 +76,11 @@
     others_watch: bool
 
     def is_first(self, n_watchers: int) -> bool:
-        """Whether the node is among those that watch when all learn of changes."""
+        """Whether the node watches when every node has a source of changes."""
         return self.position < n_watchers
 
     def takeover_delay(self, n_watchers: int) -> Milliseconds:
-        """Return for how long `should_watch` must hold before the node watches."""
+        """Return the milliseconds `should_watch` must hold before the node watches."""
         return max(self.position - n_watchers + 1, 0) * _TAKEOVER_MS
 
 
@@ -94,7 +94,8 @@
     neighbours : iterable of Neighbour
         Nodes of its data centre that it has links to.
     n_watchers : int
-        Number of nodes per data centre that watch when all learn of changes.
+        Number of nodes per data centre that watch when every node has a source of
+        changes.
     """
     position = n_updated = 0
     others_watch = False
--- a/packages/fuchsiagap/src/fuchsiagap/core/workspaces/token_cache.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/workspaces/token_cache.py
@@ -16,11 +16,11 @@
 # Milliseconds for which a token may be used. Tokens kept for longer could be used
 # together with those of a later rate window.
 TOKEN_LIFETIME_MS = 1_000.0
-# Milliseconds of expected requests that a node requests tokens for in advance, and the
-# stock, likewise in milliseconds, at which it requests more.
+# A node requests tokens in advance for the requests that it expects in
+# `_PREFETCH_MS`, and requests more once its tokens suffice for less than `_LOW_STOCK_MS`.
 _PREFETCH_MS = 300.0
 _LOW_STOCK_MS = 100.0
-# Time constant in milliseconds of the request count.
+# Time constant in milliseconds of the decaying request count.
 _REQUEST_DECAY_MS = 1_000.0
 # Maximum milliseconds for which a node requests no tokens after it got too few.
 _DENIED_MS = 200.0
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/freshness/test_config_freshness_exhaustive.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/freshness/test_config_freshness_exhaustive.py
@@ -1,8 +1,8 @@
 """Model checking of `ConfigFreshness` over all orders of events on three nodes.
 
-The first node asks the store, the second asks the first, and the third asks the second.
-Each question and answer may take any time or get lost, any host may be suspended, and
-two versions are accepted. In every reachable state, each node has all versions that
+The first node queries the store, the second the first, and the third the second. Each
+query and answer may take any time or get lost, any host may be suspended, and two
+versions are accepted. In every reachable state, each node has all versions that
 were accepted up to its `as_of`.
 """
 
@@ -27,13 +27,13 @@
     as_of: float = NEVER
     pending_version: int = 0
     pending_as_of: float = NEVER
-    # Times of the questions that have not reached the store yet.
+    # Times of the queries that have not reached the store yet.
     asked_store: tuple = ()
-    # Answers of the store: time of the question, and the version.
+    # Answers of the store: time of the query, and the version.
     from_store: tuple = ()
-    # Answers of other nodes: time of the question, the version, and the age.
+    # Answers of other nodes: time of the query, the version, and the age.
     from_nodes: tuple = ()
-    # Questions to other nodes: index of the node, and time of the question.
+    # Queries to other nodes: index of the node, and time of the query.
     asked_nodes: tuple = ()
 
 
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/freshness/test_store_timeouts.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/freshness/test_store_timeouts.py
@@ -1,4 +1,4 @@
-"""Timeouts of requests to the store, as shares of the bound on changes."""
+"""Timeouts of store requests, as shares of the bound within which changes apply."""
 
 from testtools import TestCase
 
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/quarantine/test_crash_tracker.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/quarantine/test_crash_tracker.py
@@ -10,7 +10,7 @@
     return tracker
 
 
-class TestCrashWatch(TestCase):
+class TestCrashTracker(TestCase):
     def test_unanswered_requests_were_in_flight_at_the_crash(self):
         tracker = make_tracker()
         for fingerprint in (b"a", b"b"):
