--- a/packages/fuchsiagap/src/fuchsiagap/core/workspaces/token_cache.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/workspaces/token_cache.py
@@ -16,8 +16,8 @@
 # Milliseconds for which a token may be used. Tokens kept for longer could be used
 # together with those of a later rate window.
 TOKEN_LIFETIME_MS = 1_000.0
-# A node requests tokens in advance for the requests that it expects in
-# `_PREFETCH_MS`, and requests more once its tokens suffice for less than `_LOW_STOCK_MS`.
+# A node requests tokens in advance for the requests that it expects in `_PREFETCH_MS`,
+# and requests more once its tokens suffice for less than `_LOW_STOCK_MS`.
 _PREFETCH_MS = 300.0
 _LOW_STOCK_MS = 100.0
 # Time constant in milliseconds of the decaying request count.
