--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/admission.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/admission.py
@@ -17,7 +17,7 @@
     from fuchsiagap.core.pressure.evenly import CallerTurn
     from fuchsiagap.core.pressure.served import ServedShares
     from fuchsiagap.core.routes.model import Route
-    from fuchsiagap_node.core.mesh.pressures import Pressures
+    from fuchsiagap_node.core.mesh.route_loads import RouteLoads
     from fuchsiagap_node.core.mesh.telling import Teller
 
 # Milliseconds between two steps of the levels: a few within one reaction time.
@@ -28,7 +28,7 @@
 # together.
 _RETRY_AFTER_SHARES = (0.2, 0.4)
 # Milliseconds that a refused caller stays away at least.
-_LEAST_RETRY_AFTER_MS = 40.0
+_MIN_RETRY_AFTER_MS = 40.0
 
 
 class Admission:
@@ -36,7 +36,7 @@
 
     Parameters
     ----------
-    pressures : Pressures
+    route_loads : RouteLoads
         Fullness of the services that a route leads to.
     served : ServedShares
         What the callers of this node got.
@@ -50,13 +50,13 @@
 
     def __init__(
         self,
-        pressures: Pressures,
+        route_loads: RouteLoads,
         served: ServedShares,
         clock: Clock,
         rng: random.Random,
         teller: Teller,
     ) -> None:
-        self._pressures = pressures
+        self._route_loads = route_loads
         self._served = served
         self._clock = clock
         self._rng = rng
@@ -64,7 +64,7 @@
         self._levels: dict[tuple[str, str], RefusalLevel] = {}
         self._order = RefusalOrder()
         self._stepped_at = clock.now()
-        self._even = EvenShares(rng)
+        self._fair_shares = EvenShares(rng)
         self._shares: dict[tuple[str, str], float] = {}
         # Names of routes by the kinds of their requests.
         self._routes: dict[str, str] = {}
@@ -74,14 +74,14 @@
         now = self._clock.now()
         elapsed, self._stepped_at = now - self._stepped_at, now
         self._order.forget(now)
-        self._learn_calls()
+        self._update_call_counts()
         steps = self._order.steps_from_worst()
         kinds = self._order.loads(now)
         kept = kept_share(self._served.whole(now))
         worst = deepest_cut(0, kinds, kept)
         for (service, kind), level in self._levels.items():
             was_open = level.cut == 0.0
-            fullness = self._pressures.of(service, self._routes[kind])
+            fullness = self._route_loads.fullness(service, self._routes[kind])
             step = steps.get(kind)
             most = deepest_cut(step or 0, kinds, kept)
             level.step(fullness, min(elapsed, 5 * STEP_MS), worst, most)
@@ -100,24 +100,24 @@
                     refusing=was_open,
                 )
 
-    def _learn_calls(self) -> None:
+    def _update_call_counts(self) -> None:
         """Take in what requests make, of a split route at whichever service is most."""
         most: dict[str, float] = {}
         for service, kind in self._levels:
-            calls = self._pressures.calls(service, self._routes[kind])
+            calls = self._route_loads.calls(service, self._routes[kind])
             most[kind] = max(most.get(kind, 0.0), calls)
         for kind, calls in most.items():
             self._order.note_calls(kind, calls)
 
     def admitted_share(self, service: str, route: Route) -> float:
         """Return the share of a route's requests that is let in now."""
-        asked = service, route.kind
-        if asked not in self._levels:
+        key = service, route.kind
+        if key not in self._levels:
             self._routes[route.kind] = route.name
-            self._levels[asked] = RefusalLevel()
-            self._shares[asked] = 1.0
+            self._levels[key] = RefusalLevel()
+            self._shares[key] = 1.0
         self._order.note_request(route, self._clock.now())
-        return self._shares[asked]
+        return self._shares[key]
 
     def shares(self) -> Iterator[tuple[str, str, float]]:
         """Yield service, kind and admitted share of what was asked for so far."""
@@ -143,9 +143,9 @@
         turn : CallerTurn
             What its caller is owed.
         """
-        return self._even.admits(route.kind, share, turn)
+        return self._fair_shares.admits(route.kind, share, turn)
 
     def retry_after(self, route: Route) -> Milliseconds:
         """Return when a refused caller may come back."""
         wait = route.objective * self._rng.uniform(*_RETRY_AFTER_SHARES)
-        return max(wait, _LEAST_RETRY_AFTER_MS)
+        return max(wait, _MIN_RETRY_AFTER_MS)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_conn.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_conn.py
@@ -31,23 +31,23 @@
     from fuchsiagap_node.core.mesh.settings import MeshSettings
 
 # Status of a server that is not the incarnation that a request names.
-_NOT_THE_ONE_MEANT = 421
+_MISDIRECTED_REQUEST = 421
 # Milliseconds to open a connection to a server on the same host.
-_DIAL_MS = 500.0
+_CONNECT_TIMEOUT_MS = 500.0
 # Milliseconds after which bytes that the server's host has not acknowledged break the
 # connection. The host is this one, where it takes well under a millisecond whatever the
 # server does; a connection that fell silent for good would else hold its call, and its
 # place, until the deadline.
-_UNACKNOWLEDGED_MS = 1_000.0
+_ACK_TIMEOUT_MS = 1_000.0
 # Share of the idle timeout that a server announces after which its connection is not
 # used again, since its close may be under way.
-_IDLE_SHARE = 0.7
+_IDLE_TIMEOUT_SHARE = 0.7
 # The same where it announces none, in milliseconds; below the idle timeouts that
 # backend servers usually have.
-_IDLE_UNKNOWN_MS = 6_000.0
+_DEFAULT_IDLE_TIMEOUT_MS = 6_000.0
 # Milliseconds of idleness after which a connection no longer takes what must not run
 # twice: were it reset under way, nobody could tell whether it ran.
-_IDLE_ONCE_MS = 1_000.0
+_NON_IDEMPOTENT_MAX_IDLE_MS = 1_000.0
 
 
 class BackendConn:
@@ -79,9 +79,9 @@
         self._stream: Stream | None = None
         self._reader = AnswerReader(cfg.names)
         self._unsent = b""
-        self._crossed = False
+        self._got_mismatched_answer = False
         self.idle_since: Milliseconds = 0.0
-        self._idle_ms = _IDLE_UNKNOWN_MS
+        self._max_idle_ms = _DEFAULT_IDLE_TIMEOUT_MS
         self._on_read: Callable[[BackendConn, Outcome | None], None] = _ignore
         self.call: Call | None = None
         self.closed = False
@@ -95,28 +95,28 @@
 
     async def open(self) -> None:
         """Open the connection; `BrokenStream` if there is none in time."""
-        self._stream = await dial(self._cfg.backend, _DIAL_MS)
-        self._stream.give_up_after(_UNACKNOWLEDGED_MS)
+        self._stream = await dial(self._cfg.backend, _CONNECT_TIMEOUT_MS)
+        self._stream.give_up_after(_ACK_TIMEOUT_MS)
         self._stream.probe_when_silent(IDLE_PROBES)
         if self.closed:
             self._stream.close()
 
-    def outlived(self, now: Milliseconds) -> bool:
+    def is_expired(self, now: Milliseconds) -> bool:
         """Whether an idle connection has been idle for too long to be used again."""
-        return now - self.idle_since >= self._idle_ms
+        return now - self.idle_since >= self._max_idle_ms
 
-    def is_fit(self, idempotent: bool, now: Milliseconds) -> bool:
+    def may_carry(self, idempotent: bool, now: Milliseconds) -> bool:
         """Whether an idle connection may take a call."""
-        if not idempotent and now - self.idle_since >= _IDLE_ONCE_MS:
+        if not idempotent and now - self.idle_since >= _NON_IDEMPOTENT_MAX_IDLE_MS:
             return False
-        return not self.outlived(now)
+        return not self.is_expired(now)
 
     def is_quiet(self) -> bool:
         """Whether an idle connection is open and has nothing to read."""
         return self._stream is not None and self._stream.is_quiet()
 
     def send(self, call: Call, left: Milliseconds) -> bool:
-        """Send a call, as much as goes out at once; `push` sends the rest.
+        """Send a call, as much as goes out at once; `send_rest` sends the rest.
 
         Parameters
         ----------
@@ -145,7 +145,7 @@
         """Whether a part of the call has still to be sent."""
         return bool(self._unsent)
 
-    async def push(self) -> None:
+    async def send_rest(self) -> None:
         """Send the rest of a call; after a break its answer may still be read."""
         assert self._stream is not None
         try:
@@ -154,7 +154,7 @@
             return
         self._unsent = b""
 
-    def listen(
+    def read_answers(
         self, poller: Poller, on_read: Callable[[BackendConn, Outcome | None], None]
     ) -> None:
         """Read answers from now on.
@@ -169,9 +169,9 @@
         """
         assert self._stream is not None
         self._on_read = on_read
-        self._stream.read_with(poller, self._take, self._end)
+        self._stream.read_with(poller, self._handle_data, self._handle_end)
 
-    def _take(self, data: bytes) -> None:
+    def _handle_data(self, data: bytes) -> None:
         """Take in bytes from the server."""
         if self.call is None:
             # They belong to no call.
@@ -179,64 +179,66 @@
             self._on_read(self, None)
             return
         try:
-            answer = self._answer(data, self.call)
+            answer = self._read_answer(data, self.call)
         except BadAnswer as exc:
-            self._break(exc)
+            self._fail(exc)
         else:
             self._on_read(self, None if answer is None else _outcome(answer))
 
-    def _end(self, why: BrokenStream) -> None:
+    def _handle_end(self, why: BrokenStream) -> None:
         """Take in that the connection has ended, in the midst of an answer perhaps."""
         self.silent = isinstance(why, SilentStream)
         if not isinstance(why, EndedStream) or self.call is None:
-            self._break(why)
+            self._fail(why)
             return
         try:
-            answer = self._answer(b"", self.call)
+            answer = self._read_answer(b"", self.call)
         except BadAnswer as exc:
-            self._break(exc)
+            self._fail(exc)
             return
         self.close()
         self._on_read(self, None if answer is None else _outcome(answer))
 
-    def _break(self, why: Exception) -> None:
+    def _fail(self, why: Exception) -> None:
         self.close()
         outcome = MayHaveRun(f"broken answer: {why}") if self.call else None
         self._on_read(self, outcome)
 
-    def _answer(self, data: bytes, call: Call) -> Answer | None:
+    def _read_answer(self, data: bytes, call: Call) -> Answer | None:
         """Return the answer that bears the call's identifier, once it is whole."""
         answers = self._reader.feed(data) if data else self._reader.end()
         for index, answer in enumerate(answers):
-            if not _belongs(answer, call.request_id):
-                self._crossed = True
+            if not _is_answer_to(answer, call.request_id):
+                self._got_mismatched_answer = True
                 continue
             clean = index == len(answers) - 1 and not self._reader.midway
-            self._keep(answer, clean and not self._crossed and bool(data))
+            self._keep_or_close(
+                answer, clean and not self._got_mismatched_answer and bool(data)
+            )
             return answer
         if not data:
             raise BadAnswer("the connection ended without an answer")
         return None
 
-    def _keep(self, answer: Answer, clean: bool) -> None:
+    def _keep_or_close(self, answer: Answer, clean: bool) -> None:
         """Keep the connection for the next call, or close it."""
         if not clean or not answer.keep_alive or self._unsent:
             self.close()
             return
         self.idle_since = self._clock.now()
         if answer.idle_timeout is not None:
-            self._idle_ms = answer.idle_timeout * _IDLE_SHARE
+            self._max_idle_ms = answer.idle_timeout * _IDLE_TIMEOUT_SHARE
 
 
 def _outcome(answer: Answer) -> Outcome:
-    if answer.status == _NOT_THE_ONE_MEANT:
+    if answer.status == _MISDIRECTED_REQUEST:
         return NotRun(OTHER_INCARNATION, offered=True)
     if answer.not_run:
         return NotRun(f"backend server refused: {answer.status}", offered=True)
     return Answered(answer.status, answer.reason, answer.headers, answer.body)
 
 
-def _belongs(answer: Answer, request_id: str) -> bool:
+def _is_answer_to(answer: Answer, request_id: str) -> bool:
     """Whether an answer is that of a request.
 
     A refusal need not echo the identifier; a success without one cannot be told from
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_conns.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_conns.py
@@ -15,13 +15,13 @@
     from collections.abc import Callable
 
     from fuchsiagap.core.clock import Clock, Milliseconds
-    from fuchsiagap_node.core.mesh.job import Job
+    from fuchsiagap_node.core.mesh.pending_call import PendingCall
     from fuchsiagap_node.core.mesh.poller import Poller
     from fuchsiagap_node.core.mesh.settings import MeshSettings
     from fuchsiagap_node.core.mesh.telling import Teller
 
 # Milliseconds that must be left for a call to be worth handing over.
-LEAST_LEFT_MS = 1.0
+MIN_TIME_LEFT_MS = 1.0
 
 
 class BackendConns:
@@ -46,7 +46,7 @@
         Called with what the server said, or that it broke off, before `settle` is.
     on_unreachable : callable
         Called with why the server accepted no connection.
-    is_doubted : callable
+    is_suspected : callable
         Returns whether a call ended unanswered and no other was answered since.
     """
 
@@ -55,7 +55,7 @@
         cfg: MeshSettings,
         clock: Clock,
         teller: Teller,
-        settle: Callable[[Job, Outcome], None],
+        settle: Callable[[PendingCall, Outcome], None],
         poller: Poller,
     ) -> None:
         self._poller = poller
@@ -65,11 +65,11 @@
         self._tell = teller
         self._settle = settle
         self._idle = IdleConns()
-        self._carried: dict[BackendConn, Job] = {}
+        self._by_conn: dict[BackendConn, PendingCall] = {}
         self._nursery: trio.Nursery | None = None
         self.on_outcome: Callable[[Outcome], None] = _ignore
         self.on_unreachable: Callable[[BrokenStream], None] = _ignore
-        self.is_doubted: Callable[[], bool] = bool
+        self.is_suspected: Callable[[], bool] = bool
 
     def adopt(self, cfg: MeshSettings) -> None:
         """Go on under changed settings."""
@@ -92,152 +92,152 @@
                 for conn in list(self._all):
                     conn.close()
 
-    def dispatch(self, job: Job) -> None:
+    def dispatch(self, pending: PendingCall) -> None:
         """Send a call on an idle connection, or on a new one."""
         assert self._nursery is not None
         now = self._clock.now()
-        conn = self._idle.take(job.call.idempotent, now)
+        conn = self._idle.take(pending.call.idempotent, now)
         while conn is not None:
-            self._carry(conn, job)
-            if conn.send(job.call, job.deadline - now):
-                self._push_rest(conn)
+            self._assign(conn, pending)
+            if conn.send(pending.call, pending.deadline - now):
+                self._schedule_send_rest(conn)
                 return
-            conn = self._idle.take(job.call.idempotent, now)
+            conn = self._idle.take(pending.call.idempotent, now)
         conn = BackendConn(self._cfg, self._clock)
-        self._carry(conn, job)
-        self._nursery.start_soon(self._begin, conn, job)
+        self._assign(conn, pending)
+        self._nursery.start_soon(self._open_and_send, conn, pending)
 
-    def release(self, job: Job) -> None:
+    def release(self, pending: PendingCall) -> None:
         """Forget which connection carries a call."""
-        if job.conn is not None:
-            del self._carried[job.conn]
-            job.conn = None
+        if pending.conn is not None:
+            del self._by_conn[pending.conn]
+            pending.conn = None
 
-    def break_off(self, job: Job) -> None:
+    def abort(self, pending: PendingCall) -> None:
         """Close the connection of a call, which tells the server to drop it."""
-        conn = job.conn
+        conn = pending.conn
         if conn is not None:
             conn.call = None
             conn.close()
 
-    def close_older(self, silent: BackendConn) -> None:
+    def close_stale(self, silent: BackendConn) -> None:
         """Close the idle connections that share the fate of one that fell silent."""
-        closed = self._idle.close_older(silent, self._used_since(silent))
+        closed = self._idle.close_stale(silent, self._last_used_at(silent))
         self._tell.event("backend-silent", closed=closed)
 
-    def give_up_unused(self, late: BackendConn) -> None:
+    def close_unused(self, late: BackendConn) -> None:
         """Close idle connections that are no better than one without an answer."""
-        self._idle.close_older(late, self._used_since(late))
+        self._idle.close_stale(late, self._last_used_at(late))
 
-    def close_outlived(self, now: Milliseconds) -> None:
+    def close_expired(self, now: Milliseconds) -> None:
         """Close the connections that the server may close at any moment."""
-        self._idle.close_outlived(now)
+        self._idle.close_expired(now)
 
     def close_idle(self) -> None:
         """Close all that carry no call: the server at their other end is no more."""
         self._idle.close_all()
 
-    def _used_since(self, conn: BackendConn) -> Milliseconds:
-        job = self._carried.get(conn)
-        return conn.idle_since if job is None else job.started
+    def _last_used_at(self, conn: BackendConn) -> Milliseconds:
+        pending = self._by_conn.get(conn)
+        return conn.idle_since if pending is None else pending.started
 
-    def _carry(self, conn: BackendConn, job: Job) -> None:
+    def _assign(self, conn: BackendConn, pending: PendingCall) -> None:
         """Note which connection carries a call; one that broke carries none."""
-        self.release(job)
-        job.conn = conn
-        self._carried[conn] = job
+        self.release(pending)
+        pending.conn = conn
+        self._by_conn[conn] = pending
 
-    def _push_rest(self, conn: BackendConn) -> None:
+    def _schedule_send_rest(self, conn: BackendConn) -> None:
         if conn.has_unsent and self._nursery is not None:
-            self._nursery.start_soon(conn.push)
+            self._nursery.start_soon(conn.send_rest)
 
-    async def _begin(self, conn: BackendConn, job: Job) -> None:
+    async def _open_and_send(self, conn: BackendConn, pending: PendingCall) -> None:
         """Open a connection and send its first call; then it is read by functions."""
         self._all.add(conn)
         try:
-            if await self._open(conn, job):
-                conn.listen(self._poller, self._take_read)
+            if await self._open(conn, pending):
+                conn.read_answers(self._poller, self._handle_read)
                 return
         except BrokenStream:
             # Closed by this end while it was opened.
             pass
         except Exception as exc:
-            self._fail(conn, exc)
-        self._forget(conn)
+            self._handle_fault(conn, exc)
+        self._remove(conn)
 
-    def _fail(self, conn: BackendConn, exc: Exception) -> None:
+    def _handle_fault(self, conn: BackendConn, exc: Exception) -> None:
         """End a connection on which an exception came that nobody expected."""
         self._tell.fault("backend-connection", exc)
         conn.close()
         why = f"fault of the node: {type(exc).__name__}"
-        self._take_outcome(conn, MayHaveRun(why))
+        self._handle_outcome(conn, MayHaveRun(why))
 
-    def _forget(self, conn: BackendConn) -> None:
+    def _remove(self, conn: BackendConn) -> None:
         """Forget a connection that has ended."""
         if conn not in self._all:
             return
         self._all.discard(conn)
         conn.close()
         self._idle.forget(conn)
-        self._check_server()
+        self._check_server_up()
 
-    async def _open(self, conn: BackendConn, job: Job) -> bool:
+    async def _open(self, conn: BackendConn, pending: PendingCall) -> bool:
         """Open a connection and send its first call; False if that failed."""
         try:
             await conn.open()
         except BrokenStream as exc:
-            if job.conn is conn:
+            if pending.conn is conn:
                 self.on_unreachable(exc)
-                self._settle(job, NotRun(f"no connection: {exc}"))
+                self._settle(pending, NotRun(f"no connection: {exc}"))
             return False
-        if job.conn is not conn or conn.closed:
+        if pending.conn is not conn or conn.closed:
             return False
-        left = job.deadline - self._clock.now()
-        if left < LEAST_LEFT_MS:
-            self._settle(job, NotRun(EXPIRED))
+        left = pending.deadline - self._clock.now()
+        if left < MIN_TIME_LEFT_MS:
+            self._settle(pending, NotRun(EXPIRED))
             return False
-        if not conn.send(job.call, left):
-            self._settle(job, NotRun("closed at once", offered=True))
+        if not conn.send(pending.call, left):
+            self._settle(pending, NotRun("closed at once", offered=True))
             return False
-        self._push_rest(conn)
+        self._schedule_send_rest(conn)
         return True
 
-    def _take_read(self, conn: BackendConn, outcome: Outcome | None) -> None:
+    def _handle_read(self, conn: BackendConn, outcome: Outcome | None) -> None:
         """Take what came on a connection."""
         try:
             if conn.silent:
-                self.close_older(conn)
+                self.close_stale(conn)
             if outcome is not None:
-                self._take_outcome(conn, outcome)
+                self._handle_outcome(conn, outcome)
         except Exception as exc:
-            self._fail(conn, exc)
+            self._handle_fault(conn, exc)
         if conn.closed:
-            self._forget(conn)
+            self._remove(conn)
 
-    def _take_outcome(self, conn: BackendConn, outcome: Outcome) -> None:
+    def _handle_outcome(self, conn: BackendConn, outcome: Outcome) -> None:
         """Settle the call of a connection, and keep the connection if it is whole."""
         conn.call = None
-        job = self._carried.get(conn)
+        pending = self._by_conn.get(conn)
         self.on_outcome(outcome)
         if not conn.closed:
             self._idle.keep(conn)
-        if job is not None:
-            self._settle(job, outcome)
+        if pending is not None:
+            self._settle(pending, outcome)
 
-    def _check_server(self) -> None:
+    def _check_server_up(self) -> None:
         """Dial a server that has closed all connections: a crash is known at once."""
-        is_open = bool(self._carried) or len(self._idle) > 0
-        if self.is_doubted() and not is_open and self._nursery is not None:
-            self._nursery.start_soon(self._dial_to_check)
+        is_open = bool(self._by_conn) or len(self._idle) > 0
+        if self.is_suspected() and not is_open and self._nursery is not None:
+            self._nursery.start_soon(self._probe_server)
 
-    async def _dial_to_check(self) -> None:
+    async def _probe_server(self) -> None:
         """Open a connection; keep it for the next call if the server takes it."""
         conn = BackendConn(self._cfg, self._clock)
         self._all.add(conn)
         try:
             await conn.open()
             if not conn.closed:
-                conn.listen(self._poller, self._take_read)
+                conn.read_answers(self._poller, self._handle_read)
         except BrokenStream as exc:
             self.on_unreachable(exc)
             self._all.discard(conn)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/door.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_queue.py
@@ -4,13 +4,13 @@
 
 from typing import TYPE_CHECKING
 
-from fuchsiagap.core.door.health import ServerHealth
-from fuchsiagap.core.door.incarnation import BackendState, Incarnation
-from fuchsiagap.core.door.lost import LostTrees
-from fuchsiagap.core.door.offered import OfferedLoad
-from fuchsiagap.core.door.queue import DoorQueue
-from fuchsiagap.core.door.turns import RankTurns
-from fuchsiagap_node.core.mesh.backend_conns import LEAST_LEFT_MS, BackendConns
+from fuchsiagap.core.backend_queue.health import ServerHealth
+from fuchsiagap.core.backend_queue.incarnation import BackendState, Incarnation
+from fuchsiagap.core.backend_queue.lost import LostTrees
+from fuchsiagap.core.backend_queue.offered import OfferedLoad
+from fuchsiagap.core.backend_queue.queue import DoorQueue
+from fuchsiagap.core.backend_queue.turns import RankTurns
+from fuchsiagap_node.core.mesh.backend_conns import MIN_TIME_LEFT_MS, BackendConns
 from fuchsiagap_node.core.mesh.crash_reports import CrashReports
 from fuchsiagap_node.core.mesh.outcome import (
     CANCELLED,
@@ -33,26 +33,26 @@
     import random
     from collections.abc import Callable
 
+    from fuchsiagap.core.backend_queue.incarnation import BackendReport
     from fuchsiagap.core.clock import Clock, Milliseconds
-    from fuchsiagap.core.door.incarnation import BackendReport
-    from fuchsiagap_node.core.mesh.job import Job
+    from fuchsiagap_node.core.mesh.pending_call import PendingCall
     from fuchsiagap_node.core.mesh.poller import Poller
     from fuchsiagap_node.core.mesh.settings import MeshSettings
     from fuchsiagap_node.core.mesh.stream import BrokenStream
     from fuchsiagap_node.core.mesh.telling import Teller
 
 # Weight of one request in the mean time at the server: about the last 50 count.
-_SERVICE_WEIGHT = 0.02
+_SERVICE_MS_WEIGHT = 0.02
 # The same for the time by which servers are compared: about the last 200 answers, since
 # kinds of requests take times that differ by a factor of forty. How many are enough.
-_TYPICAL_WEIGHT = 0.005
-_ENOUGH_TIMED = 50
+_LONG_TERM_WEIGHT = 0.005
+_MIN_LONG_TERM_SAMPLES = 50
 # Milliseconds past its deadline for which a call is left with the server, that may be
 # sending its own last word.
-_LAST_WORD_MS = 80.0
+_ANSWER_GRACE_MS = 80.0
 
 
-class Door:
+class BackendQueue:
     """Admits calls to the backend server, in order of rank, one for each place.
 
     Parameters
@@ -74,7 +74,7 @@
         What it lets through of what was handed to a server before.
     leaving : bool
         Whether this node is being stopped and takes nothing new.
-    turns : RankTurns
+    rank_stats : RankTurns
         What each rank got.
     changed : callable
         Called when what the door says of its server changes at once.
@@ -95,24 +95,24 @@
         self.repeats = PaidRepeats(cfg.budget, clock, teller, rng)
         self._clock = clock
         self._tell = teller
-        self._queue: DoorQueue[Job] = DoorQueue(1)
+        self._queue: DoorQueue[PendingCall] = DoorQueue(1)
         self._offered = OfferedLoad()
-        self.turns = RankTurns()
-        self._lost = LostTrees()
+        self.rank_stats = RankTurns()
+        self._lost_calls = LostTrees()
         self._incarnation = Incarnation()
         self._conns = BackendConns(cfg, clock, teller, self._settle, poller)
-        self._at_server: dict[Job, None] = {}
-        self._by_id: dict[str, Job] = {}
-        self._usable = ""
+        self._at_server: dict[PendingCall, None] = {}
+        self._by_id: dict[str, PendingCall] = {}
+        self._notified_instance = ""
         self._health = ServerHealth(clock.now())
-        self._crashes = ServerCrashes(clock, teller, self._at_work)
+        self._crashes = ServerCrashes(clock, teller, self._running_fingerprints)
         self._crashes.on_crash = self.reports.report_crash
         self._conns.on_outcome = self._crashes.record_answer
-        self._conns.on_unreachable = self._unreachable
-        self._conns.is_doubted = lambda: self._crashes.is_doubted
-        self._warm_at = 0.0
-        self._typical_ms = 0.0
-        self._n_timed = 0
+        self._conns.on_unreachable = self._handle_unreachable
+        self._conns.is_suspected = lambda: self._crashes.is_suspected
+        self._warm_up_ends_at = 0.0
+        self._long_term_service_ms = 0.0
+        self._n_long_term_samples = 0
         self.leaving = False
         self.changed: Callable[[], None] = _nothing
 
@@ -143,11 +143,15 @@
         return self._queue.service_ms
 
     @property
-    def typical_ms(self) -> Milliseconds:
+    def long_term_service_ms(self) -> Milliseconds:
         """Mean milliseconds over many more requests, answered ones; 0 if not known."""
-        return self._typical_ms if self._n_timed >= _ENOUGH_TIMED else 0.0
+        return (
+            self._long_term_service_ms
+            if self._n_long_term_samples >= _MIN_LONG_TERM_SAMPLES
+            else 0.0
+        )
 
-    def parent_of(self, request_id: str) -> Job | None:
+    def parent_of(self, request_id: str) -> PendingCall | None:
         """Return the request that the backend server makes a call for.
 
         A backend server names its calls after the request that it runs: the
@@ -161,9 +165,9 @@
         return self._health.failing(self._clock.now())
 
     @property
-    def beat_age(self) -> Milliseconds:
+    def heartbeat_age(self) -> Milliseconds:
         """Milliseconds since the server was last heard of, or since the start."""
-        return self._health.beat_age(self._clock.now())
+        return self._health.heartbeat_age(self._clock.now())
 
     def offered(self) -> float:
         """Return how many places the requests that arrive would fill."""
@@ -173,11 +177,11 @@
         places = self._offered.places(
             self._clock.now(), queue.service_ms, queue.waiting
         )
-        return places * self._lost.strain(self._clock.now())
+        return places * self._lost_calls.strain(self._clock.now())
 
     def is_warming(self) -> bool:
         """Whether the backend server is in its warm-up."""
-        return self._clock.now() < self._warm_at
+        return self._clock.now() < self._warm_up_ends_at
 
     def instance(self) -> str:
         """Return the incarnation that takes requests now; empty if none does."""
@@ -193,19 +197,19 @@
         report = self._incarnation.report
         return "" if report is None else report.instance
 
-    def take_report(self, report: BackendReport) -> None:
+    def handle_report(self, report: BackendReport) -> None:
         """Take in what the backend server says of itself."""
         old = self._incarnation.report
         if not self._incarnation.take(report):
             self._tell.event("report-ignored", instance=report.instance)
             return
-        self._follow(report)
+        self._apply_state(report)
         same = old is not None and old.is_same_start(report)
         if same and old is not None and old.state is report.state:
             return
         self._crashes.record_report(report, same)
         if not same:
-            self._forget_earlier(old, report)
+            self._reset_for_incarnation(old, report)
         self._tell.event(
             "backend-changed",
             instance=report.instance,
@@ -215,13 +219,15 @@
             places=report.slots,
         )
         if report.state is not BackendState.READY:
-            self.turn_away(LEAVING)
+            self.reject_waiting(LEAVING)
         self.changed()
 
-    def _forget_earlier(self, old: BackendReport | None, now: BackendReport) -> None:
+    def _reset_for_incarnation(
+        self, old: BackendReport | None, now: BackendReport
+    ) -> None:
         """Begin anew with another incarnation."""
         self._health.forget_failures()
-        self._n_timed = 0
+        self._n_long_term_samples = 0
         if old is None or old.instance != now.instance:
             return
         # It has started again under its identifier. Calls under way end with their
@@ -229,22 +235,22 @@
         # sent on a connection of the earlier one.
         self._conns.close_idle()
 
-    def _follow(self, report: BackendReport) -> None:
+    def _apply_state(self, report: BackendReport) -> None:
         """Go by a report of the server."""
         now = self._clock.now()
         self._health.note_beat(now)
         if report.state is not BackendState.GONE:
             self._queue.limit = max(report.slots, 1)
-            self._warm_at = now + report.warm_up
+            self._warm_up_ends_at = now + report.warm_up
 
-    def _refute(self, instance: str) -> None:
+    def _revert_incarnation(self, instance: str) -> None:
         """Go by what was known before a late heartbeat, if the server says so."""
         if not self._incarnation.refute(instance):
             return
         report = self._incarnation.report
         assert report is not None
         self._crashes.revert(report)
-        self._follow(report)
+        self._apply_state(report)
         self._health.forget_failures()
         self._tell.event(
             "backend-refuted",
@@ -253,10 +259,10 @@
             state=report.state.value,
             sequence=report.sequence,
         )
-        self.turn_away(LEAVING)
+        self.reject_waiting(LEAVING)
         self.changed()
 
-    def turn_away(self, reason: str) -> None:
+    def reject_waiting(self, reason: str) -> None:
         """Give back all that waits; what runs is left to end."""
         for waiting in self._queue.clear():
             waiting.job.reply(NotRun(reason))
@@ -265,41 +271,41 @@
         """Hold the tasks of the connections until cancelled."""
         await self._conns.run()
 
-    def look(self) -> None:
+    def tick(self) -> None:
         """Give up what is late, and notice that the server has come or gone."""
         now = self._clock.now()
         self._expire(now)
         if not self._health.is_heard(now, self._cfg.bounds.heartbeat):
             self._crashes.record_heartbeat_timeout()
         usable = self.instance()
-        if usable != self._usable:
-            self._usable = usable
+        if usable != self._notified_instance:
+            self._notified_instance = usable
             self.changed()
 
-    def submit(self, job: Job) -> None:
+    def submit(self, pending: PendingCall) -> None:
         """Take a call; its reply comes now or later."""
-        call = job.call
+        call = pending.call
         instance = self.instance()
         if not instance or instance != call.instance:
-            job.reply(NotRun(LEAVING if self.known_instance() else NO_BACKEND))
+            pending.reply(NotRun(LEAVING if self.known_instance() else NO_BACKEND))
             return
         if not self.repeats.admits(call, self.failing()):
-            job.reply(NotRun(NO_BUDGET))
+            pending.reply(NotRun(NO_BUDGET))
             return
         now = self._clock.now()
         self._offered.note_arrival(now)
-        self.turns.note_arrival(call.rank, now)
+        self.rank_stats.note_arrival(call.rank, now)
         if call.is_call:
-            self._lost.note_arrival(call.rank, now)
+            self._lost_calls.note_arrival(call.rank, now)
         if self._queue.has_place():
-            self._start(job)
+            self._start(pending)
             return
         if self._queue.is_full() and not self._make_room(call.rank):
             self._tell.event("queue-full", request=call.request_id, load=self.load)
-            job.reply(NotRun(QUEUE_FULL))
+            pending.reply(NotRun(QUEUE_FULL))
             return
-        job.waiting = self._queue.push(
-            job, call.rank, job.deadline, job.due, now, call.is_call
+        pending.waiting = self._queue.push(
+            pending, call.rank, pending.deadline, pending.due, now, call.is_call
         )
 
     def _make_room(self, rank: int) -> bool:
@@ -309,105 +315,105 @@
         worst.job.reply(NotRun(QUEUE_FULL))
         return True
 
-    def cancel(self, job: Job) -> None:
+    def cancel(self, pending: PendingCall) -> None:
         """Drop a call that nobody waits for; what must not repeat is left to end."""
-        if job.waiting is not None and self._queue.drop(job.waiting):
-            self._note_lost(job)
-            job.reply(NotRun(CANCELLED))
-        elif job.conn is not None and job.call.idempotent:
-            self._break_off(job, MayHaveRun(CANCELLED))
+        if pending.waiting is not None and self._queue.drop(pending.waiting):
+            self._record_lost_call(pending)
+            pending.reply(NotRun(CANCELLED))
+        elif pending.conn is not None and pending.call.idempotent:
+            self._abort(pending, MayHaveRun(CANCELLED))
 
-    def _break_off(self, job: Job, outcome: MayHaveRun) -> None:
+    def _abort(self, pending: PendingCall, outcome: MayHaveRun) -> None:
         """End a call at the server; closing its connection tells the server so."""
-        if job not in self._at_server:
+        if pending not in self._at_server:
             # The reply to another one has ended it, as where a caller leaves with all.
             return
-        self._conns.break_off(job)
-        self._settle(job, outcome)
+        self._conns.abort(pending)
+        self._settle(pending, outcome)
 
-    def _start(self, job: Job) -> None:
+    def _start(self, pending: PendingCall) -> None:
         """Give a call its place, on an idle connection or on a new one."""
         now = self._clock.now()
-        if job.deadline - now < LEAST_LEFT_MS:
-            job.reply(NotRun(EXPIRED))
+        if pending.deadline - now < MIN_TIME_LEFT_MS:
+            pending.reply(NotRun(EXPIRED))
             return
         if not self._conns.is_running:
-            job.reply(NotRun(NO_BACKEND))
+            pending.reply(NotRun(NO_BACKEND))
             return
         # Also here, where all that may run passes: its entry may not know yet.
-        if not self.reports.may_run(job.call.fingerprint):
-            job.reply(NotRun(QUARANTINED))
+        if not self.reports.may_run(pending.call.fingerprint):
+            pending.reply(NotRun(QUARANTINED))
             return
         self._queue.running += 1
-        self.turns.note_start(job.call.rank, now)
-        self._at_server[job] = None
-        self._by_id[job.call.request_id] = job
-        job.started = now
-        self._conns.dispatch(job)
+        self.rank_stats.note_start(pending.call.rank, now)
+        self._at_server[pending] = None
+        self._by_id[pending.call.request_id] = pending
+        pending.started = now
+        self._conns.dispatch(pending)
 
-    def _settle(self, job: Job, outcome: Outcome) -> None:
+    def _settle(self, pending: PendingCall, outcome: Outcome) -> None:
         """Reply to a call that had a place, and give the place to the next one."""
-        self._conns.release(job)
+        self._conns.release(pending)
         self._queue.running -= 1
-        del self._at_server[job]
-        if self._by_id.get(job.call.request_id) is job:
-            del self._by_id[job.call.request_id]
-        self._note(job, outcome)
+        del self._at_server[pending]
+        if self._by_id.get(pending.call.request_id) is pending:
+            del self._by_id[pending.call.request_id]
+        self._record_outcome(pending, outcome)
         if isinstance(outcome, MayHaveRun):
-            self._crashes.record_unanswered(job)
+            self._crashes.record_unanswered(pending)
         if isinstance(outcome, NotRun) and outcome.reason == OTHER_INCARNATION:
-            self._refute(job.call.instance)
-        job.reply(outcome)
+            self._revert_incarnation(pending.call.instance)
+        pending.reply(outcome)
         while (waiting := self._queue.pop(self._clock.now())) is not None:
             if self.instance() == waiting.job.call.instance:
                 self._start(waiting.job)
             else:
                 waiting.job.reply(NotRun(LEAVING))
 
-    def _note_lost(self, job: Job) -> None:
+    def _record_lost_call(self, pending: PendingCall) -> None:
         """Count a call of a tree that had no place before its time had passed."""
-        if job.call.is_call:
-            self._lost.note_lost(job.call.rank, self._clock.now())
+        if pending.call.is_call:
+            self._lost_calls.note_lost(pending.call.rank, self._clock.now())
 
     def _expire(self, now: Milliseconds) -> None:
         """Give up calls whose time has passed, and connections long idle."""
         for waiting in self._queue.expired(now):
-            self._note_lost(waiting.job)
+            self._record_lost_call(waiting.job)
             waiting.job.reply(NotRun(EXPIRED))
-        late = [j for j in self._at_server if now >= j.deadline + _LAST_WORD_MS]
-        for job in late:
-            if job.conn is not None:
+        late = [p for p in self._at_server if now >= p.deadline + _ANSWER_GRACE_MS]
+        for pending in late:
+            if pending.conn is not None:
                 # Nothing may have come on it since: those unused since are no better.
-                self._conns.give_up_unused(job.conn)
-            self._break_off(job, MayHaveRun(EXPIRED))
-        self._conns.close_outlived(now)
+                self._conns.close_unused(pending.conn)
+            self._abort(pending, MayHaveRun(EXPIRED))
+        self._conns.close_expired(now)
 
-    def _unreachable(self, cause: BrokenStream) -> None:
+    def _handle_unreachable(self, cause: BrokenStream) -> None:
         """Leave a server alone that took no connection."""
         self._health.note_unreachable(self._clock.now())
         self._tell.event("backend-unreachable", cause=str(cause))
         self._crashes.record_unreachable(cause)
         self.changed()
 
-    def _at_work(self) -> frozenset[bytes]:
+    def _running_fingerprints(self) -> frozenset[bytes]:
         """Return the fingerprints of the requests that the server has now."""
         return frozenset(
-            job.call.fingerprint
-            for job in self._at_server
-            if job.conn is not None and job.conn.call is not None
+            pending.call.fingerprint
+            for pending in self._at_server
+            if pending.conn is not None and pending.conn.call is not None
         )
 
-    def _note(self, job: Job, outcome: Outcome) -> None:
+    def _record_outcome(self, pending: PendingCall, outcome: Outcome) -> None:
         """Learn from an outcome how long the server takes, and how well it does."""
         queue = self._queue
         now = self._clock.now()
         match outcome:
             case Answered(status):
                 self._health.note_answer(now)
-                self.reports.record_answer(job.call.fingerprint)
+                self.reports.record_answer(pending.call.fingerprint)
                 if status < 500:
-                    self.repeats.note_answered(job.call.route, job.calls)
-                failed = status >= 500 and not job.fails_with_its_calls()
+                    self.repeats.note_answered(pending.call.route, pending.calls)
+                failed = status >= 500 and not pending.failed_in_nested_call()
             case NotRun(_, offered):
                 if not offered:
                     return
@@ -415,14 +421,14 @@
             case MayHaveRun(reason):
                 if reason == CANCELLED:
                     return
-                failed = reason != EXPIRED or not job.fails_with_its_calls()
-        took = now - job.started
-        weight = _SERVICE_WEIGHT if queue.service_ms else 1.0
+                failed = reason != EXPIRED or not pending.failed_in_nested_call()
+        took = now - pending.started
+        weight = _SERVICE_MS_WEIGHT if queue.service_ms else 1.0
         queue.service_ms += (took - queue.service_ms) * weight
         if not failed:
-            self._n_timed += 1
-            weight = max(_TYPICAL_WEIGHT, 1.0 / self._n_timed)
-            self._typical_ms += (took - self._typical_ms) * weight
+            self._n_long_term_samples += 1
+            weight = max(_LONG_TERM_WEIGHT, 1.0 / self._n_long_term_samples)
+            self._long_term_service_ms += (took - self._long_term_service_ms) * weight
         self._health.note_outcome(failed, now)
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/callers.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/callers.py
@@ -10,7 +10,10 @@
 from fuchsiagap.core.clock import MS_PER_S
 from fuchsiagap.core.pressure.evenly import CallerTurn
 from fuchsiagap.core.routes.model import CallerLimits
-from fuchsiagap_node.core.mesh.final import RETRY_AFTER_MS, Final
+from fuchsiagap_node.core.mesh.final_response import (
+    DEFAULT_RETRY_AFTER_MS,
+    FinalResponse,
+)
 from fuchsiagap_node.core.mesh.http_request import BadRequest, RequestReader
 from fuchsiagap_node.core.mesh.stream import BrokenStream
 
@@ -20,7 +23,7 @@
     from fuchsiagap.core.clock import Clock, Milliseconds
     from fuchsiagap_node.core.mesh.entry import Cancellable, Entry
     from fuchsiagap_node.core.mesh.http_request import Request
-    from fuchsiagap_node.core.mesh.placement import OnFinal
+    from fuchsiagap_node.core.mesh.placement import OnFinalResponse
     from fuchsiagap_node.core.mesh.poller import Poller
     from fuchsiagap_node.core.mesh.settings import MeshSettings
     from fuchsiagap_node.core.mesh.stream import Stream
@@ -49,7 +52,7 @@
 }
 
 
-def answer_bytes(final: Final, close: bool) -> bytes:
+def answer_bytes(final: FinalResponse, close: bool) -> bytes:
     """Return an answer as it goes to the caller."""
     parts = [b"HTTP/1.1 %d %s\r\n" % (final.status, final.reason or _reason(final))]
     if final.headers:
@@ -63,7 +66,7 @@
     return b"".join(parts)
 
 
-def _reason(final: Final) -> bytes:
+def _reason(final: FinalResponse) -> bytes:
     return _REASONS.get(final.status, b"Answer")
 
 
@@ -169,18 +172,18 @@
         return req._replace(wait=max(req.wait - self._suspended, 0.0))
 
     def begin(
-        self, req: Request, done: OnFinal, turn: CallerTurn
+        self, req: Request, done: OnFinalResponse, turn: CallerTurn
     ) -> Cancellable | None:
         """Begin to answer a request; a fault in it is answered, too."""
         req = self._age_unread(req)
         if req.wait is not None and req.wait <= 0.0:
-            done(Final(503, retry_after=RETRY_AFTER_MS))
+            done(FinalResponse(503, retry_after=DEFAULT_RETRY_AFTER_MS))
             return None
         try:
             return self._entry.begin(req, done, turn)
         except Exception as exc:
             self._tell.fault("entry", exc)
-            done(Final(502))
+            done(FinalResponse(502))
             return None
 
     def send_later(self, work: Callable[[], Awaitable[None]]) -> None:
@@ -198,7 +201,7 @@
         self.is_head = req is not None and req.method == b"HEAD"
         self.closes = req is None or not req.keep_alive
         self.placement: Cancellable | None = None
-        self.final: Final | None = None
+        self.final: FinalResponse | None = None
 
 
 class _Connection:
@@ -283,7 +286,7 @@
         exchange = self._queue(req)
         self._ended = exchange.closes
 
-        def done(final: Final) -> None:
+        def done(final: FinalResponse) -> None:
             exchange.final = final
             self._flush()
 
@@ -298,7 +301,7 @@
     def _reject(self, exc: BadRequest) -> None:
         """Answer what is no request, after the answers that are still to come."""
         self._ended = True
-        self._queue(None).final = Final(exc.status)
+        self._queue(None).final = FinalResponse(exc.status)
         self._flush()
 
     def _flush(self) -> None:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/crash_reports.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/crash_reports.py
@@ -26,12 +26,12 @@
 
 # Links up to which a crash is told on all of them, and on how many else: reports of
 # crashes are as long as servers have places. Holds are short, and told on all.
-_TOLD_ALL = 16
-_TOLD_SOME = 8
+_MAX_FULL_BROADCAST_LINKS = 16
+_N_SAMPLED_LINKS = 8
 # Milliseconds between two messages with clearances that are in no hurry.
 FLUSH_MS = 250.0
 # Refusals a second that get a line each; the others are counted only.
-_REFUSED_LINES_A_S = 20
+_MAX_REFUSAL_EVENTS_PER_S = 20
 
 
 class CrashReports:
@@ -71,13 +71,13 @@
     ) -> None:
         self.quarantine = Quarantine(cfg, clock)
         self._clock = clock
-        self._lost = LostServers()
+        self._lost_servers = LostServers()
         self._service = service
         self._rng = rng
         self._tell = teller
         self._cleared: set[bytes] = set()
-        self._refused_in = -1
-        self._n_refused = 0
+        self._refusal_second = -1
+        self._n_refusals = 0
         self.peers: Callable[[], Mapping[str, Post]] = dict
 
     def report_crash(self, incarnation: str, fingerprints: frozenset[bytes]) -> None:
@@ -89,11 +89,11 @@
     def record_lost_link(self, node: str, instance: str, fingerprint: bytes) -> None:
         """Record that a request was lost with the link to a server's node."""
         now = self._clock.now()
-        self._lost.record_lost(node, instance, fingerprint, now)
+        self._lost_servers.record_lost(node, instance, fingerprint, now)
 
     def resolve_server(self, node: str, service: str, instance: str) -> None:
         """Record which server stands beside a node; tell if the earlier one ended."""
-        found = self._lost.resolve(node, instance)
+        found = self._lost_servers.resolve(node, instance)
         if found is None:
             return
         ended, at, lost = found
@@ -116,16 +116,16 @@
             case Held():
                 self._handle_held(report, sender)
             case Cleared():
-                prints = report.fingerprints
-                is_urgent = any(map(self.quarantine.is_near_hold, prints))
-                news = list(filter(self.quarantine.apply_clearance, prints))
-                self._clear(news, is_urgent, sender)
+                fingerprints = report.fingerprints
+                is_urgent = any(map(self.quarantine.is_near_hold, fingerprints))
+                new = list(filter(self.quarantine.apply_clearance, fingerprints))
+                self._clear(new, is_urgent, sender)
 
     def flush(self) -> None:
         """Send the clearances that are in no hurry."""
         waiting, self._cleared = sorted(self._cleared), set()
         if waiting:
-            self._broadcast(Cleared(tuple(waiting)), "", some=True)
+            self._broadcast(Cleared(tuple(waiting)), "", sampled=True)
 
     def send_snapshot(self, post: Post) -> None:
         """Send a node that has just been linked what it may have missed.
@@ -163,10 +163,10 @@
         """Count a refusal, and write a line unless there were many this second."""
         self._tell.counts["quarantine_refused", ""] += 1
         second = int(self._clock.now() / MS_PER_S)
-        if second != self._refused_in:
-            self._refused_in, self._n_refused = second, 0
-        self._n_refused += 1
-        if self._n_refused <= _REFUSED_LINES_A_S:
+        if second != self._refusal_second:
+            self._refusal_second, self._n_refusals = second, 0
+        self._n_refusals += 1
+        if self._n_refusals <= _MAX_REFUSAL_EVENTS_PER_S:
             self._tell.event(
                 "quarantine-refused",
                 request=request_id,
@@ -189,7 +189,7 @@
             fresh.difference(answered),
         )
         if rest.fingerprints:
-            self._broadcast(rest, sender, some=True)
+            self._broadcast(rest, sender, sampled=True)
         for held in quarantine.evaluate(rest):
             self._publish_held(held, "")
 
@@ -232,11 +232,11 @@
         else:
             self._cleared.update(fingerprints)
 
-    def _broadcast(self, report: Report, but: str, some: bool = False) -> None:
+    def _broadcast(self, report: Report, exclude: str, sampled: bool = False) -> None:
         """Send a report to the nodes that are linked, but for the one that sent it."""
         posts = self.peers()
-        names = [name for name in posts if name != but]
-        if some and len(names) > _TOLD_ALL:
-            names = self._rng.sample(names, _TOLD_SOME)
+        names = [name for name in posts if name != exclude]
+        if sampled and len(names) > _MAX_FULL_BROADCAST_LINKS:
+            names = self._rng.sample(names, _N_SAMPLED_LINKS)
         for name in names:
             posts[name](report)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/entry.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/entry.py
@@ -4,7 +4,10 @@
 
 from typing import TYPE_CHECKING, Protocol
 
-from fuchsiagap_node.core.mesh.final import RETRY_AFTER_MS, Final
+from fuchsiagap_node.core.mesh.final_response import (
+    DEFAULT_RETRY_AFTER_MS,
+    FinalResponse,
+)
 from fuchsiagap_node.core.mesh.keyed_request import KeyedRequest
 from fuchsiagap_node.core.mesh.over_quota import quota_refusal
 from fuchsiagap_node.core.mesh.placement import Placement
@@ -19,11 +22,11 @@
     from fuchsiagap.core.workspaces.model import Workspace
     from fuchsiagap_node.core.mesh.admission import Admission
     from fuchsiagap_node.core.mesh.http_request import Request
-    from fuchsiagap_node.core.mesh.job import Job
-    from fuchsiagap_node.core.mesh.placement import OnFinal
-    from fuchsiagap_node.core.mesh.placing import Placing
-    from fuchsiagap_node.core.mesh.pressures import Pressures
+    from fuchsiagap_node.core.mesh.pending_call import PendingCall
+    from fuchsiagap_node.core.mesh.placement import OnFinalResponse
+    from fuchsiagap_node.core.mesh.placement_context import PlacementContext
     from fuchsiagap_node.core.mesh.quotas import QuotaAnswer, Quotas
+    from fuchsiagap_node.core.mesh.route_loads import RouteLoads
     from fuchsiagap_node.core.mesh.telling import Teller
     from fuchsiagap_node.core.mesh.workspace_check import WorkspaceCheck
 
@@ -40,9 +43,9 @@
 
     Parameters
     ----------
-    placing : Placing
+    context : PlacementContext
         Hands requests to backend servers.
-    pressures : Pressures
+    route_loads : RouteLoads
         Told which calls the requests of a route make.
     admission : Admission
         What is refused at once.
@@ -67,8 +70,8 @@
 
     def __init__(
         self,
-        placing: Placing,
-        pressures: Pressures,
+        context: PlacementContext,
+        route_loads: RouteLoads,
         admission: Admission,
         rotation: ShareRotation,
         teller: Teller,
@@ -77,17 +80,17 @@
     ) -> None:
         self._check = check
         self._quotas = quotas
-        self._placing = placing
-        self._pressures = pressures
+        self._context = context
+        self._route_loads = route_loads
         self._admission = admission
         self._rotation = rotation
         self._tell = teller
         self.table: RouteTable | None = None
         self.stopping = False
-        self.parent_of: Callable[[str], Job | None] = _no_parent
+        self.parent_of: Callable[[str], PendingCall | None] = _no_parent
 
     def begin(
-        self, req: Request, done: OnFinal, turn: CallerTurn
+        self, req: Request, done: OnFinalResponse, turn: CallerTurn
     ) -> Cancellable | None:
         """Refuse a request or begin to place it.
 
@@ -109,19 +112,19 @@
         """
         table = self.table
         if table is None:
-            done(Final(503, retry_after=RETRY_AFTER_MS))
+            done(FinalResponse(503, retry_after=DEFAULT_RETRY_AFTER_MS))
             return None
         path = req.target.partition(b"?")[0].decode("latin-1")
         route = table.find(req.host, path)
         if route is None:
             self._tell.event("no-route", request=req.request_id, host=req.host)
-            done(Final(404))
+            done(FinalResponse(404))
             return None
         parent = self.parent_of(req.request_id)
         if parent is not None and (route.public or table.keys is None):
             return self._place(req, route, parent, done)
         caller = self._check.identify(req, route, table)
-        if isinstance(caller, Final):
+        if isinstance(caller, FinalResponse):
             done(caller)
             return None
         if caller is None:
@@ -134,7 +137,7 @@
         self,
         req: Request,
         route: Route,
-        done: OnFinal,
+        done: OnFinalResponse,
         turn: CallerTurn,
         workspace: Workspace | None = None,
         waited: Milliseconds = 0.0,
@@ -146,23 +149,23 @@
             done(refusal)
             return None
         placement = Placement(
-            self._placing, req, route, service, None, done, workspace, waited
+            self._context, req, route, service, None, done, workspace, waited
         )
         placement.start()
         return placement
 
     def _place(
-        self, req: Request, route: Route, parent: Job, done: OnFinal
+        self, req: Request, route: Route, parent: PendingCall, done: OnFinalResponse
     ) -> Placement:
         """Begin to place a call of the backend server."""
         service = self._rotation.pick(route)
-        self._pressures.note_call(parent.call.route, service, route.name)
-        placement = Placement(self._placing, req, route, service, parent, done)
+        self._route_loads.note_call(parent.call.route, service, route.name)
+        placement = Placement(self._context, req, route, service, parent, done)
         placement.start()
         return placement
 
     def within_quota(
-        self, keyed: KeyedRequest, done: OnFinal, waited: Milliseconds
+        self, keyed: KeyedRequest, done: OnFinalResponse, waited: Milliseconds
     ) -> Placement | None:
         """Go on with a request that has its token."""
         try:
@@ -171,10 +174,10 @@
             )
         except Exception as exc:
             self._tell.fault("entry", exc)
-            done(Final(502))
+            done(FinalResponse(502))
             return None
 
-    def over_quota(self, keyed: KeyedRequest, answer: QuotaAnswer) -> Final:
+    def over_quota(self, keyed: KeyedRequest, answer: QuotaAnswer) -> FinalResponse:
         """Return what the caller gets whose workspace has no token."""
         route = keyed.route.name
         cause = answer.verdict.value
@@ -194,18 +197,18 @@
 
     def now(self) -> Milliseconds:
         """Return the time."""
-        return self._placing.clock.now()
+        return self._context.clock.now()
 
     def _refusal(
         self, req: Request, route: Route, service: str, turn: CallerTurn
-    ) -> Final | None:
+    ) -> FinalResponse | None:
         """Return the refusal of a new request for which there is no room."""
         if self.stopping:
-            return Final(503, retry_after=RETRY_AFTER_MS)
+            return FinalResponse(503, retry_after=DEFAULT_RETRY_AFTER_MS)
         share = self._admission.admitted_share(service, route)
         if self._admission.admits(route, share, turn):
             return None
-        self._placing.served.note_refused(route.name, self._placing.clock.now())
+        self._context.served.note_refused(route.name, self._context.clock.now())
         retry_after = self._admission.retry_after(route)
         self._tell.answered(route.name, "refused", 0.0)
         self._tell.counts["refused_at_entry", f"rank-{route.priority}"] += 1
@@ -216,7 +219,7 @@
             share=round(share, 2),
             retry_after=round(retry_after),
         )
-        return Final(503, retry_after=retry_after)
+        return FinalResponse(503, retry_after=retry_after)
 
 
 def _no_parent(_: str) -> None:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/final.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/final_response.py
@@ -9,13 +9,13 @@
     from fuchsiagap.core.clock import Milliseconds
 
 # Statuses that promise that the request has not run and never will.
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 # Milliseconds after which a caller may come back where nothing better is known.
-RETRY_AFTER_MS = 500.0
+DEFAULT_RETRY_AFTER_MS = 500.0
 
 
 @dataclass(frozen=True, slots=True)
-class Final:
+class FinalResponse:
     """What the caller gets.
 
     Parameters
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/gauges.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/gauges.py
@@ -12,9 +12,9 @@
     from collections.abc import Iterator
 
     from fuchsiagap_node.core.mesh.admission import Admission
+    from fuchsiagap_node.core.mesh.backend_queue import BackendQueue
     from fuchsiagap_node.core.mesh.config_sync import ConfigSync
     from fuchsiagap_node.core.mesh.crash_reports import CrashReports
-    from fuchsiagap_node.core.mesh.door import Door
     from fuchsiagap_node.core.mesh.peers import Peers
     from fuchsiagap_node.core.mesh.quotas import Quotas
 
@@ -37,14 +37,14 @@
         yield Gauge("config_update_source", labels, float(is_it))
 
 
-def door_gauges(door: Door) -> Iterator[Gauge]:
+def door_gauges(backend_queue: BackendQueue) -> Iterator[Gauge]:
     """Yield what the node believes of its own backend server."""
-    yield Gauge("backend_ready", "", float(bool(door.instance())))
-    yield Gauge("backend_beat_age_ms", "", round(door.beat_age))
-    yield Gauge("backend_places", "", door.limit)
-    yield Gauge("backend_running", "", door.running)
-    yield Gauge("backend_waiting", "", door.load - door.running)
-    yield Gauge("backend_failing_share", "", round(door.failing(), 3))
+    yield Gauge("backend_ready", "", float(bool(backend_queue.instance())))
+    yield Gauge("backend_beat_age_ms", "", round(backend_queue.heartbeat_age))
+    yield Gauge("backend_places", "", backend_queue.limit)
+    yield Gauge("backend_running", "", backend_queue.running)
+    yield Gauge("backend_waiting", "", backend_queue.load - backend_queue.running)
+    yield Gauge("backend_failing_share", "", round(backend_queue.failing(), 3))
 
 
 def quarantine_gauges(reports: CrashReports) -> Iterator[Gauge]:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/idle_conns.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/idle_conns.py
@@ -30,18 +30,18 @@
     def take(self, idempotent: bool, now: Milliseconds) -> BackendConn | None:
         """Take out the connection that was used last, if it may carry a call."""
         conns = self._conns
-        while conns and conns[-1].is_fit(idempotent, now):
+        while conns and conns[-1].may_carry(idempotent, now):
             conn = conns.pop()
             if conn.is_quiet():
                 return conn
             conn.close()
         return None
 
-    def close_outlived(self, now: Milliseconds) -> None:
+    def close_expired(self, now: Milliseconds) -> None:
         """Close the connections that the server may close at any moment."""
-        self._close([conn for conn in self._conns if conn.outlived(now)])
+        self._close([conn for conn in self._conns if conn.is_expired(now)])
 
-    def close_older(self, silent: BackendConn, since: Milliseconds) -> int:
+    def close_stale(self, silent: BackendConn, since: Milliseconds) -> int:
         """Close the connections that were not heard on since one fell silent.
 
         Connections fall silent together, as where a device on the way forgets them: one
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/taking.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/inbound_links.py
@@ -7,7 +7,6 @@
 
 from fuchsiagap.core.quarantine.quarantine import Crash, Held
 from fuchsiagap_node.core.mesh.frames import BadFrame
-from fuchsiagap_node.core.mesh.job import Job
 from fuchsiagap_node.core.mesh.link import FramedLink
 from fuchsiagap_node.core.mesh.messages import (
     NO_CALLS,
@@ -26,14 +25,15 @@
     TokensGranted,
     TokensWanted,
 )
+from fuchsiagap_node.core.mesh.pending_call import PendingCall
 from fuchsiagap_node.core.mesh.stream import BrokenStream
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
 
     from fuchsiagap.core.clock import Clock, Milliseconds
+    from fuchsiagap_node.core.mesh.backend_queue import BackendQueue
     from fuchsiagap_node.core.mesh.crash_reports import Post, Report
-    from fuchsiagap_node.core.mesh.door import Door
     from fuchsiagap_node.core.mesh.messages import Message
     from fuchsiagap_node.core.mesh.outcome import Outcome
     from fuchsiagap_node.core.mesh.poller import Poller
@@ -42,7 +42,7 @@
 
 
 # Milliseconds for which a sender's knowledge of the load is good enough.
-_LOAD_KNOWN_MS = 1_000.0
+_LOAD_FRESH_MS = 1_000.0
 
 
 @dataclass(slots=True, eq=False)
@@ -51,30 +51,30 @@
 
     Parameters
     ----------
-    jobs : dict of int to Job
+    pending_calls : dict of int to PendingCall
         Its calls without a reply.
-    told : Status or None
+    last_status : Status or None
         The last status sent to it.
-    heard_load_at : float
+    load_sent_at : float
         When a reply or a status last told it the load.
     node : str
         Its name, once it has said it.
     """
 
-    jobs: dict[int, Job] = field(default_factory=dict)
-    told: Status | None = None
-    heard_load_at: Milliseconds = float("-inf")
+    pending_calls: dict[int, PendingCall] = field(default_factory=dict)
+    last_status: Status | None = None
+    load_sent_at: Milliseconds = float("-inf")
     node: str = ""
 
 
-class TakingLinks:
+class InboundLinks:
     """Links on which other nodes send calls.
 
     Parameters
     ----------
     hello : Hello
         What this node says of itself.
-    door : Door
+    backend_queue : BackendQueue
         The door of the backend server.
     status : callable
         Returns what the door says of its server now.
@@ -106,7 +106,7 @@
     def __init__(
         self,
         hello: Hello,
-        door: Door,
+        backend_queue: BackendQueue,
         status: Callable[[], Status],
         clock: Clock,
         teller: Teller,
@@ -114,7 +114,7 @@
     ) -> None:
         self._poller = poller
         self._hello = hello
-        self._door = door
+        self._backend_queue = backend_queue
         self._status = status
         self._clock = clock
         self._tell = teller
@@ -148,35 +148,35 @@
         """Serve one link until it ends."""
         link = FramedLink(stream, self._clock)
         sender = self._links[link] = _Sender()
-        jobs = sender.jobs
+        pending_calls = sender.pending_calls
 
-        def take(message: Message) -> None:
-            self._take_message(link, sender, message)
+        def handle(message: Message) -> None:
+            self._handle_message(link, sender, message)
 
         try:
-            await link.serve(self._poller, take)
+            await link.serve(self._poller, handle)
         except (BrokenStream, BadFrame) as exc:
-            self._tell.event("link-ended", cause=str(exc), calls=len(jobs))
+            self._tell.event("link-ended", cause=str(exc), calls=len(pending_calls))
         except Exception as exc:
             self._tell.fault("taking-link", exc)
         finally:
             del self._links[link]
             if self._by_node.get(sender.node) is link:
                 del self._by_node[sender.node]
-            for job in list(jobs.values()):
-                self._door.cancel(job)
+            for pending in list(pending_calls.values()):
+                self._backend_queue.cancel(pending)
             link.close()
 
-    def _take_message(
+    def _handle_message(
         self, link: FramedLink, sender: _Sender, message: Message
     ) -> None:
         match message:
             case Call() as call:
-                self._take(link, sender, call)
+                self._handle_call(link, sender, call)
             case Cancel(call_id):
-                job = sender.jobs.pop(call_id, None)
-                if job is not None:
-                    self._door.cancel(job)
+                pending = sender.pending_calls.pop(call_id, None)
+                if pending is not None:
+                    self._backend_queue.cancel(pending)
             case Ping():
                 link.post(Pong())
             case Hello() as hello:
@@ -204,21 +204,21 @@
         self._post_status(link, sender, self._status())
         self.on_hello(hello)
 
-    def _take(self, link: FramedLink, sender: _Sender, call: Call) -> None:
-        jobs = sender.jobs
+    def _handle_call(self, link: FramedLink, sender: _Sender, call: Call) -> None:
+        pending_calls = sender.pending_calls
 
         def reply(outcome: Outcome) -> None:
-            if jobs.pop(call.call_id, None) is not None:
-                below = job.led_to(self.below(call.route))
-                sender.heard_load_at = self._clock.now()
-                load, offered = self._door.load, self._door.offered()
+            if pending_calls.pop(call.call_id, None) is not None:
+                below = pending.summarize_nested_calls(self.below(call.route))
+                sender.load_sent_at = self._clock.now()
+                load, offered = self._backend_queue.load, self._backend_queue.offered()
                 link.post(Reply(call.call_id, outcome, load, offered, below))
 
-        job = Job.of(call, self._clock.now(), reply)
-        jobs[call.call_id] = job
-        self._door.submit(job)
+        pending = PendingCall.of(call, self._clock.now(), reply)
+        pending_calls[call.call_id] = pending
+        self._backend_queue.submit(pending)
 
-    def tell_status(self) -> None:
+    def send_status(self) -> None:
         """Send the door's status to the senders that do not know it.
 
         A change of load alone is not worth a message to a sender that had a reply or a
@@ -228,23 +228,25 @@
         status = self._status()
         now = self._clock.now()
         for link, sender in self._links.items():
-            if not link.greeted or sender.told == status:
+            if not link.greeted or sender.last_status == status:
                 continue
-            known_of_late = now - sender.heard_load_at < _LOAD_KNOWN_MS
-            if not (known_of_late and _differs_in_load_only(sender.told, status)):
+            has_recent_load = now - sender.load_sent_at < _LOAD_FRESH_MS
+            if not (
+                has_recent_load and _differs_in_load_only(sender.last_status, status)
+            ):
                 self._post_status(link, sender, status)
 
     def _post_status(self, link: FramedLink, sender: _Sender, status: Status) -> None:
         link.post(status)
-        sender.told = status
-        sender.heard_load_at = self._clock.now()
+        sender.last_status = status
+        sender.load_sent_at = self._clock.now()
 
 
-def _differs_in_load_only(told: Status | None, status: Status) -> bool:
+def _differs_in_load_only(last_status: Status | None, status: Status) -> bool:
     """Whether a sender would learn nothing new but the load."""
-    if told is None:
+    if last_status is None:
         return False
-    return replace(told, load=status.load, offered=status.offered) == status
+    return replace(last_status, load=status.load, offered=status.offered) == status
 
 
 def _ignore(_: object) -> None:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/keyed_request.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/keyed_request.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from fuchsiagap_node.core.mesh.final import PROMISES
+from fuchsiagap_node.core.mesh.final_response import NOT_RUN_STATUSES
 from fuchsiagap_node.core.mesh.quotas import Verdict
 
 if TYPE_CHECKING:
@@ -12,9 +12,9 @@
     from fuchsiagap.core.routes.model import Route
     from fuchsiagap.core.workspaces.model import Workspace
     from fuchsiagap_node.core.mesh.entry import Entry
-    from fuchsiagap_node.core.mesh.final import Final
+    from fuchsiagap_node.core.mesh.final_response import FinalResponse
     from fuchsiagap_node.core.mesh.http_request import Request
-    from fuchsiagap_node.core.mesh.placement import OnFinal, Placement
+    from fuchsiagap_node.core.mesh.placement import OnFinalResponse, Placement
     from fuchsiagap_node.core.mesh.quotas import QuotaAnswer, Quotas, Waiter
 
 
@@ -56,7 +56,7 @@
         workspace: Workspace,
         req: Request,
         route: Route,
-        done: OnFinal,
+        done: OnFinalResponse,
         turn: CallerTurn,
     ) -> None:
         self._entry = entry
@@ -90,8 +90,8 @@
         waited = self._entry.now() - self._began
         self._placement = self._entry.within_quota(self, self._finish, waited)
 
-    def _finish(self, final: Final) -> None:
+    def _finish(self, final: FinalResponse) -> None:
         """Return the token of a request that has not run, and tell the answer."""
-        if final.status in PROMISES and self._quotas is not None:
+        if final.status in NOT_RUN_STATUSES and self._quotas is not None:
             self._quotas.put_back(self.workspace)
         self._done(final)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/knowledge_exchange.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/knowledge_exchange.py
@@ -69,7 +69,7 @@
             return False
         return self._config.in_force.knowledge_age > self._bound * (1.0 - _MARGIN)
 
-    def look(self) -> None:
+    def tick(self) -> None:
         """Ask others if the own knowledge is getting old."""
         if self._bound is None:
             return
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/links.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/links.py
@@ -253,10 +253,10 @@
         for link in self._links.values():
             link.close()
 
-    def look(self) -> None:
+    def tick(self) -> None:
         """Look at each link, whether its node is silent."""
         for link in self._links.values():
-            link.look()
+            link.tick()
 
 
 def _by_turns(members: Iterable[Member]) -> list[Member]:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/load_line.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/load_event.py
@@ -8,13 +8,13 @@
     from fuchsiagap.core.clock import Milliseconds
     from fuchsiagap.core.pressure.served import ServedShares
     from fuchsiagap_node.core.mesh.admission import Admission
-    from fuchsiagap_node.core.mesh.door import Door
-    from fuchsiagap_node.core.mesh.pressures import Pressures
+    from fuchsiagap_node.core.mesh.backend_queue import BackendQueue
+    from fuchsiagap_node.core.mesh.route_loads import RouteLoads
 
 
 def load_fields(
-    door: Door,
-    pressures: Pressures,
+    backend_queue: BackendQueue,
+    route_loads: RouteLoads,
     admission: Admission,
     served: ServedShares,
     now: Milliseconds,
@@ -23,9 +23,9 @@
 
     Parameters
     ----------
-    door : Door
+    backend_queue : BackendQueue
         The server's door.
-    pressures : Pressures
+    route_loads : RouteLoads
         Fullness of the services.
     admission : Admission
         What is let in.
@@ -37,28 +37,28 @@
     refusing = {
         f"{service} {kind}": (
             round(share, 2),
-            round(pressures.of(service, admission.route_of(kind)), 2),
+            round(route_loads.fullness(service, admission.route_of(kind)), 2),
         )
         for service, kind, share in admission.shares()
         if share < 1.0
     }
-    if not door.load and not refusing:
+    if not backend_queue.load and not refusing:
         return {}
     by_route = {
         route: (round(kind.share(), 2), round(kind.success(), 2))
         for route, kind in served.all(now)
     }
     ranks = {
-        rank: (round(turns.came), round(turns.marked))
-        for rank, turns in door.turns.all(now)
+        rank: (round(stats.came), round(stats.marked))
+        for rank, stats in backend_queue.rank_stats.all(now)
     }
     return {
-        "running": door.running,
-        "waiting": door.load - door.running,
-        "places": door.limit,
-        "offered": round(door.offered(), 1),
-        "failing": round(door.failing(), 2),
-        "service_ms": round(door.service_ms, 1),
+        "running": backend_queue.running,
+        "waiting": backend_queue.load - backend_queue.running,
+        "places": backend_queue.limit,
+        "offered": round(backend_queue.offered(), 1),
+        "failing": round(backend_queue.failing(), 2),
+        "service_ms": round(backend_queue.service_ms, 1),
         "ranks": ranks,
         "let_in": refusing,
         "served": by_route,
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/own_status.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/local_status.py
@@ -7,61 +7,61 @@
 from fuchsiagap_node.core.mesh.messages import Status
 
 if TYPE_CHECKING:
+    from fuchsiagap_node.core.mesh.backend_queue import BackendQueue
     from fuchsiagap_node.core.mesh.config_sync import ConfigSync
-    from fuchsiagap_node.core.mesh.door import Door
 
 # Steps of a server's load, from empty to full, that a status tells apart.
-_STEPS = 4
+_LOAD_STEPS = 4
 # Part by which the time at the server must differ from the one told for a status: the
 # mean of some hundred times that differ widely wanders by a tenth.
-_TOLD_AGAIN = 0.15
+_MIN_SERVICE_MS_CHANGE = 0.15
 
 
-class OwnStatus:
+class LocalStatus:
     """Makes the status of a node.
 
     Parameters
     ----------
-    door : Door
+    backend_queue : BackendQueue
         The server's door.
     config : ConfigSync
         The configuration in force.
     """
 
-    def __init__(self, door: Door, config: ConfigSync) -> None:
-        self._door = door
+    def __init__(self, backend_queue: BackendQueue, config: ConfigSync) -> None:
+        self._backend_queue = backend_queue
         self._config = config
         self._service_ms = 0.0
 
     def now(self) -> Status:
         """Return the status as it is now."""
-        door = self._door
+        backend_queue = self._backend_queue
         return Status(
-            door.instance(),
-            door.limit,
-            _coarse(door.load, door.limit),
-            _coarse(round(door.offered()), door.limit),
-            round(door.failing(), 1),
-            door.is_warming(),
+            backend_queue.instance(),
+            backend_queue.limit,
+            _round_down(backend_queue.load, backend_queue.limit),
+            _round_down(round(backend_queue.offered()), backend_queue.limit),
+            round(backend_queue.failing(), 1),
+            backend_queue.is_warming(),
             self._config.in_force.version,
             self._config.update_source,
-            self._told_ms(),
+            self._reported_service_ms(),
             self._config.epoch,
         )
 
-    def _told_ms(self) -> int:
+    def _reported_service_ms(self) -> int:
         """Return the time that requests take at the server, as it is told to others."""
-        now_ms = self._door.typical_ms
-        if abs(now_ms - self._service_ms) > _TOLD_AGAIN * self._service_ms:
+        now_ms = self._backend_queue.long_term_service_ms
+        if abs(now_ms - self._service_ms) > _MIN_SERVICE_MS_CHANGE * self._service_ms:
             self._service_ms = now_ms
         return round(self._service_ms)
 
 
-def _coarse(load: int, limit: int) -> int:
+def _round_down(load: int, limit: int) -> int:
     """Return a load in steps, so that small changes send no status.
 
     Replies carry the exact load; a status is for senders that had none of late. At
     one status each look, idle links would carry little else.
     """
-    step = max(limit // _STEPS, 1)
+    step = max(limit // _LOAD_STEPS, 1)
     return load // step * step
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/node.py
@@ -13,18 +13,18 @@
 
 import trio
 
+from fuchsiagap.core.backend_queue.incarnation import BackendReport, BackendState
 from fuchsiagap.core.clock import MS_PER_S, trio_clock
-from fuchsiagap.core.door.incarnation import BackendReport, BackendState
 from fuchsiagap.core.routes.table import RouteTable, ShareRotation
 from fuchsiagap_node.core.mesh import poller
 from fuchsiagap_node.core.mesh.admission import STEP_MS, Admission
+from fuchsiagap_node.core.mesh.backend_queue import BackendQueue
 from fuchsiagap_node.core.mesh.callers import SWEEP_MS, CallerEdge
 from fuchsiagap_node.core.mesh.config_sync import REFRESH_MS as CONFIG_REFRESH_MS
 from fuchsiagap_node.core.mesh.config_sync import ConfigSync
 from fuchsiagap_node.core.mesh.crash_reports import FLUSH_MS as CLEARANCES_MS
-from fuchsiagap_node.core.mesh.door import Door
 from fuchsiagap_node.core.mesh.entry import Entry
-from fuchsiagap_node.core.mesh.final import Final
+from fuchsiagap_node.core.mesh.final_response import FinalResponse
 from fuchsiagap_node.core.mesh.gauges import (
     admission_gauges,
     config_gauges,
@@ -33,22 +33,22 @@
     quarantine_gauges,
     workspace_gauges,
 )
+from fuchsiagap_node.core.mesh.inbound_links import InboundLinks
 from fuchsiagap_node.core.mesh.links import Links
-from fuchsiagap_node.core.mesh.load_line import load_fields
+from fuchsiagap_node.core.mesh.load_event import load_fields
+from fuchsiagap_node.core.mesh.local_peer import LocalPeer
+from fuchsiagap_node.core.mesh.local_status import LocalStatus
 from fuchsiagap_node.core.mesh.member_sync import MemberSync
 from fuchsiagap_node.core.mesh.messages import Hello
 from fuchsiagap_node.core.mesh.outcome import LEAVING
-from fuchsiagap_node.core.mesh.own_door import OwnDoor
-from fuchsiagap_node.core.mesh.own_status import OwnStatus
 from fuchsiagap_node.core.mesh.peers import Peers
-from fuchsiagap_node.core.mesh.placing import Placing
-from fuchsiagap_node.core.mesh.pressures import Pressures
+from fuchsiagap_node.core.mesh.placement_context import PlacementContext
+from fuchsiagap_node.core.mesh.route_loads import RouteLoads
 from fuchsiagap_node.core.mesh.sending import LOOK_MS as LINK_LOOK_MS
 from fuchsiagap_node.core.mesh.sending import Member, SendingLink
 from fuchsiagap_node.core.mesh.side_http import serve_side
 from fuchsiagap_node.core.mesh.stream import accept_all, accept_each, listen
 from fuchsiagap_node.core.mesh.suspension_watch import SuspensionWatch
-from fuchsiagap_node.core.mesh.taking import TakingLinks
 from fuchsiagap_node.core.mesh.telling import FLUSH_MS, Teller
 from fuchsiagap_node.core.mesh.ticker import TICK_MS, Ticker
 from fuchsiagap_node.core.mesh.unreadable import Unreadable
@@ -134,18 +134,20 @@
         self.tell = tell = Teller(cfg.node, clock)
         self._poller = poller.make_poller()
         self._poller.on_fault = partial(tell.fault, "connection")
-        self.door = Door(cfg, clock, tell, rng, self._poller)
+        self.backend_queue = BackendQueue(cfg, clock, tell, rng, self._poller)
         self._peers = Peers()
-        self._pressures = Pressures(self._peers, clock)
-        below = self._pressures.below
-        self._own = OwnDoor(cfg.node, cfg.service, self.door, clock, below)
-        self._peers.put(self._own)
-        self.reports = self.door.reports
-        self._placing = Placing(
-            cfg, self._peers, self._pressures, clock, rng, tell, self.reports
+        self._route_loads = RouteLoads(self._peers, clock)
+        below = self._route_loads.below
+        self._local_peer = LocalPeer(
+            cfg.node, cfg.service, self.backend_queue, clock, below
+        )
+        self._peers.put(self._local_peer)
+        self.reports = self.backend_queue.reports
+        self._placement_context = PlacementContext(
+            cfg, self._peers, self._route_loads, clock, rng, tell, self.reports
         )
         self._admission = Admission(
-            self._pressures, self._placing.served, clock, rng, tell
+            self._route_loads, self._placement_context.served, clock, rng, tell
         )
         self._rotation = ShareRotation()
         own = Member(
@@ -170,8 +172,8 @@
             cfg, own, self._config, lambda: self._links, clock, rng, tell
         )
         self.entry = Entry(
-            self._placing,
-            self._pressures,
+            self._placement_context,
+            self._route_loads,
             self._admission,
             self._rotation,
             tell,
@@ -179,40 +181,42 @@
             self._workspaces.quotas,
         )
         self._callers = CallerEdge(cfg, self.entry, clock, tell, self._poller)
-        self.entry.parent_of = self.door.parent_of
+        self.entry.parent_of = self.backend_queue.parent_of
         self._config.changed = self._tell_status
         hello = Hello(
             own.node, own.incarnation, own.address, own.data_centre, own.service
         )
         self._links = Links(own, hello, self._peers, clock, tell, self._poller)
         self._links.on_link = self._prepare_link
-        self._own_status = OwnStatus(self.door, self._config)
-        self.door.repeats.n_doors = lambda: self._links.n_beside(cfg.service) + 1
+        self._local_status = LocalStatus(self.backend_queue, self._config)
+        self.backend_queue.repeats.n_doors = lambda: (
+            self._links.n_beside(cfg.service) + 1
+        )
         self._members = MemberSync(own, self._links, store, cfg, clock, rng, tell)
         self._config.on_return = self._members.note_return
         self._settings_fault = ""
         self._leaving = False
         self._is_caught_up = False
         self._alone_from = clock.now() + _CATCH_UP_MS
-        self._taking = TakingLinks(
-            hello, self.door, self._own_status.now, clock, tell, self._poller
+        self._inbound = InboundLinks(
+            hello, self.backend_queue, self._local_status.now, clock, tell, self._poller
         )
-        self._taking.on_hello = self._links.take_hello
-        self._taking.config_text = self._config.in_force.text
-        self._taking.below = below
-        self._workspaces.prepare_taking(self._taking)
-        self._taking.on_report = self.reports.handle
-        self._taking.send_snapshot = self.reports.send_snapshot
+        self._inbound.on_hello = self._links.take_hello
+        self._inbound.config_text = self._config.in_force.text
+        self._inbound.below = below
+        self._workspaces.prepare_inbound(self._inbound)
+        self._inbound.on_report = self.reports.handle
+        self._inbound.send_snapshot = self.reports.send_snapshot
         self.reports.peers = self._posts
-        self.door.changed = self._tell_status
+        self.backend_queue.changed = self._tell_status
         self._ticker = Ticker(clock, tell)
         for interval, do in (
-            (TICK_MS, self.door.look),
-            (TICK_MS, self._placing.look),
+            (TICK_MS, self.backend_queue.tick),
+            (TICK_MS, self._placement_context.tick),
             (STEP_MS, self._admission.step),
             (_STATUS_MS, self._tell_status),
             (_LOAD_LINE_MS, self._tell_load),
-            (LINK_LOOK_MS, self._links.look),
+            (LINK_LOOK_MS, self._links.tick),
             (_CHOOSE_LINKS_MS, self._links.choose),
             (CONFIG_REFRESH_MS, self._config.refresh),
             (SWEEP_MS, self._callers.close_silent),
@@ -226,7 +230,7 @@
         link.on_status = self._handle_status_of
         link.on_config = lambda text: self._config.adopt_text(text, link.member.node)
         link.on_report = self.reports.handle
-        link.heard_elsewhere = partial(self._taking.heard_at, link.member.node)
+        link.heard_elsewhere = partial(self._inbound.heard_at, link.member.node)
         self._workspaces.prepare_link(link)
         link.send_snapshot = self.reports.send_snapshot
 
@@ -242,7 +246,7 @@
     def close_links(self) -> None:
         """Close all links in both directions."""
         self._links.close_all()
-        self._taking.close_all()
+        self._inbound.close_all()
 
     def _resume(self, suspended: Milliseconds) -> None:
         """Begin anew with others after the host was suspended.
@@ -260,7 +264,7 @@
 
     def _posts(self) -> dict[str, Post]:
         """Return how to reach each node that is linked in either direction."""
-        posts = dict(self._taking.posts())
+        posts = dict(self._inbound.posts())
         posts.update((k.member.node, k.post) for k in self._links if k.is_open())
         return posts
 
@@ -273,13 +277,13 @@
         self._tell_status()
 
     def _tell_status(self) -> None:
-        status = self._own_status.now()
+        status = self._local_status.now()
         if not self._is_caught_up:
             # What this host's callers ask for may be held by all others.
             self._is_caught_up = self._clock.now() >= self._alone_from
             status = replace(status, instance="")
-        self._own.take_status(status)
-        self._taking.tell_status()
+        self._local_peer.apply_status(status)
+        self._inbound.send_status()
 
     def _tell_load(self) -> None:
         """Write how full the server is, what is let in, and what that follows.
@@ -289,10 +293,10 @@
         where all of it stands at the same moments.
         """
         fields = load_fields(
-            self.door,
-            self._pressures,
+            self.backend_queue,
+            self._route_loads,
             self._admission,
-            self._placing.served,
+            self._placement_context.served,
             self._clock.now(),
         )
         if fields:
@@ -324,13 +328,13 @@
         self.tell.event("started", service=cfg.service, data_centre=cfg.data_centre)
         watch = SuspensionWatch(self._clock.catch_up, self._resume)
         trio.lowlevel.add_instrument(watch)
-        self._poller.before_calls = partial(watch.after_io_wait, 0.0)
+        self._poller.before_callbacks = partial(watch.after_io_wait, 0.0)
         async with trio.open_nursery() as nursery:
             self._config.serve_in(nursery)
             self._links.nursery = nursery
             for work in (
                 self._poller.run,
-                self.door.run,
+                self.backend_queue.run,
                 self._callers.run,
                 self._ticker.run,
             ):
@@ -338,7 +342,7 @@
             at = cfg.addresses
             nursery.start_soon(accept_each, listen(at.callers), self._callers.serve)
             nursery.start_soon(
-                accept_all, listen(at.peers), self._taking.serve, nursery
+                accept_all, listen(at.peers), self._inbound.serve, nursery
             )
             sides = [
                 (at.health, self._answer_health),
@@ -369,21 +373,25 @@
         """Whether callers should be sent here."""
         return self.entry.table is not None and not self._leaving
 
-    def _answer_health(self, req: Request) -> Final:
+    def _answer_health(self, req: Request) -> FinalResponse:
         if not req.target.startswith(self.cfg.health_path.encode()):
-            return Final(404)
-        return Final(200 if self.is_ready() else 503)
+            return FinalResponse(404)
+        return FinalResponse(200 if self.is_ready() else 503)
 
-    def _answer_report(self, req: Request) -> Final:
+    def _answer_report(self, req: Request) -> FinalResponse:
         report = self._read_report(req)
         if isinstance(report, BackendReport):
             report = self._of_own_service(report)
         if isinstance(report, Unreadable):
             self.tell.unreadable("report-unreadable", report)
             text = f"{report.place}: {report.reason}\n".encode()
-            return Final(400, headers=b"Content-Type: text/plain\r\n", body=text)
-        self.door.take_report(report)
-        return Final(200, headers=b"Content-Type: application/json\r\n", body=b"{}")
+            return FinalResponse(
+                400, headers=b"Content-Type: text/plain\r\n", body=text
+            )
+        self.backend_queue.handle_report(report)
+        return FinalResponse(
+            200, headers=b"Content-Type: application/json\r\n", body=b"{}"
+        )
 
     def _of_own_service(self, report: BackendReport) -> BackendReport | Unreadable:
         """Return a report if it is of the service that this node stands beside."""
@@ -393,19 +401,19 @@
         reason = f"service {report.service!r} where {service!r} was expected"
         return Unreadable(report.instance, reason)
 
-    def _answer_metrics(self, req: Request) -> Final:
+    def _answer_metrics(self, req: Request) -> FinalResponse:
         if req.method != b"GET":
-            return Final(404)
+            return FinalResponse(404)
         kind = b"Content-Type: text/plain; version=0.0.4\r\n"
         gauges = itertools.chain(
             config_gauges(self._config),
-            door_gauges(self.door),
+            door_gauges(self.backend_queue),
             peer_gauges(self._peers),
             quarantine_gauges(self.reports),
             workspace_gauges(self._config, self._workspaces.quotas),
             admission_gauges(self._admission),
         )
-        return Final(200, headers=kind, body=self.tell.metrics(gauges).encode())
+        return FinalResponse(200, headers=kind, body=self.tell.metrics(gauges).encode())
 
     async def _take_signals(
         self, signals: AsyncIterator[int], asked: trio.Event
@@ -437,15 +445,15 @@
         adopted = [name for name in changed if name in ("bounds", "budget")]
         self.tell.event("settings-changed", changed=changed, adopted=adopted)
         self.cfg = replace(self.cfg, bounds=found.bounds, budget=found.budget)
-        self.door.adopt(self.cfg)
+        self.backend_queue.adopt(self.cfg)
         self._config.adopt_bounds(self.cfg.bounds)
         self._members.adopt_bounds(self.cfg.bounds)
 
     def _close_door(self) -> None:
         """Give back what waits for the backend server, and let others know."""
-        if not self.door.leaving:
-            self.door.leaving = True
-            self.door.turn_away(LEAVING)
+        if not self.backend_queue.leaving:
+            self.backend_queue.leaving = True
+            self.backend_queue.reject_waiting(LEAVING)
             self._tell_status()
 
     async def stop(self) -> None:
@@ -453,7 +461,7 @@
         started = self._clock.now()
         self._leaving = True
         async with trio.open_nursery() as nursery:
-            if not self.door.instance():
+            if not self.backend_queue.instance():
                 # Beside the rest: a store that is silent must not use up the time.
                 nursery.start_soon(self._members.withdraw)
             await self._wind_down(started)
@@ -461,7 +469,7 @@
         self.tell.event(
             "ending",
             callers=self._callers.in_progress,
-            running=self.door.running,
+            running=self.backend_queue.running,
             took=round(self._clock.now() - started),
         )
 
@@ -474,7 +482,7 @@
             if spent >= min(_KNOWN_AS_READY_MS, whole / 2.0):
                 self._callers.closing = True
                 self._callers.close_idle()
-                if not self._callers.in_progress and not self.door.running:
+                if not self._callers.in_progress and not self.backend_queue.running:
                     break
             if spent >= min(_REFUSE_AFTER_MS, whole / 2.0):
                 self.entry.stopping = True
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/job.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/pending_call.py
@@ -10,15 +10,15 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from fuchsiagap.core.backend_queue.queue import Waiting
     from fuchsiagap.core.clock import Milliseconds
-    from fuchsiagap.core.door.queue import Waiting
     from fuchsiagap_node.core.mesh.backend_conn import BackendConn
     from fuchsiagap_node.core.mesh.messages import Call
     from fuchsiagap_node.core.mesh.outcome import Outcome
 
 
 @dataclass(slots=True, eq=False)
-class Job:
+class PendingCall:
     """A call that waits for a place, or has one.
 
     Parameters
@@ -49,14 +49,14 @@
     deadline: Milliseconds
     due: Milliseconds
     reply: Callable[[Outcome], None]
-    waiting: Waiting[Job] | None = None
+    waiting: Waiting[PendingCall] | None = None
     conn: BackendConn | None = None
     started: Milliseconds = 0.0
     calls: int = 0
     open_calls: int = 0
     call_failed: bool = False
 
-    def fails_with_its_calls(self) -> bool:
+    def failed_in_nested_call(self) -> bool:
         """Whether a failure of the server is one of those that it calls.
 
         A failure counts where it arises and nowhere else. Counted at each server above
@@ -66,11 +66,13 @@
         """
         return self.call_failed or self.open_calls > 0
 
-    def led_to(self, fullness: float) -> Below:
+    def summarize_nested_calls(self, fullness: float) -> Below:
         """Return what the call led to, at a fullness of the services below it."""
-        return Below(fullness, self.calls, self.fails_with_its_calls())
+        return Below(fullness, self.calls, self.failed_in_nested_call())
 
     @classmethod
-    def of(cls, call: Call, now: Milliseconds, reply: Callable[[Outcome], None]) -> Job:
+    def of(
+        cls, call: Call, now: Milliseconds, reply: Callable[[Outcome], None]
+    ) -> PendingCall:
         """Return the job of a call that arrives now."""
         return cls(call, now + call.left, now + call.slack, reply)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/placing.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/placement_context.py
@@ -17,7 +17,7 @@
     from fuchsiagap.core.workspaces.model import Workspace
     from fuchsiagap_node.core.mesh.crash_reports import CrashReports
     from fuchsiagap_node.core.mesh.peers import Peer, Peers
-    from fuchsiagap_node.core.mesh.pressures import Pressures
+    from fuchsiagap_node.core.mesh.route_loads import RouteLoads
     from fuchsiagap_node.core.mesh.settings import MeshSettings
     from fuchsiagap_node.core.mesh.telling import Teller
 
@@ -34,7 +34,7 @@
         """Do what is due from `wakes_at` on."""
 
 
-class Placing:
+class PlacementContext:
     """Doors, budgets and time of the requests that are being placed.
 
     Parameters
@@ -43,7 +43,7 @@
         Settings.
     peers : Peers
         Doors of the backend servers.
-    pressures : Pressures
+    route_loads : RouteLoads
         Told the fullness that replies carry.
     clock : Clock
         Time in milliseconds.
@@ -68,7 +68,7 @@
         self,
         cfg: MeshSettings,
         peers: Peers,
-        pressures: Pressures,
+        route_loads: RouteLoads,
         clock: Clock,
         rng: random.Random,
         teller: Teller,
@@ -78,7 +78,7 @@
         self._bytes: dict[str, float] = {}
         self._ids = count(1)
         self.peers = peers
-        self.pressures = pressures
+        self.route_loads = route_loads
         self.clock = clock
         self.tell = teller
         self.in_progress: dict[InProgress, None] = {}
@@ -94,7 +94,7 @@
             return b""
         return b"%s: %s\r\n" % (self._workspace_name, workspace.name.encode())
 
-    def look(self) -> None:
+    def tick(self) -> None:
         """Let requests look at the time: at overdue replies, and for servers."""
         now = self.clock.now()
         for placement in [p for p in self.in_progress if p.wakes_at <= now]:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/poller.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/poller.py
@@ -25,10 +25,10 @@
 
 
 # Events of one wait, beside those that trio's own tasks wait for.
-_MOST_AT_ONCE = 64
+_MAX_EVENTS_PER_WAIT = 64
 # Stands for functions that were called in a wait: trio takes one without any event for
 # idle, and a virtual clock then jumps.
-_CALLED = (-1, 0)
+_CALLBACKS_RAN = (-1, 0)
 
 
 class Poller(Protocol):
@@ -36,13 +36,13 @@
 
     Attributes
     ----------
-    before_calls : callable
+    before_callbacks : callable
         Called after each wait, before any function of a connection is.
     on_fault : callable
         Told of an exception of a connection that nobody expected.
     """
 
-    before_calls: Callable[[], None]
+    before_callbacks: Callable[[], None]
     on_fault: Callable[[Exception], None]
 
     def add(self, sock: Any, on_readable: Callable[[], None]) -> None:
@@ -65,7 +65,7 @@
 
     Attributes
     ----------
-    before_calls : callable
+    before_callbacks : callable
         Called after each wait, before any function of a connection is.
     on_fault : callable
         Told of an exception of a connection that nobody expected.
@@ -75,93 +75,93 @@
         self._epoll: select.epoll | None = None
         self._on_readable: dict[int, Callable[[], None]] = {}
         self._on_writable: dict[int, trio.Event] = {}
-        self.before_calls: Callable[[], None] = _nothing
+        self.before_callbacks: Callable[[], None] = _nothing
         self.on_fault: Callable[[Exception], None] = _ignore
 
     def add(self, sock: socket.socket, on_readable: Callable[[], None]) -> None:
         """Call a function whenever a socket has something to read."""
-        number = sock.fileno()
-        self._on_readable[number] = on_readable
-        self._register(number)
+        fd = sock.fileno()
+        self._on_readable[fd] = on_readable
+        self._register(fd)
 
     def remove(self, sock: socket.socket) -> None:
         """Watch a socket no longer; whoever waits to write to it goes on."""
-        number = sock.fileno()
-        if not self._is_watched(number):
+        fd = sock.fileno()
+        if not self._is_watched(fd):
             return
-        self._on_readable.pop(number, None)
-        waiting = self._on_writable.pop(number, None)
+        self._on_readable.pop(fd, None)
+        waiting = self._on_writable.pop(fd, None)
         if waiting is not None:
             waiting.set()
         if self._epoll is not None:
-            self._epoll.unregister(number)
+            self._epoll.unregister(fd)
 
     async def wait_writable(self, sock: socket.socket) -> None:
         """Wait until a socket takes bytes, or is removed."""
-        number = sock.fileno()
-        waiting = self._on_writable[number] = trio.Event()
-        self._register(number)
+        fd = sock.fileno()
+        waiting = self._on_writable[fd] = trio.Event()
+        self._register(fd)
         await waiting.wait()
 
     async def run(self) -> None:
         """Watch until cancelled."""
-        manager = _path_manager()
+        manager = _install_manager()
         self._epoll = manager._epoll
-        for number in {*self._on_readable, *self._on_writable}:
-            self._register(number)
+        for fd in {*self._on_readable, *self._on_writable}:
+            self._register(fd)
         manager.pollers.append(self)
         try:
             await trio.sleep_forever()
         finally:
             manager.pollers.remove(self)
-            for number in {*self._on_readable, *self._on_writable}:
-                self._epoll.unregister(number)
+            for fd in {*self._on_readable, *self._on_writable}:
+                self._epoll.unregister(fd)
             self._epoll = None
 
-    def call(self, number: int, flags: int) -> bool:
+    def dispatch(self, fd: int, flags: int) -> bool:
         """Call what waits for a socket; False if it is none of those watched."""
-        if not self._is_watched(number):
+        if not self._is_watched(fd):
             return False
         if flags & ~select.EPOLLIN:
-            waiting = self._on_writable.pop(number, None)
+            waiting = self._on_writable.pop(fd, None)
             if waiting is not None:
                 waiting.set()
-                self._register(number)
+                self._register(fd)
         if flags & ~select.EPOLLOUT:
-            on_readable = self._on_readable.get(number)
+            on_readable = self._on_readable.get(fd)
             if on_readable is not None:
                 on_readable()
         return True
 
-    def _is_watched(self, number: int) -> bool:
-        return number in self._on_readable or number in self._on_writable
+    def _is_watched(self, fd: int) -> bool:
+        return fd in self._on_readable or fd in self._on_writable
 
-    def _register(self, number: int) -> None:
+    def _register(self, fd: int) -> None:
         """Tell the system what is waited for on a socket."""
         if self._epoll is None:
             return
         flags = 0
-        if number in self._on_readable:
+        if fd in self._on_readable:
             flags |= select.EPOLLIN
-        if number in self._on_writable:
+        if fd in self._on_writable:
             flags |= select.EPOLLOUT
         if not flags:
             # The system tells of a broken connection whatever is waited for.
-            self._epoll.unregister(number)
+            self._epoll.unregister(fd)
             return
         try:
             # A socket on which trio has waited is known to the system still.
-            self._epoll.modify(number, flags)
+            self._epoll.modify(fd, flags)
         except FileNotFoundError:
-            self._epoll.register(number, flags)
+            self._epoll.register(fd, flags)
 
 
-class _PathIOManager(_io_epoll.EpollIOManager):
+class _PollerIOManager(_io_epoll.EpollIOManager):
     """Trio's own manager, with the calls of pollers amid its wait.
 
     Parameters
     ----------
-    usual : EpollIOManager
+    original : EpollIOManager
         The manager that it stands in for, whose state it shares.
     runner : Runner
         Trio's loop.
@@ -172,11 +172,11 @@
         What is called; one for each node of the process.
     """
 
-    def __init__(self, usual: _io_epoll.EpollIOManager, runner: _run.Runner) -> None:
-        self._epoll = usual._epoll
-        self._registered = usual._registered
-        self._force_wakeup = usual._force_wakeup
-        self._force_wakeup_fd = usual._force_wakeup_fd
+    def __init__(self, original: _io_epoll.EpollIOManager, runner: _run.Runner) -> None:
+        self._epoll = original._epoll
+        self._registered = original._registered
+        self._force_wakeup = original._force_wakeup
+        self._force_wakeup_fd = original._force_wakeup_fd
         self._runner = runner
         self.pollers: list[EpollPoller] = []
 
@@ -185,30 +185,32 @@
         until = time.monotonic() + timeout
         was_idle = True
         while True:
-            events = self._epoll.poll(timeout, len(self._registered) + _MOST_AT_ONCE)
+            events = self._epoll.poll(
+                timeout, len(self._registered) + _MAX_EVENTS_PER_WAIT
+            )
             for poller in self.pollers:
-                poller.before_calls()
-            others = [event for event in events if not self._call(*event)]
+                poller.before_callbacks()
+            others = [event for event in events if not self._dispatch(*event)]
             was_idle = was_idle and not events
             timeout = until - time.monotonic()
             if others or self._runner.runq or timeout <= 0.0:
-                return others if others or was_idle else [_CALLED]
+                return others if others or was_idle else [_CALLBACKS_RAN]
 
     def process_events(self, events: Iterable[tuple[int, int]]) -> None:
         """Wake the tasks that wait for events."""
-        super().process_events([event for event in events if event != _CALLED])
+        super().process_events([event for event in events if event != _CALLBACKS_RAN])
 
-    def _call(self, number: int, flags: int) -> bool:
+    def _dispatch(self, fd: int, flags: int) -> bool:
         """Call what waits for a socket; False if that is one of trio's tasks."""
-        return any(poller.call(number, flags) for poller in self.pollers)
+        return any(poller.dispatch(fd, flags) for poller in self.pollers)
 
 
-def _path_manager() -> _PathIOManager:
+def _install_manager() -> _PollerIOManager:
     """Return the manager of the running loop, put in place once a loop."""
     runner = _run.GLOBAL_RUN_CONTEXT.runner
     manager = runner.io_manager
-    if not isinstance(manager, _PathIOManager):
-        manager = runner.io_manager = _PathIOManager(manager, runner)
+    if not isinstance(manager, _PollerIOManager):
+        manager = runner.io_manager = _PollerIOManager(manager, runner)
     return manager
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/quotas.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/quotas.py
@@ -191,7 +191,7 @@
         if workspace.rate > 0.0:
             self.holdings.put_back(workspace.name)
 
-    def look(self) -> None:
+    def tick(self) -> None:
         """Ask again for what was not answered, and refuse what has waited too long."""
         now = self._clock.now()
         for name, asking in list(self._asking.items()):
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/sending.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/sending.py
@@ -257,7 +257,7 @@
             self._lose(link)
             link.close()
 
-    def look(self) -> None:
+    def tick(self) -> None:
         """Ping a silent node, suspect it, and give the link up."""
         if self._serving is None:
             return
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/server_crashes.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/server_crashes.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from fuchsiagap.core.door.incarnation import BackendState
+from fuchsiagap.core.backend_queue.incarnation import BackendState
 from fuchsiagap.core.quarantine.crash_watch import CrashWatch
 from fuchsiagap_node.core.mesh.outcome import OTHER_INCARNATION, Answered, NotRun
 from fuchsiagap_node.core.mesh.stream import RefusedStream, SilentStream
@@ -12,15 +12,15 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from fuchsiagap.core.backend_queue.incarnation import BackendReport
     from fuchsiagap.core.clock import Clock
-    from fuchsiagap.core.door.incarnation import BackendReport
-    from fuchsiagap_node.core.mesh.job import Job
     from fuchsiagap_node.core.mesh.outcome import Outcome
+    from fuchsiagap_node.core.mesh.pending_call import PendingCall
     from fuchsiagap_node.core.mesh.stream import BrokenStream
     from fuchsiagap_node.core.mesh.telling import Teller
 
 # Requests that a line about a crash names, at most.
-_MOST_NAMED = 8
+_MAX_FINGERPRINTS_LOGGED = 8
 
 
 class ServerCrashes:
@@ -32,7 +32,7 @@
         Time in milliseconds.
     teller : Teller
         Logs.
-    at_work : callable
+    running_fingerprints : callable
         Returns the fingerprints of the requests that the server runs now.
 
     Attributes
@@ -42,24 +42,27 @@
     """
 
     def __init__(
-        self, clock: Clock, teller: Teller, at_work: Callable[[], frozenset[bytes]]
+        self,
+        clock: Clock,
+        teller: Teller,
+        running_fingerprints: Callable[[], frozenset[bytes]],
     ) -> None:
         self._clock = clock
         self._tell = teller
-        self._at_work = at_work
+        self._running_fingerprints = running_fingerprints
         self._watch = CrashWatch()
         self._is_ready = False
         self.on_crash: Callable[[str, frozenset[bytes]], None] = _ignore
 
     @property
-    def is_doubted(self) -> bool:
+    def is_suspected(self) -> bool:
         """Whether a request ended without an answer and no other had one since."""
         return self._watch.has_unanswered
 
     def record_report(self, report: BackendReport, is_same_start: bool) -> None:
         """Record which incarnation is believed in now, and its state."""
         if not is_same_start:
-            self._crashed("another incarnation")
+            self._record_crash("another incarnation")
             self._start(report)
         self._is_ready = report.state is BackendState.READY
 
@@ -79,45 +82,49 @@
         if isinstance(outcome, NotRun | Answered):
             self._watch.record_answer(self._clock.now())
 
-    def record_unanswered(self, job: Job) -> None:
+    def record_unanswered(self, pending: PendingCall) -> None:
         """Record that a call got no answer."""
-        one = job.call.fingerprint
-        crashed = self._watch.record_unanswered(one, job.started, self._clock.now())
+        fingerprint = pending.call.fingerprint
+        crashed = self._watch.record_unanswered(
+            fingerprint, pending.started, self._clock.now()
+        )
         if crashed:
-            self._report_crash(crashed, "found out later", frozenset({one}))
+            self._report_crash(crashed, "found out later", frozenset({fingerprint}))
 
     def record_unreachable(self, cause: BrokenStream) -> None:
         """Record that the server accepted no connection."""
         is_gone = isinstance(cause, RefusedStream | SilentStream)
-        if is_gone and self.is_doubted:
-            self._crashed("no connection")
+        if is_gone and self.is_suspected:
+            self._record_crash("no connection")
 
     def record_heartbeat_timeout(self) -> None:
         """Record that neither heartbeats nor answers have come for too long."""
-        self._crashed("no heartbeat")
+        self._record_crash("no heartbeat")
 
-    def _crashed(self, evidence: str) -> None:
+    def _record_crash(self, evidence: str) -> None:
         """Report a crash, unless the server was leaving or ran nothing.
 
         What breaks at a server that drains or has left is its planned end.
         """
         if not self._is_ready or self._watch.has_crashed:
             return
-        at_work = self._watch.record_crash(self._at_work())
-        if at_work:
-            self._report_crash(self._watch.incarnation, evidence, at_work)
+        running_fingerprints = self._watch.record_crash(self._running_fingerprints())
+        if running_fingerprints:
+            self._report_crash(self._watch.incarnation, evidence, running_fingerprints)
 
     def _report_crash(
-        self, incarnation: str, evidence: str, at_work: frozenset[bytes]
+        self, incarnation: str, evidence: str, running_fingerprints: frozenset[bytes]
     ) -> None:
         self._tell.event(
             "backend-crashed",
             incarnation=incarnation,
             evidence=evidence,
-            requests=len(at_work),
-            fingerprints=[f.hex() for f in sorted(at_work)[:_MOST_NAMED]],
+            requests=len(running_fingerprints),
+            fingerprints=[
+                f.hex() for f in sorted(running_fingerprints)[:_MAX_FINGERPRINTS_LOGGED]
+            ],
         )
-        self.on_crash(incarnation, at_work)
+        self.on_crash(incarnation, running_fingerprints)
 
 
 def _ignore(_: str, __: frozenset[bytes]) -> None:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/side_http.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/side_http.py
@@ -15,13 +15,13 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from fuchsiagap_node.core.mesh.final import Final
+    from fuchsiagap_node.core.mesh.final_response import FinalResponse
     from fuchsiagap_node.core.mesh.http_names import HeaderNames
     from fuchsiagap_node.core.mesh.http_request import Request
     from fuchsiagap_node.core.mesh.stream import Stream
     from fuchsiagap_node.core.mesh.telling import Teller
 
-    Handle: TypeAlias = Callable[[Request], Final]
+    Handle: TypeAlias = Callable[[Request], FinalResponse]
 
 # Milliseconds that such a connection may be idle.
 _IDLE_MS = 60_000.0
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/ticker.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/ticker.py
@@ -24,11 +24,11 @@
 
 
 @dataclass(slots=True)
-class _Work:
+class _PeriodicTask:
     """Something to do at intervals."""
 
     interval: Milliseconds
-    do: Callable[[], None]
+    callback: Callable[[], None]
     due: Milliseconds
 
 
@@ -46,25 +46,27 @@
     def __init__(self, clock: Clock, teller: Teller) -> None:
         self._clock = clock
         self._tell = teller
-        self._works: list[_Work] = []
+        self._tasks: list[_PeriodicTask] = []
 
-    def every(self, interval: Milliseconds, do: Callable[[], None]) -> None:
+    def every(self, interval: Milliseconds, callback: Callable[[], None]) -> None:
         """Call a function at an interval, a multiple of `TICK_MS`."""
-        self._works.append(_Work(interval, do, self._clock.now() + interval))
+        self._tasks.append(
+            _PeriodicTask(interval, callback, self._clock.now() + interval)
+        )
 
     async def run(self) -> None:
         """Call what is due until cancelled."""
         while True:
             await trio.sleep(TICK_MS / MS_PER_S)
             now = self._clock.now()
-            for work in self._works:
+            for task in self._tasks:
                 # Half a tick early is in time: turns come a little late, not early.
-                if work.due <= now + TICK_MS / 2.0:
-                    work.due = now + work.interval
-                    self._do(work)
+                if task.due <= now + TICK_MS / 2.0:
+                    task.due = now + task.interval
+                    self._run_task(task)
 
-    def _do(self, work: _Work) -> None:
+    def _run_task(self, task: _PeriodicTask) -> None:
         try:
-            work.do()
+            task.callback()
         except Exception as exc:
             self._tell.fault("ticker", exc)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/workspace_check.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/workspace_check.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from fuchsiagap_node.core.mesh.final import Final
+from fuchsiagap_node.core.mesh.final_response import FinalResponse
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -54,28 +54,30 @@
 
     def identify(
         self, req: Request, route: Route, table: RouteTable
-    ) -> Workspace | Final | None:
+    ) -> Workspace | FinalResponse | None:
         """Return the workspace of a request.
 
         Returns
         -------
-        Workspace or Final or None
+        Workspace or FinalResponse or None
             The answer of a request that is not let in; None where no key is asked for.
         """
         if table.keys is None or route.public:
             return None
         if not req.key:
-            return self._refuse(req, route, "no-key", Final(401))
+            return self._refuse(req, route, "no-key", FinalResponse(401))
         # Before the look-up: a key that is not known here may be new.
         if self._is_too_old():
-            again = Final(503, retry_after=_AGAIN_MS)
+            again = FinalResponse(503, retry_after=_AGAIN_MS)
             return self._refuse(req, route, "knowledge-too-old", again)
         workspace = table.keys.find(req.key)
         if workspace is None:
-            return self._refuse(req, route, "unknown-key", Final(401))
+            return self._refuse(req, route, "unknown-key", FinalResponse(401))
         return workspace
 
-    def _refuse(self, req: Request, route: Route, cause: str, final: Final) -> Final:
+    def _refuse(
+        self, req: Request, route: Route, cause: str, final: FinalResponse
+    ) -> FinalResponse:
         self._tell.counts["key_refused", cause] += 1
         self._tell.answered(route.name, str(final.status), 0.0)
         second = int(self._clock.now()) // 1_000
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/workspaces.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/workspaces.py
@@ -20,11 +20,11 @@
     from fuchsiagap.core.clock import Clock
     from fuchsiagap.core.routes.model import RouteConfig
     from fuchsiagap_node.core.mesh.config_sync import ConfigSync
+    from fuchsiagap_node.core.mesh.inbound_links import InboundLinks
     from fuchsiagap_node.core.mesh.links import Links
     from fuchsiagap_node.core.mesh.messages import TokensWanted
     from fuchsiagap_node.core.mesh.sending import Member, SendingLink
     from fuchsiagap_node.core.mesh.settings import MeshSettings
-    from fuchsiagap_node.core.mesh.taking import TakingLinks
     from fuchsiagap_node.core.mesh.telling import Teller
     from fuchsiagap_node.core.mesh.ticker import Ticker
 
@@ -101,13 +101,13 @@
         link.on_tokens = self.quotas.take_answer
         link.on_open = self.knowledge.ask_new
 
-    def prepare_taking(self, taking: TakingLinks) -> None:
+    def prepare_inbound(self, inbound: InboundLinks) -> None:
         """Answer what other nodes ask on their links."""
-        taking.answer_age = self.knowledge.answer
-        taking.answer_tokens = self.quotas.answer
+        inbound.answer_age = self.knowledge.answer
+        inbound.answer_tokens = self.quotas.answer
 
     def schedule(self, ticker: Ticker) -> None:
         """Do at intervals what is due."""
-        ticker.every(AGE_LOOK_MS, self.knowledge.look)
-        ticker.every(QUOTA_LOOK_MS, self.quotas.look)
+        ticker.every(AGE_LOOK_MS, self.knowledge.tick)
+        ticker.every(QUOTA_LOOK_MS, self.quotas.tick)
         ticker.every(SWEEP_MS, self.quotas.forget)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/a_service.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/simulated_service.py
@@ -9,18 +9,18 @@
 from fuchsiagap_node.core.mesh.admission import STEP_MS, Admission
 from fuchsiagap_node.core.mesh.messages import Below
 from fuchsiagap_node.core.mesh.peers import Peers
-from fuchsiagap_node.core.mesh.pressures import Pressures
+from fuchsiagap_node.core.mesh.route_loads import RouteLoads
 from fuchsiagap_node.core.mesh.telling import Teller
 
 
-class _Door:
+class _StaticPeer:
     """A door that stands for its target alone."""
 
     def __init__(self, target):
         self.target = target
 
 
-class AService:
+class SimulatedService:
     """Servers of ten places each, and the entry of one node to their service.
 
     Parameters
@@ -41,10 +41,10 @@
         self.now = 0.0
         clock = Clock(lambda: self.now, lambda: self.now)
         self.targets = [_target(n, "certs") for n in range(n_servers)]
-        self._chain = [Pressures(_peers(self.targets), clock)]
+        self._chain = [RouteLoads(_peers(self.targets), clock)]
         for hop in range(hops):
             between = [_target(hop, "between")]
-            self._chain.append(Pressures(_peers(between), clock))
+            self._chain.append(RouteLoads(_peers(between), clock))
         self.served = ServedShares()
         self.admission = Admission(
             self._chain[-1], self.served, clock, random.Random(1), Teller("n", clock)
@@ -63,7 +63,7 @@
             called = "between"
         self.admission.step()
 
-    def let_in(self, route, n_requests):
+    def admit(self, route, n_requests):
         """Return how many of some requests are let in."""
         service = "certs" if len(self._chain) == 1 else "between"
         share = self.admission.admitted_share(service, route)
@@ -85,5 +85,5 @@
 def _peers(targets):
     peers = Peers()
     for target in targets:
-        peers.put(_Door(target))
+        peers.put(_StaticPeer(target))
     return peers
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_admission.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_admission.py
@@ -2,7 +2,7 @@
 
 from testtools import TestCase
 
-from fuchsiagap_node.tests.core.mesh.a_service import AService
+from fuchsiagap_node.tests.core.mesh.simulated_service import SimulatedService
 from fuchsiagap_standins.mesh.deployment import a_route
 
 
@@ -10,29 +10,29 @@
     def test_callers_with_less_time_left_are_let_in_like_the_others(self):
         # Callers of one route differ in how long they wait, and those that come back
         # have less time left: neither decides, the room does.
-        service = AService()
+        service = SimulatedService()
         route = a_route("read", priority=2)
         for _ in range(100):
-            let_in = service.let_in(route, 20)
-            service.step([2.0 * let_in])
-        self.assertAlmostEqual(4.5, let_in, delta=1.5)
+            n_admitted = service.admit(route, 20)
+            service.step([2.0 * n_admitted])
+        self.assertAlmostEqual(4.5, n_admitted, delta=1.5)
 
     def test_urgent_kind_that_is_seldom_asked_for_is_let_in_amid_a_surge(self):
-        service = AService()
+        service = SimulatedService()
         read, repair = a_route("read", priority=2), a_route("repair", priority=0)
-        service.let_in(repair, 1)
+        service.admit(repair, 1)
         for _ in range(200):
-            service.let_in(read, 20)
+            service.admit(read, 20)
             service.step([30.0])
-        self.assertEqual(1, service.let_in(repair, 1))
+        self.assertEqual(1, service.admit(repair, 1))
 
     def test_kind_keeps_a_part_of_what_all_are_served(self):
         # Eight of twenty requests can be served, and eight of the twenty are urgent.
-        service = AService()
+        service = SimulatedService()
         read, write = a_route("read", priority=5), a_route("write", priority=0)
         counts = {"read": 0, "write": 0}
         for step in range(600):
-            reads, writes = service.let_in(read, 12), service.let_in(write, 8)
+            reads, writes = service.admit(read, 12), service.admit(write, 8)
             service.step([10.0 * (reads + writes) / 8.0])
             if step >= 300:
                 counts["read"] += reads
@@ -43,7 +43,7 @@
         self.assertGreater(write_share, 0.7)
 
     def test_refused_caller_can_come_back_in_time(self):
-        admission = AService().admission
+        admission = SimulatedService().admission
         for objective in (150.0, 250.0, 1_200.0):
             route = a_route("read", objective=objective)
             waits = [admission.retry_after(route) for _ in range(200)]
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_door.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_backend_queue.py
@@ -3,16 +3,16 @@
 import trio
 from testtools import TestCase
 
-from fuchsiagap.core.door.incarnation import BackendReport, BackendState
-from fuchsiagap_node.core.mesh.job import Job
+from fuchsiagap.core.backend_queue.incarnation import BackendReport, BackendState
 from fuchsiagap_node.core.mesh.messages import Call
 from fuchsiagap_node.core.mesh.outcome import EXPIRED, MayHaveRun
+from fuchsiagap_node.core.mesh.pending_call import PendingCall
 from fuchsiagap_standins.mesh.backend_server import Behaviour, Manner
 from fuchsiagap_standins.mesh.deployment import a_deployment, a_route
 from fuchsiagap_standins.mesh.virtual import run_in_memory
 
 
-def a_job(host, request_id, reply, wait=300.0, is_call=False):
+def a_pending_call(host, request_id, reply, wait=300.0, is_call=False):
     """Return a request at a host's door, given up after `wait` milliseconds."""
     instance = host.server.instance
     head = b"GET /read/1 HTTP/1.1\r\nCall-Id: %s\r\nIncarnation-Wanted: %s\r\n" % (
@@ -22,7 +22,7 @@
     flags = (is_call, False, False, 0, True)
     rest = (request_id, "read", request_id.encode())
     call = Call(1, instance, head, b"", wait, 500, 0, *flags, *rest)
-    return Job.of(call, host.node._clock.now(), reply)
+    return PendingCall.of(call, host.node._clock.now(), reply)
 
 
 class TestDoor(TestCase):
@@ -32,24 +32,24 @@
                 host = deployment.add("certs", slots=4)
                 host.server.behave = lambda _: Behaviour(Manner.MUTE)
                 await deployment.settle()
-                door = host.node.door
+                backend_queue = host.node.backend_queue
                 outcomes = {"one": [], "two": [], "three": []}
 
                 def end_one(outcome):
                     outcomes["one"].append(outcome)
-                    door.cancel(jobs[1])
+                    backend_queue.cancel(pending_calls[1])
 
-                jobs = [
-                    a_job(host, "one", end_one),
-                    a_job(host, "two", outcomes["two"].append),
-                    a_job(host, "three", outcomes["three"].append),
+                pending_calls = [
+                    a_pending_call(host, "one", end_one),
+                    a_pending_call(host, "two", outcomes["two"].append),
+                    a_pending_call(host, "three", outcomes["three"].append),
                 ]
-                for job in jobs:
-                    door.submit(job)
+                for pending in pending_calls:
+                    backend_queue.submit(pending)
                 await trio.sleep(0.2)
-                at_server = door.running
+                at_server = backend_queue.running
                 await trio.sleep(0.5)
-                return at_server, door.running, outcomes, host.node.tell.counts
+                return at_server, backend_queue.running, outcomes, host.node.tell.counts
 
         at_server, running, outcomes, counts = run_in_memory(main)
         self.assertEqual((3, 0), (at_server, running))
@@ -71,14 +71,18 @@
 
     async def _load_after(self, host, n_lost):
         """Return the load of calls in a row, after some that are lost at once."""
-        door = host.node.door
+        backend_queue = host.node.backend_queue
         for n in range(n_lost):
-            door.submit(a_job(host, f"lost-{n}", _no_reply, 250.0, is_call=True))
+            backend_queue.submit(
+                a_pending_call(host, f"lost-{n}", _no_reply, 250.0, is_call=True)
+            )
         await trio.sleep(0.5)
         for n in range(10):
-            door.submit(a_job(host, f"{n_lost}-{n}", _no_reply, 400.0, is_call=True))
+            backend_queue.submit(
+                a_pending_call(host, f"{n_lost}-{n}", _no_reply, 400.0, is_call=True)
+            )
             await trio.sleep(0.1)
-        return door.offered()
+        return backend_queue.offered()
 
     def test_node_that_ends_amid_calls_that_wait_meets_no_exception(self):
         async def main():
@@ -90,7 +94,7 @@
                     for n in range(6):
                         nursery.start_soon(other.send, "/read/1", f"r{n}")
                     await trio.sleep(0.1)
-                    waiting = host.node.door.load
+                    waiting = host.node.backend_queue.load
                     host.scope.cancel()
                 return waiting
 
@@ -107,12 +111,12 @@
                         nursery.start_soon(host.send, "/read/1", f"r{n}")
                 await trio.sleep(0.2)
                 await host.send("/read/1", "r4")
-                door = host.node.door
-                before = len(door._conns._idle)
+                backend_queue = host.node.backend_queue
+                before = len(backend_queue._conns._idle)
                 # The one used last lives: the others were heard on before it.
-                door._conns.close_older(door._conns._idle._conns[-2])
+                backend_queue._conns.close_stale(backend_queue._conns._idle._conns[-2])
                 await trio.sleep(0.1)
-                left = len(door._conns._idle)
+                left = len(backend_queue._conns._idle)
                 answer = await host.send("/read/1", "r5")
                 return before, left, answer.status
 
@@ -126,7 +130,7 @@
                 caller = deployment.add("bookings")
                 host = deployment.add("certs")
                 await deployment.settle()
-                host.node.door.take_report(
+                host.node.backend_queue.handle_report(
                     BackendReport("i-old", BackendState.READY, 900, "", 8, 0.0, "certs")
                 )
                 answers = []
@@ -134,7 +138,7 @@
                     answer = await caller.send("/read/1", f"r{n}")
                     answers.append(answer.status)
                     await trio.sleep(0.1)
-                return answers, host.node.door.instance(), host.server.runs
+                return answers, host.node.backend_queue.instance(), host.server.runs
 
         answers, instance, runs = run_in_memory(main)
         self.assertEqual([200] * 20, answers)
@@ -146,14 +150,14 @@
             async with a_deployment(a_route("read")) as deployment:
                 host = deployment.add("certs")
                 await deployment.settle()
-                door = host.node.door
+                backend_queue = host.node.backend_queue
 
                 def say(sequence, state, born):
                     report = BackendReport(
                         host.server.instance, state, sequence, "", 8, 0.0, "certs", born
                     )
-                    door.take_report(report)
-                    return door.instance()
+                    backend_queue.handle_report(report)
+                    return backend_queue.instance()
 
                 ready, draining = BackendState.READY, BackendState.DRAINING
                 found = [
@@ -178,7 +182,7 @@
                 await host.send("/read/1", "r1")
                 before = host.server.connections
                 for born in (1_000, 2_000):
-                    host.node.door.take_report(
+                    host.node.backend_queue.handle_report(
                         BackendReport(
                             host.server.instance,
                             BackendState.READY,
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_http_call.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_http_call.py
@@ -5,7 +5,7 @@
 
 from fuchsiagap.core.routes.model import CallerLimits
 from fuchsiagap_node.core.mesh.callers import answer_bytes
-from fuchsiagap_node.core.mesh.final import Final
+from fuchsiagap_node.core.mesh.final_response import FinalResponse
 from fuchsiagap_node.core.mesh.http_call import CallFailed, HttpCaller
 from fuchsiagap_node.core.mesh.http_names import HeaderNames
 from fuchsiagap_node.core.mesh.http_request import RequestReader
@@ -34,7 +34,9 @@
 
     async def _answer(self, stream, req):
         await trio.sleep(int(req.target[1:]) / 1_000.0)
-        await stream.send(answer_bytes(Final(200, body=req.target), close=False))
+        await stream.send(
+            answer_bytes(FinalResponse(200, body=req.target), close=False)
+        )
 
 
 def run_with_server(main):
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_taking.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_inbound_links.py
@@ -3,7 +3,7 @@
 import trio
 from testtools import TestCase
 
-from fuchsiagap.core.door.incarnation import BackendState
+from fuchsiagap.core.backend_queue.incarnation import BackendState
 from fuchsiagap_standins.mesh.backend_server import Behaviour
 from fuchsiagap_standins.mesh.deployment import a_deployment, a_route
 from fuchsiagap_standins.mesh.virtual import run_in_memory
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_failing_below.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_nested_call_failures.py
@@ -20,7 +20,7 @@
 import trio
 from testtools import TestCase
 
-from fuchsiagap_node.tests.core.mesh.a_service import AService
+from fuchsiagap_node.tests.core.mesh.simulated_service import SimulatedService
 from fuchsiagap_standins.mesh.backend_server import Behaviour, CallFailed, Manner
 from fuchsiagap_standins.mesh.deployment import a_deployment, a_route
 from fuchsiagap_standins.mesh.virtual import run_in_memory
@@ -32,7 +32,7 @@
 N_REQUESTS = 40
 
 
-def a_call_of(host, service):
+def call_to(host, service):
     """Return what a server does while it runs a request: a call that it needs."""
 
     async def run(request_id):
@@ -47,14 +47,14 @@
     """Send pages while the deepest server fails; return what each door tells."""
     async with a_deployment(*ROUTES) as deployment:
         pages, orders, stock = (deployment.add(route.name) for route in ROUTES)
-        pages.server.on_run = a_call_of(pages, "orders")
-        orders.server.on_run = a_call_of(orders, "stock")
+        pages.server.on_run = call_to(pages, "orders")
+        orders.server.on_run = call_to(orders, "stock")
         stock.server.behave = lambda _: behaviour
         await deployment.settle()
         for number in range(N_REQUESTS):
             await pages.send("/pages/1", f"p{number}", wait=400.0)
             await trio.sleep(0.01)
-        return [host.node.door.failing() for host in (pages, orders, stock)]
+        return [host.node.backend_queue.failing() for host in (pages, orders, stock)]
 
 
 class TestFailingBelow(TestCase):
@@ -78,12 +78,12 @@
         async def main():
             async with a_deployment(*ROUTES) as deployment:
                 pages, orders = (deployment.add(r.name) for r in ROUTES[:2])
-                pages.server.on_run = a_call_of(pages, "orders")
-                orders.server.on_run = a_call_of(orders, "stock")
+                pages.server.on_run = call_to(pages, "orders")
+                orders.server.on_run = call_to(orders, "stock")
                 await deployment.settle()
                 for number in range(N_REQUESTS):
                     await pages.send("/pages/1", f"p{number}", wait=400.0)
-                return [host.node.door.failing() for host in (pages, orders)]
+                return [host.node.backend_queue.failing() for host in (pages, orders)]
 
         at_pages, at_orders = run_in_memory(main)
         self.assertEqual(0.0, at_pages)
@@ -96,9 +96,9 @@
                     [deployment.add(route.name) for _ in range(2)] for route in ROUTES
                 )
                 for host in pages:
-                    host.server.on_run = a_call_of(host, "orders")
+                    host.server.on_run = call_to(host, "orders")
                 for host in orders:
-                    host.server.on_run = a_call_of(host, "stock")
+                    host.server.on_run = call_to(host, "stock")
                 for host in stock:
                     host.server.behave = lambda _: Behaviour(status=500)
                 await deployment.settle()
@@ -120,21 +120,21 @@
     def test_failing_server_that_gets_nothing_keeps_nobody_out(self):
         # Two hops above a service of which one of two servers fails: all that is sent
         # fills eight of the ten places of the other one.
-        service = AService(n_servers=2, hops=2)
+        service = SimulatedService(n_servers=2, hops=2)
         route = a_route("read", priority=2)
         service.targets[0].failing = 0.9
         for _ in range(50):
-            let_in = service.let_in(route, 20)
-            service.step([0.0, 0.4 * let_in])
-        self.assertEqual(20, let_in)
+            n_admitted = service.admit(route, 20)
+            service.step([0.0, 0.4 * n_admitted])
+        self.assertEqual(20, n_admitted)
 
     def test_service_of_which_each_server_fails_keeps_requests_out(self):
         # Trees of several calls come to nothing there.
-        service = AService(n_servers=2, hops=2)
+        service = SimulatedService(n_servers=2, hops=2)
         route = a_route("read", priority=2)
         for target in service.targets:
             target.failing = 0.9
         for _ in range(50):
-            let_in = service.let_in(route, 20)
-            service.step([0.25 * let_in, 0.25 * let_in])
-        self.assertLess(let_in, 5)
+            n_admitted = service.admit(route, 20)
+            service.step([0.25 * n_admitted, 0.25 * n_admitted])
+        self.assertLess(n_admitted, 5)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_node.py
@@ -6,7 +6,7 @@
 import trio
 from testtools import TestCase
 
-from fuchsiagap.core.door.incarnation import BackendState
+from fuchsiagap.core.backend_queue.incarnation import BackendState
 from fuchsiagap.core.retries.shares import SharedBudget
 from fuchsiagap_node.core.mesh.node import Node
 from fuchsiagap_node.core.mesh.settings import Bounds
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_path.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_path.py
@@ -6,7 +6,7 @@
 import trio
 from testtools import TestCase
 
-from fuchsiagap.core.door.incarnation import BackendState
+from fuchsiagap.core.backend_queue.incarnation import BackendState
 from fuchsiagap.core.retries.shares import SharedBudget
 from fuchsiagap_node.core.mesh.stream import dial
 from fuchsiagap_standins.mesh.backend_server import Behaviour, Manner
@@ -223,7 +223,7 @@
                     await trio.sleep(0.1)
                     stream.close()
                 await trio.sleep(0.3)
-                return served.server.cancelled, served.node.door.running
+                return served.server.cancelled, served.node.backend_queue.running
 
         cancelled, running = run_in_memory(main)
         self.assertEqual(["r1"], cancelled)
@@ -328,11 +328,11 @@
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(host.send, "/read/1", "r1")
                     await trio.sleep(0.05)
-                    door = host.node.door
+                    backend_queue = host.node.backend_queue
                     found = (
-                        door.parent_of("r1.a"),
-                        door.parent_of("r2.a"),
-                        door.parent_of("r1"),
+                        backend_queue.parent_of("r1.a"),
+                        backend_queue.parent_of("r2.a"),
+                        backend_queue.parent_of("r1"),
                     )
                 return found
 
@@ -347,15 +347,15 @@
                 deployment.expects_faults = True
                 host = deployment.add("certs")
                 await deployment.settle()
-                placing = host.node._placing
-                choose = placing.choose
+                context = host.node._placement_context
+                choose = context.choose
 
                 def fail(*_):
                     raise KeyError("planted")
 
-                placing.choose = fail
+                context.choose = fail
                 at_once = await host.send("/read/1", "r1")
-                placing.choose = lambda *_: None
+                context.choose = lambda *_: None
                 async with trio.open_nursery() as nursery:
                     answers = []
 
@@ -364,10 +364,10 @@
 
                     nursery.start_soon(later)
                     await trio.sleep(0.02)
-                    placing.choose = fail
-                placing.choose = choose
+                    context.choose = fail
+                context.choose = choose
                 after = await host.send("/read/3", "r3")
-                return at_once, answers[0], after, placing.in_progress
+                return at_once, answers[0], after, context.in_progress
 
         at_once, later, after, in_progress = run_in_memory(main)
         statuses = [answer.status for answer in (at_once, later, after)]
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_poller.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_poller.py
@@ -203,7 +203,7 @@
                 nonlocal turns
                 turns += 1
 
-            poller.before_calls = count
+            poller.before_callbacks = count
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(poller.run)
                 await trio.sleep(0.01)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_resets.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_resets.py
@@ -62,7 +62,7 @@
                 await trio.sleep(after)
                 stream.close()
                 await trio.sleep(0.1)
-                running = host.node.door.running
+                running = host.node.backend_queue.running
                 await trio.sleep(2.0)
                 if first is not None:
                     first.close()
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_pressures.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_route_loads.py
@@ -5,15 +5,15 @@
 from fuchsiagap.core.clock import Clock
 from fuchsiagap_node.core.mesh.messages import Below
 from fuchsiagap_node.core.mesh.peers import Peers
-from fuchsiagap_node.core.mesh.pressures import Pressures
+from fuchsiagap_node.core.mesh.route_loads import RouteLoads
 
 
 def calls_after(*replies):
     """Return the calls that a route is believed to make after some replies."""
-    pressures = Pressures(Peers(), Clock(lambda: 0.0, lambda: 0.0))
+    route_loads = RouteLoads(Peers(), Clock(lambda: 0.0, lambda: 0.0))
     for below in replies:
-        pressures.note_reply("pages", "browse", below)
-    return pressures.calls("pages", "browse")
+        route_loads.note_reply("pages", "browse", below)
+    return route_loads.calls("pages", "browse")
 
 
 class TestCalls(TestCase):
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_server_crashes.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_server_crashes.py
@@ -5,7 +5,7 @@
 import trio
 from testtools import TestCase
 
-from fuchsiagap.core.door.incarnation import BackendState
+from fuchsiagap.core.backend_queue.incarnation import BackendState
 from fuchsiagap.core.quarantine.fingerprint import fingerprint
 from fuchsiagap_standins.mesh.backend_server import Behaviour, Manner
 from fuchsiagap_standins.mesh.deployment import a_deployment, a_route
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_stream.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_stream.py
@@ -88,7 +88,7 @@
                 host = deployment.add("certs")
                 await deployment.settle()
                 await host.send("/read/1", "r1")
-                sock = host.node.door._conns._idle._conns[0]._stream._sock
+                sock = host.node.backend_queue._conns._idle._conns[0]._stream._sock
                 options = (
                     socket.TCP_USER_TIMEOUT,
                     socket.TCP_KEEPIDLE,
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_suspension.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_suspension.py
@@ -115,7 +115,7 @@
                 near, far, ahead = await two_hosts(deployment)
                 link = next(iter(near.node._links))
                 # Told at its next look only, or on a link that is new.
-                far.node.door.leaving = True
+                far.node.backend_queue.leaving = True
                 ahead.suspend(2_000.0)
                 await trio.sleep(0.02)
                 believed = link.target.instance
@@ -146,9 +146,9 @@
                 ahead = SuspendedClock()
                 host = deployment.add("certs", clock=ahead.clock)
                 await deployment.settle()
-                before = host.node.door.instance()
+                before = host.node.backend_queue.instance()
                 ahead.suspend(10_000.0)
                 await trio.sleep(0.06)
-                return before, host.node.door.instance()
+                return before, host.node.backend_queue.instance()
 
         self.assertEqual(("i-certs-0", ""), run_in_memory(main))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_workspaces.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_workspaces.py
@@ -161,13 +161,13 @@
                 host = deployment.add("certs")
                 await deployment.settle()
                 ranks = {}
-                submit = host.node.door.submit
+                submit = host.node.backend_queue.submit
 
                 def watch(job):
                     ranks[job.call.request_id] = job.call.rank
                     submit(job)
 
-                host.node.door.submit = watch
+                host.node.backend_queue.submit = watch
                 for request_id, path, key in (
                     ("first-late", "/late/1", "key-first"),
                     ("second-soon", "/soon/1", "key-second"),
@@ -185,13 +185,13 @@
             async with a_deployment() as deployment:
                 _, far = await two_hosts(deployment, ONE, TWO)
                 prints = []
-                submit = far.node.door.submit
+                submit = far.node.backend_queue.submit
 
                 def watch(job):
                     prints.append(job.call.fingerprint)
                     submit(job)
 
-                far.node.door.submit = watch
+                far.node.backend_queue.submit = watch
                 for number, key in enumerate(("key-of-one", "key-of-two")):
                     await far.send("/read/1", f"r{number}", headers=with_key(key))
                 return prints
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/deployment.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/deployment.py
@@ -12,7 +12,7 @@
 
 import trio
 
-from fuchsiagap.core.door.incarnation import BackendReport, BackendState
+from fuchsiagap.core.backend_queue.incarnation import BackendReport, BackendState
 from fuchsiagap.core.routes.model import CallerLimits, Route, RouteConfig, Share
 from fuchsiagap.core.workspaces.keys import key_digest
 from fuchsiagap.core.workspaces.model import Workspace
@@ -95,7 +95,7 @@
     def report(self, state: BackendState = BackendState.READY) -> None:
         """Let the backend server report to its node."""
         self.sequence += 1
-        self.node.door.take_report(
+        self.node.backend_queue.handle_report(
             BackendReport(
                 self.server.instance,
                 state,
@@ -285,10 +285,10 @@
 
 async def _report(host: Host) -> None:
     """Report once a second while the server is ready."""
-    door = host.node.door
+    backend_queue = host.node.backend_queue
     while True:
-        is_known = door.known_instance() == host.server.instance
-        if host.server.is_up and (door.instance() or not is_known):
+        is_known = backend_queue.known_instance() == host.server.instance
+        if host.server.is_up and (backend_queue.instance() or not is_known):
             host.report()
         await trio.sleep(1.0)
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/memory_sockets.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/memory_sockets.py
@@ -208,7 +208,7 @@
         self._on_readable: dict[MemorySocket, Callable[[], None]] = {}
         self._ready: dict[MemorySocket, None] = {}
         self._news = trio.Event()
-        self.before_calls: Callable[[], None] = _nothing
+        self.before_callbacks: Callable[[], None] = _nothing
         self.on_fault: Callable[[Exception], None] = _ignore
 
     def add(self, sock: MemorySocket, on_readable: Callable[[], None]) -> None:
@@ -239,7 +239,7 @@
         while True:
             await self._news.wait()
             self._news = trio.Event()
-            self.before_calls()
+            self.before_callbacks()
             ready, self._ready = self._ready, {}
             for sock in ready:
                 call = self._on_readable.get(sock)
--- a/packages/fuchsiagap/src/fuchsiagap/core/door/health.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/health.py
@@ -66,7 +66,7 @@
         self._failing_at = now
         return self._failing
 
-    def beat_age(self, now: Milliseconds) -> Milliseconds:
+    def heartbeat_age(self, now: Milliseconds) -> Milliseconds:
         """Return the milliseconds since the server was heard of, or the start."""
         return now - self._beat_at
 
--- a/packages/fuchsiagap/src/fuchsiagap/core/door/lost.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/lost.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from fuchsiagap.core.door.rank_counts import RankCounts
+from fuchsiagap.core.backend_queue.rank_counts import RankCounts
 
 if TYPE_CHECKING:
     from fuchsiagap.core.clock import Milliseconds
--- a/packages/fuchsiagap/src/fuchsiagap/core/door/turns.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/turns.py
@@ -4,13 +4,13 @@
 
 from typing import TYPE_CHECKING
 
-from fuchsiagap.core.door.rank_counts import RankCounts
+from fuchsiagap.core.backend_queue.rank_counts import RankCounts
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
+    from fuchsiagap.core.backend_queue.rank_counts import RankCount
     from fuchsiagap.core.clock import Milliseconds
-    from fuchsiagap.core.door.rank_counts import RankCount
 
 
 class RankTurns:
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/door/test_health.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/door/test_health.py
@@ -1,6 +1,6 @@
 from testtools import TestCase
 
-from fuchsiagap.core.door.health import ServerHealth
+from fuchsiagap.core.backend_queue.health import ServerHealth
 
 BEAT_MS = 1_500.0
 
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/door/test_incarnation.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/door/test_incarnation.py
@@ -2,7 +2,7 @@
 
 from testtools import TestCase
 
-from fuchsiagap.core.door.incarnation import (
+from fuchsiagap.core.backend_queue.incarnation import (
     BackendReport,
     BackendState,
     Incarnation,
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/door/test_lost.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/door/test_lost.py
@@ -1,7 +1,7 @@
 from testtools import TestCase
 
-from fuchsiagap.core.door.lost import MOST_STRAIN, LostTrees
-from fuchsiagap.core.door.rank_counts import COUNTED_MS
+from fuchsiagap.core.backend_queue.lost import MOST_STRAIN, LostTrees
+from fuchsiagap.core.backend_queue.rank_counts import COUNTED_MS
 
 
 def trees(now=0.0, **lost_of_a_hundred):
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/door/test_offered.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/door/test_offered.py
@@ -1,6 +1,6 @@
 from testtools import TestCase
 
-from fuchsiagap.core.door.offered import AVERAGED_MS, BACKLOG_MS, OfferedLoad
+from fuchsiagap.core.backend_queue.offered import AVERAGED_MS, BACKLOG_MS, OfferedLoad
 
 SERVICE_MS = 15.0
 
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/door/test_queue.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/door/test_queue.py
@@ -2,7 +2,7 @@
 
 from testtools import TestCase
 
-from fuchsiagap.core.door.queue import (
+from fuchsiagap.core.backend_queue.queue import (
     HOLD_SHARE,
     LAST_CHANCE,
     LEAST_QUEUE,
