--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/admission.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/admission.py
@@ -20,8 +20,8 @@
     from fuchsiagap_node.core.mesh.route_loads import RouteLoads
     from fuchsiagap_node.core.mesh.telling import Teller
 
-# Milliseconds between two updates of the refusal levels, a few of which fit into the
-# time in which a level reacts.
+# Milliseconds between two steps of the shedding controllers, a few of which fit into
+# the reaction time of a controller.
 STEP_MS = 100.0
 # Bounds of the retry-after time, as shares of a route's latency objective. The
 # objective counts from the caller's first attempt, so a request that is admitted when
@@ -35,7 +35,7 @@
 class Admission:
     """Decides which of the requests that enter at this node are admitted.
 
-    Keeps a refusal level for each service and kind of request.
+    Keeps a shedding controller for each service and kind of request.
 
     Parameters
     ----------
@@ -64,38 +64,40 @@
         self._clock = clock
         self._rng = rng
         self._tell = teller
-        self._levels: dict[tuple[str, str], RefusalLevel] = {}
+        self._controllers: dict[tuple[str, str], RefusalLevel] = {}
         self._order = RefusalOrder()
         self._stepped_at = clock.now()
-        self._fair_shares = EvenShares(rng)
+        self._fair_admission = EvenShares(rng)
         self._shares: dict[tuple[str, str], float] = {}
         # Route names by kind of request.
         self._routes: dict[str, str] = {}
 
     def step(self) -> None:
-        """Update each refusal level from the fullness of its service."""
+        """Update each shedding controller from the fullness of its service."""
         now = self._clock.now()
         elapsed, self._stepped_at = now - self._stepped_at, now
         self._order.forget(now)
         self._update_call_counts()
         steps = self._order.steps_from_worst()
         kinds = self._order.loads(now)
-        kept = kept_share(self._served.whole(now))
-        worst = deepest_cut(0, kinds, kept)
-        for (service, kind), level in self._levels.items():
-            was_open = level.cut == 0.0
+        guaranteed = kept_share(self._served.whole(now))
+        worst = deepest_cut(0, kinds, guaranteed)
+        for (service, kind), controller in self._controllers.items():
+            was_open = controller.cut == 0.0
             fullness = self._route_loads.fullness(service, self._routes[kind])
             step = steps.get(kind)
-            most = deepest_cut(step or 0, kinds, kept)
-            level.step(fullness, min(elapsed, 5 * STEP_MS), worst, most)
+            most = deepest_cut(step or 0, kinds, guaranteed)
+            controller.step(fullness, min(elapsed, 5 * STEP_MS), worst, most)
             if step is None:
                 # Requested too rarely to be ranked among the kinds; all are admitted,
                 # which adds hardly any load.
                 self._shares[service, kind] = 1.0
             else:
-                room = level.room(is_worst=step == 0)
-                self._shares[service, kind] = share_of(step, room, kinds, kept)
-            if was_open != (level.cut == 0.0):
+                load_share = controller.room(is_worst=step == 0)
+                self._shares[service, kind] = share_of(
+                    step, load_share, kinds, guaranteed
+                )
+            if was_open != (controller.cut == 0.0):
                 self._tell.event(
                     "admission-changed",
                     service=service,
@@ -110,7 +112,7 @@
         Of a route that is split over several services, the largest number counts.
         """
         most: dict[str, float] = {}
-        for service, kind in self._levels:
+        for service, kind in self._controllers:
             calls = self._route_loads.calls(service, self._routes[kind])
             most[kind] = max(most.get(kind, 0.0), calls)
         for kind, calls in most.items():
@@ -119,9 +121,9 @@
     def admitted_share(self, service: str, route: Route) -> float:
         """Return the share of a route's requests that is admitted now."""
         key = service, route.kind
-        if key not in self._levels:
+        if key not in self._controllers:
             self._routes[route.kind] = route.name
-            self._levels[key] = RefusalLevel()
+            self._controllers[key] = RefusalLevel()
             self._shares[key] = 1.0
         self._order.note_request(route, self._clock.now())
         return self._shares[key]
@@ -135,7 +137,7 @@
         """Return the route name of a kind that has been requested."""
         return self._routes[kind]
 
-    def admits(self, route: Route, share: float, turn: CallerTurn) -> bool:
+    def admits(self, route: Route, share: float, credit: CallerTurn) -> bool:
         """Return whether a request is admitted.
 
         First attempts and retries after a refusal are treated alike: callers differ in
@@ -147,10 +149,10 @@
             Route of the request.
         share : float
             Admitted share of its kind, from `admitted_share`.
-        turn : CallerTurn
+        credit : CallerTurn
             Admissions that its caller is owed, for fairness among callers.
         """
-        return self._fair_shares.admits(route.kind, share, turn)
+        return self._fair_admission.admits(route.kind, share, credit)
 
     def retry_after(self, route: Route) -> Milliseconds:
         """Return the milliseconds after which a refused caller may retry."""
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_queue.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_queue.py
@@ -72,7 +72,7 @@
 
     Attributes
     ----------
-    repeats : PaidRepeats
+    retry_admission : PaidRepeats
         Admission of retries, which are paid for from the retry budget.
     leaving : bool
         Whether this node is shutting down and accepts no new calls.
@@ -94,13 +94,13 @@
     ) -> None:
         self._cfg = cfg
         self.reports = CrashReports(cfg.quarantine, cfg.service, clock, rng, teller)
-        self.repeats = PaidRepeats(cfg.budget, clock, teller, rng)
+        self.retry_admission = PaidRepeats(cfg.budget, clock, teller, rng)
         self._clock = clock
         self._tell = teller
         self._queue: DoorQueue[PendingCall] = DoorQueue(1)
         self._offered = OfferedLoad()
         self.rank_stats = RankTurns()
-        self._lost_calls = LostTrees()
+        self._queue_timeouts = LostTrees()
         self._incarnation = Incarnation()
         self._conns = BackendConns(cfg, clock, teller, self._settle, poller)
         self._at_server: dict[PendingCall, None] = {}
@@ -122,7 +122,7 @@
         """Adopt changed settings."""
         self._cfg = cfg
         self._conns.adopt(cfg)
-        self.repeats.adopt(cfg.budget)
+        self.retry_admission.adopt(cfg.budget)
 
     @property
     def load(self) -> int:
@@ -179,10 +179,8 @@
         queue = self._queue
         if not queue.service_ms:
             return queue.load
-        places = self._offered.places(
-            self._clock.now(), queue.service_ms, queue.waiting
-        )
-        return places * self._lost_calls.strain(self._clock.now())
+        slots = self._offered.places(self._clock.now(), queue.service_ms, queue.waiting)
+        return slots * self._queue_timeouts.strain(self._clock.now())
 
     def is_warming(self) -> bool:
         """Whether the backend server is in its warm-up."""
@@ -297,14 +295,14 @@
         if not instance or instance != call.instance:
             pending.reply(NotRun(LEAVING if self.known_instance() else NO_BACKEND))
             return
-        if not self.repeats.admits(call, self.failing()):
+        if not self.retry_admission.admits(call, self.failing()):
             pending.reply(NotRun(NO_BUDGET))
             return
         now = self._clock.now()
         self._offered.note_arrival(now)
         self.rank_stats.note_arrival(call.rank, now)
         if call.is_call:
-            self._lost_calls.note_arrival(call.rank, now)
+            self._queue_timeouts.note_arrival(call.rank, now)
         if self._queue.has_place():
             self._start(pending)
             return
@@ -329,7 +327,7 @@
         A running call that is not idempotent is left to finish.
         """
         if pending.waiting is not None and self._queue.drop(pending.waiting):
-            self._record_lost_call(pending)
+            self._record_queue_timeout(pending)
             pending.reply(NotRun(CANCELLED))
         elif pending.conn is not None and pending.call.idempotent:
             self._abort(pending, MayHaveRun(CANCELLED))
@@ -383,15 +381,15 @@
             else:
                 waiting.job.reply(NotRun(LEAVING))
 
-    def _record_lost_call(self, pending: PendingCall) -> None:
+    def _record_queue_timeout(self, pending: PendingCall) -> None:
         """Count a nested call that got no slot before its deadline or cancellation."""
         if pending.call.is_call:
-            self._lost_calls.note_lost(pending.call.rank, self._clock.now())
+            self._queue_timeouts.note_lost(pending.call.rank, self._clock.now())
 
     def _expire(self, now: Milliseconds) -> None:
         """Expire calls past their deadline, and close connections idle for too long."""
         for waiting in self._queue.expired(now):
-            self._record_lost_call(waiting.job)
+            self._record_queue_timeout(waiting.job)
             waiting.job.reply(NotRun(EXPIRED))
         late = [p for p in self._at_server if now >= p.deadline + _ANSWER_GRACE_MS]
         for pending in late:
@@ -426,7 +424,9 @@
                 self._health.note_answer(now)
                 self.reports.record_answer(pending.call.fingerprint)
                 if status < 500:
-                    self.repeats.note_answered(pending.call.route, pending.calls)
+                    self.retry_admission.note_answered(
+                        pending.call.route, pending.calls
+                    )
                 failed = status >= 500 and not pending.failed_in_nested_call()
             case NotRun(_, offered):
                 if not offered:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/crash_reports.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/crash_reports.py
@@ -73,7 +73,7 @@
     ) -> None:
         self.quarantine = Quarantine(cfg, clock)
         self._clock = clock
-        self._lost_servers = LostServers()
+        self._lost_link_requests = LostServers()
         self._service = service
         self._rng = rng
         self._tell = teller
@@ -99,7 +99,7 @@
     def record_lost_link(self, node: str, instance: str, fingerprint: bytes) -> None:
         """Record that a request was lost with the link to a server's node."""
         now = self._clock.now()
-        self._lost_servers.record_lost(node, instance, fingerprint, now)
+        self._lost_link_requests.record_lost(node, instance, fingerprint, now)
 
     def resolve_server(self, node: str, service: str, instance: str) -> None:
         """Record the server behind a node, and report a crash of the earlier one.
@@ -107,7 +107,7 @@
         If a node whose link was lost comes back with another server incarnation, the
         earlier one has ended with the requests that were sent to it.
         """
-        found = self._lost_servers.resolve(node, instance)
+        found = self._lost_link_requests.resolve(node, instance)
         if found is None:
             return
         ended, at, lost = found
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/entry.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/entry.py
@@ -159,7 +159,7 @@
     ) -> Placement:
         """Begin to place a call of the backend server."""
         service = self._rotation.pick(route)
-        self._route_loads.note_call(parent.call.route, service, route.name)
+        self._route_loads.record_nested_call(parent.call.route, service, route.name)
         placement = Placement(self._context, req, route, service, parent, done)
         placement.start()
         return placement
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/inbound_links.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/inbound_links.py
@@ -92,7 +92,7 @@
         Called with the greeting of each node that opens a link.
     config_text : callable
         Returns the adopted configuration, or None.
-    below : callable
+    downstream_fullness : callable
         Returns the fullness of the services that a route's requests call.
     on_report : callable
         Called with another node's report of requests that crash servers, and with the
@@ -124,7 +124,7 @@
         self._by_node: dict[str, FramedLink] = {}
         self.on_hello: Callable[[Hello], None] = _ignore
         self.config_text: Callable[[], ConfigText | None] = _no_config
-        self.below: Callable[[str], float] = _no_calls
+        self.downstream_fullness: Callable[[str], float] = _no_calls
         self.on_report: Callable[[Report, str], None] = _ignore_report
         self.send_snapshot: Callable[[Post], None] = _ignore
         self.answer_age: Callable[[AgeWanted], Age | None] = _no_age
@@ -211,7 +211,9 @@
 
         def reply(outcome: Outcome) -> None:
             if pending_calls.pop(call.call_id, None) is not None:
-                below = pending.summarize_nested_calls(self.below(call.route))
+                below = pending.summarize_nested_calls(
+                    self.downstream_fullness(call.route)
+                )
                 sender.load_sent_at = self._clock.now()
                 load, offered = self._backend_queue.load, self._backend_queue.offered()
                 link.post(Reply(call.call_id, outcome, load, offered, below))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/local_peer.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/local_peer.py
@@ -28,7 +28,7 @@
         Queue to which calls are submitted.
     clock : Clock
         Time in milliseconds.
-    below : callable
+    downstream_fullness : callable
         Returns the fullness of the services that a route's requests call.
 
     Attributes
@@ -43,12 +43,12 @@
         service: str,
         backend_queue: BackendQueue,
         clock: Clock,
-        below: Callable[[str], float],
+        downstream_fullness: Callable[[str], float],
     ) -> None:
         self.target = Target(node, "", service, local=True, usable=False)
         self._backend_queue = backend_queue
         self._clock = clock
-        self._below = below
+        self._downstream_fullness = downstream_fullness
         self._pending_calls: dict[int, PendingCall] = {}
 
     def send(self, call: Call, reply: OnReply) -> None:
@@ -58,7 +58,12 @@
             if self._pending_calls.pop(call.call_id, None) is not None:
                 self.target.others = self._backend_queue.load
                 self.target.offered = self._backend_queue.offered()
-                reply(outcome, pending.summarize_nested_calls(self._below(call.route)))
+                reply(
+                    outcome,
+                    pending.summarize_nested_calls(
+                        self._downstream_fullness(call.route)
+                    ),
+                )
 
         pending = PendingCall.of(call, self._clock.now(), done)
         self._pending_calls[call.call_id] = pending
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/local_status.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/local_status.py
@@ -10,8 +10,8 @@
     from fuchsiagap_node.core.mesh.backend_queue import BackendQueue
     from fuchsiagap_node.core.mesh.config_sync import ConfigSync
 
-# Steps into which the load of a server, from empty to full, is divided in a status.
-_LOAD_STEPS = 4
+# Steps of a server's load, from empty to full, that a status distinguishes.
+_STEPS = 4
 # Relative change of the service time from which on a new value is sent. The average of
 # some hundred widely differing times fluctuates by a tenth.
 _MIN_SERVICE_MS_CHANGE = 0.15
@@ -25,7 +25,7 @@
     backend_queue : BackendQueue
         Queue of the backend server.
     config : ConfigSync
-        State of the configuration in force.
+        The configuration in force.
     """
 
     def __init__(self, backend_queue: BackendQueue, config: ConfigSync) -> None:
@@ -34,7 +34,7 @@
         self._service_ms = 0.0
 
     def now(self) -> Status:
-        """Return the current status."""
+        """Return the status as it is now."""
         backend_queue = self._backend_queue
         return Status(
             backend_queue.instance(),
@@ -60,9 +60,8 @@
 def _round_down(load: int, limit: int) -> int:
     """Round a load down to a step, so that small changes cause no new status.
 
-    Replies carry the exact load; a status is meant for senders that had no reply
-    recently. Without rounding, idle links would carry a status at each tick and little
-    else.
+    Replies carry the exact load; a status is for senders that had no reply recently. At
+    one status each tick, idle links would carry little else.
     """
-    step = max(limit // _LOAD_STEPS, 1)
+    step = max(limit // _STEPS, 1)
     return load // step * step
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/node.py
@@ -137,9 +137,9 @@
         self.backend_queue = BackendQueue(cfg, clock, tell, rng, self._poller)
         self._peers = Peers()
         self._route_loads = RouteLoads(self._peers, clock)
-        below = self._route_loads.below
+        downstream_fullness = self._route_loads.downstream_fullness
         self._local_peer = LocalPeer(
-            cfg.node, cfg.service, self.backend_queue, clock, below
+            cfg.node, cfg.service, self.backend_queue, clock, downstream_fullness
         )
         self._peers.put(self._local_peer)
         self.reports = self.backend_queue.reports
@@ -189,7 +189,7 @@
         self._links = Links(own, hello, self._peers, clock, tell, self._poller)
         self._links.on_link = self._prepare_link
         self._local_status = LocalStatus(self.backend_queue, self._config)
-        self.backend_queue.repeats.n_doors = lambda: (
+        self.backend_queue.retry_admission.n_doors = lambda: (
             self._links.n_beside(cfg.service) + 1
         )
         self._members = MemberSync(own, self._links, store, cfg, clock, rng, tell)
@@ -203,7 +203,7 @@
         )
         self._inbound.on_hello = self._links.take_hello
         self._inbound.config_text = self._config.in_force.text
-        self._inbound.below = below
+        self._inbound.downstream_fullness = downstream_fullness
         self._workspaces.prepare_inbound(self._inbound)
         self._inbound.on_report = self.reports.handle
         self._inbound.send_snapshot = self.reports.send_snapshot
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/pending_call.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/pending_call.py
@@ -41,7 +41,7 @@
     calls : int
         Number of nested calls that the backend server made for it, at all depths.
     open_calls : int
-        Number of nested calls of the backend server that are in progress.
+        Number of its nested calls that are in progress.
     call_failed : bool
         Whether one of its nested calls failed.
     """
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/placement.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/placement.py
@@ -47,7 +47,7 @@
 
 # Milliseconds past the caller's deadline for which an answer in transit is still
 # awaited.
-_LAST_WORD_MS = 120.0
+_ANSWER_GRACE_MS = 120.0
 # Share of the latency objective for which a request may wait for a usable backend
 # server before it is refused. A later refusal would leave its caller no time to retry.
 _MAX_SEARCH_SHARE = 0.2
@@ -100,7 +100,7 @@
         "_denials",
         "_done",
         "_due",
-        "_failed_below",
+        "_failed_in_nested_call",
         "_fingerprint",
         "_is_quarantined",
         "_last",
@@ -152,7 +152,7 @@
         self._denials = 0
         self._placements = 0
         self._may_have_run = False
-        self._failed_below = False
+        self._failed_in_nested_call = False
         self._is_quarantined = False
         self._tried: list[str] = []
         self._offered_to: set[str] = set()
@@ -235,7 +235,7 @@
         self._placements += 1
         self._peer = peer
         self._call = call = self._new_call(peer)
-        self.wakes_at = self._deadline + _LAST_WORD_MS
+        self.wakes_at = self._deadline + _ANSWER_GRACE_MS
         peer.send(call, self._handle_reply)
 
     def _new_call(self, peer: Peer) -> Call:
@@ -278,14 +278,14 @@
         self._peer = self._call = None
         if self._pending_parent is not None:
             self._pending_parent.calls += 1 + below.calls
-        self._failed_below = below.failed
+        self._failed_in_nested_call = below.failed
         try:
             if isinstance(outcome, Answered):
                 route = self._route.name
-                self._context.route_loads.note_reply(self._service, route, below)
+                self._context.route_loads.record_reply(self._service, route, below)
                 sent = len(call.head) + len(call.body)
                 received = len(outcome.headers) + len(outcome.body)
-                self._context.note_bytes(route, sent + received)
+                self._context.record_bytes(route, sent + received)
                 self._context.reports.record_answer(self._fingerprint)
             elif isinstance(outcome, MayHaveRun) and outcome.reason == LINK_LOST:
                 node = peer.target.node
@@ -353,7 +353,7 @@
         failed, within the budget, and a retry at each hop above would repeat its whole
         call tree out of the same budgets.
         """
-        if self._failed_below:
+        if self._failed_in_nested_call:
             return False
         return self._route.idempotent and outcome.status in (500, 502)
 
@@ -386,7 +386,7 @@
                 status=outcome.status,
                 arrivals=self._arrivals + 1,
                 tried=self._tried,
-                below=self._failed_below,
+                below=self._failed_in_nested_call,
                 took=self._elapsed_ms(),
             )
         if outcome.status in NOT_RUN_STATUSES:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/placement_context.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/placement_context.py
@@ -131,7 +131,7 @@
             target = choose(targets, (), self._rng, penalty)
         return None if target is None else self.peers.get(target.node)
 
-    def note_bytes(self, route: str, n_bytes: int) -> None:
+    def record_bytes(self, route: str, n_bytes: int) -> None:
         """Update the average size of a route's requests and answers."""
         known = self._bytes.get(route, float(n_bytes))
         self._bytes[route] = known + (n_bytes - known) * _BYTES_WEIGHT
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/route_loads.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/route_loads.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True)
-class _Below:
+class _CallSummary:
     """Latest summary in replies of the services that a route's requests call."""
 
     value: float
@@ -48,7 +48,7 @@
 
 
 @dataclass(slots=True)
-class _Computed:
+class _CachedFullness:
     """A cached fullness with the time of its computation."""
 
     value: float
@@ -72,17 +72,17 @@
     def __init__(self, peers: Peers, clock: Clock) -> None:
         self._peers = peers
         self._clock = clock
-        self._below: dict[tuple[str, str], _Below] = {}
+        self._summaries: dict[tuple[str, str], _CallSummary] = {}
         self._calls_by_route: dict[str, dict[tuple[str, str], Milliseconds]] = {}
-        self._computed: dict[str, _Computed] = {}
+        self._cache: dict[str, _CachedFullness] = {}
 
-    def note_reply(self, service: str, route: str, below: Below) -> None:
+    def record_reply(self, service: str, route: str, below: Below) -> None:
         """Update a route from the summary of nested calls in a reply."""
         fullness, calls, failed = below
         now = self._clock.now()
-        known = self._below.get((service, route))
+        known = self._summaries.get((service, route))
         if known is None:
-            self._below[service, route] = _Below(fullness, now, calls)
+            self._summaries[service, route] = _CallSummary(fullness, now, calls)
             return
         weight = 1.0 - math.exp((known.at - now) / _SMOOTHING_MS)
         known.value += (fullness - known.value) * weight
@@ -92,31 +92,31 @@
             known.calls += (calls - known.calls) * _CALLS_WEIGHT
         known.at = now
 
-    def note_call(self, parent_route: str, service: str, route: str) -> None:
+    def record_nested_call(self, parent_route: str, service: str, route: str) -> None:
         """Record a nested call made by a request that runs on this host."""
         calls = self._calls_by_route.setdefault(parent_route, {})
         calls[service, route] = self._clock.now()
 
     def makes_calls(self, service: str, route: str) -> bool:
         """Whether requests of a route make nested calls when a service runs them."""
-        known = self._below.get((service, route))
+        known = self._summaries.get((service, route))
         return known is not None and known.value > NO_CALLS / 2
 
     def calls(self, service: str, route: str) -> float:
         """Return the average number of nested calls of a request, at all depths."""
-        known = self._below.get((service, route))
+        known = self._summaries.get((service, route))
         return 0.0 if known is None else known.calls
 
     def fullness(self, service: str, route: str) -> float:
         """Return the highest fullness among a service and those that it calls."""
         own = service_fullness(self._peers.targets(service))
-        known = self._below.get((service, route))
+        known = self._summaries.get((service, route))
         if known is None or known.value <= 0.0:
             return own
         age = self._clock.now() - known.at
         return max(own, known.value * math.exp(-age / _DECAY_MS))
 
-    def below(self, route: str) -> float:
+    def downstream_fullness(self, route: str) -> float:
         """Return the fullness of the services that requests on this host call.
 
         Returns
@@ -128,15 +128,15 @@
         if not calls:
             return NO_CALLS
         now = self._clock.now()
-        computed = self._computed.get(route)
-        if computed is None or now - computed.at >= _CACHE_MS:
+        cached = self._cache.get(route)
+        if cached is None or now - cached.at >= _CACHE_MS:
             self._drop_old(calls, now)
             fullest = max(
                 (self._fullness_with_failures(*call) for call in calls), default=0.0
             )
-            computed = _Computed(round(_propagated(fullest), 3), now)
-            self._computed[route] = computed
-        return computed.value
+            cached = _CachedFullness(round(_propagated(fullest), 3), now)
+            self._cache[route] = cached
+        return cached.value
 
     def _fullness_with_failures(self, service: str, route: str) -> float:
         failing = service_failing(self._peers.targets(service))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/server_crashes.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/server_crashes.py
@@ -24,7 +24,7 @@
 
 
 class ServerCrashes:
-    """Tells crashes of the server from planned stops, and reports what it ran.
+    """Distinguishes crashes of the server from planned stops, and reports crashes.
 
     Parameters
     ----------
@@ -51,14 +51,14 @@
         self._clock = clock
         self._tell = teller
         self._running_fingerprints = running_fingerprints
-        self._watch = CrashWatch()
+        self._crash_tracker = CrashWatch()
         self._is_ready = False
         self.on_crash: Callable[[str, frozenset[bytes]], None] = _ignore
 
     @property
     def is_suspected(self) -> bool:
         """Whether a request ended without an answer and none was answered since."""
-        return self._watch.has_unanswered
+        return self._crash_tracker.has_unanswered
 
     def record_report(self, report: BackendReport, is_same_start: bool) -> None:
         """Record the current incarnation and its state.
@@ -82,7 +82,7 @@
 
     def _start(self, report: BackendReport) -> None:
         start = f"{report.instance} {report.born or ''}".rstrip()
-        self._watch.start_incarnation(start, self._clock.now())
+        self._crash_tracker.start_incarnation(start, self._clock.now())
 
     def record_answer(self, outcome: Outcome) -> None:
         """Record an answer or refusal of the server.
@@ -92,16 +92,18 @@
         if isinstance(outcome, NotRun) and outcome.reason == OTHER_INCARNATION:
             return
         if isinstance(outcome, NotRun | Answered):
-            self._watch.record_answer(self._clock.now())
+            self._crash_tracker.record_answer(self._clock.now())
 
     def record_unanswered(self, pending: PendingCall) -> None:
         """Record that a call ended without an answer."""
         fingerprint = pending.call.fingerprint
-        crashed = self._watch.record_unanswered(
+        crashed = self._crash_tracker.record_unanswered(
             fingerprint, pending.started, self._clock.now()
         )
         if crashed:
-            self._report_crash(crashed, "found out later", frozenset({fingerprint}))
+            self._report_crash(
+                crashed, "unanswered after an earlier crash", frozenset({fingerprint})
+            )
 
     def record_unreachable(self, cause: BrokenStream) -> None:
         """Record that the server accepted no connection."""
@@ -119,11 +121,15 @@
         Connections that break while a server drains or after it left are part of a
         planned stop.
         """
-        if not self._is_ready or self._watch.has_crashed:
+        if not self._is_ready or self._crash_tracker.has_crashed:
             return
-        running_fingerprints = self._watch.record_crash(self._running_fingerprints())
+        running_fingerprints = self._crash_tracker.record_crash(
+            self._running_fingerprints()
+        )
         if running_fingerprints:
-            self._report_crash(self._watch.incarnation, evidence, running_fingerprints)
+            self._report_crash(
+                self._crash_tracker.incarnation, evidence, running_fingerprints
+            )
 
     def _report_crash(
         self, incarnation: str, evidence: str, running_fingerprints: frozenset[bytes]
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/ticker.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/ticker.py
@@ -19,7 +19,7 @@
     from fuchsiagap.core.clock import Clock, Milliseconds
     from fuchsiagap_node.core.mesh.telling import Teller
 
-# Milliseconds between two ticks, short enough to expire calls by their deadlines.
+# Milliseconds between two ticks, short enough to expire calls close to their deadlines.
 TICK_MS = 50.0
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/simulated_service.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/simulated_service.py
@@ -49,7 +49,7 @@
         self.admission = Admission(
             self._chain[-1], self.served, clock, random.Random(1), Teller("n", clock)
         )
-        self._turn = CallerTurn()
+        self._credit = CallerTurn()
 
     def step(self, offered):
         """Advance by one step of admission control, with an offered load per server."""
@@ -58,8 +58,10 @@
         self.now += STEP_MS
         called = "certs"
         for below, above in zip(self._chain[:-1], self._chain[1:], strict=True):
-            below.note_call("read", called, "read")
-            above.note_reply("between", "read", Below(below.below("read"), 1))
+            below.record_nested_call("read", called, "read")
+            above.record_reply(
+                "between", "read", Below(below.downstream_fullness("read"), 1)
+            )
             called = "between"
         self.admission.step()
 
@@ -67,8 +69,10 @@
         """Return how many of `n_requests` requests are admitted."""
         service = "certs" if len(self._chain) == 1 else "between"
         share = self.admission.admitted_share(service, route)
-        turn = self._turn
-        admits = [self.admission.admits(route, share, turn) for _ in range(n_requests)]
+        credit = self._credit
+        admits = [
+            self.admission.admits(route, share, credit) for _ in range(n_requests)
+        ]
         for admitted in admits:
             if admitted:
                 self.served.note_end(route.name, True, self.now)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_route_loads.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_route_loads.py
@@ -12,7 +12,7 @@
     """Return the estimated number of nested calls of a route after some replies."""
     route_loads = RouteLoads(Peers(), Clock(lambda: 0.0, lambda: 0.0))
     for below in replies:
-        route_loads.note_reply("pages", "browse", below)
+        route_loads.record_reply("pages", "browse", below)
     return route_loads.calls("pages", "browse")
 
 
