--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_queue.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_queue.py
@@ -72,8 +72,8 @@
 
     Attributes
     ----------
-    retry_admission : PaidRepeats
-        Admission of retries, which are paid for from the retry budget.
+    retry_budget : PaidRepeats
+        Retry budget of this queue, which admits or denies retries.
     leaving : bool
         Whether this node is shutting down and accepts no new calls.
     rank_stats : RankTurns
@@ -94,7 +94,7 @@
     ) -> None:
         self._cfg = cfg
         self.reports = CrashReports(cfg.quarantine, cfg.service, clock, rng, teller)
-        self.retry_admission = PaidRepeats(cfg.budget, clock, teller, rng)
+        self.retry_budget = PaidRepeats(cfg.budget, clock, teller, rng)
         self._clock = clock
         self._tell = teller
         self._queue: DoorQueue[PendingCall] = DoorQueue(1)
@@ -122,7 +122,7 @@
         """Adopt changed settings."""
         self._cfg = cfg
         self._conns.adopt(cfg)
-        self.retry_admission.adopt(cfg.budget)
+        self.retry_budget.adopt(cfg.budget)
 
     @property
     def load(self) -> int:
@@ -295,7 +295,7 @@
         if not instance or instance != call.instance:
             pending.reply(NotRun(LEAVING if self.known_instance() else NO_BACKEND))
             return
-        if not self.retry_admission.admits(call, self.failing()):
+        if not self.retry_budget.admits(call, self.failing()):
             pending.reply(NotRun(NO_BUDGET))
             return
         now = self._clock.now()
@@ -424,9 +424,7 @@
                 self._health.note_answer(now)
                 self.reports.record_answer(pending.call.fingerprint)
                 if status < 500:
-                    self.retry_admission.note_answered(
-                        pending.call.route, pending.calls
-                    )
+                    self.retry_budget.note_answered(pending.call.route, pending.calls)
                 failed = status >= 500 and not pending.failed_in_nested_call()
             case NotRun(_, offered):
                 if not offered:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/inbound_links.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/inbound_links.py
@@ -185,12 +185,12 @@
                 self._greet(link, sender, hello)
             case Crash() | Held() | Cleared() as report:
                 self.on_report(report, sender.node)
-            case AgeWanted() as question:
-                age = self.answer_age(question)
+            case AgeWanted() as query:
+                age = self.answer_age(query)
                 if age is not None:
                     link.post(age)
-            case TokensWanted() as question:
-                link.post(self.answer_tokens(question))
+            case TokensWanted() as query:
+                link.post(self.answer_tokens(query))
             case ConfigWanted():
                 text = self.config_text()
                 if text is not None:
@@ -269,9 +269,9 @@
     """Return that the age is not known."""
 
 
-def _no_tokens(question: TokensWanted) -> TokensGranted:
+def _no_tokens(query: TokensWanted) -> TokensGranted:
     """Return that this node owns no quota."""
-    return TokensGranted(question.question, question.workspace, 0, 0.0, is_owner=False)
+    return TokensGranted(query.question, query.workspace, 0, 0.0, is_owner=False)
 
 
 def _no_calls(_: str) -> float:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/node.py
@@ -189,7 +189,7 @@
         self._links = Links(own, hello, self._peers, clock, tell, self._poller)
         self._links.on_link = self._prepare_link
         self._local_status = LocalStatus(self.backend_queue, self._config)
-        self.backend_queue.retry_admission.n_doors = lambda: (
+        self.backend_queue.retry_budget.n_doors = lambda: (
             self._links.n_beside(cfg.service) + 1
         )
         self._members = MemberSync(own, self._links, store, cfg, clock, rng, tell)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/placement.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/placement.py
@@ -104,7 +104,6 @@
         "_fingerprint",
         "_is_quarantined",
         "_last",
-        "_lot",
         "_may_have_run",
         "_offered_to",
         "_parent_call",
@@ -113,6 +112,7 @@
         "_placements",
         "_req",
         "_route",
+        "_sampling_key",
         "_service",
         "_started",
         "_tried",
@@ -147,7 +147,7 @@
         self._fingerprint = fingerprint(
             req.method, req.host, req.target, req.identity, req.body
         )
-        self._lot = context.draw_lot() if parent is None else parent.call.lot
+        self._sampling_key = context.draw_lot() if parent is None else parent.call.lot
         self._arrivals = 0
         self._denials = 0
         self._placements = 0
@@ -263,7 +263,7 @@
             parent is not None,
             self._arrivals > 0 or (parent is not None and parent.repeated),
             self._arrivals > 0,
-            self._lot,
+            self._sampling_key,
             route.idempotent,
             req.request_id,
             route.name,
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/placement_context.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/placement_context.py
@@ -49,7 +49,7 @@
     clock : Clock
         Time in milliseconds.
     rng : random.Random
-        Breaks ties between servers, and draws retry lots.
+        Breaks ties between servers, and draws sampling keys for retries.
     teller : Teller
         Event log and counters.
     reports : CrashReports
@@ -141,9 +141,9 @@
         return next(self._ids)
 
     def draw_lot(self) -> int:
-        """Draw the lot of a call tree.
+        """Draw the sampling key of a call tree.
 
         Where the retry budget does not cover all call trees, those with the smallest
-        lots are retried.
+        keys are retried.
         """
         return self._rng.randrange(N_LOTS)
