--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/admission.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/admission.py
@@ -83,7 +83,7 @@
         guaranteed = kept_share(self._served.whole(now))
         worst = deepest_cut(0, kinds, guaranteed)
         for (service, kind), controller in self._controllers.items():
-            was_open = controller.cut == 0.0
+            was_admitting_all = controller.cut == 0.0
             fullness = self._route_loads.fullness(service, self._routes[kind])
             step = steps.get(kind)
             most = deepest_cut(step or 0, kinds, guaranteed)
@@ -97,13 +97,13 @@
                 self._shares[service, kind] = share_of(
                     step, load_share, kinds, guaranteed
                 )
-            if was_open != (controller.cut == 0.0):
+            if was_admitting_all != (controller.cut == 0.0):
                 self._tell.event(
                     "admission-changed",
                     service=service,
                     route=kind,
                     fullness=round(fullness, 2),
-                    refusing=was_open,
+                    refusing=was_admitting_all,
                 )
 
     def _update_call_counts(self) -> None:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_conn.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_conn.py
@@ -196,11 +196,11 @@
         else:
             self._on_read(self, None if answer is None else _outcome(answer))
 
-    def _handle_end(self, why: BrokenStream) -> None:
+    def _handle_end(self, cause: BrokenStream) -> None:
         """Handle the end of the connection, which truncates or completes an answer."""
-        self.silent = isinstance(why, SilentStream)
-        if not isinstance(why, EndedStream) or self.call is None:
-            self._fail(why)
+        self.silent = isinstance(cause, SilentStream)
+        if not isinstance(cause, EndedStream) or self.call is None:
+            self._fail(cause)
             return
         try:
             answer = self._read_answer(b"", self.call)
@@ -210,9 +210,9 @@
         self.close()
         self._on_read(self, None if answer is None else _outcome(answer))
 
-    def _fail(self, why: Exception) -> None:
+    def _fail(self, cause: Exception) -> None:
         self.close()
-        outcome = MayHaveRun(f"broken answer: {why}") if self.call else None
+        outcome = MayHaveRun(f"broken answer: {cause}") if self.call else None
         self._on_read(self, outcome)
 
     def _read_answer(self, data: bytes, call: Call) -> Answer | None:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_conns.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_conns.py
@@ -170,8 +170,8 @@
         """Close a connection after an unexpected exception, and settle its call."""
         self._tell.fault("backend-connection", exc)
         conn.close()
-        why = f"internal error of the node: {type(exc).__name__}"
-        self._handle_outcome(conn, MayHaveRun(why))
+        reason = f"internal error of the node: {type(exc).__name__}"
+        self._handle_outcome(conn, MayHaveRun(reason))
 
     def _remove(self, conn: BackendConn) -> None:
         """Remove a connection that has ended."""
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_queue.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_queue.py
@@ -226,12 +226,12 @@
         self.changed()
 
     def _reset_for_incarnation(
-        self, old: BackendReport | None, now: BackendReport
+        self, old: BackendReport | None, report: BackendReport
     ) -> None:
         """Reset what was learned of the earlier incarnation."""
         self._health.forget_failures()
         self._n_long_term_samples = 0
-        if old is None or old.instance != now.instance:
+        if old is None or old.instance != report.instance:
             return
         # The server restarted under the same identifier. Calls in flight end with their
         # connections and may have run; the new incarnation may already hold some of
