--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/admission.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/admission.py
@@ -81,13 +81,15 @@
         steps = self._order.steps_from_worst()
         kinds = self._order.loads(now)
         guaranteed = kept_share(self._served.whole(now))
-        worst = deepest_cut(0, kinds, guaranteed)
+        max_cut_of_lowest = deepest_cut(0, kinds, guaranteed)
         for (service, kind), controller in self._controllers.items():
             was_admitting_all = controller.cut == 0.0
             fullness = self._route_loads.fullness(service, self._routes[kind])
             step = steps.get(kind)
-            most = deepest_cut(step or 0, kinds, guaranteed)
-            controller.step(fullness, min(elapsed, 5 * STEP_MS), worst, most)
+            max_cut = deepest_cut(step or 0, kinds, guaranteed)
+            controller.step(
+                fullness, min(elapsed, 5 * STEP_MS), max_cut_of_lowest, max_cut
+            )
             if step is None:
                 # Requested too rarely to be ranked among the kinds; all are admitted,
                 # which adds hardly any load.
@@ -111,11 +113,11 @@
 
         Of a route that is split over several services, the largest number counts.
         """
-        most: dict[str, float] = {}
+        max_calls: dict[str, float] = {}
         for service, kind in self._controllers:
             calls = self._route_loads.calls(service, self._routes[kind])
-            most[kind] = max(most.get(kind, 0.0), calls)
-        for kind, calls in most.items():
+            max_calls[kind] = max(max_calls.get(kind, 0.0), calls)
+        for kind, calls in max_calls.items():
             self._order.note_calls(kind, calls)
 
     def admitted_share(self, service: str, route: Route) -> float:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_conn.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_conn.py
@@ -219,6 +219,11 @@
         """Return the answer with the call's identifier, once it is complete.
 
         Answers to other requests are skipped.
+
+        Raises
+        ------
+        BadAnswer
+            If an answer is malformed, or the connection ended without the answer.
         """
         answers = self._reader.feed(data) if data else self._reader.end()
         for index, answer in enumerate(answers):
@@ -256,7 +261,8 @@
     """Whether an answer belongs to a request.
 
     An error need not echo the request's identifier. A success without an identifier
-    does not count, as it may be a late answer to an earlier request.
+    does not count, as it may be a late answer to an earlier request. To a request
+    without an identifier, any answer without one belongs.
     """
     if answer.request_id:
         return answer.request_id == request_id
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_conns.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_conns.py
@@ -198,7 +198,9 @@
             self._settle(pending, NotRun(EXPIRED))
             return False
         if not conn.send(pending.call, left):
-            self._settle(pending, NotRun("connection closed at once", offered=True))
+            self._settle(
+                pending, NotRun("connection closed before the call", offered=True)
+            )
             return False
         self._schedule_send_rest(conn)
         return True
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_queue.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_queue.py
@@ -146,7 +146,10 @@
 
     @property
     def long_term_service_ms(self) -> Milliseconds:
-        """Long-term average service time of answered requests; 0 if not known."""
+        """Long-term average service time in milliseconds; 0 if not known.
+
+        Requests that this server failed do not count.
+        """
         return (
             self._long_term_service_ms
             if self._n_long_term_samples >= _MIN_LONG_TERM_SAMPLES
@@ -174,7 +177,7 @@
     def offered(self) -> float:
         """Return the offered load, as the number of slots that it would occupy.
 
-        The load counts for more while nested calls time out in the queue.
+        The load is scaled up while nested calls time out in the queue.
         """
         queue = self._queue
         if not queue.service_ms:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/crash_reports.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/crash_reports.py
@@ -153,7 +153,10 @@
             post(crash)
 
     def may_be_sent(self, fingerprint: bytes) -> bool:
-        """Whether an entry node may send a request to the node of a server."""
+        """Whether an entry node may send a request to the node of a server.
+
+        A held request may be sent once its next probe is due.
+        """
         quarantine = self.quarantine
         return quarantine.admits(fingerprint) or not quarantine.retry_after(fingerprint)
 
@@ -242,7 +245,8 @@
         """Publish urgent clearances at once, and batch the others for `flush`.
 
         Of the requests that ran at one crash, a hundred may be answered within a
-        second, and few of them also ran at another crash.
+        second, and few of them also ran at another crash. Most clearances are therefore
+        not urgent.
         """
         if is_urgent:
             self._publish_cleared(fingerprints, sender)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/inbound_links.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/inbound_links.py
@@ -41,7 +41,8 @@
     from fuchsiagap_node.core.mesh.telling import Teller
 
 
-# Milliseconds for which the load last sent to a node is recent enough.
+# Milliseconds after a node was last sent the load during which it gets no status for a
+# change of the load alone.
 _LOAD_FRESH_MS = 1_000.0
 
 
@@ -98,9 +99,10 @@
         Called with another node's report of requests that crash servers, and with the
         name of that node.
     send_snapshot : callable
-        Sends a newly linked node the quarantine state that it needs before it sends.
+        Sends a newly linked node the quarantine state, before it may send calls.
     answer_age : callable
-        Returns the age of this node's knowledge of the configuration, or None.
+        Returns how long ago the configuration in force here was known to be the newest;
+        None if that is not known.
     answer_tokens : callable
         Returns the tokens that this node grants from a quota that it owns.
     """
@@ -266,11 +268,11 @@
 
 
 def _no_age(_: AgeWanted) -> None:
-    """Return that the age is not known."""
+    """Return no age."""
 
 
 def _no_tokens(query: TokensWanted) -> TokensGranted:
-    """Return that this node owns no quota."""
+    """Return a grant of no tokens, as this node owns no quota."""
     return TokensGranted(query.question, query.workspace, 0, 0.0, is_owner=False)
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/local_peer.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/local_peer.py
@@ -52,7 +52,11 @@
         self._pending_calls: dict[int, PendingCall] = {}
 
     def send(self, call: Call, reply: OnReply) -> None:
-        """Submit a call; `reply` is called once with its outcome."""
+        """Submit a call.
+
+        Unless the call is cancelled, `reply` is called once with its outcome and the
+        summary of its nested calls.
+        """
 
         def done(outcome: Outcome) -> None:
             if self._pending_calls.pop(call.call_id, None) is not None:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/local_status.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/local_status.py
@@ -12,7 +12,7 @@
 
 # Steps of a server's load, from empty to full, that a status distinguishes.
 _STEPS = 4
-# Relative change of the service time from which on a new value is sent. The average of
+# Relative change of the service time above which a new value is sent. The average of
 # some hundred widely differing times fluctuates by a tenth.
 _MIN_SERVICE_MS_CHANGE = 0.15
 
@@ -60,8 +60,8 @@
 def _round_down(load: int, limit: int) -> int:
     """Round a load down to a step, so that small changes cause no new status.
 
-    Replies carry the exact load; a status is for senders that had no reply recently. At
-    one status each tick, idle links would carry little else.
+    Replies carry the exact load; a status is for senders that had no reply recently. If
+    a status were sent at each tick, idle links would carry little else.
     """
     step = max(limit // _STEPS, 1)
     return load // step * step
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/pending_call.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/pending_call.py
@@ -28,8 +28,8 @@
     deadline : float
         Local time in milliseconds at which its sender gives up.
     due : float
-        Local time in milliseconds until which the request at the root of its call tree
-        meets its latency objective.
+        Local time in milliseconds by which the request at the root of its call tree has
+        to be answered to meet its latency objective.
     reply : callable
         Called once with the outcome.
     waiting : Waiting or None
@@ -73,7 +73,8 @@
         Parameters
         ----------
         fullness : float
-            Fullness of the services that the call's route leads to.
+            Fullness of the services that requests of the call's route call: offered
+            load relative to capacity.
         """
         return Below(fullness, self.calls, self.failed_in_nested_call())
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/placement.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/placement.py
@@ -173,6 +173,7 @@
 
     def cancel(self) -> None:
         """Cancel the request, as its caller has disconnected."""
+        # The value of each entry is None; 0 stands for no entry.
         if self._context.in_progress.pop(self, 0) is None:
             self._notify_parent(failed=True)
         self._cancel_call()
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/placement_context.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/placement_context.py
@@ -63,6 +63,8 @@
         Shares of the requests of this node's callers that succeeded, by route.
     caller_line : bytes
         Header line that names the service of this host as the caller.
+    target_name : bytes
+        Name of the header that states the incarnation a request is sent to.
     """
 
     def __init__(
@@ -110,6 +112,9 @@
     ) -> Peer | None:
         """Return the peer for the next attempt of a request; None if none is usable.
 
+        If all usable servers have been tried, only the last one tried is avoided. If
+        `only` leaves no other server than that, it is used again.
+
         Parameters
         ----------
         service, route : str
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/route_loads.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/route_loads.py
@@ -40,7 +40,17 @@
 
 @dataclass(slots=True)
 class _CallSummary:
-    """Latest summary in replies of the services that a route's requests call."""
+    """Summary, from replies, of the nested calls that a route's requests make.
+
+    Parameters
+    ----------
+    value : float
+        Smoothed fullness of the services that are called; `NO_CALLS` if there are none.
+    at : float
+        Local time in milliseconds of the last reply.
+    calls : float
+        Average number of nested calls of a request, at all depths.
+    """
 
     value: float
     at: Milliseconds
@@ -49,7 +59,15 @@
 
 @dataclass(slots=True)
 class _CachedFullness:
-    """A cached fullness with the time of its computation."""
+    """A cached fullness.
+
+    Parameters
+    ----------
+    value : float
+        The fullness.
+    at : float
+        Local time in milliseconds of its computation.
+    """
 
     value: float
     at: Milliseconds
@@ -100,6 +118,7 @@
     def makes_calls(self, service: str, route: str) -> bool:
         """Whether requests of a route make nested calls when a service runs them."""
         known = self._summaries.get((service, route))
+        # The value is smoothed between `NO_CALLS`, which is negative, and a fullness.
         return known is not None and known.value > NO_CALLS / 2
 
     def calls(self, service: str, route: str) -> float:
@@ -117,7 +136,10 @@
         return max(own, known.value * math.exp(-age / _DECAY_MS))
 
     def downstream_fullness(self, route: str) -> float:
-        """Return the fullness of the services that requests on this host call.
+        """Return the fullness of the services that a route's requests here call.
+
+        Failure shares count as additional fullness. The result is reduced by the loss
+        of one hop.
 
         Returns
         -------
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/server_crashes.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/server_crashes.py
@@ -19,7 +19,7 @@
     from fuchsiagap_node.core.mesh.stream import BrokenStream
     from fuchsiagap_node.core.mesh.telling import Teller
 
-# Requests that the log event of a crash names, at most.
+# Maximum number of fingerprints in the log event of a crash.
 _MAX_FINGERPRINTS_LOGGED = 8
 
 
@@ -87,7 +87,7 @@
     def record_answer(self, outcome: Outcome) -> None:
         """Record an answer or refusal of the server.
 
-        A refusal by another incarnation is no sign of life of the current one.
+        A refusal by another incarnation does not show that the current one responds.
         """
         if isinstance(outcome, NotRun) and outcome.reason == OTHER_INCARNATION:
             return
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/ticker.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/ticker.py
@@ -25,7 +25,17 @@
 
 @dataclass(slots=True)
 class _PeriodicTask:
-    """A function that is called at an interval."""
+    """A function that is called at an interval.
+
+    Parameters
+    ----------
+    interval : float
+        Milliseconds between two calls.
+    callback : callable
+        The function.
+    due : float
+        Local time in milliseconds of its next call.
+    """
 
     interval: Milliseconds
     callback: Callable[[], None]
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_nested_call_failures.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_nested_call_failures.py
@@ -1,19 +1,17 @@
 """A failing server deep in the call graph causes no refusals below capacity.
 
 Guards against refusing most low-priority requests for ten seconds and more after a few
-servers failed, down to 5 of 100 admitted, in deployments of 58 and 81 hosts. It comes
-about when a failure is counted more than once. A server at the end of the call graph
-resets its connections and gets no more requests, but its failures still count in
-proportion to its slots. The nodes up to three hops above count the failed nested calls
-as failures of their own servers too. Entry nodes then see twice the actual load, and
-admit so few requests that the failure shares of the servers above, averages over their
-last 30 requests, do not recover.
-
-In one second of such a case, the deepest service had a failing server with a failure
-share of 0.76 and no load, and a healthy one with an offered load of 0.87. The
-services above had offered loads of 0.06 to 0.25 and reported failure shares of
-0.27, 0.37 and 0.40; the entry nodes computed a fullness of 1.9 and admitted 6 of 100
-requests.
+servers failed, down to 5 of 100 admitted, in deployments of 58 and 81 hosts. This
+happens if the failures of a server that gets no more requests count in proportion to
+its slots, and if the nodes up to three hops above count each failed nested call as a
+failure of their own server too. Entry nodes then see twice the actual load, and admit
+so few requests that the failure shares, averages over the last 30 requests, do not
+recover.
+
+An example: the deepest service has a failing server (failure share 0.76, no load) and a
+healthy one (offered load 0.87). With offered loads of 0.06 to 0.25, the services above
+report failure shares of 0.27, 0.37 and 0.40, and the entry nodes compute a fullness of
+1.9 and admit 6 of 100 requests.
 """
 
 import trio
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_poller.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_poller.py
@@ -115,7 +115,7 @@
 
                     async def write():
                         await poller.wait_writable(here)
-                        found.append("went on")
+                        found.append("resumed")
 
                     nursery.start_soon(write)
                     await trio.sleep(0.01)
@@ -125,7 +125,7 @@
                 nursery.cancel_scope.cancel()
             return found
 
-        self.assertEqual(["waited", "went on"] * 2, trio.run(main))
+        self.assertEqual(["waited", "resumed"] * 2, trio.run(main))
 
     def test_task_deadlines_expire_while_messages_arrive(self):
         async def main():
@@ -197,11 +197,11 @@
     def test_broken_connection_that_is_not_watched_causes_no_wakeups(self):
         async def main():
             poller, (here, there) = make_poller(), a_pair()
-            turns = 0
+            n_waits = 0
 
             def count():
-                nonlocal turns
-                turns += 1
+                nonlocal n_waits
+                n_waits += 1
 
             poller.before_callbacks = count
             async with trio.open_nursery() as nursery:
@@ -210,9 +210,9 @@
                 # The socket is watched for writing only.
                 await poller.wait_writable(here)
                 there.close()
-                turns = 0
+                n_waits = 0
                 await trio.sleep(0.1)
                 nursery.cancel_scope.cancel()
-            return turns
+            return n_waits
 
         self.assertLess(trio.run(main), 5)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_server_crashes.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_server_crashes.py
@@ -28,7 +28,7 @@
 
 
 async def crash_events(scenario):
-    """Run `play` on one host and return its log events about crashes."""
+    """Run `scenario` on one host and return its log events about crashes."""
     async with a_deployment(a_route("read", max_attempts=1)) as deployment:
         host = deployment.add("certs")
         host.server.behave = behave
