--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_in_force.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/active_config.py
@@ -7,7 +7,7 @@
 import trio
 
 from fuchsiagap.core.freshness.knowledge_age import KnowledgeAge
-from fuchsiagap_node.core.mesh.messages import ConfigText
+from fuchsiagap_node.core.mesh.messages import EncodedConfig
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -17,7 +17,7 @@
     from fuchsiagap_node.core.mesh.telling import Teller
 
 
-class ConfigInForce:
+class ActiveConfig:
     """Adopts versions in their order, and never goes back.
 
     Versions are what the operators count; revisions of the store are given out again
@@ -29,7 +29,7 @@
         Time in milliseconds.
     teller : Teller
         Logs.
-    put_in_force : callable
+    apply_config : callable
         Puts a configuration in force.
 
     Attributes
@@ -42,11 +42,11 @@
         self,
         clock: Clock,
         teller: Teller,
-        put_in_force: Callable[[StoredConfig], None],
+        apply_config: Callable[[StoredConfig], None],
     ) -> None:
         self._clock = clock
         self._tell = teller
-        self._put_in_force = put_in_force
+        self._apply_config = apply_config
         self._stored: StoredConfig | None = None
         self._adopted_at = clock.now()
         self._knowledge = KnowledgeAge()
@@ -63,7 +63,7 @@
         return self._clock.now() - self._adopted_at
 
     @property
-    def knowledge_age(self) -> Milliseconds:
+    def staleness(self) -> Milliseconds:
         """Milliseconds for which a change can have escaped this node."""
         return self._clock.now() - self._knowledge.as_of
 
@@ -71,12 +71,12 @@
         """Take in that a version was the newest at a moment."""
         self._knowledge.confirm(version, as_of, self.version)
 
-    def text(self) -> ConfigText | None:
+    def text(self) -> EncodedConfig | None:
         """Return the configuration in force for another node."""
         if self._stored is None:
             return None
         cursor = self._stored.cursor
-        return ConfigText(cursor.epoch, cursor.revision, self._stored.text)
+        return EncodedConfig(cursor.epoch, cursor.revision, self._stored.text)
 
     def adopt(self, stored: StoredConfig, source: str) -> bool:
         """Put a configuration in force if it is newer; return whether it was.
@@ -96,7 +96,7 @@
             return False
         self._stored = stored
         self._adopted_at = self._clock.now()
-        self._put_in_force(stored)
+        self._apply_config(stored)
         self._knowledge.adopt(version)
         adopted, self.adopted = self.adopted, trio.Event()
         adopted.set()
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/workspace_check.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/api_key_authenticator.py
@@ -18,17 +18,17 @@
 
 # Milliseconds after which a caller may come back to a node whose knowledge is too old:
 # by then it has heard from another one, if it can.
-_AGAIN_MS = 700.0
+_STALE_RETRY_AFTER_MS = 700.0
 # Refusals a second that get a line each; the others are counted only.
-_LINES_A_S = 20
+_MAX_EVENTS_PER_S = 20
 
 
-class WorkspaceCheck:
+class ApiKeyAuthenticator:
     """Finds the workspace of a request, or says why it is not let in.
 
     Parameters
     ----------
-    is_too_old : callable
+    is_too_stale : callable
         Whether what this node knows of keys is too old to be used.
     age : callable
         Returns the age of that knowledge in milliseconds.
@@ -40,19 +40,19 @@
 
     def __init__(
         self,
-        is_too_old: Callable[[], bool],
+        is_too_stale: Callable[[], bool],
         age: Callable[[], Milliseconds],
         clock: Clock,
         teller: Teller,
     ) -> None:
-        self._is_too_old = is_too_old
-        self._age = age
+        self._is_too_stale = is_too_stale
+        self._staleness = age
         self._clock = clock
         self._tell = teller
         self._second = -1
-        self._n_lines = 0
+        self._n_events = 0
 
-    def identify(
+    def authenticate(
         self, req: Request, route: Route, table: RouteTable
     ) -> Workspace | Final | None:
         """Return the workspace of a request.
@@ -67,9 +67,9 @@
         if not req.key:
             return self._refuse(req, route, "no-key", Final(401))
         # Before the look-up: a key that is not known here may be new.
-        if self._is_too_old():
-            again = Final(503, retry_after=_AGAIN_MS)
-            return self._refuse(req, route, "knowledge-too-old", again)
+        if self._is_too_stale():
+            refusal = Final(503, retry_after=_STALE_RETRY_AFTER_MS)
+            return self._refuse(req, route, "knowledge-too-old", refusal)
         workspace = table.keys.find(req.key)
         if workspace is None:
             return self._refuse(req, route, "unknown-key", Final(401))
@@ -80,10 +80,10 @@
         self._tell.answered(route.name, str(final.status), 0.0)
         second = int(self._clock.now()) // 1_000
         if second != self._second:
-            self._second, self._n_lines = second, 0
-        self._n_lines += 1
-        if self._n_lines <= _LINES_A_S:
-            age = self._age()
+            self._second, self._n_events = second, 0
+        self._n_events += 1
+        if self._n_events <= _MAX_EVENTS_PER_S:
+            age = self._staleness()
             self._tell.event(
                 "key-refused",
                 request=req.request_id,
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_requests.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_requests.py
@@ -9,7 +9,7 @@
 
 from fuchsiagap.core.clock import MS_PER_S
 from fuchsiagap_node.core.mesh.hedging import hedge
-from fuchsiagap_node.core.mesh.store import Probed, StoreFailed
+from fuchsiagap_node.core.mesh.store import ProbeReply, StoreFailed
 from fuchsiagap_node.core.mesh.store_probe import StoreProbe
 
 if TYPE_CHECKING:
@@ -19,7 +19,7 @@
     from fuchsiagap.core.clock import Clock, Milliseconds
     from fuchsiagap.core.freshness.store_timeouts import StoreTimeouts
     from fuchsiagap.core.freshness.store_view import Cursor, StoreView
-    from fuchsiagap_node.core.mesh.hedging import FirstAnswer
+    from fuchsiagap_node.core.mesh.hedging import FirstResponse
     from fuchsiagap_node.core.mesh.store import ConfigResult, ProbeResult, Store
     from fuchsiagap_node.core.mesh.telling import Teller
     from fuchsiagap_node.core.mesh.watcher_role import WatcherRole
@@ -28,16 +28,16 @@
 # whether the store answers.
 _WATCH_MS = 25_000.0
 # Growth of the delay between hedged requests, of those that are not first.
-_GROWTH_OTHERS = 2.0
+_OTHERS_BACKOFF_FACTOR = 2.0
 # Share of the bound of revocations that a watch waits.
 _WATCH_SHARE = 0.15
 
 
-class Request(Enum):
+class StoreRequest(Enum):
     """What the store is asked, as its calls are counted."""
 
     READ = "config-read"
-    READ_OLDER = "config-read-older"
+    READ_STALE = "config-read-older"
     WATCH = "config-watch"
     PROBE = "probe"
 
@@ -66,7 +66,7 @@
         Whether this node is to watch.
     timeouts : StoreTimeouts
         Waits for the store.
-    revocation : float or None
+    revocation_bound : float or None
         Bound of revocations in milliseconds; None for none.
     clock : Clock
         Time in milliseconds.
@@ -81,9 +81,9 @@
         Whether the store has not answered yet.
     answered_at : float
         When the store last answered; at first, when this node started.
-    on_silence : callable
+    on_unresponsive : callable
         Told that the store does not answer.
-    on_answer : callable
+    on_response : callable
         Told that the store answers.
     on_epoch : callable
         Told that the view may have another epoch.
@@ -98,7 +98,7 @@
         view: StoreView,
         role: WatcherRole,
         timeouts: StoreTimeouts,
-        revocation: Milliseconds | None,
+        revocation_bound: Milliseconds | None,
         clock: Clock,
         rng: random.Random,
         teller: Teller,
@@ -107,7 +107,7 @@
         self._view = view
         self._role = role
         self._probe = StoreProbe(store, node, timeouts, teller)
-        self._bound = revocation
+        self._revocation_bound = revocation_bound
         self._clock = clock
         self._rng = rng
         self._tell = teller
@@ -115,8 +115,8 @@
         self._watch_scope: trio.CancelScope | None = None
         self.is_first_read = True
         self.answered_at = clock.now()
-        self.on_silence: Callable[[], None] = _ignore
-        self.on_answer: Callable[[], None] = _ignore
+        self.on_unresponsive: Callable[[], None] = _ignore
+        self.on_response: Callable[[], None] = _ignore
         self.on_epoch: Callable[[], None] = _ignore
         self.is_urgent: Callable[[], bool] = _never
 
@@ -129,32 +129,32 @@
     def timeouts(self, timeouts: StoreTimeouts) -> None:
         self._probe.timeouts = timeouts
 
-    def end_first_read(self) -> None:
+    def cancel_first_read(self) -> None:
         """Drop the first read, since another node has sent the configuration."""
         if self.is_first_read and self._read_scope is not None:
             self._read_scope.cancel()
 
-    def doubt_watch(self, nursery: trio.Nursery) -> None:
+    def cancel_watch_soon(self, nursery: trio.Nursery) -> None:
         """End a watch soon, unless it tells of a version which other nodes have."""
         if self._watch_scope is not None:
-            nursery.start_soon(self._end_soon, self._watch_scope)
+            nursery.start_soon(self._cancel_after_hedge_delay, self._watch_scope)
 
-    async def _end_soon(self, scope: trio.CancelScope) -> None:
+    async def _cancel_after_hedge_delay(self, scope: trio.CancelScope) -> None:
         await trio.sleep(self.timeouts.hedge_delay / MS_PER_S)
         scope.cancel()
 
-    async def ask(self) -> tuple[Request, ConfigResult | Probed | None]:
+    async def fetch(self) -> tuple[StoreRequest, ConfigResult | ProbeReply | None]:
         """Read the configuration, or wait for the next one."""
         store_age = self._clock.now() - self.answered_at
         # A watch that a silent store drops would hide for long that it is back.
         if self._role.is_lost or store_age > self.timeouts.probe_interval:
-            heard = await self._ask_probe()
-            if isinstance(heard.result, StoreFailed):
-                return Request.PROBE, heard.result
-            was_away = self._role.is_lost or heard.n_dropped > 0
-            self._note_answer(heard.result.epoch)
+            response = await self._send_probe()
+            if isinstance(response.result, StoreFailed):
+                return StoreRequest.PROBE, response.result
+            was_away = self._role.is_lost or response.n_dropped > 0
+            self._note_answer(response.result.epoch)
             if was_away and await self._defer_to_others():
-                return Request.PROBE, heard.result
+                return StoreRequest.PROBE, response.result
             self._role.note_store_answer()
         while True:
             cursor = self._view.cursor
@@ -162,7 +162,7 @@
                 return await self._read()
             result = await self._watch(cursor)
             if result is not None:
-                return Request.WATCH, result
+                return StoreRequest.WATCH, result
             self._tell.event(
                 "watch-restarted", what="configuration", base=cursor.revision
             )
@@ -177,7 +177,7 @@
             await trio.sleep(self._rng.random() * self.timeouts.hedge_delay / MS_PER_S)
         return self._role.defer_to_others()
 
-    async def _read(self) -> tuple[Request, ConfigResult | None]:
+    async def _read(self) -> tuple[StoreRequest, ConfigResult | None]:
         """Read the configuration; None if another node sent the first one meanwhile.
 
         At its start a node takes one that may be seconds old, for a tenth of the price:
@@ -187,17 +187,19 @@
             cause = _Cause.TAKE_OVER
         else:
             cause = _Cause.START if self.is_first_read else _Cause.HISTORY_GONE
-        is_older = cause is _Cause.START and self._bound is None
-        request = Request.READ_OLDER if is_older else Request.READ
+        is_stale_read = cause is _Cause.START and self._revocation_bound is None
+        request = StoreRequest.READ_STALE if is_stale_read else StoreRequest.READ
 
-        async def ask() -> ConfigResult:
+        async def send_read() -> ConfigResult:
             self._tell.store_call(request.value, cause.value)
-            return await self._store.read_config(recent=not is_older)
+            return await self._store.read_config(linearizable=not is_stale_read)
 
-        every = self.timeouts.hedge_delay
+        interval = self.timeouts.hedge_delay
         with trio.CancelScope() as self._read_scope:
-            heard = await hedge(ask, every, self.on_silence, self._growth)
-            return request, heard.result
+            response = await hedge(
+                send_read, interval, self.on_unresponsive, self._backoff_factor
+            )
+            return request, response.result
         return request, None
 
     async def _watch(self, cursor: Cursor) -> ConfigResult | None:
@@ -210,7 +212,7 @@
         async with trio.open_nursery() as nursery:
             self._watch_scope = nursery.cancel_scope
             nursery.start_soon(self._probe_until_lost, results, nursery.cancel_scope)
-            self._tell.store_call(Request.WATCH.value, _Cause.WATCH.value)
+            self._tell.store_call(StoreRequest.WATCH.value, _Cause.WATCH.value)
             results.append(await self._store.watch_config(cursor, self._watch_ms()))
             nursery.cancel_scope.cancel()
         self._watch_scope = None
@@ -221,7 +223,11 @@
 
         Where revocations are bound, knowledge counts from the beginning of a watch.
         """
-        return _WATCH_MS if self._bound is None else self._bound * _WATCH_SHARE
+        return (
+            _WATCH_MS
+            if self._revocation_bound is None
+            else self._revocation_bound * _WATCH_SHARE
+        )
 
     async def _probe_until_lost(
         self, results: list[ConfigResult], watch_scope: trio.CancelScope
@@ -237,28 +243,30 @@
             wait = self.timeouts.probe_interval
             if not self._role.now().should_watch and not self.is_urgent():
                 continue
-            heard = await self._ask_probe()
-            if isinstance(heard.result, StoreFailed):
-                results.append(heard.result)
+            response = await self._send_probe()
+            if isinstance(response.result, StoreFailed):
+                results.append(response.result)
                 break
-            is_void = self._note_answer(heard.result.epoch)
+            is_void = self._note_answer(response.result.epoch)
             self._role.note_store_answer()
-            is_sound = not is_void and not heard.n_dropped
+            is_sound = not is_void and not response.n_dropped
         watch_scope.cancel()
 
-    async def _ask_probe(self) -> FirstAnswer[ProbeResult]:
-        return await self._probe.ask("liveness", self.on_silence, self._growth)
+    async def _send_probe(self) -> FirstResponse[ProbeResult]:
+        return await self._probe.send(
+            "liveness", self.on_unresponsive, self._backoff_factor
+        )
 
-    def _growth(self) -> float:
+    def _backoff_factor(self) -> float:
         """Return how the delay between hedged requests grows.
 
         The first nodes of the data centres notice a return for all.
         """
-        return 1.0 if self._role.is_first() else _GROWTH_OTHERS
+        return 1.0 if self._role.is_first() else _OTHERS_BACKOFF_FACTOR
 
     def _note_answer(self, epoch: int) -> bool:
         """Take in an answered probe; return whether the cursor is void by it."""
-        self.on_answer()
+        self.on_response()
         is_void = self._view.note_epoch(epoch, self._clock.now())
         self.on_epoch()
         return is_void
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_sync.py
@@ -10,11 +10,16 @@
 from fuchsiagap.core.freshness.store_timeouts import timeouts_within
 from fuchsiagap.core.freshness.store_view import NO_EPOCH, Cursor, StoreView
 from fuchsiagap.core.watching.watcher_rank import UpdateSource
-from fuchsiagap_node.core.mesh.config_in_force import ConfigInForce
-from fuchsiagap_node.core.mesh.config_peers import ConfigPeers
-from fuchsiagap_node.core.mesh.config_requests import ConfigRequests, Request
+from fuchsiagap_node.core.mesh.active_config import ActiveConfig
+from fuchsiagap_node.core.mesh.config_requests import ConfigRequests, StoreRequest
+from fuchsiagap_node.core.mesh.peer_config_fetcher import PeerConfigFetcher
 from fuchsiagap_node.core.mesh.settings import Bounds
-from fuchsiagap_node.core.mesh.store import ConfigNews, HistoryGone, Probed, StoreFailed
+from fuchsiagap_node.core.mesh.store import (
+    ConfigUpdate,
+    HistoryCompacted,
+    ProbeReply,
+    StoreFailed,
+)
 from fuchsiagap_node.core.mesh.watcher_role import WatcherRole
 
 if TYPE_CHECKING:
@@ -22,24 +27,24 @@
     from collections.abc import Callable, Iterable
 
     from fuchsiagap.core.clock import Clock, Milliseconds
-    from fuchsiagap_node.core.mesh.messages import ConfigText
+    from fuchsiagap_node.core.mesh.messages import EncodedConfig
     from fuchsiagap_node.core.mesh.sending import Member, SendingLink
     from fuchsiagap_node.core.mesh.store import Store, StoredConfig
     from fuchsiagap_node.core.mesh.telling import Teller
 
 # Milliseconds between two calls while the store fails, at first and at most, of those
 # that are not first in their data centre, and of all while one beside them watches.
-_RETRY_OTHERS_MS = 4_000.0
-_RETRY_MAX_MS = 8_000.0
+_OTHERS_RETRY_MS = 4_000.0
+_MAX_RETRY_MS = 8_000.0
 # Share of the bound of revocations for which a store that has come back from a copy
 # proves nothing, until what it lost is written again.
 _SETTLE_SHARE = 0.3
 # Shares of the bound of revocations: the age of a node's knowledge, drawn at random,
 # from which it asks the store by itself.
-_ASK_AT_SHARES = (0.45, 0.6)
+_ASK_STORE_AT_SHARES = (0.45, 0.6)
 # Milliseconds between two updates of which nodes watch.
 REFRESH_MS = 250.0
-_USUAL_BOUNDS = Bounds()
+_DEFAULT_BOUNDS = Bounds()
 
 
 class ConfigSync:
@@ -53,7 +58,7 @@
         Time in milliseconds.
     teller : Teller
         Logs.
-    put_in_force : callable
+    apply_config : callable
         Puts a configuration in force.
     own : Member
         This node.
@@ -68,11 +73,11 @@
 
     Attributes
     ----------
-    in_force : ConfigInForce
+    active : ActiveConfig
         The configuration in force.
     changed : callable
         Told that `update_source` or `epoch` has changed.
-    on_return : callable
+    on_store_restored : callable
         Told that the store has come back from a copy, and may have lost what this node
         wrote.
     """
@@ -82,15 +87,15 @@
         store: Store,
         clock: Clock,
         teller: Teller,
-        put_in_force: Callable[[StoredConfig], None],
+        apply_config: Callable[[StoredConfig], None],
         own: Member,
         links: Callable[[], Iterable[SendingLink]],
         rng: random.Random,
         first_start: bool = False,
-        bounds: Bounds = _USUAL_BOUNDS,
+        bounds: Bounds = _DEFAULT_BOUNDS,
     ) -> None:
         self._store = store
-        self._bound = bounds.revocation
+        self._revocation_bound = bounds.revocation
         self._clock = clock
         self._tell = teller
         self._rng = rng
@@ -108,13 +113,13 @@
             rng,
             teller,
         )
-        self._requests.on_silence = self._suspect_store
-        self._requests.on_answer = self._regain_store
+        self._requests.on_unresponsive = self._mark_store_unresponsive
+        self._requests.on_response = self._mark_store_available
         self._requests.on_epoch = self._announce_epoch
-        self._requests.is_urgent = self._is_too_old
-        self.in_force = ConfigInForce(clock, teller, put_in_force)
-        self._peers = ConfigPeers(
-            self.in_force,
+        self._requests.is_urgent = self._is_too_stale
+        self.active = ActiveConfig(clock, teller, apply_config)
+        self._peer_fetcher = PeerConfigFetcher(
+            self.active,
             links,
             lambda: self.update_source is UpdateSource.STORE,
             rng,
@@ -124,9 +129,9 @@
         self._highest_epoch = NO_EPOCH
         self._requested_at: Milliseconds | None = None
         # Those that have lost touch together do not ask together.
-        self._ask_at = rng.uniform(*_ASK_AT_SHARES)
+        self._ask_store_at_share = rng.uniform(*_ASK_STORE_AT_SHARES)
         self.changed: Callable[[], None] = _ignore
-        self.on_return: Callable[[], None] = _ignore
+        self.on_store_restored: Callable[[], None] = _ignore
 
     @property
     def update_source(self) -> UpdateSource:
@@ -161,121 +166,123 @@
         """Follow a bound on changes that has been set anew."""
         self._requests.timeouts = timeouts_within(bounds.change)
 
-    def serve_in(self, nursery: trio.Nursery) -> None:
+    def set_nursery(self, nursery: trio.Nursery) -> None:
         """Let a nursery hold what asks other nodes."""
-        self._peers.nursery = nursery
+        self._peer_fetcher.nursery = nursery
 
-    def adopt_text(self, message: ConfigText, source: str) -> None:
+    def adopt_text(self, message: EncodedConfig, source: str) -> None:
         """Adopt a configuration that another node has sent."""
         cursor = Cursor(message.epoch, message.revision)
         stored = self._store.decode_config(cursor, message.text)
         if stored is None:
             self._tell.event("config-unreadable", source=source)
             return
-        if not self.in_force.adopt(stored, source):
+        if not self.active.adopt(stored, source):
             return
         self._view.note_version(cursor, stored.config.version, self._clock.now())
-        self._requests.end_first_read()
-        if self._peers.nursery is not None:
-            self._requests.doubt_watch(self._peers.nursery)
+        self._requests.cancel_first_read()
+        if self._peer_fetcher.nursery is not None:
+            self._requests.cancel_watch_soon(self._peer_fetcher.nursery)
 
     def handle_peer_status(self, link: SendingLink) -> None:
         """Take in what another node has told of the configuration and the store."""
         self._view.note_peer_epoch(link.epoch)
         self._observe_epoch(link.epoch)
-        self._peers.handle_status(link)
+        self._peer_fetcher.handle_status(link)
 
     def _observe_epoch(self, epoch: int) -> None:
         """Take in an epoch of the store that this node or another one tells of."""
         if epoch <= self._highest_epoch:
             return
-        is_return = self._highest_epoch != NO_EPOCH
+        is_restored = self._highest_epoch != NO_EPOCH
         self._highest_epoch = epoch
-        if is_return:
+        if is_restored:
             self._tell.event("store-returned", epoch=epoch, own_epoch=self.epoch)
-            self.on_return()
+            self.on_store_restored()
 
     def refresh(self) -> None:
         """Update whether this node is to watch the store."""
-        self._role.refresh(self._is_too_old)
+        self._role.refresh(self._is_too_stale)
 
-    def _is_too_old(self) -> bool:
+    def _is_too_stale(self) -> bool:
         """Whether the others have not told for long how old their knowledge is."""
-        if self._bound is None or not self._role.is_settled:
+        if self._revocation_bound is None or not self._role.is_settled:
             return False
-        return self.in_force.knowledge_age > self._bound * self._ask_at
+        return self.active.staleness > self._revocation_bound * self._ask_store_at_share
 
     def _notify_changed(self) -> None:
         self.changed()
 
     async def run(self) -> None:
         """Watch the store whenever this node is to, until cancelled."""
-        n_failed = n_gone = 0
+        n_failed = n_compacted = 0
         while True:
             if not self._requests.is_first_read or self._view.cursor is not None:
-                await self._role.wait(self._is_too_old)
+                await self._role.wait(self._is_too_stale)
             asked_at = self._requested_at = self._clock.now()
-            request, result = await self._requests.ask()
+            request, result = await self._requests.fetch()
             self._requested_at = None
             match result:
-                case ConfigNews():
+                case ConfigUpdate():
                     n_failed = 0
-                    if request is Request.WATCH:
-                        n_gone = 0
-                    self._handle_news(request, result, asked_at)
-                case Probed():
+                    if request is StoreRequest.WATCH:
+                        n_compacted = 0
+                    self._handle_update(request, result, asked_at)
+                case ProbeReply():
                     n_failed = 0
-                case HistoryGone():
-                    n_gone += 1
-                    self._lose_history()
-                    await trio.sleep(self._requests.timeouts.backoff(n_gone) / MS_PER_S)
+                case HistoryCompacted():
+                    n_compacted += 1
+                    self._drop_cursor()
+                    await trio.sleep(
+                        self._requests.timeouts.backoff(n_compacted) / MS_PER_S
+                    )
                 case StoreFailed(reason):
                     n_failed += 1
-                    self._lose_store(reason)
+                    self._mark_store_lost(reason)
                     # One that was silent has been waited for already.
-                    was_silent = (
+                    has_waited = (
                         self._clock.now() - asked_at
                         > self._requests.timeouts.hedge_delay
                     )
-                    await self._pause(n_failed, was_silent)
+                    await self._pause(n_failed, has_waited)
 
-    def _handle_news(
-        self, request: Request, news: ConfigNews, asked_at: Milliseconds
+    def _handle_update(
+        self, request: StoreRequest, update: ConfigUpdate, asked_at: Milliseconds
     ) -> None:
         """Take in what the store has answered."""
-        self._regain_store()
+        self._mark_store_available()
         now = self._clock.now()
         self._requests.is_first_read = False
         self._role.note_store_answer()
-        is_sound = self._note_place(request, news, now)
+        is_sound = self._note_cursor(request, update, now)
         self._announce_epoch()
-        if news.stored is not None:
-            self._check_order(news.stored, request)
-            self.in_force.adopt(news.stored, "store")
-        version = self.in_force.version
+        if update.stored is not None:
+            self._report_older_version(update.stored, request)
+            self.active.adopt(update.stored, "store")
+        version = self.active.version
         if is_sound and self._view.proves(version, asked_at):
-            self.in_force.confirm(version, asked_at)
+            self.active.confirm(version, asked_at)
 
-    def _regain_store(self) -> None:
+    def _mark_store_available(self) -> None:
         """Note that the store answers."""
         self._requests.answered_at = self._clock.now()
         if self._role.is_lost:
             self._tell.event("store-regained", what="configuration")
         self._role.is_lost = False
 
-    def _note_place(
-        self, request: Request, news: ConfigNews, now: Milliseconds
+    def _note_cursor(
+        self, request: StoreRequest, update: ConfigUpdate, now: Milliseconds
     ) -> bool:
         """Note where the store is; return whether this is its newest place."""
-        version = None if news.stored is None else news.stored.config.version
+        version = None if update.stored is None else update.stored.config.version
         match request:
-            case Request.WATCH:
-                return self._view.note_watch(news.cursor, version, now)
-            case Request.READ:
-                self._view.note_read(news.cursor, version or 0, now)
+            case StoreRequest.WATCH:
+                return self._view.note_watch(update.cursor, version, now)
+            case StoreRequest.READ:
+                self._view.note_read(update.cursor, version or 0, now)
                 return True
-            case Request.READ_OLDER:
-                self._view.note_older_read(news.cursor, version or 0, now)
+            case StoreRequest.READ_STALE:
+                self._view.note_older_read(update.cursor, version or 0, now)
         return False
 
     def _announce_epoch(self) -> None:
@@ -285,31 +292,33 @@
         if self._highest_epoch != before:
             self.changed()
 
-    def _check_order(self, stored: StoredConfig, request: Request) -> None:
+    def _report_older_version(
+        self, stored: StoredConfig, request: StoreRequest
+    ) -> None:
         """Tell of a store whose newest configuration is older than the one in force."""
-        is_older = stored.config.version < self.in_force.version
-        if is_older and request is not Request.READ_OLDER:
+        is_older = stored.config.version < self.active.version
+        if is_older and request is not StoreRequest.READ_STALE:
             self._tell.event(
                 "store-behind",
                 version=stored.config.version,
-                in_force=self.in_force.version,
+                in_force=self.active.version,
                 epoch=stored.cursor.epoch,
                 revision=stored.cursor.revision,
             )
 
-    def _lose_history(self) -> None:
+    def _drop_cursor(self) -> None:
         """Note that the changes since the cursor are gone."""
         self._tell.event("history-gone", what="configuration", base=self.revision)
         self._view.drop_cursor()
 
-    def _lose_store(self, reason: str) -> None:
+    def _mark_store_lost(self, reason: str) -> None:
         """Note that the store does not answer."""
         if not self._role.is_lost:
             self._tell.event("store-lost", what="configuration", cause=reason)
         self._role.is_lost = True
         self._role.set_update_source(UpdateSource.NONE)
 
-    async def _pause(self, n_failed: int, was_silent: bool) -> None:
+    async def _pause(self, n_failed: int, has_waited: bool) -> None:
         """Wait until the store that failed is to be asked again.
 
         Whoever becomes first of its data centre meanwhile asks as soon as the first.
@@ -317,27 +326,27 @@
         started = self._clock.now()
         spread = self._rng.uniform(0.5, 1.0)
         while True:
-            wait = self._retry_after(n_failed, was_silent, spread)
+            wait = self._retry_after(n_failed, has_waited, spread)
             left = started + wait - self._clock.now()
             if left <= 0.0:
                 return
             await trio.sleep(min(left, REFRESH_MS) / MS_PER_S)
 
     def _retry_after(
-        self, n_failed: int, was_silent: bool, spread: float
+        self, n_failed: int, has_waited: bool, spread: float
     ) -> Milliseconds:
         """Return how long to wait after some failures in a row.
 
         A request to a silent store has been hedged already while it waited.
         """
         if self._role.now().others_watch:
-            return _RETRY_MAX_MS * spread
+            return _MAX_RETRY_MS * spread
         if self._role.is_first():
-            return 0.0 if was_silent else self._requests.timeouts.backoff(n_failed)
-        return min(_RETRY_OTHERS_MS * n_failed, _RETRY_MAX_MS) * spread
+            return 0.0 if has_waited else self._requests.timeouts.backoff(n_failed)
+        return min(_OTHERS_RETRY_MS * n_failed, _MAX_RETRY_MS) * spread
 
-    def _suspect_store(self) -> None:
-        self._lose_store("silent")
+    def _mark_store_unresponsive(self) -> None:
+        self._mark_store_lost("silent")
 
 
 def _ignore() -> None:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/door.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/door.py
@@ -26,7 +26,7 @@
     NotRun,
     Outcome,
 )
-from fuchsiagap_node.core.mesh.paid_repeats import PaidRepeats
+from fuchsiagap_node.core.mesh.queue_retry_budget import QueueRetryBudget
 from fuchsiagap_node.core.mesh.server_crashes import ServerCrashes
 
 if TYPE_CHECKING:
@@ -70,7 +70,7 @@
 
     Attributes
     ----------
-    repeats : PaidRepeats
+    repeats : QueueRetryBudget
         What it lets through of what was handed to a server before.
     leaving : bool
         Whether this node is being stopped and takes nothing new.
@@ -92,7 +92,7 @@
     ) -> None:
         self._cfg = cfg
         self.reports = CrashReports(cfg.quarantine, cfg.service, clock, rng, teller)
-        self.repeats = PaidRepeats(cfg.budget, clock, teller, rng)
+        self.repeats = QueueRetryBudget(cfg.budget, clock, teller, rng)
         self._clock = clock
         self._tell = teller
         self._queue: DoorQueue[Job] = DoorQueue(1)
@@ -289,7 +289,7 @@
         now = self._clock.now()
         self._offered.note_arrival(now)
         self.turns.note_arrival(call.rank, now)
-        if call.is_call:
+        if call.is_nested:
             self._lost.note_arrival(call.rank, now)
         if self._queue.has_place():
             self._start(job)
@@ -299,7 +299,7 @@
             job.reply(NotRun(QUEUE_FULL))
             return
         job.waiting = self._queue.push(
-            job, call.rank, job.deadline, job.due, now, call.is_call
+            job, call.rank, job.deadline, job.due, now, call.is_nested
         )
 
     def _make_room(self, rank: int) -> bool:
@@ -366,7 +366,7 @@
 
     def _note_lost(self, job: Job) -> None:
         """Count a call of a tree that had no place before its time had passed."""
-        if job.call.is_call:
+        if job.call.is_nested:
             self._lost.note_lost(job.call.rank, self._clock.now())
 
     def _expire(self, now: Milliseconds) -> None:
@@ -406,7 +406,7 @@
                 self._health.note_answer(now)
                 self.reports.record_answer(job.call.fingerprint)
                 if status < 500:
-                    self.repeats.note_answered(job.call.route, job.calls)
+                    self.repeats.record_answered(job.call.route, job.calls)
                 failed = status >= 500 and not job.fails_with_its_calls()
             case NotRun(_, offered):
                 if not offered:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/entry.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/entry.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from fuchsiagap_node.core.mesh.final import RETRY_AFTER_MS, Final
-from fuchsiagap_node.core.mesh.keyed_request import KeyedRequest
+from fuchsiagap_node.core.mesh.metered_request import MeteredRequest
 from fuchsiagap_node.core.mesh.over_quota import quota_refusal
 from fuchsiagap_node.core.mesh.placement import Placement
 
@@ -18,14 +18,14 @@
     from fuchsiagap.core.routes.table import RouteTable, ShareRotation
     from fuchsiagap.core.workspaces.model import Workspace
     from fuchsiagap_node.core.mesh.admission import Admission
+    from fuchsiagap_node.core.mesh.api_key_authenticator import ApiKeyAuthenticator
     from fuchsiagap_node.core.mesh.http_request import Request
     from fuchsiagap_node.core.mesh.job import Job
     from fuchsiagap_node.core.mesh.placement import OnFinal
     from fuchsiagap_node.core.mesh.placing import Placing
     from fuchsiagap_node.core.mesh.pressures import Pressures
-    from fuchsiagap_node.core.mesh.quotas import QuotaAnswer, Quotas
+    from fuchsiagap_node.core.mesh.quotas import QuotaDecision, Quotas
     from fuchsiagap_node.core.mesh.telling import Teller
-    from fuchsiagap_node.core.mesh.workspace_check import WorkspaceCheck
 
 
 class Cancellable(Protocol):
@@ -50,7 +50,7 @@
         Choice among the services of a route.
     teller : Teller
         Logs and counters.
-    check : WorkspaceCheck
+    authenticator : ApiKeyAuthenticator
         Finds the workspace of a request.
     quotas : Quotas
         Requests that workspaces may make.
@@ -72,10 +72,10 @@
         admission: Admission,
         rotation: ShareRotation,
         teller: Teller,
-        check: WorkspaceCheck,
+        authenticator: ApiKeyAuthenticator,
         quotas: Quotas,
     ) -> None:
-        self._check = check
+        self._authenticator = authenticator
         self._quotas = quotas
         self._placing = placing
         self._pressures = pressures
@@ -120,15 +120,15 @@
         parent = self.parent_of(req.request_id)
         if parent is not None and (route.public or table.keys is None):
             return self._place(req, route, parent, done)
-        caller = self._check.identify(req, route, table)
+        caller = self._authenticator.authenticate(req, route, table)
         if isinstance(caller, Final):
             done(caller)
             return None
         if caller is None:
             return self._admit(req, table.ranked(route, None), done, turn)
         ranked = table.ranked(route, caller.priority)
-        keyed = KeyedRequest(self, caller, req, ranked, done, turn)
-        return keyed if keyed.start(self._quotas) else None
+        metered = MeteredRequest(self, caller, req, ranked, done, turn)
+        return metered if metered.start(self._quotas) else None
 
     def _admit(
         self,
@@ -162,21 +162,26 @@
         return placement
 
     def within_quota(
-        self, keyed: KeyedRequest, done: OnFinal, waited: Milliseconds
+        self, metered: MeteredRequest, done: OnFinal, waited: Milliseconds
     ) -> Placement | None:
         """Go on with a request that has its token."""
         try:
             return self._admit(
-                keyed.req, keyed.route, done, keyed.turn, keyed.workspace, waited
+                metered.req,
+                metered.route,
+                done,
+                metered.turn,
+                metered.workspace,
+                waited,
             )
         except Exception as exc:
             self._tell.fault("entry", exc)
             done(Final(502))
             return None
 
-    def over_quota(self, keyed: KeyedRequest, answer: QuotaAnswer) -> Final:
+    def over_quota(self, metered: MeteredRequest, answer: QuotaDecision) -> Final:
         """Return what the caller gets whose workspace has no token."""
-        route = keyed.route.name
+        route = metered.route.name
         cause = answer.verdict.value
         refusal = quota_refusal(answer)
         assert refusal is not None
@@ -184,9 +189,9 @@
         self._tell.answered(route, str(refusal.status), 0.0)
         self._tell.event(
             "quota-refused",
-            request=keyed.req.request_id,
+            request=metered.req.request_id,
             route=route,
-            workspace=keyed.workspace.name,
+            workspace=metered.workspace.name,
             cause=cause,
             retry_after=round(refusal.retry_after),
         )
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/frames.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/frames.py
@@ -19,22 +19,22 @@
 from fuchsiagap_node.core.mesh.messages import (
     NO_CALLS,
     PROTOCOL,
-    Age,
-    AgeWanted,
-    Below,
     Call,
     Cancel,
     Cleared,
-    ConfigText,
-    ConfigWanted,
+    ConfigQuery,
+    DownstreamSummary,
+    EncodedConfig,
     Hello,
     Message,
     Ping,
     Pong,
     Reply,
+    StalenessQuery,
+    StalenessReply,
     Status,
-    TokensGranted,
-    TokensWanted,
+    TokenGrant,
+    TokenRequest,
 )
 from fuchsiagap_node.core.mesh.outcome import Answered, MayHaveRun, NotRun
 
@@ -73,13 +73,13 @@
                 m.instance,
                 m.head,
                 m.body,
-                m.left,
+                m.time_left,
                 m.slack,
                 m.rank,
-                m.is_call,
-                m.repeated,
-                m.again,
-                m.lot,
+                m.is_nested,
+                m.in_retried_tree,
+                m.is_retry,
+                m.sampling_key,
                 m.idempotent,
                 m.request_id,
                 m.route,
@@ -115,12 +115,12 @@
                 m.address,
                 m.data_centre,
                 m.service,
-                m.packed,
+                m.compressed,
                 m.protocol,
             ]
-        case ConfigWanted():
+        case ConfigQuery():
             return [_WANTED]
-        case ConfigText(epoch, revision, text):
+        case EncodedConfig(epoch, revision, text):
             return [_CONFIG, epoch, revision, text]
         case Crash(incarnation, service, age, fingerprints):
             return [_CRASH, incarnation, service, age, b"".join(sorted(fingerprints))]
@@ -128,13 +128,13 @@
             return [_HELD, fingerprint, service, crashes, age]
         case Cleared(fingerprints):
             return [_CLEARED, b"".join(fingerprints)]
-        case AgeWanted(question):
+        case StalenessQuery(question):
             return [_AGE_WANTED, question]
-        case Age(question, version, age):
+        case StalenessReply(question, version, age):
             return [_AGE, question, version, age]
-        case TokensWanted(question, workspace, tokens):
+        case TokenRequest(question, workspace, tokens):
             return [_TOKENS_WANTED, question, workspace, tokens]
-        case TokensGranted(question, workspace, tokens, wait, is_owner):
+        case TokenGrant(question, workspace, tokens, wait, is_owner):
             return [_TOKENS_GRANTED, question, workspace, tokens, wait, is_owner]
 
 
@@ -184,7 +184,7 @@
         ):
             raise ValueError(f"a number of the reply is out of range: {rest[1:5]}")
         places = offered / _PARTS_OF_A_PLACE  # type: ignore[operator]
-        below = Below(fullness, calls, failed)  # type: ignore[arg-type]
+        below = DownstreamSummary(fullness, calls, failed)  # type: ignore[arg-type]
         return Reply(call_id, settled, load, places, below)  # type: ignore[arg-type]
     message = cast("Message", _KINDS[kind](*rest))
     if isinstance(message, Status):
@@ -192,17 +192,17 @@
         return replace(message, update_source=UpdateSource(message.update_source))
     if isinstance(message, Call):
         _check_call(message)
-    elif isinstance(message, ConfigText):
+    elif isinstance(message, EncodedConfig):
         _check_place(message)
-    elif isinstance(message, Age):
+    elif isinstance(message, StalenessReply):
         _check_version(message.version)
         _check_age(message.age)
-    elif isinstance(message, TokensWanted | TokensGranted):
+    elif isinstance(message, TokenRequest | TokenGrant):
         _check_tokens(message)
     return message
 
 
-def _check_place(config: ConfigText) -> None:
+def _check_place(config: EncodedConfig) -> None:
     """Raise `ValueError` where a number could be no place in a store's history."""
     if not (NO_EPOCH <= config.epoch < _MOST and 0 <= config.revision < _MOST):
         raise ValueError(f"no place: {config.epoch}, {config.revision}")
@@ -216,17 +216,17 @@
 
 def _check_call(call: Call) -> None:
     """Raise `ValueError` where a field would make no sense to whoever uses it."""
-    if not -_MOST < call.left < _MOST:
-        raise ValueError(f"time left out of range: {call.left}")
+    if not -_MOST < call.time_left < _MOST:
+        raise ValueError(f"time left out of range: {call.time_left}")
     if len(call.fingerprint) != FINGERPRINT_BYTES:
         raise ValueError(f"fingerprint of {len(call.fingerprint)} bytes")
 
 
-def _check_tokens(message: TokensWanted | TokensGranted) -> None:
+def _check_tokens(message: TokenRequest | TokenGrant) -> None:
     """Raise `ValueError` where a number could be no count or no time."""
     if not 0 <= message.tokens < _MOST:
         raise ValueError(f"tokens out of range: {message.tokens}")
-    if isinstance(message, TokensGranted):
+    if isinstance(message, TokenGrant):
         _check_age(message.wait)
 
 
@@ -336,12 +336,12 @@
     _CANCEL: Cancel,
     _PING: Ping,
     _PONG: Pong,
-    _WANTED: ConfigWanted,
-    _CONFIG: ConfigText,
-    _AGE_WANTED: AgeWanted,
-    _AGE: Age,
-    _TOKENS_WANTED: TokensWanted,
-    _TOKENS_GRANTED: TokensGranted,
+    _WANTED: ConfigQuery,
+    _CONFIG: EncodedConfig,
+    _AGE_WANTED: StalenessQuery,
+    _AGE: StalenessReply,
+    _TOKENS_WANTED: TokenRequest,
+    _TOKENS_GRANTED: TokenGrant,
 }
 _REPORTS = frozenset({_CRASH, _HELD, _CLEARED})
 _OUTCOMES = {_ANSWERED: Answered, _NOT_RUN: NotRun, _MAY_HAVE_RUN: MayHaveRun}
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/gauges.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/gauges.py
@@ -25,10 +25,10 @@
 
 def config_gauges(config: ConfigSync) -> Iterator[Gauge]:
     """Yield the version in force, and since when the store was not heard of."""
-    yield Gauge("config_version", "", config.in_force.version)
+    yield Gauge("config_version", "", config.active.version)
     yield Gauge("store_epoch", "", config.epoch)
     yield Gauge("store_revision", "", config.revision)
-    yield Gauge("config_adopted_age_ms", "", round(config.in_force.adopted_age))
+    yield Gauge("config_adopted_age_ms", "", round(config.active.adopted_age))
     yield Gauge("store_heard_age_ms", "", round(config.store_age))
     yield Gauge("store_request_age_ms", "", round(config.request_age))
     for source in UpdateSource:
@@ -55,7 +55,7 @@
 
 def workspace_gauges(config: ConfigSync, quotas: Quotas) -> Iterator[Gauge]:
     """Yield the age of what is known of keys, and the workspaces asked for most."""
-    age = config.in_force.knowledge_age
+    age = config.active.staleness
     yield Gauge("knowledge_age_ms", "", round(age) if age < float("inf") else -1.0)
     yield Gauge("quotas_owned", "", quotas.grants.n_owned)
     for name, rate in quotas.holdings.busiest(_MOST_WORKSPACES):
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/hedging.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/hedging.py
@@ -17,7 +17,7 @@
 Result = TypeVar("Result")
 
 
-class FirstAnswer(NamedTuple, Generic[Result]):
+class FirstResponse(NamedTuple, Generic[Result]):
     """The answer that came first.
 
     Parameters
@@ -32,17 +32,17 @@
     n_dropped: int
 
 
-def _no_growth() -> float:
+def _constant_interval() -> float:
     """Return that the time stays the same."""
     return 1.0
 
 
 async def hedge(
-    ask: Callable[[], Awaitable[Result]],
-    every: Milliseconds,
-    on_silence: Callable[[], None],
-    growth: Callable[[], float] = _no_growth,
-) -> FirstAnswer[Result]:
+    send: Callable[[], Awaitable[Result]],
+    interval: Milliseconds,
+    on_unresponsive: Callable[[], None],
+    backoff_factor: Callable[[], float] = _constant_interval,
+) -> FirstResponse[Result]:
     """Return the first result of a request that is sent again and again.
 
     A store that answers slowly answers the first one, and one that has dropped what was
@@ -50,30 +50,30 @@
 
     Parameters
     ----------
-    ask : callable
+    send : callable
         Sends the request once; ends by itself.
-    every : float
+    interval : float
         Milliseconds between two requests.
-    on_silence : callable
+    on_unresponsive : callable
         Told that a second request has no answer either.
-    growth : callable, optional
+    backoff_factor : callable, optional
         Returns by what that time grows from one request to the next.
     """
-    answers: list[FirstAnswer[Result]] = []
-    answered = trio.Event()
+    responses: list[FirstResponse[Result]] = []
+    is_answered = trio.Event()
 
-    async def ask_one(number: int) -> None:
-        answers.append(FirstAnswer(await ask(), number))
-        answered.set()
+    async def send_one(number: int) -> None:
+        responses.append(FirstResponse(await send(), number))
+        is_answered.set()
 
     async with trio.open_nursery() as nursery:
         for number in count():
             if number == 2:
-                on_silence()
-            nursery.start_soon(ask_one, number)
-            with trio.move_on_after(every * growth() ** number / MS_PER_S):
-                await answered.wait()
-            if answered.is_set():
+                on_unresponsive()
+            nursery.start_soon(send_one, number)
+            with trio.move_on_after(interval * backoff_factor() ** number / MS_PER_S):
+                await is_answered.wait()
+            if is_answered.is_set():
                 break
         nursery.cancel_scope.cancel()
-    return answers[0]
+    return responses[0]
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/job.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/job.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from fuchsiagap_node.core.mesh.messages import Below
+from fuchsiagap_node.core.mesh.messages import DownstreamSummary
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -66,11 +66,11 @@
         """
         return self.call_failed or self.open_calls > 0
 
-    def led_to(self, fullness: float) -> Below:
+    def led_to(self, fullness: float) -> DownstreamSummary:
         """Return what the call led to, at a fullness of the services below it."""
-        return Below(fullness, self.calls, self.fails_with_its_calls())
+        return DownstreamSummary(fullness, self.calls, self.fails_with_its_calls())
 
     @classmethod
     def of(cls, call: Call, now: Milliseconds, reply: Callable[[Outcome], None]) -> Job:
         """Return the job of a call that arrives now."""
-        return cls(call, now + call.left, now + call.slack, reply)
+        return cls(call, now + call.time_left, now + call.slack, reply)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/link.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/link.py
@@ -99,15 +99,15 @@
             self._outbox.append(rest)
             self._filled.set()
 
-    def post_hello(self, hello: Hello, packed: bool) -> None:
-        """Queue the first message, and compress what follows if `packed`.
+    def post_hello(self, hello: Hello, compressed: bool) -> None:
+        """Queue the first message, and compress what follows if `compressed`.
 
         Heads of requests repeat from one to the next: on links between data centres,
         whose bytes are dear, that took 0.050 to 0.044 GB on a high day.
         """
-        self.post(replace(hello, packed=packed))
+        self.post(replace(hello, compressed=compressed))
         self.greeted = True
-        if packed:
+        if compressed:
             self._head, self._outbox = b"".join(self._outbox), []
             self._pack = zlib.compressobj(
                 _LEVEL, zlib.DEFLATED, _WINDOW_BITS, _MEMORY_LEVEL
@@ -187,7 +187,7 @@
         last = messages[-1] if messages else None
         if isinstance(last, Hello):
             rest = self._reader.take_rest()
-            if last.packed:
+            if last.compressed:
                 self._unpack = zlib.decompressobj(_WINDOW_BITS)
             messages += self._reader.feed(self._unpacked(rest))
         return messages
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/links.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/links.py
@@ -97,7 +97,7 @@
         self.n_changes = 0
         self.nursery: trio.Nursery | None = None
         self.on_link: Callable[[SendingLink], None] = _ignore
-        peers.on_first_wanted = self.choose
+        peers.on_first_request = self.choose
 
     def __iter__(self) -> Iterator[SendingLink]:
         return iter(list(self._links.values()))
@@ -204,7 +204,7 @@
         now = self._clock.now()
         some = len({service for service, _ in self._ranked}) > _ALL_SERVICES
         for (service, near), members in self._ranked.items():
-            if some and not self._peers.is_wanted(service, now):
+            if some and not self._peers.is_in_use(service, now):
                 continue
             wanted |= self._open(members, near, LOCAL_LINKS if near else REMOTE_LINKS)
         for node, at in list(self._asked_for.items()):
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/unreadable.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/malformed_input.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unreadable:
+class MalformedInput:
     """A report or an entry that is not as it must be.
 
     Parameters
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/member_sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/member_sync.py
@@ -29,35 +29,35 @@
 # woken at each start of another node (39 calls a node in 38 s with 204 starts among 81
 # nodes, with those of the configuration). All nodes together list at most 5 times a
 # second, however many they are.
-_LIST_MS = 10_000.0
-_LIST_A_NODE_MS = 200.0
-_LIST_SPREAD = 0.2
+_LIST_INTERVAL_MS = 10_000.0
+_LIST_INTERVAL_PER_NODE_MS = 200.0
+_LIST_JITTER = 0.2
 # Milliseconds between the first lists of a node that is new, while others may be new
 # too and a list may still lack them.
-_FIRST_LISTS_MS = (1_500.0, 1_500.0, 2_000.0)
+_STARTUP_LIST_INTERVALS_MS = (1_500.0, 1_500.0, 2_000.0)
 # Milliseconds for which a list may lack what was announced before it.
-_LIST_AGE_MS = 8_000.0
+_MAX_LIST_STALENESS_MS = 8_000.0
 # Milliseconds for which a node that is not listed must have been out of reach before it
 # is forgotten; a list may be older than its announcement.
-_FORGET_MS = 5_000.0
+_FORGET_AFTER_MS = 5_000.0
 # Milliseconds without reach after which a listed node counts as lost for good, and is
 # removed from the store. Chosen to be long against a restart, not measured; one that
 # was only cut off announces itself again.
-_LOST_MS = 60_000.0
+_DEAD_AFTER_MS = 60_000.0
 # Nodes that remove a lost one after one list, on average, if all saw that it is lost;
 # the others find it removed at their next. A fixed share of them, one in five, was 39
 # calls for each lost node among 195.
-_REMOVERS = 3.0
+_EXPECTED_REMOVERS = 3.0
 # Milliseconds between two lists while the store fails, at most, for a node that has
 # links; one that has none cannot serve without.
-_RETRY_LIST_MAX_MS = 6_000.0
+_MAX_LIST_BACKOFF_MS = 6_000.0
 # Growth of the time between repeated lists of a node that has links.
-_GROWTH_LINKED = 3.0
+_LINKED_BACKOFF_FACTOR = 3.0
 # Milliseconds within which nodes write again what a store has lost that came back from
 # a copy, each at a moment of its own.
-_WRITE_AGAIN_MS = 1_000.0
+_REANNOUNCE_JITTER_MS = 1_000.0
 # Milliseconds that an announcement waits for its answer, at most.
-_ANNOUNCE_MS = 2_500.0
+_MAX_ANNOUNCE_TIMEOUT_MS = 2_500.0
 
 
 class MemberSync:
@@ -102,7 +102,7 @@
         self._rng = rng
         self._tell = teller
         self._removed: dict[str, str] = {}
-        self._returned = trio.Event()
+        self._store_restored = trio.Event()
         self._announced_at = float("-inf")
 
     def adopt_bounds(self, bounds: Bounds) -> None:
@@ -115,7 +115,7 @@
             await self._announce("start")
         present = await self._list("start")
         is_new = self._first_start or not self._is_listed(present)
-        first_lists = list(_FIRST_LISTS_MS) if is_new else []
+        first_lists = list(_STARTUP_LIST_INTERVALS_MS) if is_new else []
         while True:
             if not self._is_listed(present):
                 await self._announce("not-listed")
@@ -123,35 +123,35 @@
                 await trio.sleep(first_lists.pop(0) / MS_PER_S)
                 present = await self._list("start")
                 continue
-            pause = max(_LIST_MS, len(present) * _LIST_A_NODE_MS)
-            spread = 1.0 + _LIST_SPREAD * (2.0 * self._rng.random() - 1.0)
+            pause = max(_LIST_INTERVAL_MS, len(present) * _LIST_INTERVAL_PER_NODE_MS)
+            spread = 1.0 + _LIST_JITTER * (2.0 * self._rng.random() - 1.0)
             with trio.move_on_after(pause * spread / MS_PER_S):
-                await self._returned.wait()
-            if self._returned.is_set():
-                await self._write_again()
+                await self._store_restored.wait()
+            if self._store_restored.is_set():
+                await self._reannounce()
             else:
                 present = await self._list("interval")
-                await self._remove_lost(present)
+                await self._remove_dead(present)
 
-    def note_return(self) -> None:
+    def handle_store_restored(self) -> None:
         """Take in that the store has come back from a copy.
 
         What this node wrote may be gone, and what it removed may be back.
         """
         self._announced_at = float("-inf")
         self._removed.clear()
-        self._returned.set()
+        self._store_restored.set()
 
-    async def _write_again(self) -> None:
+    async def _reannounce(self) -> None:
         """Announce this node again if the store has lost that it did."""
-        self._returned = trio.Event()
-        await trio.sleep(self._rng.random() * _WRITE_AGAIN_MS / MS_PER_S)
+        self._store_restored = trio.Event()
+        await trio.sleep(self._rng.random() * _REANNOUNCE_JITTER_MS / MS_PER_S)
         if not await self._probe.find_entry("returned"):
             await self._announce("returned")
 
     def _is_listed(self, present: Mapping[str, Member]) -> bool:
         """Whether a list holds this node where it is now; else it is announced."""
-        if self._clock.now() - self._announced_at < _LIST_AGE_MS:
+        if self._clock.now() - self._announced_at < _MAX_LIST_STALENESS_MS:
             return True
         listed = present.get(self._own.node)
         own = self._own
@@ -160,32 +160,32 @@
             == (own.address, own.service, own.data_centre)
         )
 
-    async def _remove_lost(self, present: Mapping[str, Member]) -> None:
+    async def _remove_dead(self, present: Mapping[str, Member]) -> None:
         """Remove nodes from the store that are lost, not only cut off.
 
         A data centre that is out of reach as a whole is cut off; and whoever was
         removed and has announced itself again lives.
         """
         now = self._clock.now()
-        in_reach = {link.member.data_centre for link in self._links if link.is_up()}
-        in_reach.add(self._own.data_centre)
+        reachable = {link.member.data_centre for link in self._links if link.is_up()}
+        reachable.add(self._own.data_centre)
         for link in self._links:
             node = link.member.node
             listed = present.get(node)
-            out_of_reach = now - link.reached_at
+            unreachable_for = now - link.reached_at
             if (
                 listed is None
-                or out_of_reach < _LOST_MS
-                or link.member.data_centre not in in_reach
+                or unreachable_for < _DEAD_AFTER_MS
+                or link.member.data_centre not in reachable
                 or self._removed.get(node) == listed.incarnation
-                or self._rng.random() > _REMOVERS / len(present)
+                or self._rng.random() > _EXPECTED_REMOVERS / len(present)
             ):
                 continue
             self._removed[node] = listed.incarnation
             self._tell.store_call("member-remove", "lost")
             failed = await self._store.withdraw(node)
             cause = None if failed is None else failed.reason
-            silent = round(out_of_reach)
+            silent = round(unreachable_for)
             self._tell.event("node-removed", node=node, silent=silent, cause=cause)
 
     async def _list(self, cause: str) -> Mapping[str, Member]:
@@ -193,33 +193,35 @@
         wait = self._timeouts.initial_backoff
         failing = False
 
-        async def ask() -> MembersResult:
+        async def list_members() -> MembersResult:
             self._tell.store_call("member-list-older", cause)
-            return await self._store.read_members(recent=False)
+            return await self._store.read_members(linearizable=False)
 
         while True:
-            every = self._timeouts.hedge_delay
-            result = (await hedge(ask, every, _ignore, self._growth)).result
+            interval = self._timeouts.hedge_delay
+            result = (
+                await hedge(list_members, interval, _ignore, self._backoff_factor)
+            ).result
             if isinstance(result, Members):
                 if failing:
                     self._tell.event("store-regained", what="members")
-                for entry in result.broken:
+                for entry in result.malformed:
                     # It is neither dialled nor removed: who wrote it may need it.
                     self._tell.unreadable("entry-unreadable", entry)
                 self._links.know(result.present.values())
-                self._links.forget_unlisted(result.present, _FORGET_MS)
+                self._links.forget_unlisted(result.present, _FORGET_AFTER_MS)
                 return result.present
             if not failing:
                 self._tell.event("store-lost", what="members", cause=result.reason)
             failing = True
             await trio.sleep(wait / MS_PER_S)
             is_alone = self._is_alone()
-            longest = self._timeouts.max_backoff if is_alone else _RETRY_LIST_MAX_MS
+            longest = self._timeouts.max_backoff if is_alone else _MAX_LIST_BACKOFF_MS
             wait = min(2.0 * wait, longest)
 
-    def _growth(self) -> float:
+    def _backoff_factor(self) -> float:
         """Return how the time between repeated lists grows."""
-        return 1.0 if self._is_alone() else _GROWTH_LINKED
+        return 1.0 if self._is_alone() else _LINKED_BACKOFF_FACTOR
 
     def _is_alone(self) -> bool:
         """Whether this node is linked to no other one."""
@@ -229,7 +231,7 @@
         wait = 2.0 * self._timeouts.hedge_delay
         while (failed := await self._announce_once(cause, wait)) is not None:
             self._tell.event("announce-failed", cause=failed)
-            wait = min(2.0 * wait, _ANNOUNCE_MS)
+            wait = min(2.0 * wait, _MAX_ANNOUNCE_TIMEOUT_MS)
             await self._probe.find_entry("announce")
         self._announced_at = self._clock.now()
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/messages.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/messages.py
@@ -30,7 +30,7 @@
         Where the node takes links.
     data_centre, service : str
         Where it stands, and the service of the backend server beside it.
-    packed : bool
+    compressed : bool
         Whether all that this end sends from here on is compressed.
     protocol : int
         What the messages mean; nodes of another one are not linked.
@@ -41,7 +41,7 @@
     address: str
     data_centre: str
     service: str
-    packed: bool = False
+    compressed: bool = False
     protocol: int = PROTOCOL
 
 
@@ -103,13 +103,13 @@
         time; negative once it is late.
     rank : int
         Priority of the request at the root of the tree that this one belongs to.
-    is_call : bool
+    is_nested : bool
         Whether a backend server makes it while it runs another request.
     repeated : bool
         Whether it, or a request above it, was handed to a backend server before.
     again : bool
         Whether it itself was, so that the door has to pay for it.
-    lot : int
+    sampling_key : int
         What its tree has drawn; see `fuchsiagap.core.retries.shares`.
     idempotent : bool
         Whether it may be cancelled and repeated.
@@ -125,20 +125,20 @@
     instance: str
     head: bytes
     body: bytes
-    left: float
+    time_left: float
     slack: int
     rank: int
-    is_call: bool
-    repeated: bool
-    again: bool
-    lot: int
+    is_nested: bool
+    in_retried_tree: bool
+    is_retry: bool
+    sampling_key: int
     idempotent: bool
     request_id: str
     route: str
     fingerprint: bytes
 
 
-class Below(NamedTuple):
+class DownstreamSummary(NamedTuple):
     """What a call led to.
 
     Parameters
@@ -169,7 +169,7 @@
         Requests that run or wait at the door.
     offered : float
         Places that the requests that arrive at the door would fill.
-    below : Below
+    below : DownstreamSummary
         What it led to.
     """
 
@@ -177,7 +177,7 @@
     outcome: Outcome
     load: int
     offered: float
-    below: Below
+    below: DownstreamSummary
 
 
 @dataclass(frozen=True, slots=True)
@@ -198,12 +198,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ConfigWanted:
+class ConfigQuery:
     """Asks for the configuration that the other node has adopted."""
 
 
 @dataclass(frozen=True, slots=True)
-class ConfigText:
+class EncodedConfig:
     """The configuration as the platform holds it.
 
     Parameters
@@ -227,25 +227,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AgeWanted:
+class StalenessQuery:
     """Asks how old the other node's knowledge of the configuration is.
 
     Parameters
     ----------
-    question : int
+    query_id : int
         Number that the answer repeats.
     """
 
-    question: int
+    query_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class Age:
+class StalenessReply:
     """How old a node's knowledge of the configuration is.
 
     Parameters
     ----------
-    question : int
+    query_id : int
         Number of the question.
     version : int
         Version that was the newest.
@@ -253,18 +253,18 @@
         Milliseconds since it was, at the moment of the answer.
     """
 
-    question: int
+    query_id: int
     version: int
     age: float
 
 
 @dataclass(frozen=True, slots=True)
-class TokensWanted:
+class TokenRequest:
     """Asks the owner of a workspace's quota for tokens.
 
     Parameters
     ----------
-    question : int
+    query_id : int
         Number that the answer repeats.
     workspace : str
         Name of the workspace.
@@ -272,18 +272,18 @@
         How many.
     """
 
-    question: int
+    query_id: int
     workspace: str
     tokens: int
 
 
 @dataclass(frozen=True, slots=True)
-class TokensGranted:
+class TokenGrant:
     """What the owner of a quota grants.
 
     Parameters
     ----------
-    question : int
+    query_id : int
         Number of the question.
     workspace : str
         Name of the workspace.
@@ -295,7 +295,7 @@
         Whether the node owns the quota; the others grant none.
     """
 
-    question: int
+    query_id: int
     workspace: str
     tokens: int
     wait: float
@@ -310,13 +310,13 @@
     | Cancel
     | Ping
     | Pong
-    | ConfigWanted
-    | ConfigText
+    | ConfigQuery
+    | EncodedConfig
     | Crash
     | Held
     | Cleared
-    | AgeWanted
-    | Age
-    | TokensWanted
-    | TokensGranted
+    | StalenessQuery
+    | StalenessReply
+    | TokenRequest
+    | TokenGrant
 )
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/keyed_request.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/metered_request.py
@@ -15,10 +15,10 @@
     from fuchsiagap_node.core.mesh.final import Final
     from fuchsiagap_node.core.mesh.http_request import Request
     from fuchsiagap_node.core.mesh.placement import OnFinal, Placement
-    from fuchsiagap_node.core.mesh.quotas import QuotaAnswer, Quotas, Waiter
+    from fuchsiagap_node.core.mesh.quotas import QuotaDecision, Quotas, Waiter
 
 
-class KeyedRequest:
+class MeteredRequest:
     """A request of a workspace, from its key to its answer.
 
     Parameters
@@ -38,7 +38,7 @@
     """
 
     __slots__ = (
-        "_began",
+        "_arrived_at",
         "_done",
         "_entry",
         "_placement",
@@ -65,7 +65,7 @@
         self.route = route
         self.turn = turn
         self._done = done
-        self._began = entry.now()
+        self._arrived_at = entry.now()
         self._quotas: Quotas | None = None
         self._waiter: Waiter | None = None
         self._placement: Placement | None = None
@@ -73,7 +73,7 @@
     def start(self, quotas: Quotas) -> bool:
         """Ask for a token; return whether there is something to cancel."""
         self._quotas = quotas
-        self._waiter = quotas.ask(self.workspace, self._decided)
+        self._waiter = quotas.acquire(self.workspace, self._handle_decision)
         return self._waiter is not None or self._placement is not None
 
     def cancel(self) -> None:
@@ -83,11 +83,11 @@
         if self._placement is not None:
             self._placement.cancel()
 
-    def _decided(self, answer: QuotaAnswer) -> None:
-        if answer.verdict is not Verdict.WITHIN:
-            self._done(self._entry.over_quota(self, answer))
+    def _handle_decision(self, decision: QuotaDecision) -> None:
+        if decision.verdict is not Verdict.WITHIN:
+            self._done(self._entry.over_quota(self, decision))
             return
-        waited = self._entry.now() - self._began
+        waited = self._entry.now() - self._arrived_at
         self._placement = self._entry.within_quota(self, self._finish, waited)
 
     def _finish(self, final: Final) -> None:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/node.py
@@ -35,6 +35,7 @@
 )
 from fuchsiagap_node.core.mesh.links import Links
 from fuchsiagap_node.core.mesh.load_line import load_fields
+from fuchsiagap_node.core.mesh.malformed_input import MalformedInput
 from fuchsiagap_node.core.mesh.member_sync import MemberSync
 from fuchsiagap_node.core.mesh.messages import Hello
 from fuchsiagap_node.core.mesh.outcome import LEAVING
@@ -51,7 +52,6 @@
 from fuchsiagap_node.core.mesh.taking import TakingLinks
 from fuchsiagap_node.core.mesh.telling import FLUSH_MS, Teller
 from fuchsiagap_node.core.mesh.ticker import TICK_MS, Ticker
-from fuchsiagap_node.core.mesh.unreadable import Unreadable
 from fuchsiagap_node.core.mesh.workspaces import Workspaces
 
 if TYPE_CHECKING:
@@ -120,7 +120,7 @@
         self,
         cfg: MeshSettings,
         store: Store,
-        read_report: Callable[[Request], BackendReport | Unreadable],
+        read_report: Callable[[Request], BackendReport | MalformedInput],
         clock: Clock | None = None,
         reload: Callable[[], MeshSettings | str] | None = None,
         rng: random.Random | None = None,
@@ -175,7 +175,7 @@
             self._admission,
             self._rotation,
             tell,
-            self._workspaces.check,
+            self._workspaces.authenticator,
             self._workspaces.quotas,
         )
         self._callers = CallerEdge(cfg, self.entry, clock, tell, self._poller)
@@ -187,9 +187,9 @@
         self._links = Links(own, hello, self._peers, clock, tell, self._poller)
         self._links.on_link = self._prepare_link
         self._own_status = OwnStatus(self.door, self._config)
-        self.door.repeats.n_doors = lambda: self._links.n_beside(cfg.service) + 1
+        self.door.repeats.n_replicas = lambda: self._links.n_beside(cfg.service) + 1
         self._members = MemberSync(own, self._links, store, cfg, clock, rng, tell)
-        self._config.on_return = self._members.note_return
+        self._config.on_store_restored = self._members.handle_store_restored
         self._settings_fault = ""
         self._leaving = False
         self._is_caught_up = False
@@ -198,9 +198,9 @@
             hello, self.door, self._own_status.now, clock, tell, self._poller
         )
         self._taking.on_hello = self._links.take_hello
-        self._taking.config_text = self._config.in_force.text
+        self._taking.config_text = self._config.active.text
         self._taking.below = below
-        self._workspaces.prepare_taking(self._taking)
+        self._workspaces.prepare_inbound(self._taking)
         self._taking.on_report = self.reports.handle
         self._taking.send_snapshot = self.reports.send_snapshot
         self.reports.peers = self._posts
@@ -326,7 +326,7 @@
         trio.lowlevel.add_instrument(watch)
         self._poller.before_calls = partial(watch.after_io_wait, 0.0)
         async with trio.open_nursery() as nursery:
-            self._config.serve_in(nursery)
+            self._config.set_nursery(nursery)
             self._links.nursery = nursery
             for work in (
                 self._poller.run,
@@ -363,7 +363,7 @@
     @property
     def version_in_force(self) -> int:
         """Version of the configuration in force; 0 before the first."""
-        return self._config.in_force.version
+        return self._config.active.version
 
     def is_ready(self) -> bool:
         """Whether callers should be sent here."""
@@ -378,20 +378,20 @@
         report = self._read_report(req)
         if isinstance(report, BackendReport):
             report = self._of_own_service(report)
-        if isinstance(report, Unreadable):
+        if isinstance(report, MalformedInput):
             self.tell.unreadable("report-unreadable", report)
             text = f"{report.place}: {report.reason}\n".encode()
             return Final(400, headers=b"Content-Type: text/plain\r\n", body=text)
         self.door.take_report(report)
         return Final(200, headers=b"Content-Type: application/json\r\n", body=b"{}")
 
-    def _of_own_service(self, report: BackendReport) -> BackendReport | Unreadable:
+    def _of_own_service(self, report: BackendReport) -> BackendReport | MalformedInput:
         """Return a report if it is of the service that this node stands beside."""
         service = self.cfg.service
         if report.state is BackendState.GONE or report.service == service:
             return report
         reason = f"service {report.service!r} where {service!r} was expected"
-        return Unreadable(report.instance, reason)
+        return MalformedInput(report.instance, reason)
 
     def _answer_metrics(self, req: Request) -> Final:
         if req.method != b"GET":
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/over_quota.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/over_quota.py
@@ -8,15 +8,15 @@
 from fuchsiagap_node.core.mesh.quotas import Verdict
 
 if TYPE_CHECKING:
-    from fuchsiagap_node.core.mesh.quotas import QuotaAnswer
+    from fuchsiagap_node.core.mesh.quotas import QuotaDecision
 
 
-def quota_refusal(answer: QuotaAnswer) -> Final | None:
+def quota_refusal(decision: QuotaDecision) -> Final | None:
     """Return the refusal that an answer leads to; None for a request that goes on."""
-    match answer.verdict:
+    match decision.verdict:
         case Verdict.WITHIN:
             return None
         case Verdict.OVER:
-            return Final(429, retry_after=answer.retry_after)
+            return Final(429, retry_after=decision.retry_after)
         case Verdict.UNKNOWN:
             return Final(503, retry_after=RETRY_AFTER_MS)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/own_status.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/own_status.py
@@ -43,7 +43,7 @@
             _coarse(round(door.offered()), door.limit),
             round(door.failing(), 1),
             door.is_warming(),
-            self._config.in_force.version,
+            self._config.active.version,
             self._config.update_source,
             self._told_ms(),
             self._config.epoch,
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/peers.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/peers.py
@@ -10,16 +10,16 @@
 
     from fuchsiagap.core.clock import Milliseconds
     from fuchsiagap.core.placement.choice import Target
-    from fuchsiagap_node.core.mesh.messages import Below, Call
+    from fuchsiagap_node.core.mesh.messages import Call, DownstreamSummary
     from fuchsiagap_node.core.mesh.outcome import Outcome
 
     # Told the outcome of a call and what it led to, once.
-    OnReply: TypeAlias = Callable[[Outcome, Below], None]
+    OnReply: TypeAlias = Callable[[Outcome, DownstreamSummary], None]
 
 
 # Milliseconds since its last request for which a service counts as asked for: opening
 # its links anew costs more than keeping them for some minutes.
-_WANTED_MS = 600_000.0
+_SERVICE_IDLE_MS = 600_000.0
 
 
 class Peer(Protocol):
@@ -39,13 +39,13 @@
 
     Attributes
     ----------
-    on_first_wanted : callable
+    on_first_request : callable
         Called when a service is asked for that was not of late.
     """
 
     def __init__(self) -> None:
-        self._wanted_at: dict[str, Milliseconds] = {}
-        self.on_first_wanted: Callable[[], None] = _nothing
+        self._last_request_at: dict[str, Milliseconds] = {}
+        self.on_first_request: Callable[[], None] = _ignore
         self._by_node: dict[str, Peer] = {}
         self._by_service: dict[str, dict[str, Peer]] = {}
 
@@ -65,20 +65,22 @@
         """Return the door of a node."""
         return self._by_node.get(node)
 
-    def want(self, service: str, now: Milliseconds) -> None:
+    def mark_requested(self, service: str, now: Milliseconds) -> None:
         """Note that a request asks for a service."""
-        is_known = self.is_wanted(service, now)
-        self._wanted_at[service] = now
-        if not is_known:
-            self.on_first_wanted()
+        was_in_use = self.is_in_use(service, now)
+        self._last_request_at[service] = now
+        if not was_in_use:
+            self.on_first_request()
 
-    def is_wanted(self, service: str, now: Milliseconds) -> bool:
+    def is_in_use(self, service: str, now: Milliseconds) -> bool:
         """Whether a service was asked for of late."""
-        return now - self._wanted_at.get(service, float("-inf")) < _WANTED_MS
+        return (
+            now - self._last_request_at.get(service, float("-inf")) < _SERVICE_IDLE_MS
+        )
 
     def services(self) -> list[str]:
         """Return the services that have doors, in order."""
-        return sorted(name for name, doors in self._by_service.items() if doors)
+        return sorted(name for name, peers in self._by_service.items() if peers)
 
     def reached(self) -> Iterator[Target]:
         """Return the backend servers whose nodes can be reached now."""
@@ -86,9 +88,9 @@
 
     def targets(self, service: str) -> Sequence[Target]:
         """Return the backend servers of a service."""
-        doors = self._by_service.get(service)
-        return [peer.target for peer in doors.values()] if doors else []
+        peers = self._by_service.get(service)
+        return [peer.target for peer in peers.values()] if peers else []
 
 
-def _nothing() -> None:
+def _ignore() -> None:
     """Do nothing."""
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/placement.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/placement.py
@@ -35,7 +35,7 @@
     from fuchsiagap.core.workspaces.model import Workspace
     from fuchsiagap_node.core.mesh.http_request import Request
     from fuchsiagap_node.core.mesh.job import Job
-    from fuchsiagap_node.core.mesh.messages import Below
+    from fuchsiagap_node.core.mesh.messages import DownstreamSummary
     from fuchsiagap_node.core.mesh.peers import Peer
     from fuchsiagap_node.core.mesh.placing import Placing
 
@@ -142,7 +142,9 @@
         self._fingerprint = fingerprint(
             req.method, req.host, req.target, req.identity, req.body
         )
-        self._lot = placing.draw_lot() if parent is None else parent.call.lot
+        self._lot = (
+            placing.draw_sampling_key() if parent is None else parent.call.sampling_key
+        )
         self._arrivals = 0
         self._denials = 0
         self._placements = 0
@@ -256,7 +258,7 @@
             round(self._due - now),
             route.priority if parent is None else parent.rank,
             parent is not None,
-            self._arrivals > 0 or (parent is not None and parent.repeated),
+            self._arrivals > 0 or (parent is not None and parent.in_retried_tree),
             self._arrivals > 0,
             self._lot,
             route.idempotent,
@@ -265,7 +267,7 @@
             self._fingerprint,
         )
 
-    def _take_reply(self, outcome: Outcome, below: Below) -> None:
+    def _take_reply(self, outcome: Outcome, below: DownstreamSummary) -> None:
         """Take the outcome of the call; a fault here must not end the link's task."""
         call, peer = self._call, self._peer
         if call is None or peer is None:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/placing.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/placing.py
@@ -7,7 +7,7 @@
 
 from fuchsiagap.core.placement.choice import choose, remote_penalty
 from fuchsiagap.core.pressure.served import ServedShares
-from fuchsiagap.core.retries.shares import N_LOTS
+from fuchsiagap.core.retries.shares import N_SAMPLING_KEYS
 
 if TYPE_CHECKING:
     import random
@@ -118,7 +118,7 @@
         only : collection of str, optional
             Incarnations that it may still be sent to; by default all.
         """
-        self.peers.want(service, self.clock.now())
+        self.peers.mark_requested(service, self.clock.now())
         targets = self.peers.targets(service)
         if only is not None:
             targets = [target for target in targets if target.instance in only]
@@ -139,6 +139,6 @@
         """Return a number for a call, unique in this process."""
         return next(self._ids)
 
-    def draw_lot(self) -> int:
+    def draw_sampling_key(self) -> int:
         """Draw the lot of a tree, which decides whether its calls are repeated."""
-        return self._rng.randrange(N_LOTS)
+        return self._rng.randrange(N_SAMPLING_KEYS)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/pressures.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/pressures.py
@@ -11,7 +11,7 @@
 
 if TYPE_CHECKING:
     from fuchsiagap.core.clock import Clock, Milliseconds
-    from fuchsiagap_node.core.mesh.messages import Below
+    from fuchsiagap_node.core.mesh.messages import DownstreamSummary
     from fuchsiagap_node.core.mesh.peers import Peers
 
 # Milliseconds after its last call for which a service counts as called.
@@ -71,7 +71,7 @@
         self._called: dict[str, dict[tuple[str, str], Milliseconds]] = {}
         self._computed: dict[str, _Computed] = {}
 
-    def note_reply(self, service: str, route: str, below: Below) -> None:
+    def note_reply(self, service: str, route: str, below: DownstreamSummary) -> None:
         """Take in what a reply says of the services below its route."""
         fullness, calls, failed = below
         now = self._clock.now()
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/paid_repeats.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/queue_retry_budget.py
@@ -16,10 +16,10 @@
     from fuchsiagap_node.core.mesh.telling import Teller
 
 # Weight of one request in the mean number of calls of its route: about the last 20.
-_CALLS_WEIGHT = 0.05
+_CALLS_EWMA_WEIGHT = 0.05
 
 
-class PaidRepeats:
+class QueueRetryBudget:
     """Counts what reaches the server of a door, and pays for repeats.
 
     Parameters
@@ -35,7 +35,7 @@
 
     Attributes
     ----------
-    n_doors : callable
+    n_replicas : callable
         Returns how many doors the service has that are known, this one included.
     """
 
@@ -44,8 +44,8 @@
     ) -> None:
         self._budget = DoorBudget(cfg, clock, rng)
         self._tell = teller
-        self._calls: dict[str, float] = {}
-        self.n_doors: Callable[[], int] = _one
+        self._mean_calls: dict[str, float] = {}
+        self.n_replicas: Callable[[], int] = _one
 
     def adopt(self, cfg: SharedBudget) -> None:
         """Go on under changed bounds."""
@@ -61,23 +61,23 @@
         failing : float
             Share of what reaches the server that fails there.
         """
-        if not call.again:
-            if call.repeated:
+        if not call.is_retry:
+            if call.in_retried_tree:
                 self._budget.note_inherited()
             else:
                 self._budget.note_first(call.rank)
             return True
-        calls = self._calls.get(call.route, 0.0)
-        repeat = Repeat(call.rank, call.lot, call.is_call, calls)
-        is_paid = self._budget.pay(repeat, self.n_doors(), failing)
-        labels = f'rank="{call.rank}",paid="{str(is_paid).lower()}"'
+        calls = self._mean_calls.get(call.route, 0.0)
+        repeat = Repeat(call.rank, call.sampling_key, call.is_nested, calls)
+        is_allowed = self._budget.pay(repeat, self.n_replicas(), failing)
+        labels = f'rank="{call.rank}",paid="{str(is_allowed).lower()}"'
         self._tell.counts["repeats", labels] += 1
-        return is_paid
+        return is_allowed
 
-    def note_answered(self, route: str, calls: int) -> None:
+    def record_answered(self, route: str, calls: int) -> None:
         """Learn how many calls a request of a route made that was answered."""
-        known = self._calls.setdefault(route, calls)
-        self._calls[route] = known + (calls - known) * _CALLS_WEIGHT
+        mean = self._mean_calls.setdefault(route, calls)
+        self._mean_calls[route] = mean + (calls - mean) * _CALLS_EWMA_WEIGHT
 
 
 def _one() -> int:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/quota_owners.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/quota_owners.py
@@ -16,11 +16,11 @@
 
 # Milliseconds that a node gets to be linked, or to answer, before the next one counts
 # as the owner.
-_REACH_MS = 500.0
+_REACH_TIMEOUT_MS = 500.0
 # Milliseconds of silence after which a node is asked whether it is there.
-_SILENT_MS = 300.0
+_PING_AFTER_MS = 300.0
 # Nodes of each data centre that are asked whether it is in reach.
-_ASKED_IN_EACH = 3
+_PROBED_PER_DATA_CENTRE = 3
 
 
 class QuotaOwners:
@@ -49,10 +49,10 @@
         self._links = links
         self._has_store = has_store
         self._clock = clock
-        self._orders: dict[str, tuple[str, ...]] = {}
-        self._orders_of = -1
+        self._candidates: dict[str, tuple[str, ...]] = {}
+        self._candidates_version = -1
         # When a node that is not known to be there was first looked for.
-        self._looked_for: dict[str, Milliseconds] = {}
+        self._unconfirmed_since: dict[str, Milliseconds] = {}
 
     @property
     def node(self) -> str:
@@ -64,7 +64,7 @@
 
         One that is cut off by itself hears no node before it, as the last one would.
         """
-        order = self._order(workspace)
+        order = self._candidates_of(workspace)
         owner = owner_of(order, self._is_up)
         if owner != self._own.node:
             return owner
@@ -74,29 +74,29 @@
 
     def is_first(self, workspace: str) -> bool:
         """Whether this node owns a quota also where all others are up."""
-        return self._order(workspace)[0] == self._own.node
+        return self._candidates_of(workspace)[0] == self._own.node
 
     def share(self) -> float:
         """Return the part of each quota that this node may hand out."""
         own = self._own.data_centre
         places = self._links().by_data_centre()
-        heard = {place for place, nodes in places.items() if self._hears(nodes)}
+        heard = {place for place, nodes in places.items() if self._is_any_up(nodes)}
         hears_own = own not in places or own in heard
         return granted_share(own, places, heard, hears_own or self._has_store())
 
-    def _hears(self, nodes: Sequence[str]) -> bool:
+    def _is_any_up(self, nodes: Sequence[str]) -> bool:
         """Whether one of the nodes of a data centre is up."""
-        return any(self._is_up(node) for node in nodes[:_ASKED_IN_EACH])
+        return any(self._is_up(node) for node in nodes[:_PROBED_PER_DATA_CENTRE])
 
-    def _order(self, workspace: str) -> tuple[str, ...]:
+    def _candidates_of(self, workspace: str) -> tuple[str, ...]:
         links = self._links()
-        if self._orders_of != links.n_changes:
-            self._orders = {}
-            self._orders_of = links.n_changes
-        order = self._orders.get(workspace)
+        if self._candidates_version != links.n_changes:
+            self._candidates = {}
+            self._candidates_version = links.n_changes
+        order = self._candidates.get(workspace)
         if order is None:
             order = candidates(workspace, (self._own.node, *links.known_nodes()))
-            self._orders[workspace] = order
+            self._candidates[workspace] = order
         return order
 
     def _is_up(self, node: str) -> bool:
@@ -107,15 +107,15 @@
         now = self._clock.now()
         if link is None:
             return False
-        if link.is_open() and now - link.reached_at < _SILENT_MS:
-            self._looked_for.pop(node, None)
+        if link.is_open() and now - link.reached_at < _PING_AFTER_MS:
+            self._unconfirmed_since.pop(node, None)
             return True
-        since = self._looked_for.get(node)
+        since = self._unconfirmed_since.get(node)
         if since is None:
-            self._looked_for[node] = since = now
+            self._unconfirmed_since[node] = since = now
             link.post(Ping())
         elif link.is_open() and link.reached_at >= since:
             # It has answered, and was silent since.
-            self._looked_for[node] = since = now
+            self._unconfirmed_since[node] = since = now
             link.post(Ping())
-        return now - since < _REACH_MS
+        return now - since < _REACH_TIMEOUT_MS
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/quotas.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/quotas.py
@@ -10,7 +10,7 @@
 
 from fuchsiagap.core.workspaces.grants import Grant, QuotaGrants
 from fuchsiagap.core.workspaces.holdings import QuotaHoldings
-from fuchsiagap_node.core.mesh.messages import TokensGranted, TokensWanted
+from fuchsiagap_node.core.mesh.messages import TokenGrant, TokenRequest
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -21,17 +21,17 @@
     from fuchsiagap_node.core.mesh.telling import Teller
 
 # Milliseconds between two looks at what waits.
-LOOK_MS = 50.0
+PENDING_CHECK_MS = 50.0
 # Milliseconds that a request waits for a token; then it is refused as not run.
-WAIT_MS = 400.0
+MAX_TOKEN_WAIT_MS = 400.0
 # Milliseconds after which a question that has no answer is asked again, of whoever owns
 # the quota by then.
-_ASK_AGAIN_MS = 150.0
+_REQUEST_RETRY_MS = 150.0
 # Milliseconds between two questions where the one that was asked is not the owner.
-_NOT_OWNER_MS = 60.0
+_NOT_OWNER_RETRY_MS = 60.0
 # Milliseconds after the start of the whole system in which the owners of quotas begin
 # with a whole burst: nobody can have used any of it.
-_FIRST_MS = 60_000.0
+_FIRST_START_MS = 60_000.0
 
 
 class Verdict(Enum):
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class QuotaAnswer:
+class QuotaDecision:
     """What becomes of a request that needs a token.
 
     Parameters
@@ -64,23 +64,23 @@
 
     Parameters
     ----------
-    decide : callable
+    on_decision : callable
         Told the answer, once, unless the request is cancelled.
-    until : float
+    expires_at : float
         When it is given up.
     is_decided : bool
         Whether it has its answer, or its caller has left.
     """
 
-    decide: Callable[[QuotaAnswer], None]
-    until: Milliseconds
+    on_decision: Callable[[QuotaDecision], None]
+    expires_at: Milliseconds
     is_decided: bool = False
 
-    def settle(self, answer: QuotaAnswer) -> None:
+    def settle(self, answer: QuotaDecision) -> None:
         """Tell the answer, unless there is one already."""
         if not self.is_decided:
             self.is_decided = True
-            self.decide(answer)
+            self.on_decision(answer)
 
     def cancel(self) -> None:
         """Give the request up: its caller has left."""
@@ -88,21 +88,21 @@
 
 
 @dataclass(slots=True)
-class _Asking:
+class _PendingRequests:
     """The requests of a workspace that wait, and the question for tokens."""
 
     workspace: Workspace
     waiting: deque[Waiter] = field(default_factory=deque)
-    question: int = 0
-    asked_at: Milliseconds = float("-inf")
-    ask_at: Milliseconds = 0.0
+    query_id: int = 0
+    requested_at: Milliseconds = float("-inf")
+    retry_at: Milliseconds = 0.0
 
     def n_waiting(self) -> int:
         """Return how many requests wait."""
         return sum(not waiter.is_decided for waiter in self.waiting)
 
 
-_WITHIN = QuotaAnswer(Verdict.WITHIN)
+_WITHIN = QuotaDecision(Verdict.WITHIN)
 
 
 class Quotas:
@@ -134,24 +134,26 @@
     def __init__(
         self,
         owners: QuotaOwners,
-        post: Callable[[str, TokensWanted], bool],
+        post: Callable[[str, TokenRequest], bool],
         is_first_start: bool,
         clock: Clock,
         teller: Teller,
     ) -> None:
         self._owners = owners
         self._post = post
-        self._first_until = clock.now() + (_FIRST_MS if is_first_start else 0.0)
+        self._full_burst_until = clock.now() + (
+            _FIRST_START_MS if is_first_start else 0.0
+        )
         self._clock = clock
         self._tell = teller
-        self._questions = count(1)
-        self._asking: dict[str, _Asking] = {}
+        self._query_ids = count(1)
+        self._pending: dict[str, _PendingRequests] = {}
         self.holdings = QuotaHoldings()
         self.grants = QuotaGrants()
         self.workspaces: dict[str, Workspace] = {}
 
-    def ask(
-        self, workspace: Workspace, decide: Callable[[QuotaAnswer], None]
+    def acquire(
+        self, workspace: Workspace, on_decision: Callable[[QuotaDecision], None]
     ) -> Waiter | None:
         """Decide whether a request may be sent on.
 
@@ -159,7 +161,7 @@
         ----------
         workspace : Workspace
             Whose request it is.
-        decide : callable
+        on_decision : callable
             Told the answer, once, now or later.
 
         Returns
@@ -168,21 +170,21 @@
             What is to be cancelled if the caller leaves; None if it is decided.
         """
         if workspace.rate <= 0.0:
-            decide(_WITHIN)
+            on_decision(_WITHIN)
             return None
         now = self._clock.now()
         name = workspace.name
         self.holdings.count_request(name, now)
         if self.holdings.take(name, now):
-            decide(_WITHIN)
+            on_decision(_WITHIN)
             self._fetch(workspace, now)
             return None
         wait = self.holdings.denied_for(name, now)
         if wait > 0.0:
-            decide(QuotaAnswer(Verdict.OVER, wait))
+            on_decision(QuotaDecision(Verdict.OVER, wait))
             return None
-        waiter = Waiter(decide, now + WAIT_MS)
-        self._asking_for(workspace).waiting.append(waiter)
+        waiter = Waiter(on_decision, now + MAX_TOKEN_WAIT_MS)
+        self._pending_for(workspace).waiting.append(waiter)
         self._fetch(workspace, now)
         return None if waiter.is_decided else waiter
 
@@ -191,18 +193,18 @@
         if workspace.rate > 0.0:
             self.holdings.put_back(workspace.name)
 
-    def look(self) -> None:
+    def process_pending(self) -> None:
         """Ask again for what was not answered, and refuse what has waited too long."""
         now = self._clock.now()
-        for name, asking in list(self._asking.items()):
-            while asking.waiting and asking.waiting[0].until <= now:
-                asking.waiting.popleft().settle(QuotaAnswer(Verdict.UNKNOWN))
-            if asking.waiting:
-                self._fetch(asking.workspace, now)
-            elif now - asking.asked_at > _ASK_AGAIN_MS:
-                del self._asking[name]
-
-    def forget(self) -> None:
+        for name, pending in list(self._pending.items()):
+            while pending.waiting and pending.waiting[0].expires_at <= now:
+                pending.waiting.popleft().settle(QuotaDecision(Verdict.UNKNOWN))
+            if pending.waiting:
+                self._fetch(pending.workspace, now)
+            elif now - pending.requested_at > _REQUEST_RETRY_MS:
+                del self._pending[name]
+
+    def evict_idle(self) -> None:
         """Forget the workspaces without a request of late."""
         now = self._clock.now()
         self.holdings.forget(now)
@@ -212,79 +214,81 @@
         """Put the quotas of a configuration in force."""
         self.workspaces = {workspace.name: workspace for workspace in workspaces}
 
-    def _asking_for(self, workspace: Workspace) -> _Asking:
-        asking = self._asking.get(workspace.name)
-        if asking is None:
-            asking = self._asking[workspace.name] = _Asking(workspace)
-        asking.workspace = workspace
-        return asking
+    def _pending_for(self, workspace: Workspace) -> _PendingRequests:
+        pending = self._pending.get(workspace.name)
+        if pending is None:
+            pending = self._pending[workspace.name] = _PendingRequests(workspace)
+        pending.workspace = workspace
+        return pending
 
     def _fetch(self, workspace: Workspace, now: Milliseconds) -> None:
         """Ask for tokens, if more are needed and none are on their way."""
-        asking = self._asking.get(workspace.name)
-        n_waiting = 0 if asking is None else asking.n_waiting()
+        pending = self._pending.get(workspace.name)
+        n_waiting = 0 if pending is None else pending.n_waiting()
         wanted = self.holdings.wanted(workspace.name, n_waiting, now)
         if not wanted:
             return
-        asking = asking or self._asking_for(workspace)
-        if now < asking.ask_at:
+        pending = pending or self._pending_for(workspace)
+        if now < pending.retry_at:
             return
-        asking.ask_at = now + _ASK_AGAIN_MS
-        asking.asked_at = now
+        pending.retry_at = now + _REQUEST_RETRY_MS
+        pending.requested_at = now
         owner = self._owners.owner(workspace.name)
         if owner == self._owners.node:
-            self._settle(workspace.name, self._grant(workspace, wanted), now)
+            self._distribute(workspace.name, self._grant(workspace, wanted), now)
         elif owner is not None:
-            asking.question = next(self._questions)
-            self._post(owner, TokensWanted(asking.question, workspace.name, wanted))
+            pending.query_id = next(self._query_ids)
+            self._post(owner, TokenRequest(pending.query_id, workspace.name, wanted))
 
     def _grant(self, workspace: Workspace, wanted: int) -> Grant:
         """Grant tokens as the owner of a quota."""
         now = self._clock.now()
-        begins_full = now < self._first_until and self._owners.is_first(workspace.name)
+        begins_full = now < self._full_burst_until and self._owners.is_first(
+            workspace.name
+        )
         share = self._owners.share()
         return self.grants.grant(workspace, wanted, now, share, begins_full)
 
-    def answer(self, question: TokensWanted) -> TokensGranted:
+    def grant_tokens(self, request: TokenRequest) -> TokenGrant:
         """Return the answer to a node that asks for tokens."""
-        name = question.workspace
+        name = request.workspace
         workspace = self.workspaces.get(name)
         is_owner = self._owners.owner(name) == self._owners.node
         if workspace is None or not is_owner:
-            return TokensGranted(question.question, name, 0, 0.0, is_owner=False)
-        grant = self._grant(workspace, question.tokens)
-        return TokensGranted(
-            question.question, name, grant.tokens, grant.wait, is_owner=True
+            return TokenGrant(request.query_id, name, 0, 0.0, is_owner=False)
+        grant = self._grant(workspace, request.tokens)
+        return TokenGrant(
+            request.query_id, name, grant.tokens, grant.wait, is_owner=True
         )
 
-    def take_answer(self, answer: TokensGranted) -> None:
+    def handle_grant(self, grant: TokenGrant) -> None:
         """Take in tokens; those of a question that was asked again are dropped."""
-        asking = self._asking.get(answer.workspace)
-        if asking is None or asking.question != answer.question:
+        pending = self._pending.get(grant.workspace)
+        if pending is None or pending.query_id != grant.query_id:
             return
         now = self._clock.now()
-        if now - asking.asked_at > WAIT_MS:
+        if now - pending.requested_at > MAX_TOKEN_WAIT_MS:
             return
-        asking.question = 0
-        if not answer.is_owner:
-            asking.ask_at = now + _NOT_OWNER_MS
+        pending.query_id = 0
+        if not grant.is_owner:
+            pending.retry_at = now + _NOT_OWNER_RETRY_MS
             return
-        self._settle(answer.workspace, Grant(answer.tokens, answer.wait), now)
+        self._distribute(grant.workspace, Grant(grant.tokens, grant.wait), now)
 
-    def _settle(self, name: str, grant: Grant, now: Milliseconds) -> None:
+    def _distribute(self, name: str, grant: Grant, now: Milliseconds) -> None:
         """Give tokens to the requests that wait, and refuse the others."""
-        asking = self._asking[name]
-        asking.ask_at = now
+        pending = self._pending[name]
+        pending.retry_at = now
         self.holdings.add(name, grant, now)
-        waiting, asking.waiting = asking.waiting, deque()
+        waiting, pending.waiting = pending.waiting, deque()
         for waiter in waiting:
             if waiter.is_decided:
                 continue
             if self.holdings.take(name, now):
                 waiter.settle(_WITHIN)
             elif grant.wait > 0.0:
-                waiter.settle(QuotaAnswer(Verdict.OVER, grant.wait))
+                waiter.settle(QuotaDecision(Verdict.OVER, grant.wait))
             else:
-                asking.waiting.append(waiter)
-        if asking.waiting:
-            self._fetch(asking.workspace, now)
+                pending.waiting.append(waiter)
+        if pending.waiting:
+            self._fetch(pending.workspace, now)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/sending.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/sending.py
@@ -16,15 +16,15 @@
 from fuchsiagap_node.core.mesh.link import FramedLink
 from fuchsiagap_node.core.mesh.messages import (
     NO_CALLS,
-    Age,
-    Below,
     Cleared,
-    ConfigText,
+    DownstreamSummary,
+    EncodedConfig,
     Hello,
     Ping,
     Reply,
+    StalenessReply,
     Status,
-    TokensGranted,
+    TokenGrant,
 )
 from fuchsiagap_node.core.mesh.outcome import LINK_LOST, MayHaveRun, NotRun
 from fuchsiagap_node.core.mesh.stream import BrokenStream, dial
@@ -41,7 +41,7 @@
     from fuchsiagap_node.core.mesh.telling import Teller
 
 # What a call led to whose reply does not come.
-_NOTHING_KNOWN = Below(NO_CALLS, 0)
+_NOTHING_KNOWN = DownstreamSummary(NO_CALLS, 0)
 # Milliseconds to open a link; ten round trips between regions and room for a busy host.
 _DIAL_MS = 1_000.0
 # Milliseconds between two attempts to reach a node, doubled up to the second figure.
@@ -115,9 +115,9 @@
         Told that the node's status changed.
     on_report : callable
         Told what the node reports of requests that crash servers.
-    on_age : callable
+    on_staleness : callable
         Told how old the node's knowledge of the configuration is.
-    on_tokens : callable
+    on_token_grant : callable
         Told what the node grants of a quota that it owns.
     on_open : callable
         Told that the link can be used.
@@ -154,11 +154,11 @@
         self._reached_at = clock.now()
         self._busy_since = clock.now()
         self._is_closed_here = False
-        self.on_config: Callable[[ConfigText], None] = _ignore
+        self.on_config: Callable[[EncodedConfig], None] = _ignore
         self.on_status: Callable[[SendingLink], None] = _ignore
         self.on_report: Callable[[Report, str], None] = _ignore_both
-        self.on_age: Callable[[Age, str], None] = _ignore_both
-        self.on_tokens: Callable[[TokensGranted], None] = _ignore
+        self.on_staleness: Callable[[StalenessReply, str], None] = _ignore_both
+        self.on_token_grant: Callable[[TokenGrant], None] = _ignore
         self.on_open: Callable[[SendingLink], None] = _ignore
         self.heard_elsewhere: Callable[[], Milliseconds] = _never
         self.send_snapshot: Callable[[Post], None] = _ignore
@@ -242,7 +242,7 @@
 
     async def _serve(self, stream: Stream) -> None:
         link = FramedLink(stream, self._clock)
-        link.post_hello(self._hello, packed=not self.target.local)
+        link.post_hello(self._hello, compressed=not self.target.local)
 
         def take(message: Message) -> None:
             self._take_message(link, message)
@@ -282,14 +282,14 @@
                 self._take_reply(reply)
             case Status() as status:
                 self._take_status(status)
-            case ConfigText() as config:
+            case EncodedConfig() as config:
                 self.on_config(config)
             case Crash() | Held() | Cleared() as report:
                 self.on_report(report, self.member.node)
-            case Age() as age:
-                self.on_age(age, self.member.node)
-            case TokensGranted() as tokens:
-                self.on_tokens(tokens)
+            case StalenessReply() as age:
+                self.on_staleness(age, self.member.node)
+            case TokenGrant() as tokens:
+                self.on_token_grant(tokens)
             case Hello() as hello:
                 self._check(hello, link)
         if not self.target.usable and self.target.instance and self._link:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/store.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/store.py
@@ -11,8 +11,8 @@
     from fuchsiagap.core.clock import Milliseconds
     from fuchsiagap.core.freshness.store_view import Cursor
     from fuchsiagap.core.routes.model import RouteConfig
+    from fuchsiagap_node.core.mesh.malformed_input import MalformedInput
     from fuchsiagap_node.core.mesh.sending import Member
-    from fuchsiagap_node.core.mesh.unreadable import Unreadable
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HistoryGone:
+class HistoryCompacted:
     """The changes since the revision are no longer known; list instead."""
 
 
@@ -60,16 +60,16 @@
     ----------
     present : mapping of str to Member
         Nodes by name.
-    broken : tuple of Unreadable
+    malformed : tuple of MalformedInput
         Entries that name no node: of another writer, or of another version.
     """
 
     present: Mapping[str, Member]
-    broken: tuple[Unreadable, ...] = ()
+    malformed: tuple[MalformedInput, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
+class ProbeReply:
     """What a probe showed.
 
     Parameters
@@ -85,7 +85,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ConfigNews:
+class ConfigUpdate:
     """What a look at the configuration gave.
 
     Parameters
@@ -100,16 +100,16 @@
     stored: StoredConfig | None
 
 
-ConfigResult: TypeAlias = ConfigNews | HistoryGone | StoreFailed
+ConfigResult: TypeAlias = ConfigUpdate | HistoryCompacted | StoreFailed
 MembersResult: TypeAlias = Members | StoreFailed
-ProbeResult: TypeAlias = Probed | StoreFailed
+ProbeResult: TypeAlias = ProbeReply | StoreFailed
 
 
 class Store(Protocol):
     """The platform's store, behind its own names and formats."""
 
-    async def read_config(self, recent: bool) -> ConfigResult:
-        """Return the configuration; as of seconds ago, for less, unless `recent`."""
+    async def read_config(self, linearizable: bool) -> ConfigResult:
+        """Return the configuration; possibly stale unless `linearizable`."""
 
     async def watch_config(self, cursor: Cursor, wait: Milliseconds) -> ConfigResult:
         """Wait for a change of the configuration after a cursor."""
@@ -120,8 +120,8 @@
     def decode_config(self, cursor: Cursor, text: bytes) -> StoredConfig | None:
         """Return a configuration that another node sent; None if it is none."""
 
-    async def read_members(self, recent: bool) -> MembersResult:
-        """Return all nodes; as of a few seconds ago, for less, unless `recent`."""
+    async def read_members(self, linearizable: bool) -> MembersResult:
+        """Return all nodes; possibly stale unless `linearizable`."""
 
     async def announce(self, member: Member) -> StoreFailed | None:
         """Put this node among the others."""
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/store_probe.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/store_probe.py
@@ -14,7 +14,7 @@
     from collections.abc import Callable
 
     from fuchsiagap.core.freshness.store_timeouts import StoreTimeouts
-    from fuchsiagap_node.core.mesh.hedging import FirstAnswer
+    from fuchsiagap_node.core.mesh.hedging import FirstResponse
     from fuchsiagap_node.core.mesh.store import ProbeResult, Store
     from fuchsiagap_node.core.mesh.telling import Teller
 
@@ -42,43 +42,43 @@
         self.timeouts = timeouts
         self._tell = teller
 
-    async def ask(
+    async def send(
         self,
         cause: str,
-        on_silence: Callable[[], None],
-        growth: Callable[[], float],
-    ) -> FirstAnswer[ProbeResult]:
+        on_unresponsive: Callable[[], None],
+        backoff_factor: Callable[[], float],
+    ) -> FirstResponse[ProbeResult]:
         """Ask again and again while there is no answer; return the first.
 
         Parameters
         ----------
         cause : str
             Why, for the counter of calls.
-        on_silence : callable
+        on_unresponsive : callable
             Told that a second request has no answer either.
-        growth : callable
+        backoff_factor : callable
             Returns by what the time between two requests grows.
         """
 
-        async def ask_once() -> ProbeResult:
+        async def send_once() -> ProbeResult:
             self._tell.store_call("probe", cause)
             return await self._store.probe(self._node)
 
-        every = self.timeouts.hedge_delay
-        return await hedge(ask_once, every, on_silence, growth)
+        interval = self.timeouts.hedge_delay
+        return await hedge(send_once, interval, on_unresponsive, backoff_factor)
 
     async def find_entry(self, cause: str) -> bool:
         """Wait until the store answers; return whether it has this node's entry."""
         n_failed = 0
         while True:
-            probed = (await self.ask(cause, _ignore, _doubling)).result
+            probed = (await self.send(cause, _ignore, _doubled_interval)).result
             if not isinstance(probed, StoreFailed):
                 return probed.is_listed
             n_failed += 1
             await trio.sleep(self.timeouts.backoff(n_failed) / MS_PER_S)
 
 
-def _doubling() -> float:
+def _doubled_interval() -> float:
     """Return that the time between two requests doubles."""
     return 2.0
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/taking.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/taking.py
@@ -11,20 +11,20 @@
 from fuchsiagap_node.core.mesh.link import FramedLink
 from fuchsiagap_node.core.mesh.messages import (
     NO_CALLS,
-    Age,
-    AgeWanted,
     Call,
     Cancel,
     Cleared,
-    ConfigText,
-    ConfigWanted,
+    ConfigQuery,
+    EncodedConfig,
     Hello,
     Ping,
     Pong,
     Reply,
+    StalenessQuery,
+    StalenessReply,
     Status,
-    TokensGranted,
-    TokensWanted,
+    TokenGrant,
+    TokenRequest,
 )
 from fuchsiagap_node.core.mesh.stream import BrokenStream
 
@@ -97,9 +97,9 @@
         Told what another node reports of requests that crash servers.
     send_snapshot : callable
         Sends a node that has just opened a link what it has to know first.
-    answer_age : callable
+    answer_staleness : callable
         Returns how old this node's knowledge of the configuration is, or None.
-    answer_tokens : callable
+    grant_tokens : callable
         Returns what this node grants of a quota that it owns.
     """
 
@@ -121,12 +121,14 @@
         self._links: dict[FramedLink, _Sender] = {}
         self._by_node: dict[str, FramedLink] = {}
         self.on_hello: Callable[[Hello], None] = _ignore
-        self.config_text: Callable[[], ConfigText | None] = _no_config
+        self.config_text: Callable[[], EncodedConfig | None] = _no_config
         self.below: Callable[[str], float] = _no_calls
         self.on_report: Callable[[Report, str], None] = _ignore_report
         self.send_snapshot: Callable[[Post], None] = _ignore
-        self.answer_age: Callable[[AgeWanted], Age | None] = _no_age
-        self.answer_tokens: Callable[[TokensWanted], TokensGranted] = _no_tokens
+        self.answer_staleness: Callable[[StalenessQuery], StalenessReply | None] = (
+            _no_staleness
+        )
+        self.grant_tokens: Callable[[TokenRequest], TokenGrant] = _no_tokens
 
     def posts(self) -> Iterator[tuple[str, Post]]:
         """Yield the nodes that send calls here, and how to tell them something."""
@@ -183,20 +185,20 @@
                 self._greet(link, sender, hello)
             case Crash() | Held() | Cleared() as report:
                 self.on_report(report, sender.node)
-            case AgeWanted() as question:
-                age = self.answer_age(question)
+            case StalenessQuery() as question:
+                age = self.answer_staleness(question)
                 if age is not None:
                     link.post(age)
-            case TokensWanted() as question:
-                link.post(self.answer_tokens(question))
-            case ConfigWanted():
+            case TokenRequest() as question:
+                link.post(self.grant_tokens(question))
+            case ConfigQuery():
                 text = self.config_text()
                 if text is not None:
                     link.post(text)
 
     def _greet(self, link: FramedLink, sender: _Sender, hello: Hello) -> None:
         """Answer the first message of a node."""
-        link.post_hello(self._hello, hello.packed)
+        link.post_hello(self._hello, hello.compressed)
         sender.node = hello.node
         self._by_node[hello.node] = link
         # Before the status, on which it may begin to send.
@@ -259,13 +261,13 @@
     """Return no configuration."""
 
 
-def _no_age(_: AgeWanted) -> None:
+def _no_staleness(_: StalenessQuery) -> None:
     """Return that nothing is known."""
 
 
-def _no_tokens(question: TokensWanted) -> TokensGranted:
+def _no_tokens(question: TokenRequest) -> TokenGrant:
     """Return that this node owns no quota."""
-    return TokensGranted(question.question, question.workspace, 0, 0.0, is_owner=False)
+    return TokenGrant(question.query_id, question.workspace, 0, 0.0, is_owner=False)
 
 
 def _no_calls(_: str) -> float:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/telling.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/telling.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from fuchsiagap_node.core.mesh.unreadable import Unreadable
+from fuchsiagap_node.core.mesh.malformed_input import MalformedInput
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -83,7 +83,7 @@
         self._latency: dict[str, list[int]] = {}
         self._latency_sum: Counter[str] = Counter()
         self._faults: Counter[tuple[str, str]] = Counter()
-        self._unreadable: Counter[Unreadable] = Counter()
+        self._unreadable: Counter[MalformedInput] = Counter()
 
     def event(self, kind: str, **fields: object) -> None:
         """Write a line.
@@ -133,14 +133,14 @@
         else:
             self.counts["events", "fault"] += 1
 
-    def unreadable(self, kind: str, word: Unreadable) -> None:
+    def unreadable(self, kind: str, word: MalformedInput) -> None:
         """Write a line for a word from outside that says nothing to be believed.
 
         Of equal ones the first gets a line and then one in a hundred: whoever writes
         them may go on for ever.
         """
         if word not in self._unreadable and len(self._unreadable) >= _MOST_UNREADABLE:
-            word = Unreadable("", "one of many")
+            word = MalformedInput("", "one of many")
         self._unreadable[word] += 1
         seen = self._unreadable[word]
         if seen % _REPEATED == 1:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/watcher_role.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/watcher_role.py
@@ -22,8 +22,8 @@
 # Nodes that watch in each data centre: one where nodes of two others are in reach,
 # whose watchers hear of the same changes, else two.
 _WATCHERS = 1
-_WATCHERS_ALONE = 2
-_ENOUGH_ELSEWHERE = 2
+_WATCHERS_ISOLATED = 2
+_REMOTE_DATA_CENTRES_NEEDED = 2
 # Milliseconds after its start for which a node does not watch, until it has links to
 # those that may do it: where all nodes start for the first time, they have to find each
 # other before.
@@ -67,7 +67,7 @@
         self._clock = clock
         settle = _SETTLE_FIRST_START_MS if first_start else _SETTLE_MS
         self._settled_at = clock.now() + settle
-        self._due_since: Milliseconds | None = None
+        self._should_watch_since: Milliseconds | None = None
         self._may_ask = trio.Event()
         self.update_source = UpdateSource.PEERS
         self.is_lost = False
@@ -80,12 +80,12 @@
 
     def now(self) -> WatcherRank:
         """Return the rank as the links show it now."""
-        near = (
+        neighbours = (
             Neighbour(link.member.node, link.update_source)
             for link in self._links()
             if link.target.local and link.is_heard()
         )
-        return rank_of(self._own.node, near, self.n_watchers())
+        return rank_of(self._own.node, neighbours, self.n_watchers())
 
     def n_watchers(self) -> int:
         """Return how many nodes are to watch in each data centre."""
@@ -93,8 +93,8 @@
         data_centres = {
             link.member.data_centre for link in self._links() if link.is_heard()
         }
-        enough = len(data_centres - {own}) >= _ENOUGH_ELSEWHERE
-        return _WATCHERS if enough else _WATCHERS_ALONE
+        has_enough_remote = len(data_centres - {own}) >= _REMOTE_DATA_CENTRES_NEEDED
+        return _WATCHERS if has_enough_remote else _WATCHERS_ISOLATED
 
     def is_first(self) -> bool:
         """Whether this node would watch where all hear of changes."""
@@ -112,14 +112,14 @@
         if is_urgent():
             self._may_ask.set()
         if not rank.should_watch:
-            self._due_since = None
+            self._should_watch_since = None
             self.set_update_source(UpdateSource.PEERS)
             return
         now = self._clock.now()
-        if self._due_since is None:
-            self._due_since = now
+        if self._should_watch_since is None:
+            self._should_watch_since = now
         n_watchers = self.n_watchers()
-        due_at = self._due_since + rank.takeover_delay(n_watchers)
+        due_at = self._should_watch_since + rank.takeover_delay(n_watchers)
         if now < max(due_at, self._settled_at):
             return
         if self.is_lost and rank.others_watch and not rank.is_first(n_watchers):
@@ -135,7 +135,7 @@
         """Whether one before this node is to ask the store that answers again."""
         if self.is_first() and self.now().should_watch:
             return False
-        self._due_since = None
+        self._should_watch_since = None
         self.set_update_source(UpdateSource.PEERS)
         return True
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/workspaces.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/workspaces.py
@@ -6,12 +6,14 @@
 
 from fuchsiagap.core.watching.watcher_rank import UpdateSource
 from fuchsiagap.core.workspaces.grants import SWEEP_MS
-from fuchsiagap_node.core.mesh.knowledge_exchange import LOOK_MS as AGE_LOOK_MS
-from fuchsiagap_node.core.mesh.knowledge_exchange import KnowledgeExchange
+from fuchsiagap_node.core.mesh.api_key_authenticator import ApiKeyAuthenticator
 from fuchsiagap_node.core.mesh.quota_owners import QuotaOwners
-from fuchsiagap_node.core.mesh.quotas import LOOK_MS as QUOTA_LOOK_MS
+from fuchsiagap_node.core.mesh.quotas import PENDING_CHECK_MS as QUOTA_CHECK_MS
 from fuchsiagap_node.core.mesh.quotas import Quotas
-from fuchsiagap_node.core.mesh.workspace_check import WorkspaceCheck
+from fuchsiagap_node.core.mesh.staleness_exchange import (
+    REFRESH_INTERVAL_MS as STALENESS_REFRESH_MS,
+)
+from fuchsiagap_node.core.mesh.staleness_exchange import StalenessExchange
 
 if TYPE_CHECKING:
     import random
@@ -21,7 +23,7 @@
     from fuchsiagap.core.routes.model import RouteConfig
     from fuchsiagap_node.core.mesh.config_sync import ConfigSync
     from fuchsiagap_node.core.mesh.links import Links
-    from fuchsiagap_node.core.mesh.messages import TokensWanted
+    from fuchsiagap_node.core.mesh.messages import TokenRequest
     from fuchsiagap_node.core.mesh.sending import Member, SendingLink
     from fuchsiagap_node.core.mesh.settings import MeshSettings
     from fuchsiagap_node.core.mesh.taking import TakingLinks
@@ -51,11 +53,11 @@
 
     Attributes
     ----------
-    knowledge : KnowledgeExchange
-        Age of what is known of keys.
+    staleness_exchange : StalenessExchange
+        StalenessReply of what is known of keys.
     quotas : Quotas
         Requests that workspaces may make.
-    check : WorkspaceCheck
+    check : ApiKeyAuthenticator
         Finds the workspace of a request.
     """
 
@@ -70,21 +72,21 @@
         teller: Teller,
     ) -> None:
         self._links = links
-        self.knowledge = KnowledgeExchange(
+        self.staleness_exchange = StalenessExchange(
             config, links, cfg.bounds.revocation, clock, rng
         )
         owners = QuotaOwners(
             own, links, lambda: config.update_source is UpdateSource.STORE, clock
         )
         self.quotas = Quotas(owners, self._post, cfg.first_start, clock, teller)
-        self.check = WorkspaceCheck(
-            self.knowledge.is_too_old,
-            lambda: config.in_force.knowledge_age,
+        self.authenticator = ApiKeyAuthenticator(
+            self.staleness_exchange.is_too_stale,
+            lambda: config.active.staleness,
             clock,
             teller,
         )
 
-    def _post(self, node: str, message: TokensWanted) -> bool:
+    def _post(self, node: str, message: TokenRequest) -> bool:
         link = self._links().link_to(node)
         if link is None or not link.is_open():
             return False
@@ -97,17 +99,17 @@
 
     def prepare_link(self, link: SendingLink) -> None:
         """Take what another node answers on a link."""
-        link.on_age = self.knowledge.take_answer
-        link.on_tokens = self.quotas.take_answer
-        link.on_open = self.knowledge.ask_new
+        link.on_staleness = self.staleness_exchange.handle_reply
+        link.on_token_grant = self.quotas.handle_grant
+        link.on_open = self.staleness_exchange.query_new_link
 
-    def prepare_taking(self, taking: TakingLinks) -> None:
+    def prepare_inbound(self, taking: TakingLinks) -> None:
         """Answer what other nodes ask on their links."""
-        taking.answer_age = self.knowledge.answer
-        taking.answer_tokens = self.quotas.answer
+        taking.answer_staleness = self.staleness_exchange.reply
+        taking.grant_tokens = self.quotas.grant_tokens
 
     def schedule(self, ticker: Ticker) -> None:
         """Do at intervals what is due."""
-        ticker.every(AGE_LOOK_MS, self.knowledge.look)
-        ticker.every(QUOTA_LOOK_MS, self.quotas.look)
-        ticker.every(SWEEP_MS, self.quotas.forget)
+        ticker.every(STALENESS_REFRESH_MS, self.staleness_exchange.refresh)
+        ticker.every(QUOTA_CHECK_MS, self.quotas.process_pending)
+        ticker.every(SWEEP_MS, self.quotas.evict_idle)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/a_service.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/a_service.py
@@ -7,7 +7,7 @@
 from fuchsiagap.core.pressure.evenly import CallerTurn
 from fuchsiagap.core.pressure.served import ServedShares
 from fuchsiagap_node.core.mesh.admission import STEP_MS, Admission
-from fuchsiagap_node.core.mesh.messages import Below
+from fuchsiagap_node.core.mesh.messages import DownstreamSummary
 from fuchsiagap_node.core.mesh.peers import Peers
 from fuchsiagap_node.core.mesh.pressures import Pressures
 from fuchsiagap_node.core.mesh.telling import Teller
@@ -59,7 +59,9 @@
         called = "certs"
         for below, above in zip(self._chain[:-1], self._chain[1:], strict=True):
             below.note_call("read", called, "read")
-            above.note_reply("between", "read", Below(below.below("read"), 1))
+            above.note_reply(
+                "between", "read", DownstreamSummary(below.below("read"), 1)
+            )
             called = "between"
         self.admission.step()
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_door.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_door.py
@@ -12,14 +12,14 @@
 from fuchsiagap_standins.mesh.virtual import run_in_memory
 
 
-def a_job(host, request_id, reply, wait=300.0, is_call=False):
+def a_job(host, request_id, reply, wait=300.0, is_nested=False):
     """Return a request at a host's door, given up after `wait` milliseconds."""
     instance = host.server.instance
     head = b"GET /read/1 HTTP/1.1\r\nCall-Id: %s\r\nIncarnation-Wanted: %s\r\n" % (
         request_id.encode(),
         instance.encode(),
     )
-    flags = (is_call, False, False, 0, True)
+    flags = (is_nested, False, False, 0, True)
     rest = (request_id, "read", request_id.encode())
     call = Call(1, instance, head, b"", wait, 500, 0, *flags, *rest)
     return Job.of(call, host.node._clock.now(), reply)
@@ -73,10 +73,10 @@
         """Return the load of calls in a row, after some that are lost at once."""
         door = host.node.door
         for n in range(n_lost):
-            door.submit(a_job(host, f"lost-{n}", _no_reply, 250.0, is_call=True))
+            door.submit(a_job(host, f"lost-{n}", _no_reply, 250.0, is_nested=True))
         await trio.sleep(0.5)
         for n in range(10):
-            door.submit(a_job(host, f"{n_lost}-{n}", _no_reply, 400.0, is_call=True))
+            door.submit(a_job(host, f"{n_lost}-{n}", _no_reply, 400.0, is_nested=True))
             await trio.sleep(0.1)
         return door.offered()
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_links.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_links.py
@@ -95,7 +95,7 @@
                 near, *_ = [deployment.add("certs") for _ in range(15)]
                 await deployment.settle()
                 beside = [node for node in linked(near) if node.startswith("certs")]
-                return near.node.door.repeats.n_doors(), len(beside)
+                return near.node.door.repeats.n_replicas(), len(beside)
 
         n_doors, n_linked = run_in_memory(main)
         self.assertEqual(15, n_doors)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_revocation.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_revocation.py
@@ -106,7 +106,7 @@
                 for _ in range(40):
                     await trio.sleep(0.5)
                     for host in deployment.hosts:
-                        ages.append(host.node._config.in_force.knowledge_age)
+                        ages.append(host.node._config.active.staleness)
                 return max(ages), deployment.state.calls - before
 
         age, calls = run_in_memory(lambda: main(24))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_watching.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_watching.py
@@ -11,7 +11,7 @@
 import trio
 from testtools import TestCase
 
-from fuchsiagap_node.core.mesh.store import ConfigNews
+from fuchsiagap_node.core.mesh.store import ConfigUpdate
 from fuchsiagap_standins.mesh.deployment import a_deployment, a_route
 from fuchsiagap_standins.mesh.virtual import run_in_memory
 
@@ -121,7 +121,7 @@
                 hosts = add_hosts(deployment, 9)
                 await trio.sleep(12.0)
                 state = deployment.state
-                state.older = ConfigNews(state.cursor, state.config)
+                state.older = ConfigUpdate(state.cursor, state.config)
                 deployment.put_config(NEW)
                 await trio.sleep(IN_FORCE_S)
                 again = [deployment.restart(host) for host in hosts]
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/deployment.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/deployment.py
@@ -18,10 +18,10 @@
 from fuchsiagap.core.workspaces.model import Workspace
 from fuchsiagap_node.core.mesh.http_answer import Answer, AnswerReader
 from fuchsiagap_node.core.mesh.http_names import HeaderNames
+from fuchsiagap_node.core.mesh.malformed_input import MalformedInput
 from fuchsiagap_node.core.mesh.node import Node
 from fuchsiagap_node.core.mesh.settings import Addresses, Bounds, MeshSettings
 from fuchsiagap_node.core.mesh.stream import BrokenStream, dial
-from fuchsiagap_node.core.mesh.unreadable import Unreadable
 from fuchsiagap_standins.mesh.backend_server import BackendServer
 from fuchsiagap_standins.mesh.memory_store import MemoryStore, SharedState
 
@@ -264,9 +264,9 @@
         await trio.sleep(3.0)
 
 
-def _no_reports(req: Request) -> Unreadable:
+def _no_reports(req: Request) -> MalformedInput:
     """Return that servers report in these deployments without a request."""
-    return Unreadable(req.target.decode("latin-1"), "no reports are taken here")
+    return MalformedInput(req.target.decode("latin-1"), "no reports are taken here")
 
 
 async def _run(host: Host) -> None:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/memory_store.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/memory_store.py
@@ -9,10 +9,10 @@
 from fuchsiagap.core.clock import MS_PER_S
 from fuchsiagap.core.freshness.store_view import Cursor
 from fuchsiagap_node.core.mesh.store import (
-    ConfigNews,
-    HistoryGone,
+    ConfigUpdate,
+    HistoryCompacted,
     Members,
-    Probed,
+    ProbeReply,
     StoredConfig,
     StoreFailed,
 )
@@ -45,7 +45,7 @@
         Nodes that have announced themselves.
     not_yet_listed : frozenset of str
         Nodes that lists which may be old do not hold.
-    older : ConfigNews or None
+    older : ConfigUpdate or None
         What reads that may be old return; None for the newest.
     calls : float
         Calls by their price, watches included; a list that may be old counts a tenth.
@@ -63,7 +63,7 @@
         self.config: StoredConfig | None = None
         self.members: dict[str, Member] = {}
         self.not_yet_listed: frozenset[str] = frozenset()
-        self.older: ConfigNews | None = None
+        self.older: ConfigUpdate | None = None
         self.calls = 0.0
         self.writes = 0
         self.history_from = 0
@@ -129,15 +129,15 @@
         self._state.calls += price
         return StoreFailed("down") if self.down else None
 
-    async def read_config(self, recent: bool) -> ConfigResult:
-        """Return the configuration, or the one before unless `recent`."""
+    async def read_config(self, linearizable: bool) -> ConfigResult:
+        """Return the configuration, or the one before unless `linearizable`."""
         await trio.lowlevel.checkpoint()
-        if (failed := self._call(1.0 if recent else 0.1)) is not None:
+        if (failed := self._call(1.0 if linearizable else 0.1)) is not None:
             return failed
         state = self._state
-        if not recent and state.older is not None:
+        if not linearizable and state.older is not None:
             return state.older
-        return ConfigNews(state.cursor, state.config)
+        return ConfigUpdate(state.cursor, state.config)
 
     async def watch_config(self, cursor: Cursor, wait: Milliseconds) -> ConfigResult:
         """Wait for a change of the configuration after a cursor."""
@@ -148,39 +148,39 @@
         state = self._state
         if not state.history_from <= revision <= state.revision:
             await trio.lowlevel.checkpoint()
-            return HistoryGone()
+            return HistoryCompacted()
         with trio.move_on_after(wait / MS_PER_S):
             while True:
                 if self.down:
                     return StoreFailed("down")
                 if cursor.epoch != state.epoch:
-                    return HistoryGone()
+                    return HistoryCompacted()
                 is_newer = (
                     state.config is not None and state.config.cursor.revision > revision
                 )
                 if is_newer and not self.silent:
-                    return ConfigNews(state.cursor, state.config)
+                    return ConfigUpdate(state.cursor, state.config)
                 await state.news.wait()
-        return ConfigNews(Cursor(state.epoch, max(revision, 1)), None)
+        return ConfigUpdate(Cursor(state.epoch, max(revision, 1)), None)
 
     async def probe(self, node: str) -> ProbeResult:
         """Ask for the entry of a node."""
         await trio.lowlevel.checkpoint()
         if (failed := self._call(0.1)) is not None:
             return failed
-        return Probed(self._state.epoch, node in self._state.members)
+        return ProbeReply(self._state.epoch, node in self._state.members)
 
     def decode_config(self, cursor: Cursor, text: bytes) -> StoredConfig | None:
         """Return a configuration that another node sent; None if it is none."""
         config = self._known.get(int(text))
         return None if config is None else StoredConfig(cursor, text, config)
 
-    async def read_members(self, recent: bool) -> MembersResult:
-        """Return all nodes, without those that older lists miss unless `recent`."""
+    async def read_members(self, linearizable: bool) -> MembersResult:
+        """Return all nodes; unless `linearizable`, without those stale lists miss."""
         await trio.lowlevel.checkpoint()
-        if (failed := self._call(1.0 if recent else 0.1)) is not None:
+        if (failed := self._call(1.0 if linearizable else 0.1)) is not None:
             return failed
-        hidden = frozenset() if recent else self._state.not_yet_listed
+        hidden = frozenset() if linearizable else self._state.not_yet_listed
         members = self._state.members
         return Members({n: m for n, m in members.items() if n not in hidden})
 
--- a/packages/fuchsiagap/src/fuchsiagap/core/retries/shares.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/retries/shares.py
@@ -39,7 +39,7 @@
 # Share of failures below which a door pays for whoever asks.
 _FEW_FAILURES = 0.02
 # Lots are whole numbers below this one.
-N_LOTS = 256
+N_SAMPLING_KEYS = 256
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,22 +69,23 @@
     ----------
     rank : int
         Priority of the request at the root of its tree; the least is the best.
-    lot : int
-        What its tree has drawn, below `N_LOTS`; the smaller, the sooner it is repeated.
-    is_call : bool
+    sampling_key : int
+        What its tree has drawn, below `N_SAMPLING_KEYS`; the smaller, the sooner it
+        is repeated.
+    is_nested : bool
         Whether it belongs to a tree that needs other calls too.
     calls : float
         Calls that it makes itself, with those that they make.
     """
 
     rank: int
-    lot: int
-    is_call: bool
+    sampling_key: int
+    is_nested: bool
     calls: float
 
     def is_whole(self) -> bool:
         """Whether its request is one call, so that this repeat may be all it needs."""
-        return not self.is_call and self.calls < 1.0
+        return not self.is_nested and self.calls < 1.0
 
     def part(self, best: int) -> float:
         """Return the part of a door's share that it may use, by the best rank there."""
@@ -198,7 +199,9 @@
         if worse:
             paid *= 1.0 - _LEFT_TO_WORSE
         paid = max(paid - better, paid * _LEFT_TO_WORSE)
-        return repeat.lot < N_LOTS * paid / max(self._ranks[repeat.rank], 1)
+        return repeat.sampling_key < N_SAMPLING_KEYS * paid / max(
+            self._ranks[repeat.rank], 1
+        )
 
     def _share(self, calls: float, n_doors: int) -> float:
         """Return the repeats that this door may have in a window.
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/retries/test_shares.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/retries/test_shares.py
@@ -15,15 +15,20 @@
 from testtools import TestCase
 
 from fuchsiagap.core.clock import Clock
-from fuchsiagap.core.retries.shares import N_LOTS, DoorBudget, Repeat, SharedBudget
+from fuchsiagap.core.retries.shares import (
+    N_SAMPLING_KEYS,
+    DoorBudget,
+    Repeat,
+    SharedBudget,
+)
 
 CFG = SharedBudget(0.2, 48.0, 10_000.0)
-PLAIN = Repeat(rank=0, lot=0, is_call=False, calls=0.0)
+PLAIN = Repeat(rank=0, sampling_key=0, is_nested=False, calls=0.0)
 
 
-def call(rank=0, lot=0, calls=0.0):
+def call(rank=0, sampling_key=0, calls=0.0):
     """Return a repeat of a call of a tree."""
-    return Repeat(rank, lot, True, calls)
+    return Repeat(rank, sampling_key, True, calls)
 
 
 class Doors:
@@ -90,7 +95,7 @@
                 known = max(round(n_doors * rng.uniform(0.75, 1.0)), 1)
                 repeat = Repeat(
                     rng.randrange(3),
-                    rng.randrange(N_LOTS),
+                    rng.randrange(N_SAMPLING_KEYS),
                     rng.random() < 0.5,
                     rng.choice((0.0, 4.0, 12.0)),
                 )
@@ -123,7 +128,9 @@
                 doors.at += 100.0
                 for _ in range(n_doors // 2):
                     fails = doors.rng.random() < 0.02
-                    doors.request(fails, call(lot=doors.rng.randrange(N_LOTS)))
+                    doors.request(
+                        fails, call(sampling_key=doors.rng.randrange(N_SAMPLING_KEYS))
+                    )
             self.assertGreater(len(doors.repeats), 0.8 * doors.asked, f"{n_doors}")
 
     def test_few_requests_among_many_doors_are_repeated_too(self):
@@ -155,17 +162,23 @@
         return n
 
     def test_trees_with_a_small_lot_are_paid_for_where_many_calls_fail(self):
-        self.assertEqual(0, self.paid(call(lot=N_LOTS - 1), failing=0.55))
-        self.assertGreater(self.paid(call(lot=0), failing=0.55), 0)
+        self.assertEqual(
+            0, self.paid(call(sampling_key=N_SAMPLING_KEYS - 1), failing=0.55)
+        )
+        self.assertGreater(self.paid(call(sampling_key=0), failing=0.55), 0)
 
     def test_any_lot_is_paid_for_where_few_calls_fail(self):
-        self.assertGreater(self.paid(call(lot=N_LOTS - 1), failing=0.05), 0)
+        self.assertGreater(
+            self.paid(call(sampling_key=N_SAMPLING_KEYS - 1), failing=0.05), 0
+        )
 
     def test_worse_ranks_are_not_shut_out(self):
         for _ in range(300):
             self.budget.note_first(rank=2)
-        self.assertEqual(0, self.paid(call(rank=2, lot=N_LOTS // 2), failing=0.55))
-        self.assertGreater(self.paid(call(rank=2, lot=0), failing=0.55), 0)
+        self.assertEqual(
+            0, self.paid(call(rank=2, sampling_key=N_SAMPLING_KEYS // 2), failing=0.55)
+        )
+        self.assertGreater(self.paid(call(rank=2, sampling_key=0), failing=0.55), 0)
 
     def test_less_urgent_trees_leave_a_part_to_those_that_matter_more(self):
         less_urgent = self.paid(call(rank=2))
@@ -174,8 +187,10 @@
         self.assertGreaterEqual(urgent, less_urgent / 2)
 
     def test_request_that_is_one_call_comes_before_trees(self):
-        self.assertEqual(0, self.paid(call(rank=0, lot=N_LOTS - 1), failing=0.55))
-        repeat = Repeat(2, N_LOTS - 1, False, 0.0)
+        self.assertEqual(
+            0, self.paid(call(rank=0, sampling_key=N_SAMPLING_KEYS - 1), failing=0.55)
+        )
+        repeat = Repeat(2, N_SAMPLING_KEYS - 1, False, 0.0)
         self.assertGreater(self.paid(repeat, failing=0.55), 0)
 
     def test_inherited_repeats_use_the_share_up(self):
@@ -194,7 +209,7 @@
 
     def test_trees_are_completed_where_the_budget_is_short(self):
         # Servers refuse 55 of 100; a tree needs eight calls.
-        drawn = sum(self.whole_trees(seed, N_LOTS) for seed in range(3))
+        drawn = sum(self.whole_trees(seed, N_SAMPLING_KEYS) for seed in range(3))
         alike = sum(self.whole_trees(seed, 1) for seed in range(3))
         self.assertGreater(drawn, 1.5 * alike)
 
@@ -205,16 +220,18 @@
         n_whole = 0
         for _ in range(2_000):
             doors.at += 5.0
-            lot = rng.randrange(n_lots)
-            n_whole += all(self.answered(doors, lot, rng) for _ in range(8))
+            sampling_key = rng.randrange(n_lots)
+            n_whole += all(self.answered(doors, sampling_key, rng) for _ in range(8))
         return n_whole
 
-    def answered(self, doors, lot, rng):
+    def answered(self, doors, sampling_key, rng):
         """Return whether a call is answered, within six tries."""
         doors.rng.choice(doors.budgets).note_first()
         for _ in range(6):
             if rng.random() > 0.55:
                 return True
-            if not doors.rng.choice(doors.budgets).pay(call(lot=lot), 13, 0.55):
+            if not doors.rng.choice(doors.budgets).pay(
+                call(sampling_key=sampling_key), 13, 0.55
+            ):
                 return False
         return False
