--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/active_config.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/active_config.py
@@ -1,4 +1,4 @@
-"""The configuration in force on this node, and how old its knowledge of it is."""
+"""The active configuration of this node, and an upper bound on its staleness."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 
 
 class ActiveConfig:
-    """Adopts versions in their order, and never goes back.
+    """Holds the active configuration and replaces it by newer versions only.
 
-    Versions are what the operators count; revisions of the store are given out again
-    after it has come back from a copy.
+    Versions are compared, not revisions of the store: operators number the versions,
+    while a store that is restored from a backup assigns the same revisions again.
 
     Parameters
     ----------
     clock : Clock
         Time in milliseconds.
     teller : Teller
-        Logs.
+        Receives the events.
     apply_config : callable
-        Puts a configuration in force.
+        Called with each configuration that becomes active.
 
     Attributes
     ----------
     adopted : trio.Event
-        Set at the next adoption.
+        Set when the next version is adopted; replaced by a new event each time.
     """
 
     def __init__(
@@ -49,55 +49,55 @@
         self._apply_config = apply_config
         self._stored: StoredConfig | None = None
         self._adopted_at = clock.now()
-        self._knowledge = KnowledgeAge()
+        self._knowledge_age = KnowledgeAge()
         self.adopted = trio.Event()
 
     @property
     def version(self) -> int:
-        """Version in force; 0 before the first."""
+        """Active version; 0 before the first one."""
         return 0 if self._stored is None else self._stored.config.version
 
     @property
     def adopted_age(self) -> Milliseconds:
-        """Milliseconds since the version in force was adopted, or since the start."""
+        """Milliseconds since the active version was adopted, or since the start."""
         return self._clock.now() - self._adopted_at
 
     @property
     def staleness(self) -> Milliseconds:
-        """Milliseconds for which a change can have escaped this node."""
-        return self._clock.now() - self._knowledge.as_of
+        """Milliseconds for which this node may have missed a change, at most."""
+        return self._clock.now() - self._knowledge_age.as_of
 
     def confirm(self, version: int, as_of: Milliseconds) -> None:
-        """Take in that a version was the newest at a moment."""
-        self._knowledge.confirm(version, as_of, self.version)
+        """Record that a version was the newest one at time `as_of`."""
+        self._knowledge_age.confirm(version, as_of, self.version)
 
     def text(self) -> EncodedConfig | None:
-        """Return the configuration in force for another node."""
+        """Return the active configuration in encoded form, to send to another node."""
         if self._stored is None:
             return None
         cursor = self._stored.cursor
         return EncodedConfig(cursor.epoch, cursor.revision, self._stored.text)
 
     def adopt(self, stored: StoredConfig, source: str) -> bool:
-        """Put a configuration in force if it is newer; return whether it was.
+        """Activate a configuration if it is newer; return whether it was.
 
         Parameters
         ----------
         stored : StoredConfig
             The configuration.
         source : str
-            Where it comes from, for the log.
+            Where it comes from: the store or the name of a node, for the event.
         """
         version = stored.config.version
         if version == self.version:
-            # It may have been written again, in another epoch.
+            # The same version may be stored again, in another epoch of the store.
             self._stored = stored
         if version <= self.version:
             return False
         self._stored = stored
         self._adopted_at = self._clock.now()
         self._apply_config(stored)
-        self._knowledge.adopt(version)
+        self._knowledge_age.adopt(version)
         adopted, self.adopted = self.adopted, trio.Event()
         adopted.set()
         self._tell.event(
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/api_key_authenticator.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/api_key_authenticator.py
@@ -1,4 +1,4 @@
-"""Whose request it is, by its API key, before anything else is decided."""
+"""Authenticates requests by their API key, before any other decision."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
     from fuchsiagap_node.core.mesh.http_request import Request
     from fuchsiagap_node.core.mesh.telling import Teller
 
-# Milliseconds after which a caller may come back to a node whose knowledge is too old:
-# by then it has heard from another one, if it can.
+# Retry delay in milliseconds that a node sends when its configuration is too stale. By
+# then it has had a reply from another node, if it can reach any.
 _STALE_RETRY_AFTER_MS = 700.0
-# Refusals a second that get a line each; the others are counted only.
+# Refusals per second that are logged as events; the others are only counted.
 _MAX_EVENTS_PER_S = 20
 
 
 class ApiKeyAuthenticator:
-    """Finds the workspace of a request, or says why it is not let in.
+    """Finds the workspace of a request by its API key, or refuses the request.
 
     Parameters
     ----------
     is_too_stale : callable
-        Whether what this node knows of keys is too old to be used.
+        Returns whether the known keys are too stale to be used.
     age : callable
-        Returns the age of that knowledge in milliseconds.
+        Returns the staleness of the known keys in milliseconds.
     clock : Clock
         Time in milliseconds.
     teller : Teller
-        Logs and counters.
+        Receives events and counts.
     """
 
     def __init__(
@@ -55,18 +55,27 @@
     def authenticate(
         self, req: Request, route: Route, table: RouteTable
     ) -> Workspace | Final | None:
-        """Return the workspace of a request.
+        """Return the workspace of a request, or its refusal.
+
+        Parameters
+        ----------
+        req : Request
+            The request.
+        route : Route
+            Its route.
+        table : RouteTable
+            Active routes and keys.
 
         Returns
         -------
         Workspace or Final or None
-            The answer of a request that is not let in; None where no key is asked for.
+            Final if the request is refused; None if it needs no key.
         """
         if table.keys is None or route.public:
             return None
         if not req.key:
             return self._refuse(req, route, "no-key", Final(401))
-        # Before the look-up: a key that is not known here may be new.
+        # Checked before the look-up, since an unknown key may be a new one.
         if self._is_too_stale():
             refusal = Final(503, retry_after=_STALE_RETRY_AFTER_MS)
             return self._refuse(req, route, "knowledge-too-old", refusal)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_requests.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_requests.py
@@ -1,4 +1,4 @@
-"""Requests of a node for the configuration: reads, watches and probes."""
+"""Requests to the store for the configuration: reads, watches and probes."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
     from fuchsiagap_node.core.mesh.telling import Teller
     from fuchsiagap_node.core.mesh.watcher_role import WatcherRole
 
-# Milliseconds that one watch waits; each is one priced call. Probes tell meanwhile
-# whether the store answers.
+# Milliseconds that one watch waits. Each watch is one billed call; probes check
+# meanwhile whether the store still answers.
 _WATCH_MS = 25_000.0
-# Growth of the delay between hedged requests, of those that are not first.
+# Factor by which the hedging delay grows per request, on nodes of lower watcher rank.
 _OTHERS_BACKOFF_FACTOR = 2.0
-# Share of the bound of revocations that a watch waits.
+# Length of a watch as a share of the revocation bound, where there is one.
 _WATCH_SHARE = 0.15
 
 
 class StoreRequest(Enum):
-    """What the store is asked, as its calls are counted."""
+    """Kinds of requests to the store; the values label the counter of calls."""
 
     READ = "config-read"
     READ_STALE = "config-read-older"
@@ -43,7 +43,7 @@
 
 
 class _Cause(Enum):
-    """Why the store is asked for the configuration."""
+    """Reasons for a request for the configuration; they label the counter of calls."""
 
     START = "start"
     WATCH = "watch"
@@ -52,7 +52,7 @@
 
 
 class ConfigRequests:
-    """Asks the store for the configuration, and notices when it does not answer.
+    """Requests the configuration from the store, and detects when it is unresponsive.
 
     Parameters
     ----------
@@ -61,34 +61,34 @@
     node : str
         This node.
     view : StoreView
-        What is known of the store.
+        Known state of the store: epoch, cursor, version.
     role : WatcherRole
-        Whether this node is to watch.
+        Decides whether this node is to watch.
     timeouts : StoreTimeouts
-        Waits for the store.
+        Timeouts of requests to the store.
     revocation_bound : float or None
-        Bound of revocations in milliseconds; None for none.
+        Milliseconds within which a revoked key must be refused; None for no bound.
     clock : Clock
         Time in milliseconds.
     rng : random.Random
-        Spreads what nodes would do together.
+        Spreads requests that nodes would otherwise send at the same moment.
     teller : Teller
-        Logs and counters.
+        Receives events and counts of calls.
 
     Attributes
     ----------
     is_first_read : bool
-        Whether the store has not answered yet.
+        Whether the first read is still outstanding.
     answered_at : float
-        When the store last answered; at first, when this node started.
+        Time of the last answer of the store; initially the start of this node.
     on_unresponsive : callable
-        Told that the store does not answer.
+        Called when the store does not answer in time.
     on_response : callable
-        Told that the store answers.
+        Called when the store answers a probe.
     on_epoch : callable
-        Told that the view may have another epoch.
+        Called when the epoch in `view` may have changed.
     is_urgent : callable
-        Whether this node asks whoever else watches.
+        Returns whether this node has to ask the store although others watch it.
     """
 
     def __init__(
@@ -122,7 +122,7 @@
 
     @property
     def timeouts(self) -> StoreTimeouts:
-        """Waits for the store."""
+        """Timeouts of requests to the store."""
         return self._probe.timeouts
 
     @timeouts.setter
@@ -130,12 +130,15 @@
         self._probe.timeouts = timeouts
 
     def cancel_first_read(self) -> None:
-        """Drop the first read, since another node has sent the configuration."""
+        """Cancel the first read once another node has sent the configuration."""
         if self.is_first_read and self._read_scope is not None:
             self._read_scope.cancel()
 
     def cancel_watch_soon(self, nursery: trio.Nursery) -> None:
-        """End a watch soon, unless it tells of a version which other nodes have."""
+        """Cancel the watch after the hedging delay.
+
+        It may have been dropped: other nodes have a version that it did not report.
+        """
         if self._watch_scope is not None:
             nursery.start_soon(self._cancel_after_hedge_delay, self._watch_scope)
 
@@ -144,18 +147,27 @@
         scope.cancel()
 
     async def fetch(self) -> tuple[StoreRequest, ConfigResult | ProbeReply | None]:
-        """Read the configuration, or wait for the next one."""
+        """Read the configuration or watch for the next one, as the state requires.
+
+        Returns
+        -------
+        StoreRequest
+            Kind of the request that was answered.
+        ConfigUpdate or HistoryCompacted or StoreFailed or ProbeReply or None
+            Its result; None if the first read was cancelled.
+        """
         store_age = self._clock.now() - self.answered_at
-        # A watch that a silent store drops would hide for long that it is back.
-        if self._role.is_lost or store_age > self.timeouts.probe_interval:
+        # An unresponsive store may drop a watch; the return of the store would then go
+        # unnoticed until the watch times out. A probe shows it sooner.
+        if self._role.is_store_lost or store_age > self.timeouts.probe_interval:
             response = await self._send_probe()
             if isinstance(response.result, StoreFailed):
                 return StoreRequest.PROBE, response.result
-            was_away = self._role.is_lost or response.n_dropped > 0
-            self._note_answer(response.result.epoch)
-            if was_away and await self._defer_to_others():
+            was_unresponsive = self._role.is_store_lost or response.n_dropped > 0
+            self._handle_probe_reply(response.result.epoch)
+            if was_unresponsive and await self._defer_to_others():
                 return StoreRequest.PROBE, response.result
-            self._role.note_store_answer()
+            self._role.record_store_answer()
         while True:
             cursor = self._view.cursor
             if cursor is None or not self._view.can_watch(self._clock.now()):
@@ -168,20 +180,23 @@
             )
 
     async def _defer_to_others(self) -> bool:
-        """Whether another node is to ask the store that answers again.
+        """Whether another node is to ask a store that answers again.
 
-        All notice at the same moment, and a node that has started meanwhile does not
-        know yet which of them is first.
+        All nodes notice the return at the same moment. A node that has just started
+        does not know its watcher rank yet, so it waits for a random part of the
+        hedging delay first.
         """
         if self.is_first_read:
             await trio.sleep(self._rng.random() * self.timeouts.hedge_delay / MS_PER_S)
         return self._role.defer_to_others()
 
     async def _read(self) -> tuple[StoreRequest, ConfigResult | None]:
-        """Read the configuration; None if another node sent the first one meanwhile.
+        """Read the configuration.
 
-        At its start a node takes one that may be seconds old, for a tenth of the price:
-        a newer one comes on the links, or with the first watch from this one on.
+        The result is None if another node sent the first configuration meanwhile. The
+        read at the start may return a configuration that is some seconds old, which
+        costs a tenth of a linearizable read: a newer version arrives on the links or
+        with the first watch.
         """
         if self._view.cursor is not None:
             cause = _Cause.TAKE_OVER
@@ -205,8 +220,8 @@
     async def _watch(self, cursor: Cursor) -> ConfigResult | None:
         """Wait for the next configuration as long as the store answers probes.
 
-        Returns None if the store may have dropped the watch, or has come back from a
-        copy.
+        Returns None if the store may have dropped the watch, or was restored from a
+        backup.
         """
         results: list[ConfigResult] = []
         async with trio.open_nursery() as nursery:
@@ -219,9 +234,10 @@
         return results[0] if results else None
 
     def _watch_ms(self) -> Milliseconds:
-        """Return how long a watch waits.
+        """Return the length of a watch in milliseconds.
 
-        Where revocations are bound, knowledge counts from the beginning of a watch.
+        Where there is a revocation bound, a watch confirms the configuration as of its
+        own beginning, so it must be short against the bound.
         """
         return (
             _WATCH_MS
@@ -232,24 +248,25 @@
     async def _probe_until_lost(
         self, results: list[ConfigResult], watch_scope: trio.CancelScope
     ) -> None:
-        """End a watch once the store is lost, may have dropped it, or has come back.
+        """Cancel the watch once the store is lost, has dropped it or was restored.
 
-        One change wakes all that watch; they do not probe at the same moments for that.
+        A change ends all watches at the same moment. The first wait is random, so that
+        the nodes do not probe at the same moments afterwards.
         """
         wait = self.timeouts.probe_interval * self._rng.random()
-        is_sound = True
-        while is_sound:
+        is_watch_valid = True
+        while is_watch_valid:
             await trio.sleep(wait / MS_PER_S)
             wait = self.timeouts.probe_interval
-            if not self._role.now().should_watch and not self.is_urgent():
+            if not self._role.current_rank().should_watch and not self.is_urgent():
                 continue
             response = await self._send_probe()
             if isinstance(response.result, StoreFailed):
                 results.append(response.result)
                 break
-            is_void = self._note_answer(response.result.epoch)
-            self._role.note_store_answer()
-            is_sound = not is_void and not response.n_dropped
+            is_cursor_invalid = self._handle_probe_reply(response.result.epoch)
+            self._role.record_store_answer()
+            is_watch_valid = not is_cursor_invalid and not response.n_dropped
         watch_scope.cancel()
 
     async def _send_probe(self) -> FirstResponse[ProbeResult]:
@@ -258,18 +275,19 @@
         )
 
     def _backoff_factor(self) -> float:
-        """Return how the delay between hedged requests grows.
+        """Return the factor by which the hedging delay grows per request.
 
-        The first nodes of the data centres notice a return for all.
+        The highest-ranked nodes of a data centre keep the delay constant, since they
+        detect the return of the store for all others.
         """
         return 1.0 if self._role.is_first() else _OTHERS_BACKOFF_FACTOR
 
-    def _note_answer(self, epoch: int) -> bool:
-        """Take in an answered probe; return whether the cursor is void by it."""
+    def _handle_probe_reply(self, epoch: int) -> bool:
+        """Record the epoch of a probe; return whether it invalidates the cursor."""
         self.on_response()
-        is_void = self._view.note_epoch(epoch, self._clock.now())
+        is_cursor_invalid = self._view.note_epoch(epoch, self._clock.now())
         self.on_epoch()
-        return is_void
+        return is_cursor_invalid
 
 
 def _ignore() -> None:
@@ -277,5 +295,5 @@
 
 
 def _never() -> bool:
-    """Return that nothing is urgent."""
+    """Return False: no request is urgent."""
     return False
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_sync.py
@@ -1,4 +1,4 @@
-"""Keeps the configuration in force the newest, by the store and by other nodes."""
+"""Keeps the active configuration up to date from the store and from other nodes."""
 
 from __future__ import annotations
 
@@ -32,23 +32,25 @@
     from fuchsiagap_node.core.mesh.store import Store, StoredConfig
     from fuchsiagap_node.core.mesh.telling import Teller
 
-# Milliseconds between two calls while the store fails, at first and at most, of those
-# that are not first in their data centre, and of all while one beside them watches.
+# Milliseconds between two calls while the store fails, on nodes of lower watcher rank:
+# the step per failure, and the maximum. The maximum also applies to every node while
+# another node of its data centre watches.
 _OTHERS_RETRY_MS = 4_000.0
 _MAX_RETRY_MS = 8_000.0
-# Share of the bound of revocations for which a store that has come back from a copy
-# proves nothing, until what it lost is written again.
+# Share of the revocation bound for which a store that was restored from a backup does
+# not confirm that a version is the newest: lost versions may not be written again yet.
 _SETTLE_SHARE = 0.3
-# Shares of the bound of revocations: the age of a node's knowledge, drawn at random,
-# from which it asks the store by itself.
+# Staleness from which a node asks the store by itself, as a share of the revocation
+# bound. Drawn from this range, so that nodes that lose contact together do not ask
+# together.
 _ASK_STORE_AT_SHARES = (0.45, 0.6)
-# Milliseconds between two updates of which nodes watch.
+# Milliseconds between two evaluations of whether this node watches.
 REFRESH_MS = 250.0
 _DEFAULT_BOUNDS = Bounds()
 
 
 class ConfigSync:
-    """Asks the store and other nodes for the configuration.
+    """Follows the configuration in the store, directly or through other nodes.
 
     Parameters
     ----------
@@ -57,29 +59,29 @@
     clock : Clock
         Time in milliseconds.
     teller : Teller
-        Logs.
+        Receives the events.
     apply_config : callable
-        Puts a configuration in force.
+        Called with each configuration that becomes active.
     own : Member
         This node.
     links : callable
         Returns the links to other nodes.
     rng : random.Random
-        Spreads whom of the others is asked, and when.
+        Chooses which node is asked, and spreads the times of requests.
     first_start : bool
         Whether the whole system starts for the first time.
     bounds : Bounds
-        Times within which changes and revocations have to be in force.
+        Times within which changes and revocations must take effect.
 
     Attributes
     ----------
     active : ActiveConfig
-        The configuration in force.
+        The active configuration.
     changed : callable
-        Told that `update_source` or `epoch` has changed.
+        Called when `update_source` or `epoch` has changed.
     on_store_restored : callable
-        Told that the store has come back from a copy, and may have lost what this node
-        wrote.
+        Called when the store was restored from a backup, and may have lost what this
+        node wrote.
     """
 
     def __init__(
@@ -125,27 +127,26 @@
             rng,
             teller,
         )
-        # The highest epoch that this node or another one has told of.
+        # Highest epoch of the store that any node has reported.
         self._highest_epoch = NO_EPOCH
         self._requested_at: Milliseconds | None = None
-        # Those that have lost touch together do not ask together.
         self._ask_store_at_share = rng.uniform(*_ASK_STORE_AT_SHARES)
         self.changed: Callable[[], None] = _ignore
         self.on_store_restored: Callable[[], None] = _ignore
 
     @property
     def update_source(self) -> UpdateSource:
-        """How this node hears of changes."""
+        """How this node learns of changes."""
         return self._role.update_source
 
     @property
     def epoch(self) -> int:
-        """Epoch of the store, as this node last heard from it; `NO_EPOCH` before."""
+        """Epoch in the last answer of the store to this node; `NO_EPOCH` before."""
         return self._view.epoch
 
     @property
     def revision(self) -> int:
-        """Revision of the store that this node watches from; 0 for none."""
+        """Revision of the store from which this node watches; 0 if there is none."""
         cursor = self._view.cursor
         return 0 if cursor is None else cursor.revision
 
@@ -157,17 +158,17 @@
 
     @property
     def request_age(self) -> Milliseconds:
-        """Milliseconds that the request under way waits for its answer; 0 for none."""
+        """Milliseconds since the pending store request was sent; 0 if none is."""
         if self._requested_at is None:
             return 0.0
         return self._clock.now() - self._requested_at
 
     def adopt_bounds(self, bounds: Bounds) -> None:
-        """Follow a bound on changes that has been set anew."""
+        """Apply a changed bound on changes to the timeouts of store requests."""
         self._requests.timeouts = timeouts_within(bounds.change)
 
     def set_nursery(self, nursery: trio.Nursery) -> None:
-        """Let a nursery hold what asks other nodes."""
+        """Set the nursery that runs requests to other nodes."""
         self._peer_fetcher.nursery = nursery
 
     def adopt_text(self, message: EncodedConfig, source: str) -> None:
@@ -185,13 +186,13 @@
             self._requests.cancel_watch_soon(self._peer_fetcher.nursery)
 
     def handle_peer_status(self, link: SendingLink) -> None:
-        """Take in what another node has told of the configuration and the store."""
+        """Process the version and the store epoch in the status of another node."""
         self._view.note_peer_epoch(link.epoch)
         self._observe_epoch(link.epoch)
         self._peer_fetcher.handle_status(link)
 
     def _observe_epoch(self, epoch: int) -> None:
-        """Take in an epoch of the store that this node or another one tells of."""
+        """Record a reported epoch; a higher one means that the store was restored."""
         if epoch <= self._highest_epoch:
             return
         is_restored = self._highest_epoch != NO_EPOCH
@@ -201,11 +202,11 @@
             self.on_store_restored()
 
     def refresh(self) -> None:
-        """Update whether this node is to watch the store."""
+        """Re-evaluate whether this node is to watch the store."""
         self._role.refresh(self._is_too_stale)
 
     def _is_too_stale(self) -> bool:
-        """Whether the others have not told for long how old their knowledge is."""
+        """Whether the configuration is so stale that this node has to ask the store."""
         if self._revocation_bound is None or not self._role.is_settled:
             return False
         return self.active.staleness > self._revocation_bound * self._ask_store_at_share
@@ -214,7 +215,7 @@
         self.changed()
 
     async def run(self) -> None:
-        """Watch the store whenever this node is to, until cancelled."""
+        """Watch the store whenever the watcher role requires it, until cancelled."""
         n_failed = n_compacted = 0
         while True:
             if not self._requests.is_first_read or self._view.cursor is not None:
@@ -239,7 +240,7 @@
                 case StoreFailed(reason):
                     n_failed += 1
                     self._mark_store_lost(reason)
-                    # One that was silent has been waited for already.
+                    # Hedging has already waited for an unresponsive store.
                     has_waited = (
                         self._clock.now() - asked_at
                         > self._requests.timeouts.hedge_delay
@@ -249,31 +250,34 @@
     def _handle_update(
         self, request: StoreRequest, update: ConfigUpdate, asked_at: Milliseconds
     ) -> None:
-        """Take in what the store has answered."""
+        """Process an answer: adopt its configuration, and confirm the active version.
+
+        The version is confirmed only if the answer proves that it is the newest.
+        """
         self._mark_store_available()
         now = self._clock.now()
         self._requests.is_first_read = False
-        self._role.note_store_answer()
-        is_sound = self._note_cursor(request, update, now)
+        self._role.record_store_answer()
+        is_newest = self._record_cursor(request, update, now)
         self._announce_epoch()
         if update.stored is not None:
             self._report_older_version(update.stored, request)
             self.active.adopt(update.stored, "store")
         version = self.active.version
-        if is_sound and self._view.proves(version, asked_at):
+        if is_newest and self._view.proves(version, asked_at):
             self.active.confirm(version, asked_at)
 
     def _mark_store_available(self) -> None:
-        """Note that the store answers."""
+        """Record that the store answers."""
         self._requests.answered_at = self._clock.now()
-        if self._role.is_lost:
+        if self._role.is_store_lost:
             self._tell.event("store-regained", what="configuration")
-        self._role.is_lost = False
+        self._role.is_store_lost = False
 
-    def _note_cursor(
+    def _record_cursor(
         self, request: StoreRequest, update: ConfigUpdate, now: Milliseconds
     ) -> bool:
-        """Note where the store is; return whether this is its newest place."""
+        """Record the cursor of an answer; return whether it is the newest one."""
         version = None if update.stored is None else update.stored.config.version
         match request:
             case StoreRequest.WATCH:
@@ -286,7 +290,7 @@
         return False
 
     def _announce_epoch(self) -> None:
-        """Let others know of an epoch that this node has heard first."""
+        """Notify other nodes of an epoch that this node has learnt of first."""
         before = self._highest_epoch
         self._observe_epoch(self.epoch)
         if self._highest_epoch != before:
@@ -295,7 +299,7 @@
     def _report_older_version(
         self, stored: StoredConfig, request: StoreRequest
     ) -> None:
-        """Tell of a store whose newest configuration is older than the one in force."""
+        """Log an event if the store holds an older version than the active one."""
         is_older = stored.config.version < self.active.version
         if is_older and request is not StoreRequest.READ_STALE:
             self._tell.event(
@@ -307,21 +311,22 @@
             )
 
     def _drop_cursor(self) -> None:
-        """Note that the changes since the cursor are gone."""
+        """Drop the cursor, since the store has compacted the history after it."""
         self._tell.event("history-gone", what="configuration", base=self.revision)
         self._view.drop_cursor()
 
     def _mark_store_lost(self, reason: str) -> None:
-        """Note that the store does not answer."""
-        if not self._role.is_lost:
+        """Record that the store does not answer, or failed a request."""
+        if not self._role.is_store_lost:
             self._tell.event("store-lost", what="configuration", cause=reason)
-        self._role.is_lost = True
+        self._role.is_store_lost = True
         self._role.set_update_source(UpdateSource.NONE)
 
     async def _pause(self, n_failed: int, has_waited: bool) -> None:
-        """Wait until the store that failed is to be asked again.
+        """Wait until a store that failed is to be asked again.
 
-        Whoever becomes first of its data centre meanwhile asks as soon as the first.
+        The wait is recomputed at intervals: a node that becomes the highest-ranked one
+        of its data centre meanwhile asks as soon as such a node does.
         """
         started = self._clock.now()
         spread = self._rng.uniform(0.5, 1.0)
@@ -335,11 +340,12 @@
     def _retry_after(
         self, n_failed: int, has_waited: bool, spread: float
     ) -> Milliseconds:
-        """Return how long to wait after some failures in a row.
+        """Return how long to wait after `n_failed` failures in a row.
 
-        A request to a silent store has been hedged already while it waited.
+        The highest-ranked nodes ask an unresponsive store again at once, since the
+        failed request has already waited through its hedging delays.
         """
-        if self._role.now().others_watch:
+        if self._role.current_rank().others_watch:
             return _MAX_RETRY_MS * spread
         if self._role.is_first():
             return 0.0 if has_waited else self._requests.timeouts.backoff(n_failed)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/hedging.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/hedging.py
@@ -1,4 +1,4 @@
-"""Hedged requests: sent again while without an answer, and the first one counts."""
+"""Hedged requests: sent again until one is answered; the first answer is used."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 
 
 class FirstResponse(NamedTuple, Generic[Result]):
-    """The answer that came first.
+    """The first answer to a hedged request.
 
     Parameters
     ----------
     result : object
-        The result.
+        Result of the request.
     n_dropped : int
-        Requests sent before the one that it answers.
+        Number of requests sent before the answered one; they count as dropped.
     """
 
     result: Result
     n_dropped: int
 
 
-def _constant_interval() -> float:
-    """Return that the time stays the same."""
+def _constant_factor() -> float:
+    """Return the factor that keeps the interval constant."""
     return 1.0
 
 
@@ -41,23 +41,23 @@
     send: Callable[[], Awaitable[Result]],
     interval: Milliseconds,
     on_unresponsive: Callable[[], None],
-    backoff_factor: Callable[[], float] = _constant_interval,
+    backoff_factor: Callable[[], float] = _constant_factor,
 ) -> FirstResponse[Result]:
-    """Return the first result of a request that is sent again and again.
+    """Send a request repeatedly until one is answered; return the first result.
 
-    A store that answers slowly answers the first one, and one that has dropped what was
-    asked while it was silent answers the first that it gets afterwards.
+    Earlier requests stay open. So a slow store answers the first one, and a store that
+    dropped requests while it was unresponsive answers the first one it gets afterwards.
 
     Parameters
     ----------
     send : callable
-        Sends the request once; ends by itself.
+        Sends the request once and returns its result; must have its own timeout.
     interval : float
-        Milliseconds between two requests.
+        Milliseconds between the first two requests.
     on_unresponsive : callable
-        Told that a second request has no answer either.
+        Called when the second request is not answered within its interval either.
     backoff_factor : callable, optional
-        Returns by what that time grows from one request to the next.
+        Returns the factor by which the interval grows from one request to the next.
     """
     responses: list[FirstResponse[Result]] = []
     is_answered = trio.Event()
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/malformed_input.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/malformed_input.py
@@ -1,4 +1,4 @@
-"""Words from outside that say nothing that can be believed."""
+"""Description of malformed input from other systems."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MalformedInput:
-    """A report or an entry that is not as it must be.
+    """A report or a store entry that does not have the expected form.
 
     Parameters
     ----------
     place : str
-        What it is: a target, or the name of an entry.
+        Source of the input: a request target, or the name of an entry.
     reason : str
-        Which part of it is wrong, and what was expected.
+        Which part is wrong, and what was expected.
     """
 
     place: str
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/member_sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/member_sync.py
@@ -1,4 +1,4 @@
-"""The other nodes, from the store."""
+"""Registers this node in the store and discovers the other nodes there."""
 
 from __future__ import annotations
 
@@ -23,63 +23,64 @@
     from fuchsiagap_node.core.mesh.store import MembersResult, Store
     from fuchsiagap_node.core.mesh.telling import Teller
 
-# Milliseconds between two lists, at least, and for each node that is listed; give or
-# take a fifth. A new node is known at once to those that it links to; the others learn
-# of it here. A list that may be some seconds old is the cheapest call, where a watch is
-# woken at each start of another node (39 calls a node in 38 s with 204 starts among 81
-# nodes, with those of the configuration). All nodes together list at most 5 times a
-# second, however many they are.
+# Interval between two list calls in milliseconds: the minimum, the part per listed
+# node, and the jitter as a share of the interval. Nodes that a new node links to know
+# it at once; the others discover it here. A list call that may return data some seconds
+# old is the cheapest call. A watch would end at each start of another node: with 204
+# starts among 81 nodes it took 39 calls per node in 38 s, those for the configuration
+# included. The part per node limits all nodes together to 5 list calls a second.
 _LIST_INTERVAL_MS = 10_000.0
 _LIST_INTERVAL_PER_NODE_MS = 200.0
 _LIST_JITTER = 0.2
-# Milliseconds between the first lists of a node that is new, while others may be new
-# too and a list may still lack them.
+# Milliseconds after each of the first list calls of a new node. Other nodes may be new
+# as well, and missing in the list so far.
 _STARTUP_LIST_INTERVALS_MS = (1_500.0, 1_500.0, 2_000.0)
-# Milliseconds for which a list may lack what was announced before it.
+# Milliseconds by which a list may lag behind; it may lack entries newer than this.
 _MAX_LIST_STALENESS_MS = 8_000.0
-# Milliseconds for which a node that is not listed must have been out of reach before it
-# is forgotten; a list may be older than its announcement.
+# Milliseconds for which an unlisted node must have been unreachable before it is
+# forgotten; the list may be older than the registration of the node.
 _FORGET_AFTER_MS = 5_000.0
-# Milliseconds without reach after which a listed node counts as lost for good, and is
-# removed from the store. Chosen to be long against a restart, not measured; one that
-# was only cut off announces itself again.
+# Milliseconds without contact after which a listed node counts as dead and is removed
+# from the store. Long against a restart; a node that was only partitioned registers
+# again.
 _DEAD_AFTER_MS = 60_000.0
-# Nodes that remove a lost one after one list, on average, if all saw that it is lost;
-# the others find it removed at their next. A fixed share of them, one in five, was 39
-# calls for each lost node among 195.
+# Expected number of nodes that remove a dead node after one list call, if all nodes see
+# that it is dead; the others find it removed at their next list call. A fixed share of
+# one node in five made 39 calls per dead node among 195 nodes.
 _EXPECTED_REMOVERS = 3.0
-# Milliseconds between two lists while the store fails, at most, for a node that has
-# links; one that has none cannot serve without.
+# Maximum milliseconds between two list calls while the store fails, for a node that has
+# links. A node without links uses the shorter maximum of the store timeouts, since it
+# cannot serve without a list.
 _MAX_LIST_BACKOFF_MS = 6_000.0
-# Growth of the time between repeated lists of a node that has links.
+# Factor by which the hedging delay of list calls grows, for a node that has links.
 _LINKED_BACKOFF_FACTOR = 3.0
-# Milliseconds within which nodes write again what a store has lost that came back from
-# a copy, each at a moment of its own.
+# Upper limit, in milliseconds, of the random delay before a node checks its entry in a
+# store that was restored from a backup.
 _REANNOUNCE_JITTER_MS = 1_000.0
-# Milliseconds that an announcement waits for its answer, at most.
+# Maximum timeout of a registration request, in milliseconds.
 _MAX_ANNOUNCE_TIMEOUT_MS = 2_500.0
 
 
 class MemberSync:
-    """Announces this node and follows the list of nodes.
+    """Registers this node and keeps the list of known nodes up to date.
 
     Parameters
     ----------
     own : Member
         This node.
     links : Links
-        Told which nodes there are.
+        Links to other nodes; receives the nodes that are discovered.
     store : Store
         The platform's store.
     cfg : MeshSettings
-        Settings. Where the whole system starts for the first time, the store knows
-        nothing of this node yet.
+        Settings. When the whole system starts for the first time, the node registers
+        without looking for its entry, since the store has none yet.
     clock : Clock
         Time in milliseconds.
     rng : random.Random
-        Spreads the lists of the nodes, and who removes a lost one.
+        Spreads the list calls of the nodes, and chooses who removes a dead node.
     teller : Teller
-        Logs.
+        Receives events and counts of calls.
     """
 
     def __init__(
@@ -106,11 +107,11 @@
         self._announced_at = float("-inf")
 
     def adopt_bounds(self, bounds: Bounds) -> None:
-        """Follow a bound on changes that has been set anew."""
+        """Apply a changed bound on changes to the timeouts of store requests."""
         self._timeouts = self._probe.timeouts = timeouts_within(bounds.change)
 
     async def run(self) -> None:
-        """Announce this node and follow the store until cancelled."""
+        """Register this node and follow the list of nodes until cancelled."""
         if self._first_start:
             await self._announce("start")
         present = await self._list("start")
@@ -134,23 +135,26 @@
                 await self._remove_dead(present)
 
     def handle_store_restored(self) -> None:
-        """Take in that the store has come back from a copy.
+        """React to a store that was restored from a backup.
 
-        What this node wrote may be gone, and what it removed may be back.
+        The entry of this node may be gone, and entries that it removed may be back.
         """
         self._announced_at = float("-inf")
         self._removed.clear()
         self._store_restored.set()
 
     async def _reannounce(self) -> None:
-        """Announce this node again if the store has lost that it did."""
+        """Register this node again if the store has lost its entry."""
         self._store_restored = trio.Event()
         await trio.sleep(self._rng.random() * _REANNOUNCE_JITTER_MS / MS_PER_S)
         if not await self._probe.find_entry("returned"):
             await self._announce("returned")
 
     def _is_listed(self, present: Mapping[str, Member]) -> bool:
-        """Whether a list holds this node where it is now; else it is announced."""
+        """Whether a list has this node at its current address.
+
+        Also true shortly after a registration, which the list may not contain yet.
+        """
         if self._clock.now() - self._announced_at < _MAX_LIST_STALENESS_MS:
             return True
         listed = present.get(self._own.node)
@@ -161,10 +165,11 @@
         )
 
     async def _remove_dead(self, present: Mapping[str, Member]) -> None:
-        """Remove nodes from the store that are lost, not only cut off.
+        """Remove nodes from the store that are dead and not only partitioned.
 
-        A data centre that is out of reach as a whole is cut off; and whoever was
-        removed and has announced itself again lives.
+        If no node of a data centre is reachable, the data centre counts as partitioned.
+        A node that registered again after its removal, under the same incarnation, is
+        alive and is not removed a second time.
         """
         now = self._clock.now()
         reachable = {link.member.data_centre for link in self._links if link.is_up()}
@@ -189,7 +194,7 @@
             self._tell.event("node-removed", node=node, silent=silent, cause=cause)
 
     async def _list(self, cause: str) -> Mapping[str, Member]:
-        """Follow a list of all nodes, however long it takes to get one."""
+        """List all nodes, retrying until the store answers; update the links."""
         wait = self._timeouts.initial_backoff
         failing = False
 
@@ -206,7 +211,7 @@
                 if failing:
                     self._tell.event("store-regained", what="members")
                 for entry in result.malformed:
-                    # It is neither dialled nor removed: who wrote it may need it.
+                    # Neither linked nor removed: its writer may need it.
                     self._tell.unreadable("entry-unreadable", entry)
                 self._links.know(result.present.values())
                 self._links.forget_unlisted(result.present, _FORGET_AFTER_MS)
@@ -220,11 +225,11 @@
             wait = min(2.0 * wait, longest)
 
     def _backoff_factor(self) -> float:
-        """Return how the time between repeated lists grows."""
+        """Return the factor by which the hedging delay of list calls grows."""
         return 1.0 if self._is_alone() else _LINKED_BACKOFF_FACTOR
 
     def _is_alone(self) -> bool:
-        """Whether this node is linked to no other one."""
+        """Whether this node has no working link to another node."""
         return not any(link.is_heard() for link in self._links)
 
     async def _announce(self, cause: str) -> None:
@@ -236,7 +241,7 @@
         self._announced_at = self._clock.now()
 
     async def _announce_once(self, cause: str, wait: Milliseconds) -> str | None:
-        """Return why the store has not taken the announcement; None if it has."""
+        """Register once; return why the store did not accept it, or None if it did."""
         self._tell.store_call("member-announce", cause)
         with trio.move_on_after(wait / MS_PER_S):
             failed = await self._store.announce(self._own)
@@ -244,7 +249,7 @@
         return f"no answer within {wait:.0f} ms"
 
     async def withdraw(self) -> None:
-        """Take this node out of the store, once."""
+        """Remove this node from the store, without a retry."""
         self._tell.store_call("member-remove", "stop")
         failed = await self._store.withdraw(self._own.node)
         if failed is not None:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/messages.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/messages.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other on their links."""
+"""Messages that nodes exchange on their links."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 if TYPE_CHECKING:
     from fuchsiagap_node.core.mesh.outcome import Outcome
 
-# Rises where nodes of an earlier release would misunderstand messages.
+# Version of the message format; raised when an earlier release would misread messages.
 PROTOCOL = 2
-# Fullness below a request that made no calls.
+# Fullness in the summary of a request that made no nested calls.
 NO_CALLS = -1.0
 
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """First frame of the dialling node, and of the node that was dialled.
+    """First frame of a link, sent by both nodes.
 
     Parameters
     ----------
     node, incarnation : str
-        Name of the node, and what tells this process from an earlier one.
+        Name of the node, and identifier of its current process.
     address : str
-        Where the node takes links.
+        ``IP:PORT`` on which the node accepts links.
     data_centre, service : str
-        Where it stands, and the service of the backend server beside it.
+        Data centre of the node, and service of the backend server on its host.
     compressed : bool
-        Whether all that this end sends from here on is compressed.
+        Whether all later frames of the sender are compressed.
     protocol : int
-        What the messages mean; nodes of another one are not linked.
+        Version of the message format; nodes with another version are not linked.
     """
 
     node: str
@@ -47,28 +47,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Status:
-    """What a door says of its backend server, when it changes and with answers.
+    """State of a node and its backend server, sent on a new link and on changes.
 
     Parameters
     ----------
     instance : str
-        Incarnation that takes requests; empty if none does.
+        Incarnation of the server that accepts requests; empty if none does.
     limit, load : int
-        Places, and requests that run or wait.
+        Concurrency limit, and number of requests that run or wait.
     offered : float
-        Places that the requests that arrive would fill.
+        Concurrency that the arriving requests would use if all ran.
     failing : float
-        Share of recent requests that ended refused or broken.
+        Share of recent requests that were refused or failed, from 0 to 1.
     warming : bool
-        Whether the server is in its warm-up.
+        Whether the server is still warming up.
     version : int
         Version of the configuration that this node has adopted.
     update_source : UpdateSource
-        How this node hears of newer ones.
+        How this node learns of newer versions.
     service_ms : int
-        Milliseconds that a request is at the server; 0 if not known.
+        Service time of a request at the server, in milliseconds; 0 if unknown.
     epoch : int
-        Epoch of the store, as this node last heard from it; `NO_EPOCH` before.
+        Epoch in the last answer of the store to this node; `NO_EPOCH` before.
     """
 
     instance: str
@@ -84,41 +84,44 @@
 
 
 class Call(NamedTuple):
-    """A request on its way to a door.
+    """A request sent to a backend queue.
 
     Parameters
     ----------
     call_id : int
-        Number, unique on the link.
+        Identifier of the call, unique on the link.
     instance : str
-        Incarnation that alone may run it.
+        The only incarnation of the server that may run it.
     head : bytes
-        Request line and header lines, but for the deadline and the empty line.
+        Request line and header lines, without the deadline and the empty line.
     body : bytes
-        Whole body.
-    left : float
-        Milliseconds until the sender gives its caller a final answer.
+        Complete body.
+    time_left : float
+        Milliseconds until the sender gives its caller a final response.
     slack : int
-        Milliseconds in which an answer to the request at the root of its tree is in
-        time; negative once it is late.
+        Milliseconds left in which the response to the root request of its call tree
+        is in time; negative once it is late.
     rank : int
-        Priority of the request at the root of the tree that this one belongs to.
+        Priority rank of the root request of its call tree.
     is_nested : bool
-        Whether a backend server makes it while it runs another request.
-    repeated : bool
-        Whether it, or a request above it, was handed to a backend server before.
-    again : bool
-        Whether it itself was, so that the door has to pay for it.
+        Whether a backend server makes the call while it runs another request.
+    in_retried_tree : bool
+        Whether this request, or one above it in the call tree, was sent to a backend
+        server before.
+    is_retry : bool
+        Whether this request itself was, so that it counts against the retry budget of
+        the backend queue.
     sampling_key : int
-        What its tree has drawn; see `fuchsiagap.core.retries.shares`.
+        Random key of its call tree, by which retries are sampled; see
+        `fuchsiagap.core.retries.shares`.
     idempotent : bool
-        Whether it may be cancelled and repeated.
+        Whether it may be cancelled and retried.
     request_id : str
-        Identifier of the caller's attempt.
+        Request identifier from the caller; one per attempt.
     route : str
-        Name of its route.
+        Name of the route.
     fingerprint : bytes
-        What its repeats share; see `fuchsiagap.core.quarantine.fingerprint`.
+        Digest shared by all attempts; see `fuchsiagap.core.quarantine.fingerprint`.
     """
 
     call_id: int
@@ -139,16 +142,16 @@
 
 
 class DownstreamSummary(NamedTuple):
-    """What a call led to.
+    """Summary of the nested calls that a call made.
 
     Parameters
     ----------
     fullness : float
-        Fullness of the services that requests of its route call; `NO_CALLS` without.
+        Fullness of the services that its route calls; `NO_CALLS` if it calls none.
     calls : int
-        Calls that it made, with those that they made.
+        Number of nested calls, including the calls that these made.
     failed : bool, default=False
-        Whether its server failed since one of these did.
+        Whether the server failed because one of the nested calls did.
     """
 
     fullness: float
@@ -157,39 +160,39 @@
 
 
 class Reply(NamedTuple):
-    """What became of a call, with the load of the door.
+    """Outcome of a call, with the load of the backend queue.
 
     Parameters
     ----------
     call_id : int
-        Number of the call.
+        Identifier of the call.
     outcome : Answered, NotRun or MayHaveRun
-        What became of it.
+        Outcome of the call.
     load : int
-        Requests that run or wait at the door.
+        Number of requests that run or wait in the backend queue.
     offered : float
-        Places that the requests that arrive at the door would fill.
-    below : DownstreamSummary
-        What it led to.
+        Concurrency that the requests arriving there would use if all ran.
+    downstream : DownstreamSummary
+        Summary of its nested calls.
     """
 
     call_id: int
     outcome: Outcome
     load: int
     offered: float
-    below: DownstreamSummary
+    downstream: DownstreamSummary
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """The sender no longer wants a call."""
+    """Cancels a call."""
 
     call_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """Asks for a `Pong`, so that silence can be told from idleness."""
+    """Requests a `Pong`, to tell an unresponsive node from an idle one."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -199,19 +202,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigQuery:
-    """Asks for the configuration that the other node has adopted."""
+    """Requests the active configuration of the other node."""
 
 
 @dataclass(frozen=True, slots=True)
 class EncodedConfig:
-    """The configuration as the platform holds it.
+    """A configuration in the encoding of the platform.
 
     Parameters
     ----------
     epoch, revision : int
-        Where it stands in the history of the store.
+        Position in the history of the store.
     text : bytes
-        Its content, encoded as the platform encodes it.
+        Encoded content.
     """
 
     epoch: int
@@ -221,19 +224,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Cleared:
-    """Requests that were answered and so crash no servers, by their fingerprints."""
+    """Fingerprints of requests that were answered, and so crash no servers."""
 
     fingerprints: tuple[bytes, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class StalenessQuery:
-    """Asks how old the other node's knowledge of the configuration is.
+    """Requests the staleness of the other node's configuration.
 
     Parameters
     ----------
     query_id : int
-        Number that the answer repeats.
+        Identifier of the query, repeated in the reply.
     """
 
     query_id: int
@@ -241,16 +244,16 @@
 
 @dataclass(frozen=True, slots=True)
 class StalenessReply:
-    """How old a node's knowledge of the configuration is.
+    """Staleness of a node's configuration.
 
     Parameters
     ----------
     query_id : int
-        Number of the question.
+        Identifier of the query.
     version : int
-        Version that was the newest.
+        Version that was known to be the newest.
     age : float
-        Milliseconds since it was, at the moment of the answer.
+        Milliseconds from then until the reply was sent.
     """
 
     query_id: int
@@ -260,16 +263,16 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenRequest:
-    """Asks the owner of a workspace's quota for tokens.
+    """Requests tokens from the owner of a workspace's quota.
 
     Parameters
     ----------
     query_id : int
-        Number that the answer repeats.
+        Identifier of the query, repeated in the reply.
     workspace : str
         Name of the workspace.
     tokens : int
-        How many.
+        Number of tokens.
     """
 
     query_id: int
@@ -279,20 +282,20 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenGrant:
-    """What the owner of a quota grants.
+    """Tokens granted by the owner of a quota.
 
     Parameters
     ----------
     query_id : int
-        Number of the question.
+        Identifier of the query.
     workspace : str
         Name of the workspace.
     tokens : int
-        How many.
+        Number of tokens.
     wait : float
-        Milliseconds after which more may be found; 0 if all are granted.
+        Milliseconds after which more may be available; 0 if all were granted.
     is_owner : bool
-        Whether the node owns the quota; the others grant none.
+        Whether the node owns the quota; other nodes grant no tokens.
     """
 
     query_id: int
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/metered_request.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/metered_request.py
@@ -1,4 +1,4 @@
-"""A request of a workspace until it has a token, and its token until its answer."""
+"""Request that takes a token from the quota of its workspace."""
 
 from __future__ import annotations
 
@@ -19,22 +19,24 @@
 
 
 class MeteredRequest:
-    """A request of a workspace, from its key to its answer.
+    """A request of a workspace, from authentication to its response.
+
+    It waits for a quota token, is then placed, and returns the token if it did not run.
 
     Parameters
     ----------
     entry : Entry
-        Goes on with it once it has a token.
+        Places the request once it has a token.
     workspace : Workspace
-        Whose it is.
+        Workspace of the request.
     req : Request
         The request.
     route : Route
         Its route, with the priority of the workspace.
     done : callable
-        Told the final answer, once.
+        Called once with the final response.
     turn : CallerTurn
-        What its caller is owed.
+        Fair admission credit of its caller.
     """
 
     __slots__ = (
@@ -71,13 +73,13 @@
         self._placement: Placement | None = None
 
     def start(self, quotas: Quotas) -> bool:
-        """Ask for a token; return whether there is something to cancel."""
+        """Acquire a token; return whether there is something to cancel."""
         self._quotas = quotas
         self._waiter = quotas.acquire(self.workspace, self._handle_decision)
         return self._waiter is not None or self._placement is not None
 
     def cancel(self) -> None:
-        """Give the request up: its caller has left."""
+        """Cancel the request, since its caller has disconnected."""
         if self._waiter is not None:
             self._waiter.cancel()
         if self._placement is not None:
@@ -91,7 +93,7 @@
         self._placement = self._entry.within_quota(self, self._finish, waited)
 
     def _finish(self, final: Final) -> None:
-        """Return the token of a request that has not run, and tell the answer."""
+        """Return the token if the request has not run, and pass on the response."""
         if final.status in PROMISES and self._quotas is not None:
             self._quotas.put_back(self.workspace)
         self._done(final)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/over_quota.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/over_quota.py
@@ -1,4 +1,4 @@
-"""What a caller gets whose workspace has no request left for now."""
+"""Response to a caller whose workspace has exceeded its quota."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def quota_refusal(decision: QuotaDecision) -> Final | None:
-    """Return the refusal that an answer leads to; None for a request that goes on."""
+    """Return the refusal for a quota decision; None if the request is admitted."""
     match decision.verdict:
         case Verdict.WITHIN:
             return None
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/peer_config_fetcher.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/peer_config_fetcher.py
@@ -1,4 +1,4 @@
-"""Asks other nodes for the configuration where they have a newer one."""
+"""Fetches the configuration from other nodes that have a newer version."""
 
 from __future__ import annotations
 
@@ -17,47 +17,47 @@
     from fuchsiagap_node.core.mesh.sending import SendingLink
     from fuchsiagap_node.core.mesh.telling import Teller
 
-# Milliseconds within which a node that hears of a newer version on a link asks for it,
-# drawn at random: those that have it first then serve the others, where one node would
-# send it to all at once.
+# Upper limit, in milliseconds, of the random delay before a newer version is requested.
+# The nodes that fetch it first then serve the others; without the delay one node would
+# send it to all of them at once.
 _ASK_JITTER_MS = 100.0
-# Milliseconds that this node's own watch gets before another node is asked.
+# Milliseconds to wait for this node's own watch before another node is asked.
 _ASK_AFTER_WATCH_MS = 300.0
-# Milliseconds after which a version that was asked for is asked for elsewhere.
+# Milliseconds without an answer after which the version is requested elsewhere.
 _ASK_AGAIN_MS = 600.0
 
 
 class PeerConfigFetcher:
-    """Follows the nodes that are ahead of this one.
+    """Requests the configuration from linked nodes whose version is newer.
 
     Parameters
     ----------
-    in_force : ActiveConfig
-        The configuration in force.
+    active : ActiveConfig
+        The active configuration.
     links : callable
         Returns the links to other nodes.
     is_watching : callable
-        Whether this node watches the store.
+        Returns whether this node watches the store.
     rng : random.Random
-        Spreads whom of the others is asked, and when.
+        Chooses which node is asked, and the delay before.
     teller : Teller
-        Logs.
+        Receives the events.
 
     Attributes
     ----------
     nursery : trio.Nursery or None
-        Holds what asks other nodes; None until the node serves.
+        Runs the requests to other nodes; None until the node serves.
     """
 
     def __init__(
         self,
-        in_force: ActiveConfig,
+        active: ActiveConfig,
         links: Callable[[], Iterable[SendingLink]],
         is_watching: Callable[[], bool],
         rng: random.Random,
         teller: Teller,
     ) -> None:
-        self._in_force = in_force
+        self._active = active
         self._links = links
         self._is_watching = is_watching
         self._rng = rng
@@ -66,15 +66,15 @@
         self.nursery: trio.Nursery | None = None
 
     def handle_status(self, link: SendingLink) -> None:
-        """Ask for the configuration if another node has a newer one."""
-        if link.version <= self._in_force.version or self._is_fetching:
+        """Start a fetch if the node at the other end has a newer version."""
+        if link.version <= self._active.version or self._is_fetching:
             return
         if self.nursery is not None:
             self._is_fetching = True
             self.nursery.start_soon(self._fetch_from_peers)
 
     async def _fetch_from_peers(self) -> None:
-        """Ask nodes that are ahead, one after the other, until none is."""
+        """Request the configuration from nodes that are ahead until none is left."""
         try:
             wait = self._rng.random() * _ASK_JITTER_MS
             if self._is_watching():
@@ -87,19 +87,21 @@
                     "config-asked", of=link.member.node, theirs=link.version
                 )
                 link.post(ConfigQuery())
-                # A version that came meanwhile is asked for as soon as this one is
-                # here, not after the wait for it.
+                # Adoption ends the wait early, so that a version published meanwhile
+                # is requested at once and not after the full timeout.
                 with trio.move_on_after(_ASK_AGAIN_MS / MS_PER_S):
-                    await self._in_force.adopted.wait()
+                    await self._active.adopted.wait()
         finally:
             self._is_fetching = False
 
     def _pick_peer_ahead(self, asked: Collection[str]) -> SendingLink | None:
-        """Return a node with a newer version, one not asked yet and near if any is.
+        """Return a link to a node that has a newer version, or None.
 
-        Bytes between data centres are dear, and a version may have thousands of routes.
+        Nodes that were not asked yet come first, then nodes of the own data centre:
+        traffic between data centres is expensive, and a version may have thousands of
+        routes.
         """
-        own = self._in_force.version
+        own = self._active.version
         ahead = [link for link in self._links() if link.version > own]
         if not ahead:
             return None
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/peers.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/peers.py
@@ -1,4 +1,4 @@
-"""The doors that this node can send to, over links and its own."""
+"""The backend queues to which this node can send calls: remote ones and its own."""
 
 from __future__ import annotations
 
@@ -13,34 +13,34 @@
     from fuchsiagap_node.core.mesh.messages import Call, DownstreamSummary
     from fuchsiagap_node.core.mesh.outcome import Outcome
 
-    # Told the outcome of a call and what it led to, once.
+    # Called once, with the outcome of a call and the summary of its nested calls.
     OnReply: TypeAlias = Callable[[Outcome, DownstreamSummary], None]
 
 
-# Milliseconds since its last request for which a service counts as asked for: opening
-# its links anew costs more than keeping them for some minutes.
+# Milliseconds since its last request for which a service counts as in use. Opening its
+# links again costs more than keeping them for some minutes.
 _SERVICE_IDLE_MS = 600_000.0
 
 
 class Peer(Protocol):
-    """A door, as a sender sees it."""
+    """The backend queue of one node, as a sender of calls sees it."""
 
     target: Target
 
     def send(self, call: Call, reply: OnReply) -> None:
-        """Send a call; `reply` is told its outcome, once."""
+        """Send a call; `reply` is called once with its outcome."""
 
     def cancel(self, call_id: int) -> None:
-        """Say that a call is no longer wanted."""
+        """Cancel a call."""
 
 
 class Peers:
-    """Doors by service.
+    """Registry of peers, by node and by service.
 
     Attributes
     ----------
     on_first_request : callable
-        Called when a service is asked for that was not of late.
+        Called on a request for a service that was not in use.
     """
 
     def __init__(self) -> None:
@@ -50,40 +50,40 @@
         self._by_service: dict[str, dict[str, Peer]] = {}
 
     def put(self, peer: Peer) -> None:
-        """Add a door, or replace the one of the same node."""
+        """Add a peer, or replace the one of the same node."""
         self.drop(peer.target.node)
         self._by_node[peer.target.node] = peer
         self._by_service.setdefault(peer.target.service, {})[peer.target.node] = peer
 
     def drop(self, node: str) -> None:
-        """Remove the door of a node."""
+        """Remove the peer of a node."""
         peer = self._by_node.pop(node, None)
         if peer is not None:
             self._by_service[peer.target.service].pop(node, None)
 
     def get(self, node: str) -> Peer | None:
-        """Return the door of a node."""
+        """Return the peer of a node, or None."""
         return self._by_node.get(node)
 
     def mark_requested(self, service: str, now: Milliseconds) -> None:
-        """Note that a request asks for a service."""
+        """Record a request for a service at time `now`, in milliseconds."""
         was_in_use = self.is_in_use(service, now)
         self._last_request_at[service] = now
         if not was_in_use:
             self.on_first_request()
 
     def is_in_use(self, service: str, now: Milliseconds) -> bool:
-        """Whether a service was asked for of late."""
+        """Whether a service was requested recently."""
         return (
             now - self._last_request_at.get(service, float("-inf")) < _SERVICE_IDLE_MS
         )
 
     def services(self) -> list[str]:
-        """Return the services that have doors, in order."""
+        """Return the services that have peers, in alphabetical order."""
         return sorted(name for name, peers in self._by_service.items() if peers)
 
     def reached(self) -> Iterator[Target]:
-        """Return the backend servers whose nodes can be reached now."""
+        """Iterate over the backend servers whose nodes are reachable."""
         return (p.target for p in self._by_node.values() if p.target.usable)
 
     def targets(self, service: str) -> Sequence[Target]:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/queue_retry_budget.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/queue_retry_budget.py
@@ -1,4 +1,4 @@
-"""What a door lets through to its server of what was handed to one before."""
+"""Retry budget of one backend queue."""
 
 from __future__ import annotations
 
@@ -15,28 +15,29 @@
     from fuchsiagap_node.core.mesh.messages import Call
     from fuchsiagap_node.core.mesh.telling import Teller
 
-# Weight of one request in the mean number of calls of its route: about the last 20.
+# Weight of one request in the moving average of the calls per request of its route;
+# it covers about the last 20 requests.
 _CALLS_EWMA_WEIGHT = 0.05
 
 
 class QueueRetryBudget:
-    """Counts what reaches the server of a door, and pays for repeats.
+    """Counts the requests that reach the server, and admits retries within a budget.
 
     Parameters
     ----------
     cfg : SharedBudget
-        Bounds of all doors of the service together.
+        Limits for all backend queues of the service together.
     clock : Clock
         Time in milliseconds.
     teller : Teller
-        Counts repeats by rank, paid for or not.
+        Counts retries by rank, admitted or not.
     rng : random.Random
-        Rounds this door's share.
+        Rounds this queue's share of the budget.
 
     Attributes
     ----------
     n_replicas : callable
-        Returns how many doors the service has that are known, this one included.
+        Returns the known number of backend queues of the service, with this one.
     """
 
     def __init__(
@@ -48,18 +49,18 @@
         self.n_replicas: Callable[[], int] = _one
 
     def adopt(self, cfg: SharedBudget) -> None:
-        """Go on under changed bounds."""
+        """Apply changed limits."""
         self._budget.adopt(cfg)
 
-    def admits(self, call: Call, failing: float) -> bool:
-        """Count an arrival; False if it is a repeat that the budget does not allow.
+    def admits(self, call: Call, failure_rate: float) -> bool:
+        """Count an arrival; return False if it is a retry that exceeds the budget.
 
         Parameters
         ----------
         call : Call
-            What arrives.
-        failing : float
-            Share of what reaches the server that fails there.
+            The arriving call.
+        failure_rate : float
+            Share of the requests at the server that fail, from 0 to 1.
         """
         if not call.is_retry:
             if call.in_retried_tree:
@@ -68,18 +69,18 @@
                 self._budget.note_first(call.rank)
             return True
         calls = self._mean_calls.get(call.route, 0.0)
-        repeat = Repeat(call.rank, call.sampling_key, call.is_nested, calls)
-        is_allowed = self._budget.pay(repeat, self.n_replicas(), failing)
+        retry = Repeat(call.rank, call.sampling_key, call.is_nested, calls)
+        is_allowed = self._budget.pay(retry, self.n_replicas(), failure_rate)
         labels = f'rank="{call.rank}",paid="{str(is_allowed).lower()}"'
         self._tell.counts["repeats", labels] += 1
         return is_allowed
 
     def record_answered(self, route: str, calls: int) -> None:
-        """Learn how many calls a request of a route made that was answered."""
+        """Record how many nested calls an answered request of a route made."""
         mean = self._mean_calls.setdefault(route, calls)
         self._mean_calls[route] = mean + (calls - mean) * _CALLS_EWMA_WEIGHT
 
 
 def _one() -> int:
-    """Return that no other door is known."""
+    """Return 1: no other backend queue is known."""
     return 1
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/quota_owners.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/quota_owners.py
@@ -1,4 +1,4 @@
-"""Which node owns a quota, by whom this node can reach."""
+"""Determines the owner of each quota from the nodes that are reachable."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
     from fuchsiagap_node.core.mesh.links import Links
     from fuchsiagap_node.core.mesh.sending import Member
 
-# Milliseconds that a node gets to be linked, or to answer, before the next one counts
-# as the owner.
+# Milliseconds that a node has to be linked, or to answer, before the next candidate
+# counts as the owner.
 _REACH_TIMEOUT_MS = 500.0
-# Milliseconds of silence after which a node is asked whether it is there.
+# Milliseconds without a message after which a node is pinged.
 _PING_AFTER_MS = 300.0
-# Nodes of each data centre that are asked whether it is in reach.
+# Nodes of each data centre that are checked to tell whether it is reachable.
 _PROBED_PER_DATA_CENTRE = 3
 
 
 class QuotaOwners:
-    """Finds the owner of each quota.
+    """Finds the owner of each quota: the first reachable one of its candidates.
 
     Parameters
     ----------
@@ -33,7 +33,7 @@
     links : callable
         Returns the links to other nodes.
     has_store : callable
-        Whether the store answers this node.
+        Returns whether the store answers this node.
     clock : Clock
         Time in milliseconds.
     """
@@ -51,7 +51,7 @@
         self._clock = clock
         self._candidates: dict[str, tuple[str, ...]] = {}
         self._candidates_version = -1
-        # When a node that is not known to be there was first looked for.
+        # When each node that is not known to be up was first checked.
         self._unconfirmed_since: dict[str, Milliseconds] = {}
 
     @property
@@ -60,32 +60,39 @@
         return self._own.node
 
     def owner(self, workspace: str) -> str | None:
-        """Return the owner of a workspace's quota; None where this node cannot tell.
+        """Return the owner of a workspace's quota; None if this node cannot tell.
 
-        One that is cut off by itself hears no node before it, as the last one would.
+        A node that is partitioned from all others reaches none of the candidates before
+        it, as the only node left would. It must not take over the quota.
         """
         order = self._candidates_of(workspace)
         owner = owner_of(order, self._is_up)
         if owner != self._own.node:
             return owner
-        # A node that is new is so known to the one that owned the quota before.
+        # The link makes this node known to the previous owner, in case it is new.
         self._links().link_to(next((n for n in order if n != owner), owner))
         return owner if self.share() > 0.0 else None
 
     def is_first(self, workspace: str) -> bool:
-        """Whether this node owns a quota also where all others are up."""
+        """Whether this node owns a quota even if all other nodes are up."""
         return self._candidates_of(workspace)[0] == self._own.node
 
     def share(self) -> float:
-        """Return the part of each quota that this node may hand out."""
+        """Return the share of each quota that this node may grant, from 0 to 1."""
         own = self._own.data_centre
-        places = self._links().by_data_centre()
-        heard = {place for place, nodes in places.items() if self._is_any_up(nodes)}
-        hears_own = own not in places or own in heard
-        return granted_share(own, places, heard, hears_own or self._has_store())
+        by_data_centre = self._links().by_data_centre()
+        reachable = {
+            data_centre
+            for data_centre, nodes in by_data_centre.items()
+            if self._is_any_up(nodes)
+        }
+        hears_own = own not in by_data_centre or own in reachable
+        return granted_share(
+            own, by_data_centre, reachable, hears_own or self._has_store()
+        )
 
     def _is_any_up(self, nodes: Sequence[str]) -> bool:
-        """Whether one of the nodes of a data centre is up."""
+        """Whether any of the first nodes of a data centre is up."""
         return any(self._is_up(node) for node in nodes[:_PROBED_PER_DATA_CENTRE])
 
     def _candidates_of(self, workspace: str) -> tuple[str, ...]:
@@ -100,7 +107,7 @@
         return order
 
     def _is_up(self, node: str) -> bool:
-        """Whether a node can be reached, or has not had time to show that it can."""
+        """Whether a node is reachable, or its time to answer has not passed yet."""
         if node == self._own.node:
             return True
         link = self._links().link_to(node)
@@ -115,7 +122,7 @@
             self._unconfirmed_since[node] = since = now
             link.post(Ping())
         elif link.is_open() and link.reached_at >= since:
-            # It has answered, and was silent since.
+            # It has answered since, and has been quiet again.
             self._unconfirmed_since[node] = since = now
             link.post(Ping())
         return now - since < _REACH_TIMEOUT_MS
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/quotas.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/quotas.py
@@ -1,4 +1,4 @@
-"""Quotas of workspaces over all nodes: asks their owners, and answers as one."""
+"""Distributed quotas of workspaces: requests tokens from owners, and grants them."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
     from fuchsiagap_node.core.mesh.quota_owners import QuotaOwners
     from fuchsiagap_node.core.mesh.telling import Teller
 
-# Milliseconds between two looks at what waits.
+# Milliseconds between two checks of the waiting requests.
 PENDING_CHECK_MS = 50.0
-# Milliseconds that a request waits for a token; then it is refused as not run.
+# Milliseconds that a request waits for a token before it is refused as not run.
 MAX_TOKEN_WAIT_MS = 400.0
-# Milliseconds after which a question that has no answer is asked again, of whoever owns
-# the quota by then.
+# Milliseconds after which a token request without an answer is sent again, to the node
+# that owns the quota by then.
 _REQUEST_RETRY_MS = 150.0
-# Milliseconds between two questions where the one that was asked is not the owner.
+# Milliseconds until the next token request after the asked node was not the owner.
 _NOT_OWNER_RETRY_MS = 60.0
-# Milliseconds after the start of the whole system in which the owners of quotas begin
-# with a whole burst: nobody can have used any of it.
+# Milliseconds after the first start of the whole system in which new token buckets
+# start with the full burst, since no tokens can have been used before.
 _FIRST_START_MS = 60_000.0
 
 
 class Verdict(Enum):
-    """Whether a request may be sent on."""
+    """Whether a request is within the quota of its workspace."""
 
     WITHIN = "within"
     OVER = "over"
@@ -44,14 +44,14 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaDecision:
-    """What becomes of a request that needs a token.
+    """Decision on a request that needs a token.
 
     Parameters
     ----------
     verdict : Verdict
-        Whether it is within the quota; unknown where its owner is out of reach.
+        Whether it is within the quota; unknown if the owner is unreachable.
     retry_after : float, default=0
-        Milliseconds after which a token may be found.
+        Milliseconds after which a token may be available.
     """
 
     verdict: Verdict
@@ -65,31 +65,31 @@
     Parameters
     ----------
     on_decision : callable
-        Told the answer, once, unless the request is cancelled.
+        Called once with the decision, unless the request is cancelled.
     expires_at : float
-        When it is given up.
+        Time at which the wait ends.
     is_decided : bool
-        Whether it has its answer, or its caller has left.
+        Whether the decision was made, or the caller has disconnected.
     """
 
     on_decision: Callable[[QuotaDecision], None]
     expires_at: Milliseconds
     is_decided: bool = False
 
-    def settle(self, answer: QuotaDecision) -> None:
-        """Tell the answer, unless there is one already."""
+    def settle(self, decision: QuotaDecision) -> None:
+        """Pass on the decision, unless there is one already."""
         if not self.is_decided:
             self.is_decided = True
-            self.on_decision(answer)
+            self.on_decision(decision)
 
     def cancel(self) -> None:
-        """Give the request up: its caller has left."""
+        """Drop the request, since its caller has disconnected."""
         self.is_decided = True
 
 
 @dataclass(slots=True)
 class _PendingRequests:
-    """The requests of a workspace that wait, and the question for tokens."""
+    """Waiting requests of a workspace, and the state of its token request."""
 
     workspace: Workspace
     waiting: deque[Waiter] = field(default_factory=deque)
@@ -98,7 +98,7 @@
     retry_at: Milliseconds = 0.0
 
     def n_waiting(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of requests that still wait."""
         return sum(not waiter.is_decided for waiter in self.waiting)
 
 
@@ -106,29 +106,29 @@
 
 
 class Quotas:
-    """Tokens for the requests that begin at one node.
+    """Acquires tokens for the requests that enter at one node.
 
     Parameters
     ----------
     owners : QuotaOwners
-        Says which node owns a quota.
+        Determines which node owns a quota.
     post : callable
-        Sends a message to a node; False if there is no way.
+        Sends a message to a node; returns False if there is no open link.
     is_first_start : bool
         Whether the whole system starts for the first time.
     clock : Clock
         Time in milliseconds.
     teller : Teller
-        Logs and counters.
+        Receives events and counts.
 
     Attributes
     ----------
     workspaces : dict of str to Workspace
-        Workspaces in force, by name.
+        Workspaces of the active configuration, by name.
     holdings : QuotaHoldings
-        Tokens for requests that begin here.
+        Tokens cached for requests that enter here.
     grants : QuotaGrants
-        Quotas that this node owns.
+        Token buckets of the quotas that this node owns.
     """
 
     def __init__(
@@ -155,19 +155,19 @@
     def acquire(
         self, workspace: Workspace, on_decision: Callable[[QuotaDecision], None]
     ) -> Waiter | None:
-        """Decide whether a request may be sent on.
+        """Acquire a token for a request.
 
         Parameters
         ----------
         workspace : Workspace
-            Whose request it is.
+            Workspace of the request.
         on_decision : callable
-            Told the answer, once, now or later.
+            Called once with the decision, immediately or later.
 
         Returns
         -------
         Waiter or None
-            What is to be cancelled if the caller leaves; None if it is decided.
+            To be cancelled if the caller disconnects; None if it is decided.
         """
         if workspace.rate <= 0.0:
             on_decision(_WITHIN)
@@ -194,7 +194,7 @@
             self.holdings.put_back(workspace.name)
 
     def process_pending(self) -> None:
-        """Ask again for what was not answered, and refuse what has waited too long."""
+        """Repeat unanswered token requests, and refuse requests whose wait ended."""
         now = self._clock.now()
         for name, pending in list(self._pending.items()):
             while pending.waiting and pending.waiting[0].expires_at <= now:
@@ -205,13 +205,13 @@
                 del self._pending[name]
 
     def evict_idle(self) -> None:
-        """Forget the workspaces without a request of late."""
+        """Evict the state of workspaces without recent requests."""
         now = self._clock.now()
         self.holdings.forget(now)
         self.grants.forget(now)
 
     def adopt(self, workspaces: Iterable[Workspace]) -> None:
-        """Put the quotas of a configuration in force."""
+        """Apply the workspaces of a new configuration."""
         self.workspaces = {workspace.name: workspace for workspace in workspaces}
 
     def _pending_for(self, workspace: Workspace) -> _PendingRequests:
@@ -222,7 +222,7 @@
         return pending
 
     def _fetch(self, workspace: Workspace, now: Milliseconds) -> None:
-        """Ask for tokens, if more are needed and none are on their way."""
+        """Request tokens if more are needed and no request is pending."""
         pending = self._pending.get(workspace.name)
         n_waiting = 0 if pending is None else pending.n_waiting()
         wanted = self.holdings.wanted(workspace.name, n_waiting, now)
@@ -250,7 +250,7 @@
         return self.grants.grant(workspace, wanted, now, share, begins_full)
 
     def grant_tokens(self, request: TokenRequest) -> TokenGrant:
-        """Return the answer to a node that asks for tokens."""
+        """Answer the token request of another node."""
         name = request.workspace
         workspace = self.workspaces.get(name)
         is_owner = self._owners.owner(name) == self._owners.node
@@ -262,7 +262,7 @@
         )
 
     def handle_grant(self, grant: TokenGrant) -> None:
-        """Take in tokens; those of a question that was asked again are dropped."""
+        """Take granted tokens; a grant for a superseded token request is dropped."""
         pending = self._pending.get(grant.workspace)
         if pending is None or pending.query_id != grant.query_id:
             return
@@ -276,7 +276,7 @@
         self._distribute(grant.workspace, Grant(grant.tokens, grant.wait), now)
 
     def _distribute(self, name: str, grant: Grant, now: Milliseconds) -> None:
-        """Give tokens to the requests that wait, and refuse the others."""
+        """Give the tokens to waiting requests; refuse the others or request more."""
         pending = self._pending[name]
         pending.retry_at = now
         self.holdings.add(name, grant, now)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/sending.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/sending.py
@@ -312,7 +312,7 @@
             self._tell.counts["late_replies", ""] += 1
             return
         self.target.mine -= 1
-        on_outcome(reply.outcome, reply.below)
+        on_outcome(reply.outcome, reply.downstream)
 
     def _take_status(self, status: Status) -> None:
         target = self.target
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/settings.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/settings.py
@@ -15,20 +15,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Addresses:
-    """Where a node listens, each ``IP:PORT``.
+    """Listening addresses of a node, each ``IP:PORT``.
 
     Parameters
     ----------
     callers : str
-        Callers and the backend server on the same host.
+        For callers, and for calls of the backend server on the same host.
     peers : str
-        Other nodes.
+        For links from other nodes.
     health : str
-        The platform's question whether this node is ready.
+        For readiness checks of the platform.
     reports : str
-        Heartbeats of the backend server.
+        For heartbeats of the backend server.
     metrics : str
-        Metrics as text; empty for none.
+        For metrics in text format; empty to disable them.
     """
 
     callers: str
@@ -40,22 +40,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Times that the platform promises or expects, in milliseconds.
+    """Time limits agreed with the platform, in milliseconds.
 
     Parameters
     ----------
     stop : float
         From SIGTERM until the process is killed.
     drain : float
-        From the acknowledgement of a leaving until the last request at the server.
+        From the acknowledgement of a drain until the server gets its last request.
     heartbeat : float
         Between two heartbeats of a backend server.
     change : float
-        From the acknowledgement of a configuration until it is in force.
+        From the acknowledgement of a configuration until all nodes have adopted it.
     revocation : float or None
-        From the acknowledgement of a configuration that takes an API key away until no
-        node, in touch or not, lets a request with it in; None where nodes out of touch
-        go on with what they know.
+        From the acknowledgement of a configuration that revokes an API key until no
+        node admits a request with that key, whether the node is partitioned or not.
+        None: partitioned nodes keep using the keys that they know.
     """
 
     stop: Milliseconds = 6_000.0
@@ -67,30 +67,30 @@
 
 @dataclass(frozen=True, slots=True)
 class MeshSettings:
-    """All that a process is told at its start.
+    """Settings of a node process.
 
     Parameters
     ----------
     node, data_centre, service : str
-        Name, place, and the service of the backend server beside it.
+        Name and data centre of the node, and service of the backend server on its host.
     ip : str
         Address of the host.
     backend : str
         ``IP:PORT`` of the backend server.
     addresses : Addresses
-        Where it listens.
+        Listening addresses.
     store : str
         ``IP:PORT`` of the platform's store.
     bounds : Bounds
-        Times.
+        Time limits.
     budget : SharedBudget
-        Repeats that all nodes together may send.
+        Limits on the retries of all nodes together.
     quarantine : QuarantineSettings
-        Bounds on what is remembered of requests that crash servers.
+        Settings of the quarantine for requests that crash servers.
     names : HeaderNames
-        Header names.
+        Names of the HTTP headers in use.
     health_path : str
-        Path on which the platform asks whether the node is ready.
+        Path of the readiness check.
     first_start : bool
         Whether the whole system starts for the first time.
     """
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/staleness_exchange.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/staleness_exchange.py
@@ -1,4 +1,4 @@
-"""Asks other nodes how old their knowledge is, and answers them."""
+"""Exchanges the staleness of the configuration between nodes."""
 
 from __future__ import annotations
 
@@ -17,34 +17,37 @@
     from fuchsiagap_node.core.mesh.config_sync import ConfigSync
     from fuchsiagap_node.core.mesh.sending import SendingLink
 
-# Milliseconds between two looks at how old the own knowledge is.
+# Milliseconds between two checks of this node's own staleness.
 REFRESH_INTERVAL_MS = 250.0
-# Shares of the bound of revocations: ages from which others are asked, and from which
-# more of them are.
+# Staleness from which another node is queried, and from which an additional one is, as
+# shares of the revocation bound.
 _QUERY_AT_SHARE = 0.15
 _URGENT_AT_SHARE = 0.4
-# Share of the bound by which keys are refused before its end: what a clock may be off.
+# Share of the revocation bound by which keys are refused early, to cover clock drift.
 _CLOCK_MARGIN_SHARE = 0.05
-# Milliseconds for which an answer is waited for; one that comes later says as much as
-# it is old, and takes no place in memory until then.
+# Milliseconds after which a query without a reply is dropped, to bound the memory. A
+# later reply would be as stale as it is late, and so of little use.
 _QUERY_TIMEOUT_MS = 2_000.0
 
 
 class StalenessExchange:
-    """Keeps the age of a node's knowledge low, where revocations are bound.
+    """Keeps the staleness of a node low, where there is a revocation bound.
+
+    A node without access to the store confirms its configuration by the replies of
+    other nodes.
 
     Parameters
     ----------
     config : ConfigSync
-        The configuration in force, and its age.
+        The active configuration and its staleness.
     links : callable
         Returns the links to other nodes.
     revocation_bound : float or None
-        Bound of revocations in milliseconds; None for none.
+        Milliseconds within which a revoked key must be refused; None for no bound.
     clock : Clock
         Time in milliseconds.
     rng : random.Random
-        Chooses whom to ask.
+        Chooses the nodes to query.
     """
 
     def __init__(
@@ -64,7 +67,7 @@
         self._sources = Sources(rng)
 
     def is_too_stale(self) -> bool:
-        """Whether a key that this node knows may have been taken away too long ago."""
+        """Whether a known key may have been revoked longer ago than the bound."""
         if self._revocation_bound is None:
             return False
         return self._config.active.staleness > self._revocation_bound * (
@@ -72,7 +75,7 @@
         )
 
     def refresh(self) -> None:
-        """Ask others if the own knowledge is getting old."""
+        """Query other nodes if the configuration is getting stale."""
         if self._revocation_bound is None:
             return
         now = self._clock.now()
@@ -94,7 +97,7 @@
             self._send_query(links[name])
 
     def query_new_link(self, link: SendingLink) -> None:
-        """Ask a node that has just been linked, if the own knowledge is old."""
+        """Query a node that has just been linked, if the configuration is stale."""
         if self._revocation_bound is None or not self._config.active.version:
             return
         if self._config.active.staleness > self._revocation_bound * _URGENT_AT_SHARE:
@@ -106,7 +109,7 @@
         link.post(StalenessQuery(query_id))
 
     def reply(self, query: StalenessQuery) -> StalenessReply | None:
-        """Return the answer to another node; None before anything is known."""
+        """Return the reply to a query; None before any version is confirmed."""
         age = self._config.active.staleness
         if age == float("inf"):
             return None
@@ -115,10 +118,10 @@
         )
 
     def handle_reply(self, reply: StalenessReply, node: str) -> None:
-        """Take in what another node has answered.
+        """Confirm the configuration by the reply of another node.
 
-        Its age counts from this node's question: what time the question, the answer and
-        either host took on the way makes the knowledge older here, never younger.
+        The staleness in the reply counts from the time of this node's query. So delays
+        of the query, the reply or either host raise the result, and never lower it.
         """
         asked_at = self._pending_queries.pop(reply.query_id, None)
         if asked_at is None:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/store.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/store.py
@@ -1,4 +1,4 @@
-"""What the node needs of the platform's store."""
+"""Interface to the platform's store, and the results of its operations."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreFailed:
-    """The store gave no usable answer; a change may still take effect later.
+    """The store gave no usable answer; a write may still take effect later.
 
     Parameters
     ----------
     reason : str
-        What went wrong.
+        Description of the failure.
     """
 
     reason: str
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryCompacted:
-    """The changes since the revision are no longer known; list instead."""
+    """The store has compacted the changes after the cursor; it must be read again."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,11 +40,11 @@
     Parameters
     ----------
     cursor : Cursor
-        Where it stands in the history of the store.
+        Position in the history of the store.
     text : bytes
-        As the platform encodes it, for other nodes.
+        Platform encoding, to send to other nodes.
     config : RouteConfig
-        What it says.
+        Decoded configuration.
     """
 
     cursor: Cursor
@@ -54,14 +54,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Members:
-    """Nodes that have announced themselves.
+    """Registered nodes.
 
     Parameters
     ----------
     present : mapping of str to Member
         Nodes by name.
     malformed : tuple of MalformedInput
-        Entries that name no node: of another writer, or of another version.
+        Entries that could not be read: from another writer or another version.
     """
 
     present: Mapping[str, Member]
@@ -70,14 +70,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeReply:
-    """What a probe showed.
+    """Answer to a probe.
 
     Parameters
     ----------
     epoch : int
-        Epoch of the store; `NO_EPOCH` if it told none.
+        Epoch of the store; `NO_EPOCH` if the answer has none.
     is_listed : bool
-        Whether the entry of the node that was asked for is there.
+        Whether the entry of the given node exists.
     """
 
     epoch: int
@@ -86,14 +86,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigUpdate:
-    """What a look at the configuration gave.
+    """Result of a read or watch of the configuration.
 
     Parameters
     ----------
     cursor : Cursor
-        Where to watch from.
+        Position to watch from next.
     stored : StoredConfig or None
-        The configuration, if there is a new one.
+        The configuration; None if there is no new one.
     """
 
     cursor: Cursor
@@ -106,25 +106,39 @@
 
 
 class Store(Protocol):
-    """The platform's store, behind its own names and formats."""
+    """The platform's store; implementations translate its names and formats."""
 
     async def read_config(self, linearizable: bool) -> ConfigResult:
-        """Return the configuration; possibly stale unless `linearizable`."""
+        """Read the configuration.
+
+        Parameters
+        ----------
+        linearizable : bool
+            Whether to read the newest version; otherwise the result may be some
+            seconds old, at a lower price.
+        """
 
     async def watch_config(self, cursor: Cursor, wait: Milliseconds) -> ConfigResult:
-        """Wait for a change of the configuration after a cursor."""
+        """Wait up to `wait` milliseconds for a change after the cursor."""
 
     async def probe(self, node: str) -> ProbeResult:
-        """Ask the cheapest question there is, for the entry of a node."""
+        """Check whether a node's entry exists, by the cheapest request of the store."""
 
     def decode_config(self, cursor: Cursor, text: bytes) -> StoredConfig | None:
-        """Return a configuration that another node sent; None if it is none."""
+        """Decode a configuration from another node; None if it is malformed."""
 
     async def read_members(self, linearizable: bool) -> MembersResult:
-        """Return all nodes; possibly stale unless `linearizable`."""
+        """Read all registered nodes.
+
+        Parameters
+        ----------
+        linearizable : bool
+            Whether to read the newest list; otherwise the result may be some
+            seconds old, at a lower price.
+        """
 
     async def announce(self, member: Member) -> StoreFailed | None:
-        """Put this node among the others."""
+        """Register this node."""
 
     async def withdraw(self, node: str) -> StoreFailed | None:
-        """Take this node out."""
+        """Remove the entry of a node."""
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/store_probe.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/store_probe.py
@@ -1,4 +1,4 @@
-"""Probes whether the store answers, for a tenth of the price of another request."""
+"""Liveness probes of the store, at a tenth of the price of other requests."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 
 
 class StoreProbe:
-    """Probes of one node.
+    """Sends the probes of one node.
 
     Parameters
     ----------
     store : Store
         The platform's store.
     node : str
-        This node, whose entry is asked for.
+        This node; the probe reads its entry.
     timeouts : StoreTimeouts
-        Waits for the store; may be set anew.
+        Timeouts of requests to the store; may be replaced.
     teller : Teller
-        Counters.
+        Counts the calls.
     """
 
     def __init__(
@@ -48,16 +48,16 @@
         on_unresponsive: Callable[[], None],
         backoff_factor: Callable[[], float],
     ) -> FirstResponse[ProbeResult]:
-        """Ask again and again while there is no answer; return the first.
+        """Send a hedged probe; return the first answer.
 
         Parameters
         ----------
         cause : str
-            Why, for the counter of calls.
+            Reason for the probe; labels the counter of calls.
         on_unresponsive : callable
-            Told that a second request has no answer either.
+            Called when the second request is not answered either.
         backoff_factor : callable
-            Returns by what the time between two requests grows.
+            Returns the factor by which the interval between requests grows.
         """
 
         async def send_once() -> ProbeResult:
@@ -68,18 +68,18 @@
         return await hedge(send_once, interval, on_unresponsive, backoff_factor)
 
     async def find_entry(self, cause: str) -> bool:
-        """Wait until the store answers; return whether it has this node's entry."""
+        """Probe until the store answers; return whether this node's entry exists."""
         n_failed = 0
         while True:
-            probed = (await self.send(cause, _ignore, _doubled_interval)).result
+            probed = (await self.send(cause, _ignore, _doubling_factor)).result
             if not isinstance(probed, StoreFailed):
                 return probed.is_listed
             n_failed += 1
             await trio.sleep(self.timeouts.backoff(n_failed) / MS_PER_S)
 
 
-def _doubled_interval() -> float:
-    """Return that the time between two requests doubles."""
+def _doubling_factor() -> float:
+    """Return the factor that doubles the interval between requests."""
     return 2.0
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/watcher_role.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/watcher_role.py
@@ -1,4 +1,4 @@
-"""Whether this node is to watch the store for changes of the configuration."""
+"""Decides whether this node watches the store for changes of the configuration."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
     from fuchsiagap.core.clock import Clock, Milliseconds
     from fuchsiagap_node.core.mesh.sending import Member, SendingLink
 
-# Nodes that watch in each data centre: one where nodes of two others are in reach,
-# whose watchers hear of the same changes, else two.
+# Nodes that watch in each data centre: one if nodes of two other data centres are
+# reachable, since their watchers see the same changes; otherwise two.
 _WATCHERS = 1
 _WATCHERS_ISOLATED = 2
 _REMOTE_DATA_CENTRES_NEEDED = 2
-# Milliseconds after its start for which a node does not watch, until it has links to
-# those that may do it: where all nodes start for the first time, they have to find each
-# other before.
+# Milliseconds after its start for which a node does not watch, until it is linked to
+# the nodes that may do so. It takes longer when the whole system starts for the first
+# time, since the nodes have to discover each other first.
 _SETTLE_MS = 1_500.0
 _SETTLE_FIRST_START_MS = 6_000.0
 
 
 class WatcherRole:
-    """The rank of this node among those that may watch.
+    """Ranks this node among the nodes of its data centre that may watch.
 
     Parameters
     ----------
@@ -48,11 +48,11 @@
     Attributes
     ----------
     update_source : UpdateSource
-        How this node hears of changes.
-    is_lost : bool
+        How this node learns of changes.
+    is_store_lost : bool
         Whether the store did not answer the last request.
     changed : callable
-        Told that `update_source` has changed.
+        Called when `update_source` has changed.
     """
 
     def __init__(
@@ -70,16 +70,16 @@
         self._should_watch_since: Milliseconds | None = None
         self._may_ask = trio.Event()
         self.update_source = UpdateSource.PEERS
-        self.is_lost = False
+        self.is_store_lost = False
         self.changed: Callable[[], None] = _ignore
 
     @property
     def is_settled(self) -> bool:
-        """Whether the node has had time to link others."""
+        """Whether the node has had time to link to other nodes."""
         return self._clock.now() >= self._settled_at
 
-    def now(self) -> WatcherRank:
-        """Return the rank as the links show it now."""
+    def current_rank(self) -> WatcherRank:
+        """Return the rank of this node, by the nodes that it can reach now."""
         neighbours = (
             Neighbour(link.member.node, link.update_source)
             for link in self._links()
@@ -97,18 +97,24 @@
         return _WATCHERS if has_enough_remote else _WATCHERS_ISOLATED
 
     def is_first(self) -> bool:
-        """Whether this node would watch where all hear of changes."""
-        return self.now().is_first(self.n_watchers())
+        """Whether this node would watch if all nodes learnt of changes."""
+        return self.current_rank().is_first(self.n_watchers())
 
     async def wait(self, is_urgent: Callable[[], bool]) -> None:
-        """Wait until this node is to watch, or cannot wait for others."""
+        """Wait until this node is to watch, or must ask the store without delay."""
         self._may_ask = trio.Event()
         self.refresh(is_urgent)
         await self._may_ask.wait()
 
     def refresh(self, is_urgent: Callable[[], bool]) -> None:
-        """Update whether this node is to watch the store."""
-        rank = self.now()
+        """Re-evaluate whether this node is to watch the store.
+
+        Parameters
+        ----------
+        is_urgent : callable
+            Returns whether this node must ask the store whatever its rank.
+        """
+        rank = self.current_rank()
         if is_urgent():
             self._may_ask.set()
         if not rank.should_watch:
@@ -122,25 +128,28 @@
         due_at = self._should_watch_since + rank.takeover_delay(n_watchers)
         if now < max(due_at, self._settled_at):
             return
-        if self.is_lost and rank.others_watch and not rank.is_first(n_watchers):
+        if self.is_store_lost and rank.others_watch and not rank.is_first(n_watchers):
             return
         self._may_ask.set()
 
-    def note_store_answer(self) -> None:
-        """Take in that the store has answered this node, which may be to watch."""
-        if self.now().should_watch:
+    def record_store_answer(self) -> None:
+        """Record an answer of the store, which updates a node that is to watch."""
+        if self.current_rank().should_watch:
             self.set_update_source(UpdateSource.STORE)
 
     def defer_to_others(self) -> bool:
-        """Whether one before this node is to ask the store that answers again."""
-        if self.is_first() and self.now().should_watch:
+        """Return whether a higher-ranked node is to ask a store that answers again.
+
+        If so, this node stops counting as a watcher.
+        """
+        if self.is_first() and self.current_rank().should_watch:
             return False
         self._should_watch_since = None
         self.set_update_source(UpdateSource.PEERS)
         return True
 
     def set_update_source(self, update_source: UpdateSource) -> None:
-        """Take in how this node hears of changes."""
+        """Set how this node learns of changes, and notify if that is new."""
         if self.update_source is not update_source:
             self.update_source = update_source
             self.changed()
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/workspaces.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/workspaces.py
@@ -1,4 +1,4 @@
-"""Keys and quotas of workspaces at one node, put together."""
+"""Authentication and quotas of workspaces at one node."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Workspaces:
-    """Whose requests are let in, and how many.
+    """Sets up API key authentication, staleness queries and quotas of a node.
 
     Parameters
     ----------
@@ -41,23 +41,23 @@
     own : Member
         This node.
     config : ConfigSync
-        The configuration in force.
+        Source of the active configuration.
     links : callable
         Returns the links to other nodes.
     clock : Clock
         Time in milliseconds.
     rng : random.Random
-        Chooses whom of the others to ask.
+        Chooses which other nodes to query.
     teller : Teller
-        Logs and counters.
+        Receives events and counts.
 
     Attributes
     ----------
     staleness_exchange : StalenessExchange
-        StalenessReply of what is known of keys.
+        Queries other nodes, and answers them, about the staleness of the keys.
     quotas : Quotas
-        Requests that workspaces may make.
-    check : ApiKeyAuthenticator
+        Quotas of the workspaces.
+    authenticator : ApiKeyAuthenticator
         Finds the workspace of a request.
     """
 
@@ -94,22 +94,22 @@
         return True
 
     def adopt(self, config: RouteConfig) -> None:
-        """Put the workspaces of a configuration in force."""
+        """Apply the workspaces of a new configuration."""
         self.quotas.adopt(config.workspaces or ())
 
     def prepare_link(self, link: SendingLink) -> None:
-        """Take what another node answers on a link."""
+        """Register the handlers of replies that arrive on an outbound link."""
         link.on_staleness = self.staleness_exchange.handle_reply
         link.on_token_grant = self.quotas.handle_grant
         link.on_open = self.staleness_exchange.query_new_link
 
     def prepare_inbound(self, taking: TakingLinks) -> None:
-        """Answer what other nodes ask on their links."""
+        """Register the handlers of queries that arrive on inbound links."""
         taking.answer_staleness = self.staleness_exchange.reply
         taking.grant_tokens = self.quotas.grant_tokens
 
     def schedule(self, ticker: Ticker) -> None:
-        """Do at intervals what is due."""
+        """Schedule the periodic tasks."""
         ticker.every(STALENESS_REFRESH_MS, self.staleness_exchange.refresh)
         ticker.every(QUOTA_CHECK_MS, self.quotas.process_pending)
         ticker.every(SWEEP_MS, self.quotas.evict_idle)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_config_sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_config_sync.py
@@ -1,4 +1,4 @@
-"""Configuration and members while the store is away, forgets, or answers late."""
+"""Configuration updates while the store fails, or has compacted its history."""
 
 import trio
 from testtools import TestCase
@@ -11,7 +11,7 @@
 
 
 class TestConfigSync(TestCase):
-    def test_node_cut_off_from_the_store_follows_the_others(self):
+    def test_node_partitioned_from_store_gets_config_from_peers(self):
         async def main():
             async with a_deployment(OLD) as deployment:
                 hosts = [deployment.add("certs") for _ in range(3)]
@@ -24,7 +24,7 @@
 
         self.assertEqual(200, run_in_memory(main).status)
 
-    def test_nodes_serve_on_while_the_store_is_away(self):
+    def test_nodes_keep_serving_while_store_is_unavailable(self):
         async def main():
             async with a_deployment(OLD) as deployment:
                 hosts = [deployment.add("certs") for _ in range(2)]
@@ -42,7 +42,7 @@
         during, after = run_in_memory(main)
         self.assertEqual((200, 200), (during.status, after.status))
 
-    def test_forgotten_history_is_met_by_reading_anew(self):
+    def test_compacted_history_leads_to_new_read(self):
         async def main():
             async with a_deployment(OLD) as deployment:
                 host = deployment.add("certs")
@@ -57,7 +57,7 @@
 
         self.assertEqual(200, run_in_memory(main).status)
 
-    def test_calm_store_is_called_less_than_once_in_four_seconds_a_node(self):
+    def test_idle_store_gets_less_than_one_call_per_node_in_four_seconds(self):
         async def main():
             async with a_deployment(OLD) as deployment:
                 for _ in range(2):
@@ -69,7 +69,7 @@
 
         self.assertLess(run_in_memory(main), 2 * 24.0 / 4.0)
 
-    def test_only_a_few_nodes_of_a_data_centre_look_closely(self):
+    def test_only_few_nodes_of_a_data_centre_watch(self):
         async def main():
             async with a_deployment(OLD) as deployment:
                 for _ in range(6):
@@ -79,10 +79,11 @@
                 await trio.sleep(50.0)
                 return deployment.state.calls - before
 
-        # Two nodes watch for 6 s, four for 25 s, and each lists every 10 s for a tenth.
+        # Two nodes watch for 6 s and four for 25 s; each node makes a list call every
+        # 10 s, which costs a tenth of a call.
         self.assertLess(run_in_memory(main), 2 * 9 + 4 * 3 + 6 * 6 * 0.1 + 1)
 
-    def test_node_without_the_others_follows_the_store_by_itself(self):
+    def test_last_remaining_node_follows_store(self):
         async def main():
             async with a_deployment(OLD) as deployment:
                 hosts = [deployment.add("certs") for _ in range(4)]
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_member_sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_member_sync.py
@@ -1,4 +1,4 @@
-"""Members from the store: who announces, who is known, who is forgotten."""
+"""Registration, discovery and removal of nodes through the store."""
 
 import trio
 from testtools import TestCase
@@ -11,7 +11,7 @@
 
 
 class TestMemberSync(TestCase):
-    def test_node_that_is_listed_already_writes_nothing(self):
+    def test_registered_node_writes_nothing_at_start(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 host = deployment.add("certs")
@@ -24,7 +24,7 @@
 
         self.assertEqual(0, run_in_memory(main))
 
-    def test_node_that_moved_is_announced_anew(self):
+    def test_node_with_new_address_registers_again(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 host = deployment.add("certs")
@@ -38,7 +38,7 @@
         cfg, member = run_in_memory(main)
         self.assertEqual(cfg.addresses.peers, member.address)
 
-    def test_node_that_somebody_removed_announces_itself_again(self):
+    def test_node_whose_entry_was_removed_registers_again(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 host = deployment.add("certs")
@@ -49,7 +49,7 @@
 
         self.assertTrue(run_in_memory(main))
 
-    def test_node_that_an_older_list_misses_stays_known(self):
+    def test_reachable_node_missing_in_stale_list_stays_known(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 near = deployment.add("bookings")
@@ -65,7 +65,7 @@
         answers = run_in_memory(main)
         self.assertEqual([200] * 6, [answer.status for answer in answers])
 
-    def test_node_that_is_gone_is_forgotten(self):
+    def test_unlisted_unreachable_node_is_forgotten(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 near = deployment.add("bookings")
@@ -78,7 +78,7 @@
 
         self.assertEqual(1, run_in_memory(main))
 
-    def test_node_that_is_lost_for_good_is_removed_from_the_store(self):
+    def test_dead_node_is_removed_from_store(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 near = deployment.add("bookings")
@@ -96,7 +96,7 @@
         self.assertEqual({"bookings-0"}, late)
         self.assertEqual(1, counts["events", "node-gone"])
 
-    def test_data_centre_that_is_cut_off_is_not_removed(self):
+    def test_nodes_of_partitioned_data_centre_are_not_removed(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 deployment.add("bookings")
@@ -109,7 +109,7 @@
 
         self.assertEqual({"bookings-0", "certs-1", "certs-2"}, run_in_memory(main))
 
-    def test_node_that_came_back_is_not_removed_again(self):
+    def test_node_that_registered_again_is_not_removed_again(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 deployment.add("bookings")
@@ -117,8 +117,8 @@
                 await deployment.settle()
                 member = deployment.state.members["certs-1"]
                 far.scope.cancel()
-                # 60 s until it counts as lost, then a chance of 0.2 at each list: by
-                # 100 s one run in 18 has not removed it.
+                # It counts as dead after 60 s and is then removed with a probability
+                # of 0.2 at each list call: after 100 s, 1 run in 18 has not removed it.
                 await trio.sleep(200.0)
                 removed = "certs-1" not in deployment.state.members
                 deployment.state.members["certs-1"] = member
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_revocation.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_revocation.py
@@ -1,4 +1,4 @@
-"""Revocations, at nodes in touch and out of touch."""
+"""Revocation of API keys, at connected and partitioned nodes."""
 
 from collections import Counter
 from functools import partial
@@ -22,14 +22,14 @@
 
 
 class TestRevocation(TestCase):
-    """Nothing that is sent later than the bound after a key was taken away runs."""
+    """No request with a revoked key runs later than the bound after the revocation."""
 
-    async def statuses(self, host, key="key-of-one", path="/read/1"):
-        """Return the status of a request with a key."""
+    async def status_of(self, host, key="key-of-one", path="/read/1"):
+        """Send a request with a key; return the status of the response."""
         answer = await host.send(path, f"r{trio.current_time()}", headers=with_key(key))
         return answer.status
 
-    def test_key_that_was_taken_away_is_refused_everywhere_within_two_seconds(self):
+    def test_revoked_key_is_refused_by_all_nodes_within_two_seconds(self):
         async def main():
             async with a_deployment() as deployment:
                 deployment.put_config(KEYED, workspaces=(ONE,))
@@ -38,11 +38,13 @@
                 await deployment.settle()
                 deployment.put_config(KEYED, workspaces=(a_workspace("one", "new"),))
                 await trio.sleep(2.0)
-                return [await self.statuses(host) for host in deployment.hosts]
+                return [await self.status_of(host) for host in deployment.hosts]
 
         self.assertEqual([401] * 9, run_in_memory(main))
 
-    def test_node_out_of_touch_refuses_keys_past_the_bound_and_serves_the_rest(self):
+    def test_partitioned_node_refuses_keys_past_the_bound_but_serves_public_routes(
+        self,
+    ):
         async def main():
             async with a_deployment() as deployment:
                 deployment.put_config(KEYED, PUBLIC, workspaces=(ONE,))
@@ -51,31 +53,31 @@
                 host.store.down = True
                 cut_at = trio.current_time()
                 found = {}
-                for second in (3.0, BOUND_MS / MS_PER_S, 9.0):
-                    await trio.sleep_until(cut_at + second)
-                    found[second] = await self.statuses(host)
-                public = await self.statuses(host, path="/open/1")
-                unknown = await self.statuses(host, key="may-be-new")
+                for at in (3.0, BOUND_MS / MS_PER_S, 9.0):
+                    await trio.sleep_until(cut_at + at)
+                    found[at] = await self.status_of(host)
+                public = await self.status_of(host, path="/open/1")
+                unknown = await self.status_of(host, key="may-be-new")
                 host.store.down = False
                 await trio.sleep(1.5)
-                return list(found.values()), public, unknown, await self.statuses(host)
+                return list(found.values()), public, unknown, await self.status_of(host)
 
         found, public, unknown, after = run_in_memory(main)
         self.assertEqual([200, 503, 503], found)
         self.assertEqual((200, 503, 200), (public, unknown, after))
 
-    def test_nodes_cut_off_together_do_not_keep_each_other_young(self):
+    def test_nodes_partitioned_together_do_not_confirm_each_other(self):
         async def main():
             async with a_deployment() as deployment:
                 near, far = await two_hosts(deployment, ONE, revocation=BOUND_MS)
                 for host in (near, far):
                     host.store.down = True
                 await trio.sleep(BOUND_MS / MS_PER_S)
-                return [await self.statuses(host) for host in (near, far)]
+                return [await self.status_of(host) for host in (near, far)]
 
         self.assertEqual([503, 503], run_in_memory(main))
 
-    def test_node_that_the_store_turns_away_serves_on_what_others_tell(self):
+    def test_nodes_rejected_by_store_are_confirmed_by_others(self):
         async def main():
             async with a_deployment() as deployment:
                 deployment.put_config(KEYED, workspaces=(ONE,))
@@ -88,18 +90,18 @@
                 for _ in range(40):
                     await trio.sleep(0.5)
                     for host in deployment.hosts:
-                        found[await self.statuses(host)] += 1
+                        found[await self.status_of(host)] += 1
                 return found
 
         self.assertEqual({200: 200}, run_in_memory(main))
 
-    def test_one_watcher_is_enough_and_calls_do_not_grow_with_nodes(self):
+    def test_one_watcher_per_data_centre_keeps_all_nodes_fresh(self):
         async def main(n_nodes):
             async with a_deployment() as deployment:
                 deployment.put_config(KEYED, workspaces=(ONE,))
                 for number in range(n_nodes):
-                    hall = f"hall-{'abc'[number % 3]}"
-                    deployment.add("certs", hall, revocation=BOUND_MS)
+                    data_centre = f"hall-{'abc'[number % 3]}"
+                    deployment.add("certs", data_centre, revocation=BOUND_MS)
                 await trio.sleep(12.0)
                 before = deployment.state.calls
                 ages = []
@@ -111,10 +113,10 @@
 
         age, calls = run_in_memory(lambda: main(24))
         self.assertLess(age, BOUND_MS / 2)
-        # Three data centres with a watch of 0.75 s each, and the lists of members.
+        # Three data centres, each with one watch per 0.75 s, and the list calls.
         self.assertLess(calls, 3 * 20.0 / 0.7 + 24 * 20.0 / 8.0 * 0.2 + 5)
 
-    def test_host_that_was_suspended_does_not_take_its_knowledge_for_young(self):
+    def test_suspended_host_counts_the_suspension_as_staleness(self):
         async def main():
             async with a_deployment() as deployment:
                 deployment.put_config(KEYED, workspaces=(ONE,))
@@ -123,12 +125,12 @@
                 await deployment.settle()
                 host.store.down = True
                 ahead.suspend(BOUND_MS)
-                # Before any beat of the loop's own clock.
-                return await self.statuses(host)
+                # Sent before the event loop runs any timer.
+                return await self.status_of(host)
 
         self.assertEqual(503, run_in_memory(main))
 
-    def test_node_that_starts_without_the_store_lets_no_key_in(self):
+    def test_node_started_without_store_refuses_all_keys(self):
         async def main():
             async with a_deployment() as deployment:
                 near, far = await two_hosts(deployment, ONE, revocation=BOUND_MS)
@@ -137,12 +139,12 @@
                 await trio.sleep(6.0)
                 again = deployment.restart(near)
                 await trio.sleep(2.0)
-                # It has the configuration from the other node, and no moment for it.
-                return again.node.is_ready(), await self.statuses(again)
+                # It gets the configuration from the other node, but no confirmation.
+                return again.node.is_ready(), await self.status_of(again)
 
         self.assertEqual((True, 503), run_in_memory(main))
 
-    def test_history_that_is_gone_and_two_versions_at_once(self):
+    def test_revocations_apply_after_compaction_and_two_quick_versions(self):
         async def main():
             async with a_deployment() as deployment:
                 near, far = await two_hosts(deployment, ONE, TWO, revocation=BOUND_MS)
@@ -152,41 +154,41 @@
                 deployment.put_config(KEYED, PUBLIC, workspaces=())
                 await trio.sleep(2.0)
                 return [
-                    await self.statuses(host, key)
+                    await self.status_of(host, key)
                     for host in (near, far)
                     for key in ("key-of-one", "key-of-two")
                 ]
 
         self.assertEqual([401] * 4, run_in_memory(main))
 
-    def test_without_the_strict_bound_a_node_out_of_touch_serves_on(self):
+    def test_without_revocation_bound_partitioned_node_keeps_serving(self):
         async def main():
             async with a_deployment() as deployment:
                 near, far = await two_hosts(deployment, ONE)
                 for host in (near, far):
                     host.store.down = True
                 await trio.sleep(20.0)
-                return await self.statuses(near)
+                return await self.status_of(near)
 
         self.assertEqual(200, run_in_memory(main))
 
 
-class TestStoreThatWentBack(TestCase):
-    """Keys after the store has come back from an older copy."""
+class TestRestoredStore(TestCase):
+    """API keys after the store was restored from an older backup."""
 
-    statuses = TestRevocation.statuses
+    status_of = TestRevocation.status_of
 
-    async def statuses_after(self, rewritten_s, taken_away_s, seconds):
-        """Return the statuses at some seconds after a return that lost a version.
+    async def statuses_after_restore(self, rewritten_at_s, revoked_at_s, request_times):
+        """Return the statuses of requests after a restore that lost a version.
 
         Parameters
         ----------
-        rewritten_s : float
-            Seconds until the lost version is written again.
-        taken_away_s : float
-            Seconds until a version takes the key away.
-        seconds : sequence of float
-            When requests with the key are sent.
+        rewritten_at_s : float
+            Seconds after the restore at which the lost version is written again.
+        revoked_at_s : float
+            Seconds after the restore at which a version revokes the key.
+        request_times : sequence of float
+            Seconds after the restore at which requests with the key are sent.
         """
         async with a_deployment() as deployment:
             near, _ = await two_hosts(deployment, ONE, revocation=BOUND_MS)
@@ -201,28 +203,32 @@
             found = []
 
             async def write():
-                await trio.sleep_until(start + rewritten_s)
+                await trio.sleep_until(start + rewritten_at_s)
                 state.put_config(lost)
-                await trio.sleep_until(start + taken_away_s)
+                await trio.sleep_until(start + revoked_at_s)
                 deployment.put_config(KEYED, PUBLIC, workspaces=(TWO,))
 
             deployment.nursery.start_soon(write)
-            for second in seconds:
-                await trio.sleep_until(start + second)
-                found.append(await self.statuses(near))
+            for at in request_times:
+                await trio.sleep_until(start + at)
+                found.append(await self.status_of(near))
             return found
 
-    def test_key_that_is_taken_away_in_a_new_epoch_is_refused_in_time(self):
-        found = run_in_memory(partial(self.statuses_after, 1.0, 3.0, (0.5, 2.5, 5.0)))
+    def test_key_revoked_in_new_epoch_is_refused_in_time(self):
+        found = run_in_memory(
+            partial(self.statuses_after_restore, 1.0, 3.0, (0.5, 2.5, 5.0))
+        )
         self.assertEqual([200, 200, 401], found)
 
-    def test_version_that_the_store_lost_is_no_proof_of_keys(self):
-        # It is written again only after the bound.
-        seconds = (1.0, 3.0, 5.5, 10.5)
-        found = run_in_memory(partial(self.statuses_after, 8.0, 60.0, seconds))
+    def test_version_lost_by_store_does_not_confirm_keys(self):
+        # The lost version is written again only after the bound.
+        request_times = (1.0, 3.0, 5.5, 10.5)
+        found = run_in_memory(
+            partial(self.statuses_after_restore, 8.0, 60.0, request_times)
+        )
         self.assertEqual([200, 200, 503, 200], found)
 
-    def test_return_that_lost_no_version_refuses_no_key(self):
+    def test_restore_without_loss_refuses_no_key(self):
         async def main():
             async with a_deployment() as deployment:
                 near, _ = await two_hosts(deployment, ONE, revocation=BOUND_MS)
@@ -231,7 +237,7 @@
                 state.come_back_from(state.revision, state.config, state.members)
                 found = []
                 for _ in range(40):
-                    found.append(await self.statuses(near))
+                    found.append(await self.status_of(near))
                     await trio.sleep(0.25)
                 return found
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_watching.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_watching.py
@@ -1,11 +1,10 @@
-"""What a fleet asks of the store, and that a change is in force whoever fails.
-
-What users saw: the calls to the store were the largest price of a day with 195 nodes,
-4,184 of them with 421 starts and three changes. The order of events: each node reads
-the configuration and all members at its start and then watches, so a change wakes each
-of them, and each that the store turns away asks on by itself. The cause: calls grew
-with nodes times changes, and with starts. The evidence: `store_calls` by kind and
-cause, and the counts below.
+"""Number of store calls of a fleet, and adoption of changes despite failures.
+
+Store calls are billed. If every node watches, each change ends all watches, each start
+adds reads of the configuration and of all members, and each node that the store rejects
+keeps asking by itself. The number of calls then grows with nodes times changes, and
+with starts: 195 nodes with 421 starts and three changes made 4,184 calls. The counter
+`store_calls` shows the calls by kind and cause.
 """
 
 import trio
@@ -17,30 +16,35 @@
 
 OLD = a_route("old")
 NEW = a_route("new")
-# Seconds within which an accepted configuration is to be in force everywhere, where it
-# is told least time.
-IN_FORCE_S = 2.0
-PLACES = ("hall-a", "hall-b", "hall-c")
+# Seconds within which all nodes must adopt an accepted configuration, under the
+# tightest setting of this bound.
+ADOPTION_LIMIT_S = 2.0
+DATA_CENTRES = ("hall-a", "hall-b", "hall-c")
 
 
-def add_hosts(deployment, n_hosts, places=PLACES):
-    """Add hosts to data centres by turns."""
-    return [deployment.add("certs", places[n % len(places)]) for n in range(n_hosts)]
+def add_hosts(deployment, n_hosts, data_centres=DATA_CENTRES):
+    """Add hosts to the data centres in rotation."""
+    return [
+        deployment.add("certs", data_centres[n % len(data_centres)])
+        for n in range(n_hosts)
+    ]
 
 
-def versions(hosts):
-    """Return the versions in force."""
+def active_versions(hosts):
+    """Return the set of active versions."""
     return {host.node.version_in_force for host in hosts}
 
 
 def watchers(hosts):
-    """Return the hosts that are to watch the store."""
-    return [host for host in hosts if host.node._config._role.now().should_watch]
+    """Return the hosts whose role is to watch the store."""
+    return [
+        host for host in hosts if host.node._config._role.current_rank().should_watch
+    ]
 
 
 class TestCalls(TestCase):
     def calls(self, n_hosts, do):
-        """Return the priced calls of a fleet while something is done."""
+        """Return the cost of the store calls of a fleet while `do` runs."""
 
         async def main():
             async with a_deployment(OLD) as deployment:
@@ -52,24 +56,25 @@
 
         return run_in_memory(main)
 
-    def test_change_is_not_asked_for_by_each_node(self):
+    def test_change_is_not_fetched_by_each_node(self):
         async def change(deployment, hosts):
             deployment.put_config(OLD, NEW)
-            await trio.sleep(IN_FORCE_S)
-            self.assertEqual({2}, versions(hosts))
+            await trio.sleep(ADOPTION_LIMIT_S)
+            self.assertEqual({2}, active_versions(hosts))
 
         self.assertLess(self.calls(36, change), 6.0)
 
-    def test_fleet_at_rest_asks_as_much_whatever_its_size(self):
-        async def rest(deployment, hosts):
+    def test_calls_of_idle_fleet_do_not_grow_with_its_size(self):
+        async def stay_idle(deployment, hosts):
             await trio.sleep(60.0)
 
-        small, large = self.calls(12, rest), self.calls(60, rest)
-        # Lists are a tenth of a call; they grow to 0.5 calls a second at 50 nodes.
+        small, large = self.calls(12, stay_idle), self.calls(60, stay_idle)
+        # A list call costs a tenth of a call; the list calls of all nodes cost up to
+        # 0.5 calls per second, which 50 nodes reach.
         self.assertLess(large - small, 60.0 * 0.5)
 
-    def test_store_that_turns_all_away_is_not_asked_by_all(self):
-        async def lose(deployment, hosts):
+    def test_store_that_rejects_all_nodes_is_not_asked_by_all(self):
+        async def reject_for_a_while(deployment, hosts):
             for host in hosts:
                 host.store.down = True
             await trio.sleep(10.0)
@@ -77,26 +82,26 @@
                 host.store.down = False
             await trio.sleep(1.5)
             deployment.put_config(OLD, NEW)
-            await trio.sleep(IN_FORCE_S)
-            self.assertEqual({2}, versions(hosts))
+            await trio.sleep(ADOPTION_LIMIT_S)
+            self.assertEqual({2}, active_versions(hosts))
 
-        self.assertLess(self.calls(36, lose), 36 * 3.0)
+        self.assertLess(self.calls(36, reject_for_a_while), 36 * 3.0)
 
-    def test_those_that_are_turned_away_leave_it_to_one_that_is_not(self):
-        async def turn_away(deployment, hosts):
+    def test_rejected_nodes_leave_watching_to_an_accepted_one(self):
+        async def reject(deployment, hosts):
             for host in hosts[:24]:
                 host.store.down = True
             await trio.sleep(20.0)
             deployment.put_config(OLD, NEW)
-            await trio.sleep(IN_FORCE_S)
-            self.assertEqual({2}, versions(hosts))
+            await trio.sleep(ADOPTION_LIMIT_S)
+            self.assertEqual({2}, active_versions(hosts))
 
-        # Each is asked about once; the first of each data centre goes on, seldom.
-        self.assertLess(self.calls(36, turn_away), 24 * 4.0)
+        # Each node asks about once; the first of each data centre retries, rarely.
+        self.assertLess(self.calls(36, reject), 24 * 4.0)
 
 
 class TestStarts(TestCase):
-    def test_restart_that_changes_nothing_writes_nothing_and_reads_what_may_be_old(
+    def test_restart_without_changes_writes_nothing_and_uses_stale_reads(
         self,
     ):
         async def main():
@@ -107,15 +112,15 @@
                 again = deployment.restart(hosts[-1])
                 await trio.sleep(5.0)
                 state = deployment.state
-                in_force = again.node.version_in_force
-                return state.calls - before[0], state.writes - before[1], in_force
+                version = again.node.version_in_force
+                return state.calls - before[0], state.writes - before[1], version
 
-        calls, writes, in_force = run_in_memory(main)
-        self.assertEqual((0, 1), (writes, in_force))
-        # Its own two reads, and what the watchers and the lists of the others take.
+        calls, writes, version = run_in_memory(main)
+        self.assertEqual((0, 1), (writes, version))
+        # Two reads of its own, the watches, and the list calls of the other nodes.
         self.assertLess(calls, 0.2 + 3 * 1.0 + 9 * 0.1 + 0.01)
 
-    def test_node_that_reads_an_older_configuration_follows_the_others(self):
+    def test_node_with_stale_read_gets_newer_config_from_peers(self):
         async def main():
             async with a_deployment(OLD) as deployment:
                 hosts = add_hosts(deployment, 9)
@@ -123,36 +128,39 @@
                 state = deployment.state
                 state.older = ConfigUpdate(state.cursor, state.config)
                 deployment.put_config(NEW)
-                await trio.sleep(IN_FORCE_S)
+                await trio.sleep(ADOPTION_LIMIT_S)
                 again = [deployment.restart(host) for host in hosts]
                 await trio.sleep(3.0)
-                return versions(again)
+                return active_versions(again)
 
         self.assertEqual({2}, run_in_memory(main))
 
 
-class TestInForce(TestCase):
-    def in_force(self, fail, n_hosts=18, places=PLACES):
-        """Return the versions of those that are left, after a change amid a failure."""
+class TestAdoption(TestCase):
+    def adopt_amid_failure(self, fail, n_hosts=18, data_centres=DATA_CENTRES):
+        """Publish a change while `fail` acts on the watchers.
+
+        Returns the number of watchers, and the active versions of the other hosts.
+        """
 
         async def main():
             async with a_deployment(OLD) as deployment:
-                hosts = add_hosts(deployment, n_hosts, places)
+                hosts = add_hosts(deployment, n_hosts, data_centres)
                 await trio.sleep(12.0)
                 watching = watchers(hosts)
-                left = [host for host in hosts if host not in watching]
+                remaining = [host for host in hosts if host not in watching]
                 fail(deployment, watching)
                 deployment.put_config(OLD, NEW)
-                await trio.sleep(IN_FORCE_S)
-                return len(watching), versions(left)
+                await trio.sleep(ADOPTION_LIMIT_S)
+                return len(watching), active_versions(remaining)
 
         return run_in_memory(main)
 
-    def test_watchers_are_few(self):
-        n_watching, found = self.in_force(lambda deployment, watching: None)
-        self.assertEqual((len(PLACES), {2}), (n_watching, found))
+    def test_each_data_centre_has_one_watcher(self):
+        n_watching, found = self.adopt_amid_failure(lambda deployment, watching: None)
+        self.assertEqual((len(DATA_CENTRES), {2}), (n_watching, found))
 
-    def test_changes_in_quick_succession_are_not_held_up_by_each_other(self):
+    def test_changes_in_quick_succession_do_not_delay_each_other(self):
         async def main():
             async with a_deployment(OLD) as deployment:
                 hosts = add_hosts(deployment, 36)
@@ -161,33 +169,33 @@
                     deployment.put_config(OLD, NEW)
                     await trio.sleep(0.15)
                 await trio.sleep(0.05)
-                return versions(hosts)
+                return active_versions(hosts)
 
         self.assertEqual({8}, run_in_memory(main))
 
-    def test_watchers_are_killed_at_the_change(self):
+    def test_change_is_adopted_when_watchers_are_killed(self):
         def kill(deployment, watching):
             for host in watching:
                 host.scope.cancel()
 
-        self.assertEqual({2}, self.in_force(kill)[1])
+        self.assertEqual({2}, self.adopt_amid_failure(kill)[1])
 
-    def test_watchers_are_turned_away_at_the_change(self):
-        def turn_away(deployment, watching):
+    def test_change_is_adopted_when_store_rejects_watchers(self):
+        def reject(deployment, watching):
             for host in watching:
                 host.store.down = True
 
-        self.assertEqual({2}, self.in_force(turn_away)[1])
+        self.assertEqual({2}, self.adopt_amid_failure(reject)[1])
 
-    def test_watcher_of_one_data_centre_hears_nothing_any_more(self):
-        def silence(deployment, watching):
+    def test_change_is_adopted_when_one_watcher_gets_no_events(self):
+        def drop_events(deployment, watching):
             watching[0].store.silent = True
 
-        self.assertEqual({2}, self.in_force(silence)[1])
+        self.assertEqual({2}, self.adopt_amid_failure(drop_events)[1])
 
-    def test_one_of_two_watchers_of_a_lone_data_centre_hears_nothing_any_more(self):
-        def silence(deployment, watching):
+    def test_change_is_adopted_when_one_of_two_local_watchers_gets_no_events(self):
+        def drop_events(deployment, watching):
             watching[0].store.silent = True
 
-        n_watching, found = self.in_force(silence, 8, ("hall-a",))
+        n_watching, found = self.adopt_amid_failure(drop_events, 8, ("hall-a",))
         self.assertEqual((2, {2}), (n_watching, found))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_workspaces.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_workspaces.py
@@ -1,4 +1,4 @@
-"""API keys, by what callers get and backend servers see."""
+"""API keys, as seen by callers and backend servers."""
 
 import trio
 from testtools import TestCase
@@ -19,7 +19,10 @@
 
 
 async def two_hosts(deployment, *workspaces, **settings):
-    """Return a host without and one with the asked server, once they know the keys."""
+    """Add a host of another service and one of the called service; return both.
+
+    The workspaces are configured, and both nodes know the keys.
+    """
     deployment.put_config(KEYED, PUBLIC, workspaces=workspaces)
     near = deployment.add("bookings", **settings)
     far = deployment.add("certs", **settings)
@@ -32,7 +35,7 @@
     return server.heads[-1].headers.split(b"\r\n")
 
 
-def everything_logged(deployment):
+def all_logs_and_metrics(deployment):
     """Return all log lines and metrics of all nodes."""
     parts = []
     for host in deployment.hosts:
@@ -42,7 +45,7 @@
 
 
 class TestKeys(TestCase):
-    def test_key_of_a_workspace_is_let_in_and_named_to_the_server_only(self):
+    def test_valid_key_is_admitted_and_only_its_workspace_reaches_server(self):
         async def main():
             async with a_deployment() as deployment:
                 near, far = await two_hosts(deployment, ONE, TWO)
@@ -51,7 +54,7 @@
                 )
                 await trio.sleep(0.1)
                 lines = header_lines(far.server)
-                return answer.status, lines, everything_logged(deployment)
+                return answer.status, lines, all_logs_and_metrics(deployment)
 
         status, lines, logged = run_in_memory(main)
         self.assertEqual(200, status)
@@ -59,7 +62,7 @@
         self.assertNotIn(b"second-key-of-two", b"".join(lines))
         self.assertNotIn(b"second-key-of-two", logged)
 
-    def test_what_holds_no_key_of_a_workspace_reaches_no_server(self):
+    def test_request_without_valid_key_reaches_no_server(self):
         async def main():
             async with a_deployment() as deployment:
                 near, far = await two_hosts(deployment, ONE)
@@ -78,14 +81,14 @@
                 ):
                     answer = await near.send("/read/1", f"r{number}", headers=headers)
                     statuses.append(answer.status)
-                return statuses, len(far.server.heads), everything_logged(deployment)
+                return statuses, len(far.server.heads), all_logs_and_metrics(deployment)
 
         statuses, heads, logged = run_in_memory(main)
         self.assertEqual([401] * 8, statuses)
         self.assertEqual(0, heads)
         self.assertNotIn(b"nobodys-key", logged)
 
-    def test_name_of_a_workspace_comes_from_the_key_whatever_the_caller_says(self):
+    def test_workspace_header_is_set_from_key_not_by_caller(self):
         async def main():
             async with a_deployment() as deployment:
                 near, far = await two_hosts(deployment, ONE, TWO)
@@ -103,7 +106,7 @@
         self.assertEqual(200, status)
         self.assertEqual([], [x for x in public if b"workspace" in x.lower()])
 
-    def test_public_route_needs_no_key_and_passes_none_on(self):
+    def test_public_route_needs_no_key_and_forwards_none(self):
         async def main():
             async with a_deployment() as deployment:
                 near, far = await two_hosts(deployment, ONE)
@@ -116,7 +119,7 @@
         self.assertEqual(200, status)
         self.assertNotIn(b"key-of-one", lines)
 
-    def test_call_of_a_server_needs_no_key_on_a_public_route_only(self):
+    def test_nested_call_needs_no_key_on_public_routes_only(self):
         async def main():
             async with a_deployment() as deployment:
                 _, far = await two_hosts(deployment, ONE)
@@ -135,7 +138,7 @@
 
         self.assertEqual([200, 401], run_in_memory(main))
 
-    def test_workspace_that_is_gone_is_refused_and_a_new_one_let_in(self):
+    def test_removed_workspace_is_refused_and_new_one_admitted(self):
         async def main():
             async with a_deployment() as deployment:
                 near, _ = await two_hosts(deployment, ONE)
@@ -151,7 +154,7 @@
 
         self.assertEqual([401, 200], run_in_memory(main))
 
-    def test_priority_of_a_workspace_goes_before_that_of_the_route(self):
+    def test_workspace_priority_ranks_before_route_priority(self):
         async def main():
             first = a_workspace("first", "key-first", priority=0)
             second = a_workspace("second", "key-second", priority=1)
@@ -163,11 +166,11 @@
                 ranks = {}
                 submit = host.node.door.submit
 
-                def watch(job):
+                def record(job):
                     ranks[job.call.request_id] = job.call.rank
                     submit(job)
 
-                host.node.door.submit = watch
+                host.node.door.submit = record
                 for request_id, path, key in (
                     ("first-late", "/late/1", "key-first"),
                     ("second-soon", "/soon/1", "key-second"),
@@ -180,18 +183,18 @@
             (["first-late", "second-soon", "second-late"], 3), run_in_memory(main)
         )
 
-    def test_two_workspaces_with_one_request_are_two_callers(self):
+    def test_same_request_of_two_workspaces_has_two_fingerprints(self):
         async def main():
             async with a_deployment() as deployment:
                 _, far = await two_hosts(deployment, ONE, TWO)
                 prints = []
                 submit = far.node.door.submit
 
-                def watch(job):
+                def record(job):
                     prints.append(job.call.fingerprint)
                     submit(job)
 
-                far.node.door.submit = watch
+                far.node.door.submit = record
                 for number, key in enumerate(("key-of-one", "key-of-two")):
                     await far.send("/read/1", f"r{number}", headers=with_key(key))
                 return prints
@@ -199,7 +202,7 @@
         one, two = run_in_memory(main)
         self.assertNotEqual(one, two)
 
-    def test_without_workspaces_nobody_needs_a_key(self):
+    def test_no_key_is_needed_without_workspaces(self):
         async def main():
             async with a_deployment(KEYED) as deployment:
                 near = deployment.add("bookings", revocation=BOUND_MS)
