--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/api_key_authenticator.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/api_key_authenticator.py
@@ -30,7 +30,7 @@
     ----------
     is_too_stale : callable
         Returns whether the known keys are too stale to be used.
-    age : callable
+    staleness : callable
         Returns the staleness of the known keys in milliseconds.
     clock : Clock
         Time in milliseconds.
@@ -41,12 +41,12 @@
     def __init__(
         self,
         is_too_stale: Callable[[], bool],
-        age: Callable[[], Milliseconds],
+        staleness: Callable[[], Milliseconds],
         clock: Clock,
         teller: Teller,
     ) -> None:
         self._is_too_stale = is_too_stale
-        self._staleness = age
+        self._staleness = staleness
         self._clock = clock
         self._tell = teller
         self._second = -1
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/member_sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/member_sync.py
@@ -56,9 +56,9 @@
 _LINKED_BACKOFF_FACTOR = 3.0
 # Upper limit, in milliseconds, of the random delay before a node checks its entry in a
 # store that was restored from a backup.
-_REANNOUNCE_JITTER_MS = 1_000.0
+_REGISTER_AGAIN_JITTER_MS = 1_000.0
 # Maximum timeout of a registration request, in milliseconds.
-_MAX_ANNOUNCE_TIMEOUT_MS = 2_500.0
+_MAX_REGISTER_TIMEOUT_MS = 2_500.0
 
 
 class MemberSync:
@@ -104,7 +104,7 @@
         self._tell = teller
         self._removed: dict[str, str] = {}
         self._store_restored = trio.Event()
-        self._announced_at = float("-inf")
+        self._registered_at = float("-inf")
 
     def adopt_bounds(self, bounds: Bounds) -> None:
         """Apply a changed bound on changes to the timeouts of store requests."""
@@ -113,13 +113,13 @@
     async def run(self) -> None:
         """Register this node and follow the list of nodes until cancelled."""
         if self._first_start:
-            await self._announce("start")
+            await self._register("start")
         present = await self._list("start")
         is_new = self._first_start or not self._is_listed(present)
         first_lists = list(_STARTUP_LIST_INTERVALS_MS) if is_new else []
         while True:
             if not self._is_listed(present):
-                await self._announce("not-listed")
+                await self._register("not-listed")
             if first_lists:
                 await trio.sleep(first_lists.pop(0) / MS_PER_S)
                 present = await self._list("start")
@@ -129,7 +129,7 @@
             with trio.move_on_after(pause * spread / MS_PER_S):
                 await self._store_restored.wait()
             if self._store_restored.is_set():
-                await self._reannounce()
+                await self._register_again()
             else:
                 present = await self._list("interval")
                 await self._remove_dead(present)
@@ -139,23 +139,23 @@
 
         The entry of this node may be gone, and entries that it removed may be back.
         """
-        self._announced_at = float("-inf")
+        self._registered_at = float("-inf")
         self._removed.clear()
         self._store_restored.set()
 
-    async def _reannounce(self) -> None:
+    async def _register_again(self) -> None:
         """Register this node again if the store has lost its entry."""
         self._store_restored = trio.Event()
-        await trio.sleep(self._rng.random() * _REANNOUNCE_JITTER_MS / MS_PER_S)
+        await trio.sleep(self._rng.random() * _REGISTER_AGAIN_JITTER_MS / MS_PER_S)
         if not await self._probe.find_entry("returned"):
-            await self._announce("returned")
+            await self._register("returned")
 
     def _is_listed(self, present: Mapping[str, Member]) -> bool:
         """Whether a list has this node at its current address.
 
         Also true shortly after a registration, which the list may not contain yet.
         """
-        if self._clock.now() - self._announced_at < _MAX_LIST_STALENESS_MS:
+        if self._clock.now() - self._registered_at < _MAX_LIST_STALENESS_MS:
             return True
         listed = present.get(self._own.node)
         own = self._own
@@ -188,7 +188,7 @@
                 continue
             self._removed[node] = listed.incarnation
             self._tell.store_call("member-remove", "lost")
-            failed = await self._store.withdraw(node)
+            failed = await self._store.deregister(node)
             cause = None if failed is None else failed.reason
             silent = round(unreachable_for)
             self._tell.event("node-removed", node=node, silent=silent, cause=cause)
@@ -232,26 +232,26 @@
         """Whether this node has no working link to another node."""
         return not any(link.is_heard() for link in self._links)
 
-    async def _announce(self, cause: str) -> None:
+    async def _register(self, cause: str) -> None:
         wait = 2.0 * self._timeouts.hedge_delay
-        while (failed := await self._announce_once(cause, wait)) is not None:
+        while (failed := await self._register_once(cause, wait)) is not None:
             self._tell.event("announce-failed", cause=failed)
-            wait = min(2.0 * wait, _MAX_ANNOUNCE_TIMEOUT_MS)
+            wait = min(2.0 * wait, _MAX_REGISTER_TIMEOUT_MS)
             await self._probe.find_entry("announce")
-        self._announced_at = self._clock.now()
+        self._registered_at = self._clock.now()
 
-    async def _announce_once(self, cause: str, wait: Milliseconds) -> str | None:
+    async def _register_once(self, cause: str, wait: Milliseconds) -> str | None:
         """Register once; return why the store did not accept it, or None if it did."""
         self._tell.store_call("member-announce", cause)
         with trio.move_on_after(wait / MS_PER_S):
-            failed = await self._store.announce(self._own)
+            failed = await self._store.register(self._own)
             return None if failed is None else failed.reason
         return f"no answer within {wait:.0f} ms"
 
-    async def withdraw(self) -> None:
+    async def deregister(self) -> None:
         """Remove this node from the store, without a retry."""
         self._tell.store_call("member-remove", "stop")
-        failed = await self._store.withdraw(self._own.node)
+        failed = await self._store.deregister(self._own.node)
         if failed is not None:
             self._tell.event("withdraw-failed", cause=failed.reason)
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/node.py
@@ -455,7 +455,7 @@
         async with trio.open_nursery() as nursery:
             if not self.door.instance():
                 # Beside the rest: a store that is silent must not use up the time.
-                nursery.start_soon(self._members.withdraw)
+                nursery.start_soon(self._members.deregister)
             await self._wind_down(started)
             nursery.cancel_scope.cancel()
         self.tell.event(
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/store.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/store.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryCompacted:
-    """The store has compacted the changes after the cursor; it must be read again."""
+    """The store has compacted the changes after the cursor; read it again instead."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -137,8 +137,8 @@
             seconds old, at a lower price.
         """
 
-    async def announce(self, member: Member) -> StoreFailed | None:
+    async def register(self, member: Member) -> StoreFailed | None:
         """Register this node."""
 
-    async def withdraw(self, node: str) -> StoreFailed | None:
+    async def deregister(self, node: str) -> StoreFailed | None:
         """Remove the entry of a node."""
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/memory_store.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/memory_store.py
@@ -184,7 +184,7 @@
         members = self._state.members
         return Members({n: m for n, m in members.items() if n not in hidden})
 
-    async def announce(self, member: Member) -> StoreFailed | None:
+    async def register(self, member: Member) -> StoreFailed | None:
         """Put this node among the others."""
         await trio.lowlevel.checkpoint()
         if (failed := self._call()) is not None:
@@ -193,7 +193,7 @@
         self._state.writes += 1
         return None
 
-    async def withdraw(self, node: str) -> StoreFailed | None:
+    async def deregister(self, node: str) -> StoreFailed | None:
         """Take this node out."""
         await (trio.sleep_forever() if self.mute else trio.lowlevel.checkpoint())
         if (failed := self._call()) is not None:
