--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/active_config.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/active_config.py
@@ -64,7 +64,10 @@
 
     @property
     def staleness(self) -> Milliseconds:
-        """Milliseconds for which this node may have missed a change, at most."""
+        """Milliseconds since the active version was last known to be the newest.
+
+        Infinite before the first confirmation.
+        """
         return self._clock.now() - self._knowledge_age.as_of
 
     def confirm(self, version: int, as_of: Milliseconds) -> None:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_requests.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_requests.py
@@ -43,7 +43,7 @@
 
 
 class _Cause(Enum):
-    """Reasons for a request for the configuration; they label the counter of calls."""
+    """Reasons for requests to the store; the values label the counter of calls."""
 
     START = "start"
     WATCH = "watch"
@@ -135,9 +135,10 @@
             self._read_scope.cancel()
 
     def cancel_watch_soon(self, nursery: trio.Nursery) -> None:
-        """Cancel the watch after the hedging delay.
+        """Cancel the watch after the hedging delay, unless it ends before.
 
-        It may have been dropped: other nodes have a version that it did not report.
+        Another node has a version that the watch has not reported, so the store may
+        have dropped the watch.
         """
         if self._watch_scope is not None:
             nursery.start_soon(self._cancel_after_hedge_delay, self._watch_scope)
@@ -147,7 +148,9 @@
         scope.cancel()
 
     async def fetch(self) -> tuple[StoreRequest, ConfigResult | ProbeReply | None]:
-        """Read the configuration or watch for the next one, as the state requires.
+        """Watch for the next configuration, or read it if there is no valid cursor.
+
+        A store that was unresponsive is probed first.
 
         Returns
         -------
@@ -157,8 +160,8 @@
             Its result; None if the first read was cancelled.
         """
         store_age = self._clock.now() - self.answered_at
-        # An unresponsive store may drop a watch; the return of the store would then go
-        # unnoticed until the watch times out. A probe shows it sooner.
+        # An unresponsive store may drop a watch; its recovery would then go unnoticed
+        # until the watch times out. A probe detects it sooner.
         if self._role.is_store_lost or store_age > self.timeouts.probe_interval:
             response = await self._send_probe()
             if isinstance(response.result, StoreFailed):
@@ -182,7 +185,7 @@
     async def _defer_to_others(self) -> bool:
         """Whether another node is to ask a store that answers again.
 
-        All nodes notice the return at the same moment. A node that has just started
+        All nodes notice the recovery at the same moment. A node that has just started
         does not know its watcher rank yet, so it waits for a random part of the
         hedging delay first.
         """
@@ -278,7 +281,7 @@
         """Return the factor by which the hedging delay grows per request.
 
         The highest-ranked nodes of a data centre keep the delay constant, since they
-        detect the return of the store for all others.
+        detect the recovery of the store for all others.
         """
         return 1.0 if self._role.is_first() else _OTHERS_BACKOFF_FACTOR
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_sync.py
@@ -33,12 +33,13 @@
     from fuchsiagap_node.core.mesh.telling import Teller
 
 # Milliseconds between two calls while the store fails, on nodes of lower watcher rank:
-# the step per failure, and the maximum. The maximum also applies to every node while
-# another node of its data centre watches.
+# the step per failure, and the maximum. While another node of its data centre watches,
+# a node of any rank waits for the maximum.
 _OTHERS_RETRY_MS = 4_000.0
 _MAX_RETRY_MS = 8_000.0
-# Share of the revocation bound for which a store that was restored from a backup does
-# not confirm that a version is the newest: lost versions may not be written again yet.
+# Share of the revocation bound that must pass after the store was restored from a
+# backup before its answers confirm a version: until then, lost versions may not be
+# written again yet.
 _SETTLE_SHARE = 0.3
 # Staleness from which a node asks the store by itself, as a share of the revocation
 # bound. Drawn from this range, so that nodes that lose contact together do not ask
@@ -158,13 +159,13 @@
 
     @property
     def request_age(self) -> Milliseconds:
-        """Milliseconds since the pending store request was sent; 0 if none is."""
+        """Milliseconds since the pending store request was sent; 0 if there is none."""
         if self._requested_at is None:
             return 0.0
         return self._clock.now() - self._requested_at
 
     def adopt_bounds(self, bounds: Bounds) -> None:
-        """Apply a changed bound on changes to the timeouts of store requests."""
+        """Recompute the timeouts of store requests from `bounds.change`."""
         self._requests.timeouts = timeouts_within(bounds.change)
 
     def set_nursery(self, nursery: trio.Nursery) -> None:
@@ -240,7 +241,7 @@
                 case StoreFailed(reason):
                     n_failed += 1
                     self._mark_store_lost(reason)
-                    # Hedging has already waited for an unresponsive store.
+                    # A request to an unresponsive store has waited while it was hedged.
                     has_waited = (
                         self._clock.now() - asked_at
                         > self._requests.timeouts.hedge_delay
@@ -325,8 +326,8 @@
     async def _pause(self, n_failed: int, has_waited: bool) -> None:
         """Wait until a store that failed is to be asked again.
 
-        The wait is recomputed at intervals: a node that becomes the highest-ranked one
-        of its data centre meanwhile asks as soon as such a node does.
+        The wait is recomputed at intervals, so that a node that becomes the
+        highest-ranked one of its data centre meanwhile uses the wait of that rank.
         """
         started = self._clock.now()
         spread = self._rng.uniform(0.5, 1.0)
@@ -342,8 +343,8 @@
     ) -> Milliseconds:
         """Return how long to wait after `n_failed` failures in a row.
 
-        The highest-ranked nodes ask an unresponsive store again at once, since the
-        failed request has already waited through its hedging delays.
+        The highest-ranked nodes ask again at once if `has_waited`: the failed request
+        took longer than the hedging delay, so no further pause is needed.
         """
         if self._role.current_rank().others_watch:
             return _MAX_RETRY_MS * spread
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/member_sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/member_sync.py
@@ -25,10 +25,11 @@
 
 # Interval between two list calls in milliseconds: the minimum, the part per listed
 # node, and the jitter as a share of the interval. Nodes that a new node links to know
-# it at once; the others discover it here. A list call that may return data some seconds
-# old is the cheapest call. A watch would end at each start of another node: with 204
-# starts among 81 nodes it took 39 calls per node in 38 s, those for the configuration
-# included. The part per node limits all nodes together to 5 list calls a second.
+# it at once; the others discover it by a list call. A list call that may return data
+# some seconds old is the cheapest call. A watch would end at each start of another
+# node: with 204 starts among 81 nodes it took 39 calls per node in 38 s, those for the
+# configuration included. The part per node limits all nodes together to 5 list calls a
+# second.
 _LIST_INTERVAL_MS = 10_000.0
 _LIST_INTERVAL_PER_NODE_MS = 200.0
 _LIST_JITTER = 0.2
@@ -107,7 +108,7 @@
         self._registered_at = float("-inf")
 
     def adopt_bounds(self, bounds: Bounds) -> None:
-        """Apply a changed bound on changes to the timeouts of store requests."""
+        """Recompute the timeouts of store requests from `bounds.change`."""
         self._timeouts = self._probe.timeouts = timeouts_within(bounds.change)
 
     async def run(self) -> None:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/messages.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/messages.py
@@ -109,8 +109,8 @@
         Whether this request, or one above it in the call tree, was sent to a backend
         server before.
     is_retry : bool
-        Whether this request itself was, so that it counts against the retry budget of
-        the backend queue.
+        Whether this request itself was sent to a backend server before, so that it
+        counts against the retry budget of the backend queue.
     sampling_key : int
         Random key of its call tree, by which retries are sampled; see
         `fuchsiagap.core.retries.shares`.
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/peer_config_fetcher.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/peer_config_fetcher.py
@@ -23,7 +23,8 @@
 _ASK_JITTER_MS = 100.0
 # Milliseconds to wait for this node's own watch before another node is asked.
 _ASK_AFTER_WATCH_MS = 300.0
-# Milliseconds without an answer after which the version is requested elsewhere.
+# Milliseconds without an answer after which the version is requested again, from a node
+# that was not asked yet if there is one.
 _ASK_AGAIN_MS = 600.0
 
 
@@ -39,7 +40,7 @@
     is_watching : callable
         Returns whether this node watches the store.
     rng : random.Random
-        Chooses which node is asked, and the delay before.
+        Chooses the node to ask, and the delay before the first request.
     teller : Teller
         Receives the events.
 
@@ -74,7 +75,7 @@
             self.nursery.start_soon(self._fetch_from_peers)
 
     async def _fetch_from_peers(self) -> None:
-        """Request the configuration from nodes that are ahead until none is left."""
+        """Request the configuration until no linked node has a newer version."""
         try:
             wait = self._rng.random() * _ASK_JITTER_MS
             if self._is_watching():
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/queue_retry_budget.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/queue_retry_budget.py
@@ -37,7 +37,7 @@
     Attributes
     ----------
     n_replicas : callable
-        Returns the known number of backend queues of the service, with this one.
+        Returns the number of known backend queues of the service, including this one.
     """
 
     def __init__(
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/quota_owners.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/quota_owners.py
@@ -14,8 +14,8 @@
     from fuchsiagap_node.core.mesh.links import Links
     from fuchsiagap_node.core.mesh.sending import Member
 
-# Milliseconds that a node has to be linked, or to answer, before the next candidate
-# counts as the owner.
+# Milliseconds that a node is given to open its link or to answer, before the next
+# candidate counts as the owner.
 _REACH_TIMEOUT_MS = 500.0
 # Milliseconds without a message after which a node is pinged.
 _PING_AFTER_MS = 300.0
@@ -62,14 +62,14 @@
     def owner(self, workspace: str) -> str | None:
         """Return the owner of a workspace's quota; None if this node cannot tell.
 
-        A node that is partitioned from all others reaches none of the candidates before
-        it, as the only node left would. It must not take over the quota.
+        A node that is partitioned from all others reaches no candidate before itself
+        and would count as the owner. It must not take over the quota.
         """
         order = self._candidates_of(workspace)
         owner = owner_of(order, self._is_up)
         if owner != self._own.node:
             return owner
-        # The link makes this node known to the previous owner, in case it is new.
+        # The link makes this node known to the previous owner, if this node is new.
         self._links().link_to(next((n for n in order if n != owner), owner))
         return owner if self.share() > 0.0 else None
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/quotas.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/quotas.py
@@ -29,8 +29,9 @@
 _REQUEST_RETRY_MS = 150.0
 # Milliseconds until the next token request after the asked node was not the owner.
 _NOT_OWNER_RETRY_MS = 60.0
-# Milliseconds after the first start of the whole system in which new token buckets
-# start with the full burst, since no tokens can have been used before.
+# Milliseconds after the first start of the whole system in which the first candidate
+# for a quota creates its token bucket with the full burst, since no tokens can have
+# been used before.
 _FIRST_START_MS = 60_000.0
 
 
@@ -262,7 +263,7 @@
         )
 
     def handle_grant(self, grant: TokenGrant) -> None:
-        """Take granted tokens; a grant for a superseded token request is dropped."""
+        """Take granted tokens, unless the grant is late or its request was repeated."""
         pending = self._pending.get(grant.workspace)
         if pending is None or pending.query_id != grant.query_id:
             return
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/staleness_exchange.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/staleness_exchange.py
@@ -19,8 +19,8 @@
 
 # Milliseconds between two checks of this node's own staleness.
 REFRESH_INTERVAL_MS = 250.0
-# Staleness from which another node is queried, and from which an additional one is, as
-# shares of the revocation bound.
+# Staleness from which one other node is queried, and from which a second one, chosen at
+# random, is queried as well; both as shares of the revocation bound.
 _QUERY_AT_SHARE = 0.15
 _URGENT_AT_SHARE = 0.4
 # Share of the revocation bound by which keys are refused early, to cover clock drift.
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/store.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/store.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryCompacted:
-    """The store has compacted the changes after the cursor; read it again instead."""
+    """The store has compacted the changes after the cursor; a new read is needed."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
     cursor : Cursor
         Position in the history of the store.
     text : bytes
-        Platform encoding, to send to other nodes.
+        The configuration in the encoding of the platform, to send to other nodes.
     config : RouteConfig
         Decoded configuration.
     """
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/watcher_role.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/watcher_role.py
@@ -50,7 +50,7 @@
     update_source : UpdateSource
         How this node learns of changes.
     is_store_lost : bool
-        Whether the store did not answer the last request.
+        Whether the last request to the store failed or was not answered.
     changed : callable
         Called when `update_source` has changed.
     """
@@ -97,7 +97,7 @@
         return _WATCHERS if has_enough_remote else _WATCHERS_ISOLATED
 
     def is_first(self) -> bool:
-        """Whether this node would watch if all nodes learnt of changes."""
+        """Whether this node is to watch as long as all nodes learn of changes."""
         return self.current_rank().is_first(self.n_watchers())
 
     async def wait(self, is_urgent: Callable[[], bool]) -> None:
@@ -133,7 +133,10 @@
         self._may_ask.set()
 
     def record_store_answer(self) -> None:
-        """Record an answer of the store, which updates a node that is to watch."""
+        """Record an answer of the store.
+
+        The store becomes the update source if this node is to watch.
+        """
         if self.current_rank().should_watch:
             self.set_update_source(UpdateSource.STORE)
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_config_sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_config_sync.py
@@ -79,8 +79,8 @@
                 await trio.sleep(50.0)
                 return deployment.state.calls - before
 
-        # Two nodes watch for 6 s and four for 25 s; each node makes a list call every
-        # 10 s, which costs a tenth of a call.
+        # Up to 9 calls for each of the two nodes that watch and probe, 3 for each of
+        # the other four, and per node 6 list calls at a tenth of a call each.
         self.assertLess(run_in_memory(main), 2 * 9 + 4 * 3 + 6 * 6 * 0.1 + 1)
 
     def test_last_remaining_node_follows_store(self):
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_member_sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_member_sync.py
@@ -117,8 +117,9 @@
                 await deployment.settle()
                 member = deployment.state.members["certs-1"]
                 far.scope.cancel()
-                # It counts as dead after 60 s and is then removed with a probability
-                # of 0.2 at each list call: after 100 s, 1 run in 18 has not removed it.
+                # It counts as dead after 60 s and is removed at the next list call:
+                # with fewer listed nodes than expected removers, each node that finds
+                # it dead removes it.
                 await trio.sleep(200.0)
                 removed = "certs-1" not in deployment.state.members
                 deployment.state.members["certs-1"] = member
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_watching.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_watching.py
@@ -3,8 +3,8 @@
 Store calls are billed. If every node watches, each change ends all watches, each start
 adds reads of the configuration and of all members, and each node that the store rejects
 keeps asking by itself. The number of calls then grows with nodes times changes, and
-with starts: 195 nodes with 421 starts and three changes made 4,184 calls. The counter
-`store_calls` shows the calls by kind and cause.
+with starts: 195 nodes with 421 starts and three changes in a day made 4,184 calls, the
+largest cost of that day. The counter `store_calls` shows the calls by kind and cause.
 """
 
 import trio
@@ -96,7 +96,8 @@
             await trio.sleep(ADOPTION_LIMIT_S)
             self.assertEqual({2}, active_versions(hosts))
 
-        # Each node asks about once; the first of each data centre retries, rarely.
+        # Each node asks about once; the highest-ranked one of each data centre retries,
+        # rarely.
         self.assertLess(self.calls(36, reject), 24 * 4.0)
 
 
