--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/explain/test_explain.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/explain/test_explain.py
@@ -30,7 +30,7 @@
             served.server.behave = lambda _: behaviour
             await deployment.settle()
             await act(caller, served)
-            buffers = (caller.node.tell, served.node.tell)
+            buffers = (caller.node.event_log, served.node.event_log)
             return [line.decode() for tell in buffers for line in tell.lines()]
 
     return run_on_loopback(main)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/admission.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/admission.py
@@ -17,8 +17,8 @@
     from fuchsiagap.core.pressure.evenly import CallerTurn
     from fuchsiagap.core.pressure.served import ServedShares
     from fuchsiagap.core.routes.model import Route
+    from fuchsiagap_node.core.mesh.event_log import EventLog
     from fuchsiagap_node.core.mesh.pressures import Pressures
-    from fuchsiagap_node.core.mesh.telling import Teller
 
 # Milliseconds between two steps of the levels: a few within one reaction time.
 STEP_MS = 100.0
@@ -44,7 +44,7 @@
         Time in milliseconds.
     rng : random.Random
         Spreads the first refusals of the nodes, and when callers come back.
-    teller : Teller
+    event_log : EventLog
         Logs.
     """
 
@@ -54,13 +54,13 @@
         served: ServedShares,
         clock: Clock,
         rng: random.Random,
-        teller: Teller,
+        event_log: EventLog,
     ) -> None:
         self._pressures = pressures
         self._served = served
         self._clock = clock
         self._rng = rng
-        self._tell = teller
+        self._event_log = event_log
         self._levels: dict[tuple[str, str], RefusalLevel] = {}
         self._order = RefusalOrder()
         self._stepped_at = clock.now()
@@ -92,7 +92,7 @@
                 room = level.room(is_worst=step == 0)
                 self._shares[service, kind] = share_of(step, room, kinds, kept)
             if was_open != (level.cut == 0.0):
-                self._tell.event(
+                self._event_log.event(
                     "admission-changed",
                     service=service,
                     route=kind,
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/side_http.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/auxiliary_http.py
@@ -8,18 +8,18 @@
 
 from fuchsiagap.core.clock import MS_PER_S
 from fuchsiagap.core.routes.model import CallerLimits
-from fuchsiagap_node.core.mesh.callers import answer_bytes
+from fuchsiagap_node.core.mesh.callers import encode_response
 from fuchsiagap_node.core.mesh.http_request import BadRequest, RequestReader
 from fuchsiagap_node.core.mesh.stream import BrokenStream, accept_all, listen
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from fuchsiagap_node.core.mesh.event_log import EventLog
     from fuchsiagap_node.core.mesh.final import Final
     from fuchsiagap_node.core.mesh.http_names import HeaderNames
     from fuchsiagap_node.core.mesh.http_request import Request
     from fuchsiagap_node.core.mesh.stream import Stream
-    from fuchsiagap_node.core.mesh.telling import Teller
 
     Handle: TypeAlias = Callable[[Request], Final]
 
@@ -28,8 +28,8 @@
 _LIMITS = CallerLimits(body_bytes=1_048_576)
 
 
-async def serve_side(
-    address: str, handle: Handle, names: HeaderNames, teller: Teller
+async def serve_auxiliary(
+    address: str, handle: Handle, names: HeaderNames, event_log: EventLog
 ) -> None:
     """Answer requests at an address with a plain function until cancelled.
 
@@ -41,7 +41,7 @@
         Returns the answer to a request; it does not wait for anything.
     names : HeaderNames
         Header names.
-    teller : Teller
+    event_log : EventLog
         Logs.
     """
 
@@ -51,9 +51,9 @@
         except BrokenStream:
             pass
         except BadRequest as exc:
-            teller.event("bad-request", address=address, cause=exc.detail)
+            event_log.event("bad-request", address=address, cause=exc.detail)
         except Exception as exc:
-            teller.fault("side-http", exc)
+            event_log.log_exception("side-http", exc)
         finally:
             stream.close()
 
@@ -69,6 +69,6 @@
         if not data:
             return
         for req in reader.feed(data):
-            await stream.send(answer_bytes(handle(req), not req.keep_alive))
+            await stream.send(encode_response(handle(req), not req.keep_alive))
             if not req.keep_alive:
                 return
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_conn.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_conn.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from fuchsiagap_node.core.mesh.http_answer import AnswerReader, BadAnswer
+from fuchsiagap_node.core.mesh.http_response import BadResponse, ResponseReader
 from fuchsiagap_node.core.mesh.outcome import (
     OTHER_INCARNATION,
     Answered,
@@ -24,7 +24,7 @@
     from collections.abc import Callable
 
     from fuchsiagap.core.clock import Clock, Milliseconds
-    from fuchsiagap_node.core.mesh.http_answer import Answer
+    from fuchsiagap_node.core.mesh.http_response import Response
     from fuchsiagap_node.core.mesh.messages import Call
     from fuchsiagap_node.core.mesh.outcome import Outcome
     from fuchsiagap_node.core.mesh.poller import Poller
@@ -77,7 +77,7 @@
         self._clock = clock
         self._deadline_line = cfg.names.deadline + b": %d\r\n\r\n"
         self._stream: Stream | None = None
-        self._reader = AnswerReader(cfg.names)
+        self._reader = ResponseReader(cfg.names)
         self._unsent = b""
         self._crossed = False
         self.idle_since: Milliseconds = 0.0
@@ -96,8 +96,8 @@
     async def open(self) -> None:
         """Open the connection; `BrokenStream` if there is none in time."""
         self._stream = await dial(self._cfg.backend, _DIAL_MS)
-        self._stream.give_up_after(_UNACKNOWLEDGED_MS)
-        self._stream.probe_when_silent(IDLE_PROBES)
+        self._stream.set_user_timeout(_UNACKNOWLEDGED_MS)
+        self._stream.enable_keepalive(IDLE_PROBES)
         if self.closed:
             self._stream.close()
 
@@ -111,9 +111,9 @@
             return False
         return not self.outlived(now)
 
-    def is_quiet(self) -> bool:
+    def is_reusable(self) -> bool:
         """Whether an idle connection is open and has nothing to read."""
-        return self._stream is not None and self._stream.is_quiet()
+        return self._stream is not None and self._stream.is_reusable()
 
     def send(self, call: Call, left: Milliseconds) -> bool:
         """Send a call, as much as goes out at once; `push` sends the rest.
@@ -169,7 +169,7 @@
         """
         assert self._stream is not None
         self._on_read = on_read
-        self._stream.read_with(poller, self._take, self._end)
+        self._stream.start_reading(poller, self._take, self._end)
 
     def _take(self, data: bytes) -> None:
         """Take in bytes from the server."""
@@ -180,7 +180,7 @@
             return
         try:
             answer = self._answer(data, self.call)
-        except BadAnswer as exc:
+        except BadResponse as exc:
             self._break(exc)
         else:
             self._on_read(self, None if answer is None else _outcome(answer))
@@ -193,7 +193,7 @@
             return
         try:
             answer = self._answer(b"", self.call)
-        except BadAnswer as exc:
+        except BadResponse as exc:
             self._break(exc)
             return
         self.close()
@@ -204,21 +204,21 @@
         outcome = MayHaveRun(f"broken answer: {why}") if self.call else None
         self._on_read(self, outcome)
 
-    def _answer(self, data: bytes, call: Call) -> Answer | None:
+    def _answer(self, data: bytes, call: Call) -> Response | None:
         """Return the answer that bears the call's identifier, once it is whole."""
         answers = self._reader.feed(data) if data else self._reader.end()
         for index, answer in enumerate(answers):
             if not _belongs(answer, call.request_id):
                 self._crossed = True
                 continue
-            clean = index == len(answers) - 1 and not self._reader.midway
+            clean = index == len(answers) - 1 and not self._reader.in_message
             self._keep(answer, clean and not self._crossed and bool(data))
             return answer
         if not data:
-            raise BadAnswer("the connection ended without an answer")
+            raise BadResponse("the connection ended without an answer")
         return None
 
-    def _keep(self, answer: Answer, clean: bool) -> None:
+    def _keep(self, answer: Response, clean: bool) -> None:
         """Keep the connection for the next call, or close it."""
         if not clean or not answer.keep_alive or self._unsent:
             self.close()
@@ -228,7 +228,7 @@
             self._idle_ms = answer.idle_timeout * _IDLE_SHARE
 
 
-def _outcome(answer: Answer) -> Outcome:
+def _outcome(answer: Response) -> Outcome:
     if answer.status == _NOT_THE_ONE_MEANT:
         return NotRun(OTHER_INCARNATION, offered=True)
     if answer.not_run:
@@ -236,7 +236,7 @@
     return Answered(answer.status, answer.reason, answer.headers, answer.body)
 
 
-def _belongs(answer: Answer, request_id: str) -> bool:
+def _belongs(answer: Response, request_id: str) -> bool:
     """Whether an answer is that of a request.
 
     A refusal need not echo the identifier; a success without one cannot be told from
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_conns.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_conns.py
@@ -15,10 +15,10 @@
     from collections.abc import Callable
 
     from fuchsiagap.core.clock import Clock, Milliseconds
+    from fuchsiagap_node.core.mesh.event_log import EventLog
     from fuchsiagap_node.core.mesh.job import Job
     from fuchsiagap_node.core.mesh.poller import Poller
     from fuchsiagap_node.core.mesh.settings import MeshSettings
-    from fuchsiagap_node.core.mesh.telling import Teller
 
 # Milliseconds that must be left for a call to be worth handing over.
 LEAST_LEFT_MS = 1.0
@@ -33,7 +33,7 @@
         Settings.
     clock : Clock
         Time in milliseconds.
-    teller : Teller
+    event_log : EventLog
         Logs.
     settle : callable
         Called with each call that has ended, and its outcome.
@@ -54,7 +54,7 @@
         self,
         cfg: MeshSettings,
         clock: Clock,
-        teller: Teller,
+        event_log: EventLog,
         settle: Callable[[Job, Outcome], None],
         poller: Poller,
     ) -> None:
@@ -62,7 +62,7 @@
         self._all: set[BackendConn] = set()
         self._cfg = cfg
         self._clock = clock
-        self._tell = teller
+        self._event_log = event_log
         self._settle = settle
         self._idle = IdleConns()
         self._carried: dict[BackendConn, Job] = {}
@@ -123,7 +123,7 @@
     def close_older(self, silent: BackendConn) -> None:
         """Close the idle connections that share the fate of one that fell silent."""
         closed = self._idle.close_older(silent, self._used_since(silent))
-        self._tell.event("backend-silent", closed=closed)
+        self._event_log.event("backend-silent", closed=closed)
 
     def give_up_unused(self, late: BackendConn) -> None:
         """Close idle connections that are no better than one without an answer."""
@@ -167,7 +167,7 @@
 
     def _fail(self, conn: BackendConn, exc: Exception) -> None:
         """End a connection on which an exception came that nobody expected."""
-        self._tell.fault("backend-connection", exc)
+        self._event_log.log_exception("backend-connection", exc)
         conn.close()
         why = f"fault of the node: {type(exc).__name__}"
         self._take_outcome(conn, MayHaveRun(why))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/callers.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/callers.py
@@ -19,12 +19,12 @@
 
     from fuchsiagap.core.clock import Clock, Milliseconds
     from fuchsiagap_node.core.mesh.entry import Cancellable, Entry
+    from fuchsiagap_node.core.mesh.event_log import EventLog
     from fuchsiagap_node.core.mesh.http_request import Request
     from fuchsiagap_node.core.mesh.placement import OnFinal
     from fuchsiagap_node.core.mesh.poller import Poller
     from fuchsiagap_node.core.mesh.settings import MeshSettings
     from fuchsiagap_node.core.mesh.stream import Stream
-    from fuchsiagap_node.core.mesh.telling import Teller
 
 # Requests of one connection that are worked on at the same time; those behind wait
 # unread, which holds the caller back instead of this node's memory.
@@ -49,7 +49,7 @@
 }
 
 
-def answer_bytes(final: Final, close: bool) -> bytes:
+def encode_response(final: Final, close: bool) -> bytes:
     """Return an answer as it goes to the caller."""
     parts = [b"HTTP/1.1 %d %s\r\n" % (final.status, final.reason or _reason(final))]
     if final.headers:
@@ -67,7 +67,7 @@
     return _REASONS.get(final.status, b"Answer")
 
 
-class CallerEdge:
+class CallerListener:
     """Takes requests from callers and sends their answers back in order.
 
     Parameters
@@ -78,7 +78,7 @@
         Answers the requests.
     clock : Clock
         Time in milliseconds.
-    teller : Teller
+    event_log : EventLog
         Logs and counters.
     poller : Poller
         Watches the connections.
@@ -98,14 +98,14 @@
         cfg: MeshSettings,
         entry: Entry,
         clock: Clock,
-        teller: Teller,
+        event_log: EventLog,
         poller: Poller,
     ) -> None:
         self._poller = poller
         self._cfg = cfg
         self._entry = entry
         self._clock = clock
-        self._tell = teller
+        self._event_log = event_log
         self.limits = CallerLimits()
         self.closing = False
         self.in_progress = 0
@@ -118,15 +118,15 @@
         """Serve one connection until it ends."""
         conn = _Connection(self, stream)
         self._open[conn] = None
-        stream.read_with(self._poller, conn.take, conn.end)
+        stream.start_reading(self._poller, conn.take, conn.end)
 
     def forget(self, conn: _Connection) -> None:
         """Forget a connection that has ended."""
         self._open.pop(conn, None)
 
-    def fault(self, exc: Exception) -> None:
+    def log_exception(self, exc: Exception) -> None:
         """Take an exception of one connection that nobody expected."""
-        self._tell.fault("caller-connection", exc)
+        self._event_log.log_exception("caller-connection", exc)
 
     def now(self) -> Milliseconds:
         """Return the time."""
@@ -179,7 +179,7 @@
         try:
             return self._entry.begin(req, done, turn)
         except Exception as exc:
-            self._tell.fault("entry", exc)
+            self._event_log.log_exception("entry", exc)
             done(Final(502))
             return None
 
@@ -208,7 +208,7 @@
     by whoever brings them (see `placement`).
     """
 
-    def __init__(self, edge: CallerEdge, stream: Stream) -> None:
+    def __init__(self, edge: CallerListener, stream: Stream) -> None:
         self.stream = stream
         self._edge = edge
         self._reader = edge.reader()
@@ -220,14 +220,14 @@
         self._ended = False
 
     def is_idle(self) -> bool:
-        return not self._open and not self._reader.midway
+        return not self._open and not self._reader.in_message
 
     def is_overdue(self, now: Milliseconds) -> bool:
         """Whether the caller has been silent for longer than the limits allow."""
         if self._open:
             return False
         limits = self._edge.limits
-        wait = limits.header_timeout if self._reader.midway else limits.idle_timeout
+        wait = limits.header_timeout if self._reader.in_message else limits.idle_timeout
         return now - self._heard_at > wait
 
     def take(self, data: bytes) -> None:
@@ -238,7 +238,7 @@
         try:
             self._take(data)
         except Exception as exc:
-            self._edge.fault(exc)
+            self._edge.log_exception(exc)
             self._leave()
 
     def end(self, _: BrokenStream) -> None:
@@ -255,7 +255,7 @@
         for req in requests:
             if not self._ended:
                 self._start(req)
-        if self._reader.wants_continue and self._reader.midway and not self._open:
+        if self._reader.wants_continue and self._reader.in_message and not self._open:
             # Not amid the answers to requests before it, which may be sent in parts.
             self._reader.wants_continue = False
             self._send_continue()
@@ -305,7 +305,7 @@
         """Send the answers whose turn it is."""
         while self._open and self._open[0].final is not None and not self._rest:
             exchange = self._open[0]
-            last = len(self._open) == 1 and not self._reader.midway
+            last = len(self._open) == 1 and not self._reader.in_message
             exchange.closes = exchange.closes or (self._edge.closing and last)
             try:
                 self._rest = self.stream.send_some(_bytes_of(exchange))
@@ -353,5 +353,5 @@
     """Return the answer of an exchange as it goes to the caller."""
     final = exchange.final
     assert final is not None
-    data = answer_bytes(final, exchange.closes)
+    data = encode_response(final, exchange.closes)
     return data[: len(data) - len(final.body)] if exchange.is_head else data
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_in_force.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_in_force.py
@@ -13,8 +13,8 @@
     from collections.abc import Callable
 
     from fuchsiagap.core.clock import Clock, Milliseconds
+    from fuchsiagap_node.core.mesh.event_log import EventLog
     from fuchsiagap_node.core.mesh.store import StoredConfig
-    from fuchsiagap_node.core.mesh.telling import Teller
 
 
 class ConfigInForce:
@@ -27,7 +27,7 @@
     ----------
     clock : Clock
         Time in milliseconds.
-    teller : Teller
+    event_log : EventLog
         Logs.
     put_in_force : callable
         Puts a configuration in force.
@@ -41,11 +41,11 @@
     def __init__(
         self,
         clock: Clock,
-        teller: Teller,
+        event_log: EventLog,
         put_in_force: Callable[[StoredConfig], None],
     ) -> None:
         self._clock = clock
-        self._tell = teller
+        self._event_log = event_log
         self._put_in_force = put_in_force
         self._stored: StoredConfig | None = None
         self._adopted_at = clock.now()
@@ -100,7 +100,7 @@
         self._knowledge.adopt(version)
         adopted, self.adopted = self.adopted, trio.Event()
         adopted.set()
-        self._tell.event(
+        self._event_log.event(
             "config-adopted",
             version=version,
             epoch=stored.cursor.epoch,
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_peers.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_peers.py
@@ -14,8 +14,8 @@
     from collections.abc import Callable, Collection, Iterable
 
     from fuchsiagap_node.core.mesh.config_in_force import ConfigInForce
-    from fuchsiagap_node.core.mesh.sending import SendingLink
-    from fuchsiagap_node.core.mesh.telling import Teller
+    from fuchsiagap_node.core.mesh.event_log import EventLog
+    from fuchsiagap_node.core.mesh.outbound_link import OutboundLink
 
 # Milliseconds within which a node that hears of a newer version on a link asks for it,
 # drawn at random: those that have it first then serve the others, where one node would
@@ -40,7 +40,7 @@
         Whether this node watches the store.
     rng : random.Random
         Spreads whom of the others is asked, and when.
-    teller : Teller
+    event_log : EventLog
         Logs.
 
     Attributes
@@ -52,20 +52,20 @@
     def __init__(
         self,
         in_force: ConfigInForce,
-        links: Callable[[], Iterable[SendingLink]],
+        links: Callable[[], Iterable[OutboundLink]],
         is_watching: Callable[[], bool],
         rng: random.Random,
-        teller: Teller,
+        event_log: EventLog,
     ) -> None:
         self._in_force = in_force
         self._links = links
         self._is_watching = is_watching
         self._rng = rng
-        self._tell = teller
+        self._event_log = event_log
         self._is_asking = False
         self.nursery: trio.Nursery | None = None
 
-    def handle_status(self, link: SendingLink) -> None:
+    def handle_status(self, link: OutboundLink) -> None:
         """Ask for the configuration if another node has a newer one."""
         if link.version <= self._in_force.version or self._is_asking:
             return
@@ -83,7 +83,7 @@
             asked: set[str] = set()
             while (link := self._one_ahead(asked)) is not None:
                 asked.add(link.member.node)
-                self._tell.event(
+                self._event_log.event(
                     "config-asked", of=link.member.node, theirs=link.version
                 )
                 link.post(ConfigWanted())
@@ -94,7 +94,7 @@
         finally:
             self._is_asking = False
 
-    def _one_ahead(self, asked: Collection[str]) -> SendingLink | None:
+    def _one_ahead(self, asked: Collection[str]) -> OutboundLink | None:
         """Return a node with a newer version, one not asked yet and near if any is.
 
         Bytes between data centres are dear, and a version may have thousands of routes.
@@ -104,7 +104,7 @@
         if not ahead:
             return None
 
-        def rank(link: SendingLink) -> tuple[bool, bool, float]:
+        def rank(link: OutboundLink) -> tuple[bool, bool, float]:
             is_asked = link.member.node in asked
             return is_asked, not link.target.local, self._rng.random()
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_requests.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_requests.py
@@ -19,9 +19,9 @@
     from fuchsiagap.core.clock import Clock, Milliseconds
     from fuchsiagap.core.freshness.store_timeouts import StoreTimeouts
     from fuchsiagap.core.freshness.store_view import Cursor, StoreView
+    from fuchsiagap_node.core.mesh.event_log import EventLog
     from fuchsiagap_node.core.mesh.hedging import FirstAnswer
     from fuchsiagap_node.core.mesh.store import ConfigResult, ProbeResult, Store
-    from fuchsiagap_node.core.mesh.telling import Teller
     from fuchsiagap_node.core.mesh.watcher_role import WatcherRole
 
 # Milliseconds that one watch waits; each is one priced call. Probes tell meanwhile
@@ -72,7 +72,7 @@
         Time in milliseconds.
     rng : random.Random
         Spreads what nodes would do together.
-    teller : Teller
+    event_log : EventLog
         Logs and counters.
 
     Attributes
@@ -101,16 +101,16 @@
         revocation: Milliseconds | None,
         clock: Clock,
         rng: random.Random,
-        teller: Teller,
+        event_log: EventLog,
     ) -> None:
         self._store = store
         self._view = view
         self._role = role
-        self._probe = StoreProbe(store, node, timeouts, teller)
+        self._probe = StoreProbe(store, node, timeouts, event_log)
         self._bound = revocation
         self._clock = clock
         self._rng = rng
-        self._tell = teller
+        self._event_log = event_log
         self._read_scope: trio.CancelScope | None = None
         self._watch_scope: trio.CancelScope | None = None
         self.is_first_read = True
@@ -163,7 +163,7 @@
             result = await self._watch(cursor)
             if result is not None:
                 return Request.WATCH, result
-            self._tell.event(
+            self._event_log.event(
                 "watch-restarted", what="configuration", base=cursor.revision
             )
 
@@ -191,7 +191,7 @@
         request = Request.READ_OLDER if is_older else Request.READ
 
         async def ask() -> ConfigResult:
-            self._tell.store_call(request.value, cause.value)
+            self._event_log.count_store_call(request.value, cause.value)
             return await self._store.read_config(recent=not is_older)
 
         every = self.timeouts.hedge_delay
@@ -210,7 +210,7 @@
         async with trio.open_nursery() as nursery:
             self._watch_scope = nursery.cancel_scope
             nursery.start_soon(self._probe_until_lost, results, nursery.cancel_scope)
-            self._tell.store_call(Request.WATCH.value, _Cause.WATCH.value)
+            self._event_log.count_store_call(Request.WATCH.value, _Cause.WATCH.value)
             results.append(await self._store.watch_config(cursor, self._watch_ms()))
             nursery.cancel_scope.cancel()
         self._watch_scope = None
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_sync.py
@@ -22,10 +22,10 @@
     from collections.abc import Callable, Iterable
 
     from fuchsiagap.core.clock import Clock, Milliseconds
+    from fuchsiagap_node.core.mesh.event_log import EventLog
     from fuchsiagap_node.core.mesh.messages import ConfigText
-    from fuchsiagap_node.core.mesh.sending import Member, SendingLink
+    from fuchsiagap_node.core.mesh.outbound_link import Member, OutboundLink
     from fuchsiagap_node.core.mesh.store import Store, StoredConfig
-    from fuchsiagap_node.core.mesh.telling import Teller
 
 # Milliseconds between two calls while the store fails, at first and at most, of those
 # that are not first in their data centre, and of all while one beside them watches.
@@ -51,7 +51,7 @@
         The platform's store.
     clock : Clock
         Time in milliseconds.
-    teller : Teller
+    event_log : EventLog
         Logs.
     put_in_force : callable
         Puts a configuration in force.
@@ -81,10 +81,10 @@
         self,
         store: Store,
         clock: Clock,
-        teller: Teller,
+        event_log: EventLog,
         put_in_force: Callable[[StoredConfig], None],
         own: Member,
-        links: Callable[[], Iterable[SendingLink]],
+        links: Callable[[], Iterable[OutboundLink]],
         rng: random.Random,
         first_start: bool = False,
         bounds: Bounds = _USUAL_BOUNDS,
@@ -92,7 +92,7 @@
         self._store = store
         self._bound = bounds.revocation
         self._clock = clock
-        self._tell = teller
+        self._event_log = event_log
         self._rng = rng
         self._view = StoreView((bounds.revocation or 0.0) * _SETTLE_SHARE)
         self._role = WatcherRole(own, links, first_start, clock)
@@ -106,19 +106,19 @@
             bounds.revocation,
             clock,
             rng,
-            teller,
+            event_log,
         )
         self._requests.on_silence = self._suspect_store
         self._requests.on_answer = self._regain_store
         self._requests.on_epoch = self._announce_epoch
         self._requests.is_urgent = self._is_too_old
-        self.in_force = ConfigInForce(clock, teller, put_in_force)
+        self.in_force = ConfigInForce(clock, event_log, put_in_force)
         self._peers = ConfigPeers(
             self.in_force,
             links,
             lambda: self.update_source is UpdateSource.STORE,
             rng,
-            teller,
+            event_log,
         )
         # The highest epoch that this node or another one has told of.
         self._highest_epoch = NO_EPOCH
@@ -170,7 +170,7 @@
         cursor = Cursor(message.epoch, message.revision)
         stored = self._store.decode_config(cursor, message.text)
         if stored is None:
-            self._tell.event("config-unreadable", source=source)
+            self._event_log.event("config-unreadable", source=source)
             return
         if not self.in_force.adopt(stored, source):
             return
@@ -179,7 +179,7 @@
         if self._peers.nursery is not None:
             self._requests.doubt_watch(self._peers.nursery)
 
-    def handle_peer_status(self, link: SendingLink) -> None:
+    def handle_peer_status(self, link: OutboundLink) -> None:
         """Take in what another node has told of the configuration and the store."""
         self._view.note_peer_epoch(link.epoch)
         self._observe_epoch(link.epoch)
@@ -192,7 +192,7 @@
         is_return = self._highest_epoch != NO_EPOCH
         self._highest_epoch = epoch
         if is_return:
-            self._tell.event("store-returned", epoch=epoch, own_epoch=self.epoch)
+            self._event_log.event("store-returned", epoch=epoch, own_epoch=self.epoch)
             self.on_return()
 
     def refresh(self) -> None:
@@ -260,7 +260,7 @@
         """Note that the store answers."""
         self._requests.answered_at = self._clock.now()
         if self._role.is_lost:
-            self._tell.event("store-regained", what="configuration")
+            self._event_log.event("store-regained", what="configuration")
         self._role.is_lost = False
 
     def _note_place(
@@ -289,7 +289,7 @@
         """Tell of a store whose newest configuration is older than the one in force."""
         is_older = stored.config.version < self.in_force.version
         if is_older and request is not Request.READ_OLDER:
-            self._tell.event(
+            self._event_log.event(
                 "store-behind",
                 version=stored.config.version,
                 in_force=self.in_force.version,
@@ -299,13 +299,13 @@
 
     def _lose_history(self) -> None:
         """Note that the changes since the cursor are gone."""
-        self._tell.event("history-gone", what="configuration", base=self.revision)
+        self._event_log.event("history-gone", what="configuration", base=self.revision)
         self._view.drop_cursor()
 
     def _lose_store(self, reason: str) -> None:
         """Note that the store does not answer."""
         if not self._role.is_lost:
-            self._tell.event("store-lost", what="configuration", cause=reason)
+            self._event_log.event("store-lost", what="configuration", cause=reason)
         self._role.is_lost = True
         self._role.set_update_source(UpdateSource.NONE)
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/crash_reports.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/crash_reports.py
@@ -16,8 +16,8 @@
 
     from fuchsiagap.core.clock import Clock
     from fuchsiagap.core.quarantine.quarantine import QuarantineSettings
+    from fuchsiagap_node.core.mesh.event_log import EventLog
     from fuchsiagap_node.core.mesh.messages import Message
-    from fuchsiagap_node.core.mesh.telling import Teller
 
     # Sends a message on the link to one node.
     Post: TypeAlias = Callable[[Message], None]
@@ -50,7 +50,7 @@
         Time in milliseconds.
     rng : random.Random
         Chooses whom to tell where links are many.
-    teller : Teller
+    event_log : EventLog
         Logs and counters.
 
     Attributes
@@ -67,14 +67,14 @@
         service: str,
         clock: Clock,
         rng: random.Random,
-        teller: Teller,
+        event_log: EventLog,
     ) -> None:
         self.quarantine = Quarantine(cfg, clock)
         self._clock = clock
         self._lost = LostServers()
         self._service = service
         self._rng = rng
-        self._tell = teller
+        self._event_log = event_log
         self._cleared: set[bytes] = set()
         self._refused_in = -1
         self._n_refused = 0
@@ -150,7 +150,7 @@
         probe = self.quarantine.start_probe(fingerprint)
         if probe is None:
             return False
-        self._tell.event(
+        self._event_log.event(
             "quarantine-probe",
             fingerprint=fingerprint.hex(),
             service=probe.service,
@@ -161,13 +161,13 @@
 
     def record_refusal(self, fingerprint: bytes, request_id: str) -> None:
         """Count a refusal, and write a line unless there were many this second."""
-        self._tell.counts["quarantine_refused", ""] += 1
+        self._event_log.counts["quarantine_refused", ""] += 1
         second = int(self._clock.now() / MS_PER_S)
         if second != self._refused_in:
             self._refused_in, self._n_refused = second, 0
         self._n_refused += 1
         if self._n_refused <= _REFUSED_LINES_A_S:
-            self._tell.event(
+            self._event_log.event(
                 "quarantine-refused",
                 request=request_id,
                 fingerprint=fingerprint.hex(),
@@ -200,7 +200,7 @@
             self._publish_held(held, sender)
 
     def _publish_held(self, held: Held, sender: str) -> None:
-        self._tell.event(
+        self._event_log.event(
             "quarantine-held",
             fingerprint=held.fingerprint.hex(),
             service=held.service,
@@ -212,7 +212,7 @@
 
     def _publish_cleared(self, fingerprints: Iterable[bytes], sender: str) -> None:
         cleared = Cleared(tuple(fingerprints))
-        self._tell.event(
+        self._event_log.event(
             "quarantine-cleared",
             fingerprints=[f.hex() for f in cleared.fingerprints],
             source=sender,
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/door.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/door.py
@@ -35,11 +35,11 @@
 
     from fuchsiagap.core.clock import Clock, Milliseconds
     from fuchsiagap.core.door.incarnation import BackendReport
+    from fuchsiagap_node.core.mesh.event_log import EventLog
     from fuchsiagap_node.core.mesh.job import Job
     from fuchsiagap_node.core.mesh.poller import Poller
     from fuchsiagap_node.core.mesh.settings import MeshSettings
     from fuchsiagap_node.core.mesh.stream import BrokenStream
-    from fuchsiagap_node.core.mesh.telling import Teller
 
 # Weight of one request in the mean time at the server: about the last 50 count.
 _SERVICE_WEIGHT = 0.02
@@ -61,7 +61,7 @@
         Settings.
     clock : Clock
         Time in milliseconds.
-    teller : Teller
+    event_log : EventLog
         Logs and counters.
     rng : random.Random
         Rounds shares of the retry budget.
@@ -86,26 +86,26 @@
         self,
         cfg: MeshSettings,
         clock: Clock,
-        teller: Teller,
+        event_log: EventLog,
         rng: random.Random,
         poller: Poller,
     ) -> None:
         self._cfg = cfg
-        self.reports = CrashReports(cfg.quarantine, cfg.service, clock, rng, teller)
-        self.repeats = PaidRepeats(cfg.budget, clock, teller, rng)
+        self.reports = CrashReports(cfg.quarantine, cfg.service, clock, rng, event_log)
+        self.repeats = PaidRepeats(cfg.budget, clock, event_log, rng)
         self._clock = clock
-        self._tell = teller
+        self._event_log = event_log
         self._queue: DoorQueue[Job] = DoorQueue(1)
         self._offered = OfferedLoad()
         self.turns = RankTurns()
         self._lost = LostTrees()
         self._incarnation = Incarnation()
-        self._conns = BackendConns(cfg, clock, teller, self._settle, poller)
+        self._conns = BackendConns(cfg, clock, event_log, self._settle, poller)
         self._at_server: dict[Job, None] = {}
         self._by_id: dict[str, Job] = {}
         self._usable = ""
         self._health = ServerHealth(clock.now())
-        self._crashes = ServerCrashes(clock, teller, self._at_work)
+        self._crashes = ServerCrashes(clock, event_log, self._at_work)
         self._crashes.on_crash = self.reports.report_crash
         self._conns.on_outcome = self._crashes.record_answer
         self._conns.on_unreachable = self._unreachable
@@ -197,7 +197,7 @@
         """Take in what the backend server says of itself."""
         old = self._incarnation.report
         if not self._incarnation.take(report):
-            self._tell.event("report-ignored", instance=report.instance)
+            self._event_log.event("report-ignored", instance=report.instance)
             return
         self._follow(report)
         same = old is not None and old.is_same_start(report)
@@ -206,7 +206,7 @@
         self._crashes.record_report(report, same)
         if not same:
             self._forget_earlier(old, report)
-        self._tell.event(
+        self._event_log.event(
             "backend-changed",
             instance=report.instance,
             born=report.born,
@@ -246,7 +246,7 @@
         self._crashes.revert(report)
         self._follow(report)
         self._health.forget_failures()
-        self._tell.event(
+        self._event_log.event(
             "backend-refuted",
             instance=instance,
             instead=report.instance,
@@ -295,7 +295,7 @@
             self._start(job)
             return
         if self._queue.is_full() and not self._make_room(call.rank):
-            self._tell.event("queue-full", request=call.request_id, load=self.load)
+            self._event_log.event("queue-full", request=call.request_id, load=self.load)
             job.reply(NotRun(QUEUE_FULL))
             return
         job.waiting = self._queue.push(
@@ -385,7 +385,7 @@
     def _unreachable(self, cause: BrokenStream) -> None:
         """Leave a server alone that took no connection."""
         self._health.note_unreachable(self._clock.now())
-        self._tell.event("backend-unreachable", cause=str(cause))
+        self._event_log.event("backend-unreachable", cause=str(cause))
         self._crashes.record_unreachable(cause)
         self.changed()
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/entry.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/entry.py
@@ -18,13 +18,13 @@
     from fuchsiagap.core.routes.table import RouteTable, ShareRotation
     from fuchsiagap.core.workspaces.model import Workspace
     from fuchsiagap_node.core.mesh.admission import Admission
+    from fuchsiagap_node.core.mesh.event_log import EventLog
     from fuchsiagap_node.core.mesh.http_request import Request
     from fuchsiagap_node.core.mesh.job import Job
     from fuchsiagap_node.core.mesh.placement import OnFinal
     from fuchsiagap_node.core.mesh.placing import Placing
     from fuchsiagap_node.core.mesh.pressures import Pressures
     from fuchsiagap_node.core.mesh.quotas import QuotaAnswer, Quotas
-    from fuchsiagap_node.core.mesh.telling import Teller
     from fuchsiagap_node.core.mesh.workspace_check import WorkspaceCheck
 
 
@@ -48,7 +48,7 @@
         What is refused at once.
     rotation : ShareRotation
         Choice among the services of a route.
-    teller : Teller
+    event_log : EventLog
         Logs and counters.
     check : WorkspaceCheck
         Finds the workspace of a request.
@@ -71,7 +71,7 @@
         pressures: Pressures,
         admission: Admission,
         rotation: ShareRotation,
-        teller: Teller,
+        event_log: EventLog,
         check: WorkspaceCheck,
         quotas: Quotas,
     ) -> None:
@@ -81,7 +81,7 @@
         self._pressures = pressures
         self._admission = admission
         self._rotation = rotation
-        self._tell = teller
+        self._event_log = event_log
         self.table: RouteTable | None = None
         self.stopping = False
         self.parent_of: Callable[[str], Job | None] = _no_parent
@@ -114,7 +114,7 @@
         path = req.target.partition(b"?")[0].decode("latin-1")
         route = table.find(req.host, path)
         if route is None:
-            self._tell.event("no-route", request=req.request_id, host=req.host)
+            self._event_log.event("no-route", request=req.request_id, host=req.host)
             done(Final(404))
             return None
         parent = self.parent_of(req.request_id)
@@ -161,7 +161,7 @@
         placement.start()
         return placement
 
-    def within_quota(
+    def admit_within_quota(
         self, keyed: KeyedRequest, done: OnFinal, waited: Milliseconds
     ) -> Placement | None:
         """Go on with a request that has its token."""
@@ -170,19 +170,19 @@
                 keyed.req, keyed.route, done, keyed.turn, keyed.workspace, waited
             )
         except Exception as exc:
-            self._tell.fault("entry", exc)
+            self._event_log.log_exception("entry", exc)
             done(Final(502))
             return None
 
-    def over_quota(self, keyed: KeyedRequest, answer: QuotaAnswer) -> Final:
+    def refuse_over_quota(self, keyed: KeyedRequest, answer: QuotaAnswer) -> Final:
         """Return what the caller gets whose workspace has no token."""
         route = keyed.route.name
         cause = answer.verdict.value
         refusal = quota_refusal(answer)
         assert refusal is not None
-        self._tell.counts["quota_refused", cause] += 1
-        self._tell.answered(route, str(refusal.status), 0.0)
-        self._tell.event(
+        self._event_log.counts["quota_refused", cause] += 1
+        self._event_log.count_outcome(route, str(refusal.status), 0.0)
+        self._event_log.event(
             "quota-refused",
             request=keyed.req.request_id,
             route=route,
@@ -207,9 +207,9 @@
             return None
         self._placing.served.note_refused(route.name, self._placing.clock.now())
         retry_after = self._admission.retry_after(route)
-        self._tell.answered(route.name, "refused", 0.0)
-        self._tell.counts["refused_at_entry", f"rank-{route.priority}"] += 1
-        self._tell.event(
+        self._event_log.count_outcome(route.name, "refused", 0.0)
+        self._event_log.counts["refused_at_entry", f"rank-{route.priority}"] += 1
+        self._event_log.event(
             "refused",
             request=req.request_id,
             route=route.name,
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/telling.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/event_log.py
@@ -59,7 +59,7 @@
         return f"fuchsiagap_{self.name}{{{self.labels}}} {self.value:g}"
 
 
-class Teller:
+class EventLog:
     """Writes one line for each decision and counts what happens often.
 
     Parameters
@@ -115,7 +115,7 @@
         """Return the lines that are still to be written."""
         return tuple(self._lines)
 
-    def fault(self, where: str, exc: BaseException) -> None:
+    def log_exception(self, where: str, exc: BaseException) -> None:
         """Write a line for an exception that nothing else expected.
 
         Only the first of a kind gets its trace, and of the others one in a hundred a
@@ -148,11 +148,11 @@
         else:
             self.counts["events", kind] += 1
 
-    def store_call(self, kind: str, cause: str) -> None:
+    def count_store_call(self, kind: str, cause: str) -> None:
         """Count a call to the store by what it asks for and why."""
         self.counts["store_calls", f'kind="{kind}",cause="{cause}"'] += 1
 
-    def answered(self, route: str, outcome: str, latency: float) -> None:
+    def count_outcome(self, route: str, outcome: str, latency: float) -> None:
         """Count a request by route and outcome, and its latency in milliseconds."""
         self.counts["requests", f'route="{route}",outcome="{outcome}"'] += 1
         buckets = self._latency.get(route)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/frames.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/frames.py
@@ -115,7 +115,7 @@
                 m.address,
                 m.data_centre,
                 m.service,
-                m.packed,
+                m.compressed,
                 m.protocol,
             ]
         case ConfigWanted():
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/gauges.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/gauges.py
@@ -6,7 +6,7 @@
 
 from fuchsiagap.core.placement.choice import service_fullness
 from fuchsiagap.core.watching.watcher_rank import UpdateSource
-from fuchsiagap_node.core.mesh.telling import Gauge
+from fuchsiagap_node.core.mesh.event_log import Gauge
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -37,7 +37,7 @@
         yield Gauge("config_update_source", labels, float(is_it))
 
 
-def door_gauges(door: Door) -> Iterator[Gauge]:
+def backend_gauges(door: Door) -> Iterator[Gauge]:
     """Yield what the node believes of its own backend server."""
     yield Gauge("backend_ready", "", float(bool(door.instance())))
     yield Gauge("backend_beat_age_ms", "", round(door.beat_age))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/http_call.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/http_client.py
@@ -7,13 +7,13 @@
 import trio
 
 from fuchsiagap.core.clock import MS_PER_S
-from fuchsiagap_node.core.mesh.http_answer import AnswerReader, BadAnswer
+from fuchsiagap_node.core.mesh.http_response import BadResponse, ResponseReader
 from fuchsiagap_node.core.mesh.stream import BrokenStream, Stream, dial
 
 if TYPE_CHECKING:
     from fuchsiagap.core.clock import Milliseconds
-    from fuchsiagap_node.core.mesh.http_answer import Answer
     from fuchsiagap_node.core.mesh.http_names import HeaderNames
+    from fuchsiagap_node.core.mesh.http_response import Response
 
 _DIAL_MS = 1_000.0
 
@@ -22,7 +22,7 @@
     """No whole answer came; the call may have taken effect."""
 
 
-class HttpCaller:
+class HttpClient:
     """A client for one server; calls at the same time use connections of their own.
 
     Parameters
@@ -40,7 +40,7 @@
 
     async def call(
         self, method: str, target: str, body: bytes, wait: Milliseconds
-    ) -> Answer:
+    ) -> Response:
         """Send a request and return its answer.
 
         Parameters
@@ -60,11 +60,11 @@
         with trio.move_on_after(wait / MS_PER_S):
             try:
                 return await self._call(method, target, body)
-            except (BrokenStream, BadAnswer) as exc:
+            except (BrokenStream, BadResponse) as exc:
                 raise CallFailed(f"{method} {target}: {exc}") from exc
         raise CallFailed(f"{method} {target}: no answer within {wait:.0f} ms")
 
-    async def _call(self, method: str, target: str, body: bytes) -> Answer:
+    async def _call(self, method: str, target: str, body: bytes) -> Response:
         stream = await self._connect()
         is_reusable = False
         try:
@@ -80,31 +80,31 @@
     async def _connect(self) -> Stream:
         """Return a connection on which nothing is under way."""
         stream, self._idle = self._idle, None
-        if stream is not None and stream.is_quiet():
+        if stream is not None and stream.is_reusable():
             return stream
         if stream is not None:
             stream.close()
         stream = await dial(self._address, _DIAL_MS)
-        stream.probe_when_silent()
+        stream.enable_keepalive()
         return stream
 
     async def _exchange(
         self, stream: Stream, method: str, target: str, body: bytes
-    ) -> Answer:
+    ) -> Response:
         lines = [f"{method} {target} HTTP/1.1", f"Host: {self._address}"]
         if body:
             lines.append("Content-Type: application/json")
         if body or method in ("POST", "PUT"):
             lines.append(f"Content-Length: {len(body)}")
         await stream.send("\r\n".join([*lines, "", ""]).encode() + body)
-        reader = AnswerReader(self._names)
+        reader = ResponseReader(self._names)
         while True:
             data = await stream.receive()
             answers = reader.feed(data) if data else reader.end()
             if answers:
                 return answers[0]
             if not data:
-                raise BadAnswer("the connection ended without an answer")
+                raise BadResponse("the connection ended without an answer")
 
     def close(self) -> None:
         """Close the connection that is kept, if there is one."""
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/http_request.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/http_request.py
@@ -99,7 +99,7 @@
         self._done: list[Request] = []
         self._fault: BadRequest | None = None
         self.wants_continue = False
-        self.midway = False
+        self.in_message = False
         self._reset()
 
     def _reset(self) -> None:
@@ -138,7 +138,7 @@
     def on_message_begin(self) -> None:
         """Start a request."""
         self._reset()
-        self.midway = True
+        self.in_message = True
 
     def on_url(self, part: bytes) -> None:
         """Take in a part of the request target."""
@@ -186,7 +186,7 @@
 
     def on_message_complete(self) -> None:
         """Finish a request."""
-        self.midway = False
+        self.in_message = False
         target = self._target
         if not target.startswith(b"/"):
             self._fail(BadRequest(400, "the target has to begin with a slash"))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/http_answer.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/http_response.py
@@ -12,7 +12,7 @@
     from fuchsiagap_node.core.mesh.http_names import HeaderNames
 
 
-class Answer(NamedTuple):
+class Response(NamedTuple):
     """One whole answer.
 
     Parameters
@@ -51,11 +51,11 @@
     keep_alive: bool = True
 
 
-class BadAnswer(Exception):
+class BadResponse(Exception):
     """The bytes are no answer, or not a whole one."""
 
 
-class AnswerReader:
+class ResponseReader:
     """Cuts the bytes of one connection into answers.
 
     Parameters
@@ -70,9 +70,9 @@
         self._load_name = names.load.lower()
         self._instance_name = names.instance.lower()
         self._parser = httptools.HttpResponseParser(self)
-        self._done: list[Answer] = []
+        self._done: list[Response] = []
         self._reset()
-        self.midway = False
+        self.in_message = False
 
     def _reset(self) -> None:
         self._reason = b""
@@ -86,46 +86,46 @@
         self._framed = False
         self._head_done = False
 
-    def feed(self, data: bytes) -> list[Answer]:
+    def feed(self, data: bytes) -> list[Response]:
         """Take in bytes and return the answers that they complete.
 
         Raises
         ------
-        BadAnswer
+        BadResponse
             If they are none; answers completed before the fault are lost with it.
         """
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as exc:
             if self._done:
-                self.midway = True
+                self.in_message = True
                 return self._take()
-            raise BadAnswer(f"not an HTTP/1.1 answer: {exc}") from None
+            raise BadResponse(f"not an HTTP/1.1 answer: {exc}") from None
         return self._take()
 
-    def end(self) -> list[Answer]:
+    def end(self) -> list[Response]:
         """Take in the orderly end of the connection.
 
         Raises
         ------
-        BadAnswer
+        BadResponse
             If an answer is cut short by it.
         """
-        if not self.midway:
+        if not self.in_message:
             return []
         if not self._head_done or self._framed:
-            raise BadAnswer("the connection ended within an answer")
+            raise BadResponse("the connection ended within an answer")
         self._finish(keep_alive=False)
         return self._take()
 
-    def _take(self) -> list[Answer]:
+    def _take(self) -> list[Response]:
         done, self._done = self._done, []
         return done
 
     def on_message_begin(self) -> None:
         """Start an answer."""
         self._reset()
-        self.midway = True
+        self.in_message = True
 
     def on_status(self, part: bytes) -> None:
         """Take in a part of the reason phrase."""
@@ -164,9 +164,9 @@
             self._finish(self._parser.should_keep_alive())
 
     def _finish(self, keep_alive: bool) -> None:
-        self.midway = False
+        self.in_message = False
         self._done.append(
-            Answer(
+            Response(
                 self._parser.get_status_code(),
                 self._reason,
                 b"".join(self._lines),
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/idle_conns.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/idle_conns.py
@@ -32,7 +32,7 @@
         conns = self._conns
         while conns and conns[-1].is_fit(idempotent, now):
             conn = conns.pop()
-            if conn.is_quiet():
+            if conn.is_reusable():
                 return conn
             conn.close()
         return None
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/keyed_request.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/keyed_request.py
@@ -85,10 +85,10 @@
 
     def _decided(self, answer: QuotaAnswer) -> None:
         if answer.verdict is not Verdict.WITHIN:
-            self._done(self._entry.over_quota(self, answer))
+            self._done(self._entry.refuse_over_quota(self, answer))
             return
         waited = self._entry.now() - self._began
-        self._placement = self._entry.within_quota(self, self._finish, waited)
+        self._placement = self._entry.admit_within_quota(self, self._finish, waited)
 
     def _finish(self, final: Final) -> None:
         """Return the token of a request that has not run, and tell the answer."""
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/knowledge_exchange.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/knowledge_exchange.py
@@ -15,7 +15,7 @@
 
     from fuchsiagap.core.clock import Clock, Milliseconds
     from fuchsiagap_node.core.mesh.config_sync import ConfigSync
-    from fuchsiagap_node.core.mesh.sending import SendingLink
+    from fuchsiagap_node.core.mesh.outbound_link import OutboundLink
 
 # Milliseconds between two looks at how old the own knowledge is.
 LOOK_MS = 250.0
@@ -50,7 +50,7 @@
     def __init__(
         self,
         config: ConfigSync,
-        links: Callable[[], Iterable[SendingLink]],
+        links: Callable[[], Iterable[OutboundLink]],
         bound: Milliseconds | None,
         clock: Clock,
         rng: random.Random,
@@ -82,7 +82,9 @@
             for question, at in self._asked.items()
             if now - at < _ANSWER_MS
         }
-        links = {link.member.node: link for link in self._links() if link.is_heard()}
+        links = {
+            link.member.node: link for link in self._links() if link.is_responsive()
+        }
         nodes = [
             Source(name, link.update_source is UpdateSource.STORE, link.target.local)
             for name, link in links.items()
@@ -91,14 +93,14 @@
         for name in self._sources.choose(nodes, now, is_urgent):
             self._ask(links[name])
 
-    def ask_new(self, link: SendingLink) -> None:
+    def ask_new(self, link: OutboundLink) -> None:
         """Ask a node that has just been linked, if the own knowledge is old."""
         if self._bound is None or not self._config.in_force.version:
             return
         if self._config.in_force.knowledge_age > self._bound * _URGENT_AT:
             self._ask(link)
 
-    def _ask(self, link: SendingLink) -> None:
+    def _ask(self, link: OutboundLink) -> None:
         question = next(self._questions)
         self._asked[question] = self._clock.now()
         link.post(AgeWanted(question))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/link.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/link.py
@@ -40,14 +40,14 @@
 
     Attributes
     ----------
-    heard_at : float
+    last_received_at : float
         When the other end was last heard of.
     greeted : bool
         Whether this end has sent its `Hello`.
     """
 
     def __init__(self, stream: Stream, clock: Clock) -> None:
-        stream.give_up_after(_UNACKNOWLEDGED_MS)
+        stream.set_user_timeout(_UNACKNOWLEDGED_MS)
         self._stream = stream
         self._clock = clock
         self._outbox: list[bytes] = []
@@ -60,8 +60,8 @@
         self._unpack: zlib._Decompress | None = None
         self._on_message: Callable[[Message], None] = _ignore
         self._ended: Exception | None = None
-        self.heard_at: Milliseconds = clock.now()
-        self.greeted = False
+        self.last_received_at: Milliseconds = clock.now()
+        self.hello_sent = False
 
     def post(self, message: Message, call_id: int = 0) -> None:
         """Queue a message.
@@ -99,15 +99,15 @@
             self._outbox.append(rest)
             self._filled.set()
 
-    def post_hello(self, hello: Hello, packed: bool) -> None:
-        """Queue the first message, and compress what follows if `packed`.
+    def post_hello(self, hello: Hello, compressed: bool) -> None:
+        """Queue the first message, and compress what follows if `compressed`.
 
         Heads of requests repeat from one to the next: on links between data centres,
         whose bytes are dear, that took 0.050 to 0.044 GB on a high day.
         """
-        self.post(replace(hello, packed=packed))
-        self.greeted = True
-        if packed:
+        self.post(replace(hello, compressed=compressed))
+        self.hello_sent = True
+        if compressed:
             self._head, self._outbox = b"".join(self._outbox), []
             self._pack = zlib.compressobj(
                 _LEVEL, zlib.DEFLATED, _WINDOW_BITS, _MEMORY_LEVEL
@@ -139,7 +139,7 @@
             Why the link has ended.
         """
         self._on_message = on_message
-        self._stream.read_with(poller, self._read, self.end)
+        self._stream.start_reading(poller, self._read, self.end)
         try:
             await self._write()
         except BrokenStream:
@@ -174,7 +174,7 @@
 
     def _read(self, data: bytes) -> None:
         """Take in bytes; what goes wrong with them ends the link."""
-        self.heard_at = self._clock.now()
+        self.last_received_at = self._clock.now()
         try:
             for message in self._messages(data):
                 self._on_message(message)
@@ -187,7 +187,7 @@
         last = messages[-1] if messages else None
         if isinstance(last, Hello):
             rest = self._reader.take_rest()
-            if last.packed:
+            if last.compressed:
                 self._unpack = zlib.decompressobj(_WINDOW_BITS)
             messages += self._reader.feed(self._unpacked(rest))
         return messages
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/member_sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/member_sync.py
@@ -17,11 +17,11 @@
     from collections.abc import Mapping
 
     from fuchsiagap.core.clock import Clock, Milliseconds
-    from fuchsiagap_node.core.mesh.links import Links
-    from fuchsiagap_node.core.mesh.sending import Member
+    from fuchsiagap_node.core.mesh.event_log import EventLog
+    from fuchsiagap_node.core.mesh.outbound_link import Member
+    from fuchsiagap_node.core.mesh.outbound_links import OutboundLinks
     from fuchsiagap_node.core.mesh.settings import Bounds, MeshSettings
     from fuchsiagap_node.core.mesh.store import MembersResult, Store
-    from fuchsiagap_node.core.mesh.telling import Teller
 
 # Milliseconds between two lists, at least, and for each node that is listed; give or
 # take a fifth. A new node is known at once to those that it links to; the others learn
@@ -67,7 +67,7 @@
     ----------
     own : Member
         This node.
-    links : Links
+    links : OutboundLinks
         Told which nodes there are.
     store : Store
         The platform's store.
@@ -78,29 +78,29 @@
         Time in milliseconds.
     rng : random.Random
         Spreads the lists of the nodes, and who removes a lost one.
-    teller : Teller
+    event_log : EventLog
         Logs.
     """
 
     def __init__(
         self,
         own: Member,
-        links: Links,
+        links: OutboundLinks,
         store: Store,
         cfg: MeshSettings,
         clock: Clock,
         rng: random.Random,
-        teller: Teller,
+        event_log: EventLog,
     ) -> None:
         self._own = own
         self._links = links
         self._store = store
         self._first_start = cfg.first_start
         self._timeouts = timeouts_within(cfg.bounds.change)
-        self._probe = StoreProbe(store, own.node, self._timeouts, teller)
+        self._probe = StoreProbe(store, own.node, self._timeouts, event_log)
         self._clock = clock
         self._rng = rng
-        self._tell = teller
+        self._event_log = event_log
         self._removed: dict[str, str] = {}
         self._returned = trio.Event()
         self._announced_at = float("-inf")
@@ -182,11 +182,11 @@
             ):
                 continue
             self._removed[node] = listed.incarnation
-            self._tell.store_call("member-remove", "lost")
+            self._event_log.count_store_call("member-remove", "lost")
             failed = await self._store.withdraw(node)
             cause = None if failed is None else failed.reason
             silent = round(out_of_reach)
-            self._tell.event("node-removed", node=node, silent=silent, cause=cause)
+            self._event_log.event("node-removed", node=node, silent=silent, cause=cause)
 
     async def _list(self, cause: str) -> Mapping[str, Member]:
         """Follow a list of all nodes, however long it takes to get one."""
@@ -194,7 +194,7 @@
         failing = False
 
         async def ask() -> MembersResult:
-            self._tell.store_call("member-list-older", cause)
+            self._event_log.count_store_call("member-list-older", cause)
             return await self._store.read_members(recent=False)
 
         while True:
@@ -202,15 +202,15 @@
             result = (await hedge(ask, every, _ignore, self._growth)).result
             if isinstance(result, Members):
                 if failing:
-                    self._tell.event("store-regained", what="members")
+                    self._event_log.event("store-regained", what="members")
                 for entry in result.broken:
                     # It is neither dialled nor removed: who wrote it may need it.
-                    self._tell.unreadable("entry-unreadable", entry)
-                self._links.know(result.present.values())
-                self._links.forget_unlisted(result.present, _FORGET_MS)
+                    self._event_log.unreadable("entry-unreadable", entry)
+                self._links.add_members(result.present.values())
+                self._links.remove_unlisted(result.present, _FORGET_MS)
                 return result.present
             if not failing:
-                self._tell.event("store-lost", what="members", cause=result.reason)
+                self._event_log.event("store-lost", what="members", cause=result.reason)
             failing = True
             await trio.sleep(wait / MS_PER_S)
             is_alone = self._is_alone()
@@ -223,19 +223,19 @@
 
     def _is_alone(self) -> bool:
         """Whether this node is linked to no other one."""
-        return not any(link.is_heard() for link in self._links)
+        return not any(link.is_responsive() for link in self._links)
 
     async def _announce(self, cause: str) -> None:
         wait = 2.0 * self._timeouts.hedge_delay
         while (failed := await self._announce_once(cause, wait)) is not None:
-            self._tell.event("announce-failed", cause=failed)
+            self._event_log.event("announce-failed", cause=failed)
             wait = min(2.0 * wait, _ANNOUNCE_MS)
             await self._probe.find_entry("announce")
         self._announced_at = self._clock.now()
 
     async def _announce_once(self, cause: str, wait: Milliseconds) -> str | None:
         """Return why the store has not taken the announcement; None if it has."""
-        self._tell.store_call("member-announce", cause)
+        self._event_log.count_store_call("member-announce", cause)
         with trio.move_on_after(wait / MS_PER_S):
             failed = await self._store.announce(self._own)
             return None if failed is None else failed.reason
@@ -243,10 +243,10 @@
 
     async def withdraw(self) -> None:
         """Take this node out of the store, once."""
-        self._tell.store_call("member-remove", "stop")
+        self._event_log.count_store_call("member-remove", "stop")
         failed = await self._store.withdraw(self._own.node)
         if failed is not None:
-            self._tell.event("withdraw-failed", cause=failed.reason)
+            self._event_log.event("withdraw-failed", cause=failed.reason)
 
 
 def _ignore() -> None:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/messages.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/messages.py
@@ -30,7 +30,7 @@
         Where the node takes links.
     data_centre, service : str
         Where it stands, and the service of the backend server beside it.
-    packed : bool
+    compressed : bool
         Whether all that this end sends from here on is compressed.
     protocol : int
         What the messages mean; nodes of another one are not linked.
@@ -41,7 +41,7 @@
     address: str
     data_centre: str
     service: str
-    packed: bool = False
+    compressed: bool = False
     protocol: int = PROTOCOL
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/node.py
@@ -18,38 +18,38 @@
 from fuchsiagap.core.routes.table import RouteTable, ShareRotation
 from fuchsiagap_node.core.mesh import poller
 from fuchsiagap_node.core.mesh.admission import STEP_MS, Admission
-from fuchsiagap_node.core.mesh.callers import SWEEP_MS, CallerEdge
+from fuchsiagap_node.core.mesh.auxiliary_http import serve_auxiliary
+from fuchsiagap_node.core.mesh.callers import SWEEP_MS, CallerListener
 from fuchsiagap_node.core.mesh.config_sync import REFRESH_MS as CONFIG_REFRESH_MS
 from fuchsiagap_node.core.mesh.config_sync import ConfigSync
 from fuchsiagap_node.core.mesh.crash_reports import FLUSH_MS as CLEARANCES_MS
 from fuchsiagap_node.core.mesh.door import Door
 from fuchsiagap_node.core.mesh.entry import Entry
+from fuchsiagap_node.core.mesh.event_log import FLUSH_MS, EventLog
 from fuchsiagap_node.core.mesh.final import Final
 from fuchsiagap_node.core.mesh.gauges import (
     admission_gauges,
+    backend_gauges,
     config_gauges,
-    door_gauges,
     peer_gauges,
     quarantine_gauges,
     workspace_gauges,
 )
-from fuchsiagap_node.core.mesh.links import Links
 from fuchsiagap_node.core.mesh.load_line import load_fields
 from fuchsiagap_node.core.mesh.member_sync import MemberSync
 from fuchsiagap_node.core.mesh.messages import Hello
+from fuchsiagap_node.core.mesh.outbound_link import LOOK_MS as LINK_LOOK_MS
+from fuchsiagap_node.core.mesh.outbound_link import Member, OutboundLink
+from fuchsiagap_node.core.mesh.outbound_links import OutboundLinks
 from fuchsiagap_node.core.mesh.outcome import LEAVING
 from fuchsiagap_node.core.mesh.own_door import OwnDoor
 from fuchsiagap_node.core.mesh.own_status import OwnStatus
 from fuchsiagap_node.core.mesh.peers import Peers
 from fuchsiagap_node.core.mesh.placing import Placing
 from fuchsiagap_node.core.mesh.pressures import Pressures
-from fuchsiagap_node.core.mesh.sending import LOOK_MS as LINK_LOOK_MS
-from fuchsiagap_node.core.mesh.sending import Member, SendingLink
-from fuchsiagap_node.core.mesh.side_http import serve_side
 from fuchsiagap_node.core.mesh.stream import accept_all, accept_each, listen
 from fuchsiagap_node.core.mesh.suspension_watch import SuspensionWatch
 from fuchsiagap_node.core.mesh.taking import TakingLinks
-from fuchsiagap_node.core.mesh.telling import FLUSH_MS, Teller
 from fuchsiagap_node.core.mesh.ticker import TICK_MS, Ticker
 from fuchsiagap_node.core.mesh.unreadable import Unreadable
 from fuchsiagap_node.core.mesh.workspaces import Workspaces
@@ -131,10 +131,10 @@
         self._clock = clock
         self._read_report = read_report
         self._reload = reload
-        self.tell = tell = Teller(cfg.node, clock)
+        self.event_log = event_log = EventLog(cfg.node, clock)
         self._poller = poller.make_poller()
-        self._poller.on_fault = partial(tell.fault, "connection")
-        self.door = Door(cfg, clock, tell, rng, self._poller)
+        self._poller.on_fault = partial(event_log.log_exception, "connection")
+        self.door = Door(cfg, clock, event_log, rng, self._poller)
         self._peers = Peers()
         self._pressures = Pressures(self._peers, clock)
         below = self._pressures.below
@@ -142,10 +142,10 @@
         self._peers.put(self._own)
         self.reports = self.door.reports
         self._placing = Placing(
-            cfg, self._peers, self._pressures, clock, rng, tell, self.reports
+            cfg, self._peers, self._pressures, clock, rng, event_log, self.reports
         )
         self._admission = Admission(
-            self._pressures, self._placing.served, clock, rng, tell
+            self._pressures, self._placing.served, clock, rng, event_log
         )
         self._rotation = ShareRotation()
         own = Member(
@@ -158,7 +158,7 @@
         self._config = ConfigSync(
             store,
             clock,
-            tell,
+            event_log,
             self._adopt,
             own,
             lambda: self._links,
@@ -167,37 +167,39 @@
             cfg.bounds,
         )
         self._workspaces = Workspaces(
-            cfg, own, self._config, lambda: self._links, clock, rng, tell
+            cfg, own, self._config, lambda: self._links, clock, rng, event_log
         )
         self.entry = Entry(
             self._placing,
             self._pressures,
             self._admission,
             self._rotation,
-            tell,
+            event_log,
             self._workspaces.check,
             self._workspaces.quotas,
         )
-        self._callers = CallerEdge(cfg, self.entry, clock, tell, self._poller)
+        self._callers = CallerListener(cfg, self.entry, clock, event_log, self._poller)
         self.entry.parent_of = self.door.parent_of
         self._config.changed = self._tell_status
         hello = Hello(
             own.node, own.incarnation, own.address, own.data_centre, own.service
         )
-        self._links = Links(own, hello, self._peers, clock, tell, self._poller)
+        self._links = OutboundLinks(
+            own, hello, self._peers, clock, event_log, self._poller
+        )
         self._links.on_link = self._prepare_link
         self._own_status = OwnStatus(self.door, self._config)
-        self.door.repeats.n_doors = lambda: self._links.n_beside(cfg.service) + 1
-        self._members = MemberSync(own, self._links, store, cfg, clock, rng, tell)
+        self.door.repeats.n_doors = lambda: self._links.n_known_nodes(cfg.service) + 1
+        self._members = MemberSync(own, self._links, store, cfg, clock, rng, event_log)
         self._config.on_return = self._members.note_return
         self._settings_fault = ""
         self._leaving = False
         self._is_caught_up = False
         self._alone_from = clock.now() + _CATCH_UP_MS
         self._taking = TakingLinks(
-            hello, self.door, self._own_status.now, clock, tell, self._poller
+            hello, self.door, self._own_status.now, clock, event_log, self._poller
         )
-        self._taking.on_hello = self._links.take_hello
+        self._taking.on_hello = self._links.handle_hello
         self._taking.config_text = self._config.in_force.text
         self._taking.below = below
         self._workspaces.prepare_taking(self._taking)
@@ -205,7 +207,7 @@
         self._taking.send_snapshot = self.reports.send_snapshot
         self.reports.peers = self._posts
         self.door.changed = self._tell_status
-        self._ticker = Ticker(clock, tell)
+        self._ticker = Ticker(clock, event_log)
         for interval, do in (
             (TICK_MS, self.door.look),
             (TICK_MS, self._placing.look),
@@ -222,15 +224,15 @@
             self._ticker.every(interval, do)
         self._workspaces.schedule(self._ticker)
 
-    def _prepare_link(self, link: SendingLink) -> None:
+    def _prepare_link(self, link: OutboundLink) -> None:
         link.on_status = self._handle_status_of
         link.on_config = lambda text: self._config.adopt_text(text, link.member.node)
         link.on_report = self.reports.handle
-        link.heard_elsewhere = partial(self._taking.heard_at, link.member.node)
+        link.heard_elsewhere = partial(self._taking.last_received_at, link.member.node)
         self._workspaces.prepare_link(link)
         link.send_snapshot = self.reports.send_snapshot
 
-    def _handle_status_of(self, link: SendingLink) -> None:
+    def _handle_status_of(self, link: OutboundLink) -> None:
         """Follow what another node says of itself and of its server."""
         self._config.handle_peer_status(link)
         target = link.target
@@ -251,7 +253,7 @@
         statuses, configurations and calls on links are dropped with them, and callers
         are taken to have waited since it began. It runs before any task does.
         """
-        self.tell.event("resumed", suspended=round(suspended))
+        self.event_log.event("resumed", suspended=round(suspended))
         self.close_links()
         self._callers.record_suspension(suspended)
         self._is_caught_up = False
@@ -296,7 +298,7 @@
             self._clock.now(),
         )
         if fields:
-            self.tell.event("load", **fields)
+            self.event_log.event("load", **fields)
 
     async def run(self) -> None:
         """Serve until SIGTERM, then stop without cutting anything."""
@@ -306,22 +308,24 @@
         # the midst of a planned stop.
         with trio.open_signal_receiver(*_SIGNALS) as signals:
             async with trio.open_nursery() as nursery:
-                self.tell.never_wait()
-                self._ticker.every(FLUSH_MS, self.tell.flush)
+                self.event_log.never_wait()
+                self._ticker.every(FLUSH_MS, self.event_log.flush)
                 asked = trio.Event()
                 nursery.start_soon(self._take_signals, signals, asked)
                 nursery.start_soon(self.serve)
                 await asked.wait()
                 await self.stop()
                 nursery.cancel_scope.cancel()
-            self.tell.event("stopped")
-            self.tell.flush()
+            self.event_log.event("stopped")
+            self.event_log.flush()
 
     async def serve(self) -> None:
         """Serve until cancelled."""
         cfg = self.cfg
         names = cfg.names
-        self.tell.event("started", service=cfg.service, data_centre=cfg.data_centre)
+        self.event_log.event(
+            "started", service=cfg.service, data_centre=cfg.data_centre
+        )
         watch = SuspensionWatch(self._clock.catch_up, self._resume)
         trio.lowlevel.add_instrument(watch)
         self._poller.before_calls = partial(watch.after_io_wait, 0.0)
@@ -347,7 +351,9 @@
             if at.metrics:
                 sides.append((at.metrics, self._answer_metrics))
             for address, handle in sides:
-                nursery.start_soon(serve_side, address, handle, names, self.tell)
+                nursery.start_soon(
+                    serve_auxiliary, address, handle, names, self.event_log
+                )
             for work in (self._config.run, self._members.run):
                 nursery.start_soon(self._go_on, work)
 
@@ -357,7 +363,7 @@
             try:
                 await work()
             except Exception as exc:
-                self.tell.fault("background", exc)
+                self.event_log.log_exception("background", exc)
             await trio.sleep(_RESTART_MS / MS_PER_S)
 
     @property
@@ -379,7 +385,7 @@
         if isinstance(report, BackendReport):
             report = self._of_own_service(report)
         if isinstance(report, Unreadable):
-            self.tell.unreadable("report-unreadable", report)
+            self.event_log.unreadable("report-unreadable", report)
             text = f"{report.place}: {report.reason}\n".encode()
             return Final(400, headers=b"Content-Type: text/plain\r\n", body=text)
         self.door.take_report(report)
@@ -399,13 +405,13 @@
         kind = b"Content-Type: text/plain; version=0.0.4\r\n"
         gauges = itertools.chain(
             config_gauges(self._config),
-            door_gauges(self.door),
+            backend_gauges(self.door),
             peer_gauges(self._peers),
             quarantine_gauges(self.reports),
             workspace_gauges(self._config, self._workspaces.quotas),
             admission_gauges(self._admission),
         )
-        return Final(200, headers=kind, body=self.tell.metrics(gauges).encode())
+        return Final(200, headers=kind, body=self.event_log.metrics(gauges).encode())
 
     async def _take_signals(
         self, signals: AsyncIterator[int], asked: trio.Event
@@ -415,7 +421,7 @@
             if number == signal.SIGHUP:
                 self.check_settings()
                 continue
-            self.tell.event("stopping", signal=number, again=asked.is_set())
+            self.event_log.event("stopping", signal=number, again=asked.is_set())
             asked.set()
 
     def check_settings(self) -> None:
@@ -423,7 +429,7 @@
         found = self.cfg if self._reload is None else self._reload()
         if isinstance(found, str):
             if found != self._settings_fault:
-                self.tell.event("settings-refused", cause=found)
+                self.event_log.event("settings-refused", cause=found)
             self._settings_fault = found
             return
         self._settings_fault = ""
@@ -435,7 +441,7 @@
             if getattr(found, field.name) != getattr(self.cfg, field.name)
         ]
         adopted = [name for name in changed if name in ("bounds", "budget")]
-        self.tell.event("settings-changed", changed=changed, adopted=adopted)
+        self.event_log.event("settings-changed", changed=changed, adopted=adopted)
         self.cfg = replace(self.cfg, bounds=found.bounds, budget=found.budget)
         self.door.adopt(self.cfg)
         self._config.adopt_bounds(self.cfg.bounds)
@@ -458,7 +464,7 @@
                 nursery.start_soon(self._members.withdraw)
             await self._wind_down(started)
             nursery.cancel_scope.cancel()
-        self.tell.event(
+        self.event_log.event(
             "ending",
             callers=self._callers.in_progress,
             running=self.door.running,
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/sending.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/outbound_link.py
@@ -34,11 +34,11 @@
 
     from fuchsiagap.core.clock import Clock, Milliseconds
     from fuchsiagap_node.core.mesh.crash_reports import Post, Report
+    from fuchsiagap_node.core.mesh.event_log import EventLog
     from fuchsiagap_node.core.mesh.messages import Call, Message
     from fuchsiagap_node.core.mesh.peers import OnReply
     from fuchsiagap_node.core.mesh.poller import Poller
     from fuchsiagap_node.core.mesh.stream import Stream
-    from fuchsiagap_node.core.mesh.telling import Teller
 
 # What a call led to whose reply does not come.
 _NOTHING_KNOWN = Below(NO_CALLS, 0)
@@ -81,7 +81,7 @@
     service: str
 
 
-class SendingLink:
+class OutboundLink:
     """A door on another host.
 
     Parameters
@@ -94,7 +94,7 @@
         Whether the node stands in this node's data centre.
     clock : Clock
         Time in milliseconds.
-    teller : Teller
+    event_log : EventLog
         Logs and counters.
     poller : Poller
         Watches the connection.
@@ -133,14 +133,14 @@
         hello: Hello,
         local: bool,
         clock: Clock,
-        teller: Teller,
+        event_log: EventLog,
         poller: Poller,
     ) -> None:
         self._poller = poller
         self.member = member
         self._hello = hello
         self._clock = clock
-        self._tell = teller
+        self._event_log = event_log
         self._link: FramedLink | None = None
         self._serving: FramedLink | None = None
         self._pending: dict[int, OnReply] = {}
@@ -155,11 +155,11 @@
         self._busy_since = clock.now()
         self._is_closed_here = False
         self.on_config: Callable[[ConfigText], None] = _ignore
-        self.on_status: Callable[[SendingLink], None] = _ignore
+        self.on_status: Callable[[OutboundLink], None] = _ignore
         self.on_report: Callable[[Report, str], None] = _ignore_both
         self.on_age: Callable[[Age, str], None] = _ignore_both
         self.on_tokens: Callable[[TokensGranted], None] = _ignore
-        self.on_open: Callable[[SendingLink], None] = _ignore
+        self.on_open: Callable[[OutboundLink], None] = _ignore
         self.heard_elsewhere: Callable[[], Milliseconds] = _never
         self.send_snapshot: Callable[[Post], None] = _ignore
         self.scope = trio.CancelScope()
@@ -167,7 +167,7 @@
     @property
     def reached_at(self) -> Milliseconds:
         """When the node was last reached; at first, when it became known."""
-        here = self._reached_at if self._link is None else self._link.heard_at
+        here = self._reached_at if self._link is None else self._link.last_received_at
         return max(here, self.heard_elsewhere())
 
     def is_up(self) -> bool:
@@ -178,7 +178,7 @@
         """Whether the node is linked."""
         return self._link is not None
 
-    def is_heard(self) -> bool:
+    def is_responsive(self) -> bool:
         """Whether the node is linked and was heard of, also without a server."""
         link = self._link
         return link is not None and (
@@ -229,9 +229,11 @@
                     stream = await dial(self.member.address, _DIAL_MS)
                     await self._serve(stream)
                 except (BrokenStream, BadFrame) as exc:
-                    self._tell.event("link-failed", to=self.member.node, cause=str(exc))
+                    self._event_log.event(
+                        "link-failed", to=self.member.node, cause=str(exc)
+                    )
                 except Exception as exc:
-                    self._tell.fault("sending-link", exc)
+                    self._event_log.log_exception("sending-link", exc)
                 if self._is_closed_here:
                     self._is_closed_here = False
                     continue
@@ -242,7 +244,7 @@
 
     async def _serve(self, stream: Stream) -> None:
         link = FramedLink(stream, self._clock)
-        link.post_hello(self._hello, packed=not self.target.local)
+        link.post_hello(self._hello, compressed=not self.target.local)
 
         def take(message: Message) -> None:
             self._take_message(link, message)
@@ -251,7 +253,7 @@
         try:
             await link.serve(self._poller, take)
         except (BrokenStream, BadFrame) as exc:
-            self._tell.event("link-down", to=self.member.node, cause=str(exc))
+            self._event_log.event("link-down", to=self.member.node, cause=str(exc))
         finally:
             self._serving = None
             self._lose(link)
@@ -264,15 +266,17 @@
         link = self._serving
         busy = bool(self._pending)
         # Whether this very connection works counts from when a call waits on it.
-        here = max(link.heard_at, self._busy_since)
+        here = max(link.last_received_at, self._busy_since)
         silent = self._clock.now() - (here if busy else self.reached_at)
         if silent >= (_LOST_MS if busy else _IDLE_LOST_MS):
-            self._tell.event("link-silent", to=self.member.node, silent=silent)
+            self._event_log.event("link-silent", to=self.member.node, silent=silent)
             link.end(BrokenStream("silent"))
             return
         if silent >= (_SUSPECT_MS if busy else _IDLE_SUSPECT_MS) and self.target.usable:
             self.target.usable = False
-            self._tell.event("node-suspected", node=self.member.node, silent=silent)
+            self._event_log.event(
+                "node-suspected", node=self.member.node, silent=silent
+            )
         if silent >= (LOOK_MS if busy else self._idle_ping) * 0.9:
             link.post(Ping())
 
@@ -302,14 +306,14 @@
         self._link = link
         self.send_snapshot(link.post)
         self.on_open(self)
-        self._tell.event("link-up", to=hello.node, incarnation=hello.incarnation)
+        self._event_log.event("link-up", to=hello.node, incarnation=hello.incarnation)
 
     def _take_reply(self, reply: Reply) -> None:
         self.target.others = max(reply.load - self.target.mine, 0)
         self.target.offered = reply.offered
         on_outcome = self._pending.pop(reply.call_id, None)
         if on_outcome is None:
-            self._tell.counts["late_replies", ""] += 1
+            self._event_log.counts["late_replies", ""] += 1
             return
         self.target.mine -= 1
         on_outcome(reply.outcome, reply.below)
@@ -332,7 +336,7 @@
     def _lose(self, link: FramedLink) -> None:
         """Give back the calls of a link that has ended."""
         if self._link is not None:
-            self._reached_at = link.heard_at
+            self._reached_at = link.last_received_at
         self._link = None
         self.target.usable = False
         self.target.instance = ""
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/links.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/outbound_links.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from fuchsiagap.core.routing.subset import rendezvous_rank
-from fuchsiagap_node.core.mesh.sending import Member, SendingLink
+from fuchsiagap_node.core.mesh.outbound_link import Member, OutboundLink
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Iterator, Mapping, Sequence
@@ -14,10 +14,10 @@
     import trio
 
     from fuchsiagap.core.clock import Clock, Milliseconds
+    from fuchsiagap_node.core.mesh.event_log import EventLog
     from fuchsiagap_node.core.mesh.messages import Hello
     from fuchsiagap_node.core.mesh.peers import Peers
     from fuchsiagap_node.core.mesh.poller import Poller
-    from fuchsiagap_node.core.mesh.telling import Teller
 
 # Nodes of one service that a node keeps links to, in its own data centre and elsewhere.
 # Each restart opens every link anew at both ends, and each link is pinged: at 81 nodes
@@ -29,7 +29,7 @@
 # First nodes of the data centre, by name, that each node of it links to as well: those
 # watch the configuration, and who has no link to any of them watches too. In a data
 # centre of 320 nodes that is as many links in for each of the two, 12 to 22 KB each.
-FIRST_LINKS = 2
+WATCHER_LINKS = 2
 # Nodes that are told of with a line each; more at once, as at a start, with one line:
 # 195 nodes that start together wrote 38,000 lines.
 _TOLD_ONE_BY_ONE = 5
@@ -43,7 +43,7 @@
 _ASKED_FOR_MS = 60_000.0
 
 
-class Links:
+class OutboundLinks:
     """The nodes that are known, and links to those that requests may go to.
 
     Parameters
@@ -56,7 +56,7 @@
         Doors; each link is one.
     clock : Clock
         Time in milliseconds.
-    teller : Teller
+    event_log : EventLog
         Logs.
     poller : Poller
         Watches the connections.
@@ -75,7 +75,7 @@
         hello: Hello,
         peers: Peers,
         clock: Clock,
-        teller: Teller,
+        event_log: EventLog,
         poller: Poller,
     ) -> None:
         self._poller = poller
@@ -83,9 +83,9 @@
         self._hello = hello
         self._peers = peers
         self._clock = clock
-        self._tell = teller
+        self._event_log = event_log
         self._known: dict[str, Member] = {}
-        self._links: dict[str, SendingLink] = {}
+        self._links: dict[str, OutboundLink] = {}
         # Members by service and by whether they are near, in the order of choice.
         self._ranked: dict[tuple[str, bool], list[Member]] = {}
         # Members of this node's data centre by name.
@@ -96,13 +96,13 @@
         # Counts the changes of the nodes that are known.
         self.n_changes = 0
         self.nursery: trio.Nursery | None = None
-        self.on_link: Callable[[SendingLink], None] = _ignore
+        self.on_link: Callable[[OutboundLink], None] = _ignore
         peers.on_first_wanted = self.choose
 
-    def __iter__(self) -> Iterator[SendingLink]:
+    def __iter__(self) -> Iterator[OutboundLink]:
         return iter(list(self._links.values()))
 
-    def n_beside(self, service: str) -> int:
+    def n_known_nodes(self, service: str) -> int:
         """Return how many nodes are known of a service, linked or not."""
         return self._n_known[service]
 
@@ -114,7 +114,7 @@
         """Return the other nodes by data centre, in the order of choice."""
         return self._by_place
 
-    def link_to(self, node: str) -> SendingLink | None:
+    def ensure_link(self, node: str) -> OutboundLink | None:
         """Return a link to one node, which is kept as long as it is asked for."""
         member = self._known.get(node)
         if member is None or self.nursery is None:
@@ -122,7 +122,7 @@
         self._asked_for[node] = self._clock.now()
         return self._link(member, member.data_centre == self._own.data_centre)
 
-    def take_hello(self, hello: Hello) -> None:
+    def handle_hello(self, hello: Hello) -> None:
         """Learn of a node that has opened a link to this one."""
         member = Member(
             hello.node,
@@ -131,9 +131,9 @@
             hello.data_centre,
             hello.service,
         )
-        self.know([member])
+        self.add_members([member])
 
-    def know(self, members: Iterable[Member]) -> None:
+    def add_members(self, members: Iterable[Member]) -> None:
         """Learn of nodes, and link those that belong to the subset."""
         news = [m for m in members if self._is_news(m)]
         for member in news:
@@ -141,10 +141,10 @@
             self._known[member.node] = member
         if len(news) > _TOLD_ONE_BY_ONE:
             services = Counter(member.service for member in news)
-            self._tell.event("nodes-known", nodes=len(news), services=services)
+            self._event_log.event("nodes-known", nodes=len(news), services=services)
         else:
             for member in news:
-                self._tell.event(
+                self._event_log.event(
                     "node-known",
                     node=member.node,
                     service=member.service,
@@ -162,7 +162,7 @@
             (known.address, known.service) != (member.address, member.service)
         )
 
-    def forget_unlisted(self, listed: Iterable[str], patience: float) -> None:
+    def remove_unlisted(self, listed: Iterable[str], patience: float) -> None:
         """Forget nodes that are not listed and were out of reach for a time."""
         now = self._clock.now()
         gone = []
@@ -173,7 +173,7 @@
         for node in gone:
             del self._known[node]
             self._drop_link(node)
-            self._tell.event("node-gone", node=node)
+            self._event_log.event("node-gone", node=node)
         if gone:
             self._rank()
             self.choose()
@@ -200,7 +200,7 @@
 
     def choose(self) -> None:
         """Link the first nodes of each service, more where some are out of reach."""
-        wanted = self._open(self._near, True, FIRST_LINKS)
+        wanted = self._open(self._near, True, WATCHER_LINKS)
         now = self._clock.now()
         some = len({service for service, _ in self._ranked}) > _ALL_SERVICES
         for (service, near), members in self._ranked.items():
@@ -225,16 +225,16 @@
             room -= self._is_up(self._link(member, near))
         return linked
 
-    def _is_up(self, link: SendingLink) -> bool:
+    def _is_up(self, link: OutboundLink) -> bool:
         return self._clock.now() - link.reached_at < _DOWN_MS
 
-    def _link(self, member: Member, near: bool) -> SendingLink:
+    def _link(self, member: Member, near: bool) -> OutboundLink:
         """Return the link to a node; open it if there is none."""
         link = self._links.get(member.node)
         if link is None:
             assert self.nursery is not None
-            link = SendingLink(
-                member, self._hello, near, self._clock, self._tell, self._poller
+            link = OutboundLink(
+                member, self._hello, near, self._clock, self._event_log, self._poller
             )
             self._links[member.node] = link
             self.on_link(link)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/paid_repeats.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/paid_repeats.py
@@ -12,8 +12,8 @@
 
     from fuchsiagap.core.clock import Clock
     from fuchsiagap.core.retries.shares import SharedBudget
+    from fuchsiagap_node.core.mesh.event_log import EventLog
     from fuchsiagap_node.core.mesh.messages import Call
-    from fuchsiagap_node.core.mesh.telling import Teller
 
 # Weight of one request in the mean number of calls of its route: about the last 20.
 _CALLS_WEIGHT = 0.05
@@ -28,7 +28,7 @@
         Bounds of all doors of the service together.
     clock : Clock
         Time in milliseconds.
-    teller : Teller
+    event_log : EventLog
         Counts repeats by rank, paid for or not.
     rng : random.Random
         Rounds this door's share.
@@ -40,10 +40,10 @@
     """
 
     def __init__(
-        self, cfg: SharedBudget, clock: Clock, teller: Teller, rng: random.Random
+        self, cfg: SharedBudget, clock: Clock, event_log: EventLog, rng: random.Random
     ) -> None:
         self._budget = DoorBudget(cfg, clock, rng)
-        self._tell = teller
+        self._event_log = event_log
         self._calls: dict[str, float] = {}
         self.n_doors: Callable[[], int] = _one
 
@@ -71,7 +71,7 @@
         repeat = Repeat(call.rank, call.lot, call.is_call, calls)
         is_paid = self._budget.pay(repeat, self.n_doors(), failing)
         labels = f'rank="{call.rank}",paid="{str(is_paid).lower()}"'
-        self._tell.counts["repeats", labels] += 1
+        self._event_log.counts["repeats", labels] += 1
         return is_paid
 
     def note_answered(self, route: str, calls: int) -> None:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/placement.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/placement.py
@@ -11,6 +11,7 @@
 from typing import TYPE_CHECKING
 
 from fuchsiagap.core.quarantine.fingerprint import fingerprint
+from fuchsiagap_node.core.mesh.event_log import SAMPLE_ANSWERED
 from fuchsiagap_node.core.mesh.final import PROMISES, RETRY_AFTER_MS, Final
 from fuchsiagap_node.core.mesh.messages import Call
 from fuchsiagap_node.core.mesh.outcome import (
@@ -24,7 +25,6 @@
     NotRun,
     Outcome,
 )
-from fuchsiagap_node.core.mesh.telling import SAMPLE_ANSWERED
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -207,7 +207,7 @@
 
     def _fail(self, exc: Exception) -> None:
         """Answer a request whose step ended by an exception nobody expected."""
-        self._placing.tell.fault("placement", exc)
+        self._placing.event_log.log_exception("placement", exc)
         self._finish(Final(502))
 
     def _place(self) -> None:
@@ -337,7 +337,7 @@
         if self._denials < _MOST_DENIALS and self._may_repeat(outcome):
             self._place()
             return
-        self._placing.tell.event("no-retry-budget", request=self._req.request_id)
+        self._placing.event_log.event("no-retry-budget", request=self._req.request_id)
         self._give_up()
 
     def _wants_repeat(self, outcome: Answered) -> bool:
@@ -367,12 +367,12 @@
 
     def _answer(self, outcome: Answered) -> None:
         """Finish with the backend server's answer."""
-        tell = self._placing.tell
-        tell.counts["answered", ""] += 1
-        n_answered = tell.counts["answered", ""]
+        event_log = self._placing.event_log
+        event_log.counts["answered", ""] += 1
+        n_answered = event_log.counts["answered", ""]
         is_told = self._arrivals > 0 or outcome.status >= 500
         if is_told or n_answered % SAMPLE_ANSWERED == 0:
-            tell.event(
+            event_log.event(
                 "answered",
                 request=self._req.request_id,
                 route=self._route.name,
@@ -390,7 +390,7 @@
     def _give_up(self) -> None:
         """Finish with the word that there is no answer."""
         last = self._last
-        self._placing.tell.event(
+        self._placing.event_log.event(
             "given-up",
             request=self._req.request_id,
             route=self._route.name,
@@ -418,7 +418,7 @@
         if self._parent is None and not self._is_quarantined:
             self._placing.served.note_end(self._route.name, final.status < 500, now)
         took = now - self._started
-        self._placing.tell.answered(self._route.name, str(final.status), took)
+        self._placing.event_log.count_outcome(self._route.name, str(final.status), took)
         self._done(final)
 
     def _took(self) -> Milliseconds:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/placing.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/placing.py
@@ -16,10 +16,10 @@
     from fuchsiagap.core.clock import Clock, Milliseconds
     from fuchsiagap.core.workspaces.model import Workspace
     from fuchsiagap_node.core.mesh.crash_reports import CrashReports
+    from fuchsiagap_node.core.mesh.event_log import EventLog
     from fuchsiagap_node.core.mesh.peers import Peer, Peers
     from fuchsiagap_node.core.mesh.pressures import Pressures
     from fuchsiagap_node.core.mesh.settings import MeshSettings
-    from fuchsiagap_node.core.mesh.telling import Teller
 
 # Weight of one request in the mean size of those of a route: about the last 20 count.
 _BYTES_WEIGHT = 0.05
@@ -49,7 +49,7 @@
         Time in milliseconds.
     rng : random.Random
         Breaks ties.
-    teller : Teller
+    event_log : EventLog
         Logs and counters.
     reports : CrashReports
         Says which requests may be sent to servers.
@@ -71,7 +71,7 @@
         pressures: Pressures,
         clock: Clock,
         rng: random.Random,
-        teller: Teller,
+        event_log: EventLog,
         reports: CrashReports,
     ) -> None:
         self._rng = rng
@@ -80,7 +80,7 @@
         self.peers = peers
         self.pressures = pressures
         self.clock = clock
-        self.tell = teller
+        self.event_log = event_log
         self.in_progress: dict[InProgress, None] = {}
         self.served = ServedShares()
         self.reports = reports
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/quota_owners.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/quota_owners.py
@@ -11,8 +11,8 @@
     from collections.abc import Callable, Sequence
 
     from fuchsiagap.core.clock import Clock, Milliseconds
-    from fuchsiagap_node.core.mesh.links import Links
-    from fuchsiagap_node.core.mesh.sending import Member
+    from fuchsiagap_node.core.mesh.outbound_link import Member
+    from fuchsiagap_node.core.mesh.outbound_links import OutboundLinks
 
 # Milliseconds that a node gets to be linked, or to answer, before the next one counts
 # as the owner.
@@ -41,7 +41,7 @@
     def __init__(
         self,
         own: Member,
-        links: Callable[[], Links],
+        links: Callable[[], OutboundLinks],
         has_store: Callable[[], bool],
         clock: Clock,
     ) -> None:
@@ -69,7 +69,7 @@
         if owner != self._own.node:
             return owner
         # A node that is new is so known to the one that owned the quota before.
-        self._links().link_to(next((n for n in order if n != owner), owner))
+        self._links().ensure_link(next((n for n in order if n != owner), owner))
         return owner if self.share() > 0.0 else None
 
     def is_first(self, workspace: str) -> bool:
@@ -103,7 +103,7 @@
         """Whether a node can be reached, or has not had time to show that it can."""
         if node == self._own.node:
             return True
-        link = self._links().link_to(node)
+        link = self._links().ensure_link(node)
         now = self._clock.now()
         if link is None:
             return False
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/quotas.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/quotas.py
@@ -17,8 +17,8 @@
 
     from fuchsiagap.core.clock import Clock, Milliseconds
     from fuchsiagap.core.workspaces.model import Workspace
+    from fuchsiagap_node.core.mesh.event_log import EventLog
     from fuchsiagap_node.core.mesh.quota_owners import QuotaOwners
-    from fuchsiagap_node.core.mesh.telling import Teller
 
 # Milliseconds between two looks at what waits.
 LOOK_MS = 50.0
@@ -118,7 +118,7 @@
         Whether the whole system starts for the first time.
     clock : Clock
         Time in milliseconds.
-    teller : Teller
+    event_log : EventLog
         Logs and counters.
 
     Attributes
@@ -137,13 +137,13 @@
         post: Callable[[str, TokensWanted], bool],
         is_first_start: bool,
         clock: Clock,
-        teller: Teller,
+        event_log: EventLog,
     ) -> None:
         self._owners = owners
         self._post = post
         self._first_until = clock.now() + (_FIRST_MS if is_first_start else 0.0)
         self._clock = clock
-        self._tell = teller
+        self._event_log = event_log
         self._questions = count(1)
         self._asking: dict[str, _Asking] = {}
         self.holdings = QuotaHoldings()
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/server_crashes.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/server_crashes.py
@@ -14,10 +14,10 @@
 
     from fuchsiagap.core.clock import Clock
     from fuchsiagap.core.door.incarnation import BackendReport
+    from fuchsiagap_node.core.mesh.event_log import EventLog
     from fuchsiagap_node.core.mesh.job import Job
     from fuchsiagap_node.core.mesh.outcome import Outcome
     from fuchsiagap_node.core.mesh.stream import BrokenStream
-    from fuchsiagap_node.core.mesh.telling import Teller
 
 # Requests that a line about a crash names, at most.
 _MOST_NAMED = 8
@@ -30,7 +30,7 @@
     ----------
     clock : Clock
         Time in milliseconds.
-    teller : Teller
+    event_log : EventLog
         Logs.
     at_work : callable
         Returns the fingerprints of the requests that the server runs now.
@@ -42,10 +42,10 @@
     """
 
     def __init__(
-        self, clock: Clock, teller: Teller, at_work: Callable[[], frozenset[bytes]]
+        self, clock: Clock, event_log: EventLog, at_work: Callable[[], frozenset[bytes]]
     ) -> None:
         self._clock = clock
-        self._tell = teller
+        self._event_log = event_log
         self._at_work = at_work
         self._watch = CrashWatch()
         self._is_ready = False
@@ -110,7 +110,7 @@
     def _report_crash(
         self, incarnation: str, evidence: str, at_work: frozenset[bytes]
     ) -> None:
-        self._tell.event(
+        self._event_log.event(
             "backend-crashed",
             incarnation=incarnation,
             evidence=evidence,
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/store_probe.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/store_probe.py
@@ -14,9 +14,9 @@
     from collections.abc import Callable
 
     from fuchsiagap.core.freshness.store_timeouts import StoreTimeouts
+    from fuchsiagap_node.core.mesh.event_log import EventLog
     from fuchsiagap_node.core.mesh.hedging import FirstAnswer
     from fuchsiagap_node.core.mesh.store import ProbeResult, Store
-    from fuchsiagap_node.core.mesh.telling import Teller
 
 
 class StoreProbe:
@@ -30,17 +30,17 @@
         This node, whose entry is asked for.
     timeouts : StoreTimeouts
         Waits for the store; may be set anew.
-    teller : Teller
+    event_log : EventLog
         Counters.
     """
 
     def __init__(
-        self, store: Store, node: str, timeouts: StoreTimeouts, teller: Teller
+        self, store: Store, node: str, timeouts: StoreTimeouts, event_log: EventLog
     ) -> None:
         self._store = store
         self._node = node
         self.timeouts = timeouts
-        self._tell = teller
+        self._event_log = event_log
 
     async def ask(
         self,
@@ -61,7 +61,7 @@
         """
 
         async def ask_once() -> ProbeResult:
-            self._tell.store_call("probe", cause)
+            self._event_log.count_store_call("probe", cause)
             return await self._store.probe(self._node)
 
         every = self.timeouts.hedge_delay
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/stream.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/stream.py
@@ -92,7 +92,7 @@
         self._on_data: Callable[[bytes], None] = _ignore
         self._on_end: Callable[[BrokenStream], None] = _ignore
 
-    def read_with(
+    def start_reading(
         self,
         poller: Poller,
         on_data: Callable[[bytes], None],
@@ -223,7 +223,7 @@
         if self.closed:
             raise BrokenStream("closed by this end")
 
-    def is_quiet(self) -> bool:
+    def is_reusable(self) -> bool:
         """Whether the connection is open and has nothing to read."""
         try:
             self._sock.recv(1, socket.MSG_PEEK)
@@ -233,11 +233,11 @@
             return False
         return False
 
-    def give_up_after(self, wait: Milliseconds) -> None:
+    def set_user_timeout(self, wait: Milliseconds) -> None:
         """Break the connection if sent bytes stay unacknowledged for `wait` ms."""
         self._sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(wait))
 
-    def probe_when_silent(self, probes: Probes = WATCH_PROBES) -> None:
+    def enable_keepalive(self, probes: Probes = WATCH_PROBES) -> None:
         """Break the connection some seconds after the other end has gone silent.
 
         The system probes by itself, so a watch that waits for half a minute needs no
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/taking.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/taking.py
@@ -34,11 +34,11 @@
     from fuchsiagap.core.clock import Clock, Milliseconds
     from fuchsiagap_node.core.mesh.crash_reports import Post, Report
     from fuchsiagap_node.core.mesh.door import Door
+    from fuchsiagap_node.core.mesh.event_log import EventLog
     from fuchsiagap_node.core.mesh.messages import Message
     from fuchsiagap_node.core.mesh.outcome import Outcome
     from fuchsiagap_node.core.mesh.poller import Poller
     from fuchsiagap_node.core.mesh.stream import Stream
-    from fuchsiagap_node.core.mesh.telling import Teller
 
 
 # Milliseconds for which a sender's knowledge of the load is good enough.
@@ -80,7 +80,7 @@
         Returns what the door says of its server now.
     clock : Clock
         Time in milliseconds.
-    teller : Teller
+    event_log : EventLog
         Logs and counters.
     poller : Poller
         Watches the connections.
@@ -109,7 +109,7 @@
         door: Door,
         status: Callable[[], Status],
         clock: Clock,
-        teller: Teller,
+        event_log: EventLog,
         poller: Poller,
     ) -> None:
         self._poller = poller
@@ -117,7 +117,7 @@
         self._door = door
         self._status = status
         self._clock = clock
-        self._tell = teller
+        self._event_log = event_log
         self._links: dict[FramedLink, _Sender] = {}
         self._by_node: dict[str, FramedLink] = {}
         self.on_hello: Callable[[Hello], None] = _ignore
@@ -131,13 +131,13 @@
     def posts(self) -> Iterator[tuple[str, Post]]:
         """Yield the nodes that send calls here, and how to tell them something."""
         for link, sender in self._links.items():
-            if link.greeted and sender.node:
+            if link.hello_sent and sender.node:
                 yield sender.node, link.post
 
-    def heard_at(self, node: str) -> Milliseconds:
+    def last_received_at(self, node: str) -> Milliseconds:
         """Return when a node was last heard of on a link of its own."""
         link = self._by_node.get(node)
-        return float("-inf") if link is None else link.heard_at
+        return float("-inf") if link is None else link.last_received_at
 
     def close_all(self) -> None:
         """Close every link; whoever wants one opens it anew."""
@@ -156,9 +156,9 @@
         try:
             await link.serve(self._poller, take)
         except (BrokenStream, BadFrame) as exc:
-            self._tell.event("link-ended", cause=str(exc), calls=len(jobs))
+            self._event_log.event("link-ended", cause=str(exc), calls=len(jobs))
         except Exception as exc:
-            self._tell.fault("taking-link", exc)
+            self._event_log.log_exception("taking-link", exc)
         finally:
             del self._links[link]
             if self._by_node.get(sender.node) is link:
@@ -196,7 +196,7 @@
 
     def _greet(self, link: FramedLink, sender: _Sender, hello: Hello) -> None:
         """Answer the first message of a node."""
-        link.post_hello(self._hello, hello.packed)
+        link.post_hello(self._hello, hello.compressed)
         sender.node = hello.node
         self._by_node[hello.node] = link
         # Before the status, on which it may begin to send.
@@ -228,7 +228,7 @@
         status = self._status()
         now = self._clock.now()
         for link, sender in self._links.items():
-            if not link.greeted or sender.told == status:
+            if not link.hello_sent or sender.told == status:
                 continue
             known_of_late = now - sender.heard_load_at < _LOAD_KNOWN_MS
             if not (known_of_late and _differs_in_load_only(sender.told, status)):
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/ticker.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/ticker.py
@@ -17,7 +17,7 @@
     from collections.abc import Callable
 
     from fuchsiagap.core.clock import Clock, Milliseconds
-    from fuchsiagap_node.core.mesh.telling import Teller
+    from fuchsiagap_node.core.mesh.event_log import EventLog
 
 # Milliseconds between two turns: what the door and the entry need to look at deadlines.
 TICK_MS = 50.0
@@ -39,13 +39,13 @@
     ----------
     clock : Clock
         Time in milliseconds.
-    teller : Teller
+    event_log : EventLog
         Told of exceptions, which end no other work.
     """
 
-    def __init__(self, clock: Clock, teller: Teller) -> None:
+    def __init__(self, clock: Clock, event_log: EventLog) -> None:
         self._clock = clock
-        self._tell = teller
+        self._event_log = event_log
         self._works: list[_Work] = []
 
     def every(self, interval: Milliseconds, do: Callable[[], None]) -> None:
@@ -67,4 +67,4 @@
         try:
             work.do()
         except Exception as exc:
-            self._tell.fault("ticker", exc)
+            self._event_log.log_exception("ticker", exc)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/watcher_role.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/watcher_role.py
@@ -17,7 +17,7 @@
     from collections.abc import Callable, Iterable
 
     from fuchsiagap.core.clock import Clock, Milliseconds
-    from fuchsiagap_node.core.mesh.sending import Member, SendingLink
+    from fuchsiagap_node.core.mesh.outbound_link import Member, OutboundLink
 
 # Nodes that watch in each data centre: one where nodes of two others are in reach,
 # whose watchers hear of the same changes, else two.
@@ -58,7 +58,7 @@
     def __init__(
         self,
         own: Member,
-        links: Callable[[], Iterable[SendingLink]],
+        links: Callable[[], Iterable[OutboundLink]],
         first_start: bool,
         clock: Clock,
     ) -> None:
@@ -83,7 +83,7 @@
         near = (
             Neighbour(link.member.node, link.update_source)
             for link in self._links()
-            if link.target.local and link.is_heard()
+            if link.target.local and link.is_responsive()
         )
         return rank_of(self._own.node, near, self.n_watchers())
 
@@ -91,7 +91,7 @@
         """Return how many nodes are to watch in each data centre."""
         own = self._own.data_centre
         data_centres = {
-            link.member.data_centre for link in self._links() if link.is_heard()
+            link.member.data_centre for link in self._links() if link.is_responsive()
         }
         enough = len(data_centres - {own}) >= _ENOUGH_ELSEWHERE
         return _WATCHERS if enough else _WATCHERS_ALONE
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/workspace_check.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/workspace_check.py
@@ -13,8 +13,8 @@
     from fuchsiagap.core.routes.model import Route
     from fuchsiagap.core.routes.table import RouteTable
     from fuchsiagap.core.workspaces.model import Workspace
+    from fuchsiagap_node.core.mesh.event_log import EventLog
     from fuchsiagap_node.core.mesh.http_request import Request
-    from fuchsiagap_node.core.mesh.telling import Teller
 
 # Milliseconds after which a caller may come back to a node whose knowledge is too old:
 # by then it has heard from another one, if it can.
@@ -34,7 +34,7 @@
         Returns the age of that knowledge in milliseconds.
     clock : Clock
         Time in milliseconds.
-    teller : Teller
+    event_log : EventLog
         Logs and counters.
     """
 
@@ -43,12 +43,12 @@
         is_too_old: Callable[[], bool],
         age: Callable[[], Milliseconds],
         clock: Clock,
-        teller: Teller,
+        event_log: EventLog,
     ) -> None:
         self._is_too_old = is_too_old
         self._age = age
         self._clock = clock
-        self._tell = teller
+        self._event_log = event_log
         self._second = -1
         self._n_lines = 0
 
@@ -76,15 +76,15 @@
         return workspace
 
     def _refuse(self, req: Request, route: Route, cause: str, final: Final) -> Final:
-        self._tell.counts["key_refused", cause] += 1
-        self._tell.answered(route.name, str(final.status), 0.0)
+        self._event_log.counts["key_refused", cause] += 1
+        self._event_log.count_outcome(route.name, str(final.status), 0.0)
         second = int(self._clock.now()) // 1_000
         if second != self._second:
             self._second, self._n_lines = second, 0
         self._n_lines += 1
         if self._n_lines <= _LINES_A_S:
             age = self._age()
-            self._tell.event(
+            self._event_log.event(
                 "key-refused",
                 request=req.request_id,
                 route=route.name,
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/workspaces.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/workspaces.py
@@ -20,12 +20,12 @@
     from fuchsiagap.core.clock import Clock
     from fuchsiagap.core.routes.model import RouteConfig
     from fuchsiagap_node.core.mesh.config_sync import ConfigSync
-    from fuchsiagap_node.core.mesh.links import Links
+    from fuchsiagap_node.core.mesh.event_log import EventLog
     from fuchsiagap_node.core.mesh.messages import TokensWanted
-    from fuchsiagap_node.core.mesh.sending import Member, SendingLink
+    from fuchsiagap_node.core.mesh.outbound_link import Member, OutboundLink
+    from fuchsiagap_node.core.mesh.outbound_links import OutboundLinks
     from fuchsiagap_node.core.mesh.settings import MeshSettings
     from fuchsiagap_node.core.mesh.taking import TakingLinks
-    from fuchsiagap_node.core.mesh.telling import Teller
     from fuchsiagap_node.core.mesh.ticker import Ticker
 
 
@@ -46,7 +46,7 @@
         Time in milliseconds.
     rng : random.Random
         Chooses whom of the others to ask.
-    teller : Teller
+    event_log : EventLog
         Logs and counters.
 
     Attributes
@@ -64,10 +64,10 @@
         cfg: MeshSettings,
         own: Member,
         config: ConfigSync,
-        links: Callable[[], Links],
+        links: Callable[[], OutboundLinks],
         clock: Clock,
         rng: random.Random,
-        teller: Teller,
+        event_log: EventLog,
     ) -> None:
         self._links = links
         self.knowledge = KnowledgeExchange(
@@ -76,16 +76,16 @@
         owners = QuotaOwners(
             own, links, lambda: config.update_source is UpdateSource.STORE, clock
         )
-        self.quotas = Quotas(owners, self._post, cfg.first_start, clock, teller)
+        self.quotas = Quotas(owners, self._post, cfg.first_start, clock, event_log)
         self.check = WorkspaceCheck(
             self.knowledge.is_too_old,
             lambda: config.in_force.knowledge_age,
             clock,
-            teller,
+            event_log,
         )
 
     def _post(self, node: str, message: TokensWanted) -> bool:
-        link = self._links().link_to(node)
+        link = self._links().ensure_link(node)
         if link is None or not link.is_open():
             return False
         link.post(message)
@@ -95,7 +95,7 @@
         """Put the workspaces of a configuration in force."""
         self.quotas.adopt(config.workspaces or ())
 
-    def prepare_link(self, link: SendingLink) -> None:
+    def prepare_link(self, link: OutboundLink) -> None:
         """Take what another node answers on a link."""
         link.on_age = self.knowledge.take_answer
         link.on_tokens = self.quotas.take_answer
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/a_service.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/a_service.py
@@ -7,10 +7,10 @@
 from fuchsiagap.core.pressure.evenly import CallerTurn
 from fuchsiagap.core.pressure.served import ServedShares
 from fuchsiagap_node.core.mesh.admission import STEP_MS, Admission
+from fuchsiagap_node.core.mesh.event_log import EventLog
 from fuchsiagap_node.core.mesh.messages import Below
 from fuchsiagap_node.core.mesh.peers import Peers
 from fuchsiagap_node.core.mesh.pressures import Pressures
-from fuchsiagap_node.core.mesh.telling import Teller
 
 
 class _Door:
@@ -47,7 +47,7 @@
             self._chain.append(Pressures(_peers(between), clock))
         self.served = ServedShares()
         self.admission = Admission(
-            self._chain[-1], self.served, clock, random.Random(1), Teller("n", clock)
+            self._chain[-1], self.served, clock, random.Random(1), EventLog("n", clock)
         )
         self._turn = CallerTurn()
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_crash_reports.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_crash_reports.py
@@ -7,8 +7,8 @@
 from fuchsiagap.core.clock import Clock
 from fuchsiagap.core.quarantine.quarantine import Crash, Held, QuarantineSettings
 from fuchsiagap_node.core.mesh.crash_reports import CrashReports
+from fuchsiagap_node.core.mesh.event_log import EventLog
 from fuchsiagap_node.core.mesh.frames import FrameReader, encode
-from fuchsiagap_node.core.mesh.telling import Teller
 
 GUILTY = b"g" * 16
 COMMON = b"c" * 16
@@ -23,9 +23,9 @@
         self.reports = []
         clock = Clock(lambda: self.now, lambda: 0.0)
         for number in range(n_nodes):
-            rng, teller = random.Random(number), Teller(str(number), clock)
+            rng, event_log = random.Random(number), EventLog(str(number), clock)
             cfg = QuarantineSettings()
-            reports = CrashReports(cfg, "certs", clock, rng, teller)
+            reports = CrashReports(cfg, "certs", clock, rng, event_log)
             self.reports.append(reports)
             linked = range(n_nodes) if links is None else links[number]
             reports.peers = self._posts(number, linked)
@@ -142,8 +142,8 @@
             reports.record_refusal(GUILTY, str(number))
         nodes.now += 1_000.0
         reports.record_refusal(GUILTY, "late")
-        self.assertEqual(1_001, reports._tell.counts["quarantine_refused", ""])
-        self.assertEqual(21, reports._tell.counts["events", "quarantine-refused"])
+        self.assertEqual(1_001, reports._event_log.counts["quarantine_refused", ""])
+        self.assertEqual(21, reports._event_log.counts["events", "quarantine-refused"])
 
     def test_crash_that_ran_only_what_was_answered_is_not_told(self):
         nodes = Nodes(2)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_door.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_door.py
@@ -49,7 +49,7 @@
                 await trio.sleep(0.2)
                 at_server = door.running
                 await trio.sleep(0.5)
-                return at_server, door.running, outcomes, host.node.tell.counts
+                return at_server, door.running, outcomes, host.node.event_log.counts
 
         at_server, running, outcomes, counts = run_in_memory(main)
         self.assertEqual((3, 0), (at_server, running))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_gauges.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_gauges.py
@@ -5,7 +5,7 @@
 import trio
 from testtools import TestCase
 
-from fuchsiagap_node.core.mesh.http_call import HttpCaller
+from fuchsiagap_node.core.mesh.http_client import HttpClient
 from fuchsiagap_node.core.mesh.http_names import HeaderNames
 from fuchsiagap_standins.mesh.backend_server import Behaviour
 from fuchsiagap_standins.mesh.deployment import a_deployment, a_route
@@ -14,7 +14,7 @@
 
 async def metrics_of(host):
     """Return a node's metrics, by name and labels."""
-    caller = HttpCaller(host.node.cfg.addresses.metrics, HeaderNames())
+    caller = HttpClient(host.node.cfg.addresses.metrics, HeaderNames())
     answer = await caller.call("GET", "/metrics", b"", 1_000.0)
     caller.close()
     lines = answer.body.decode().splitlines()
@@ -66,12 +66,12 @@
                 host = deployment.add("certs", slots=2)
                 host.server.behave = lambda _: Behaviour(work=100.0)
                 await deployment.settle()
-                idle = host.node.tell.counts["events", "load"]
+                idle = host.node.event_log.counts["events", "load"]
                 async with trio.open_nursery() as nursery:
                     for number in range(120):
                         nursery.start_soon(host.send, "/read/1", f"r{number}")
                         await trio.sleep(0.025)
-                return idle, [json.loads(line) for line in host.node.tell.lines()]
+                return idle, [json.loads(line) for line in host.node.event_log.lines()]
 
         idle, lines = run_in_memory(main)
         self.assertEqual(0, idle)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_http_call.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_http_client.py
@@ -4,9 +4,9 @@
 from testtools import TestCase
 
 from fuchsiagap.core.routes.model import CallerLimits
-from fuchsiagap_node.core.mesh.callers import answer_bytes
+from fuchsiagap_node.core.mesh.callers import encode_response
 from fuchsiagap_node.core.mesh.final import Final
-from fuchsiagap_node.core.mesh.http_call import CallFailed, HttpCaller
+from fuchsiagap_node.core.mesh.http_client import CallFailed, HttpClient
 from fuchsiagap_node.core.mesh.http_names import HeaderNames
 from fuchsiagap_node.core.mesh.http_request import RequestReader
 from fuchsiagap_node.core.mesh.stream import accept_all, listen
@@ -34,7 +34,7 @@
 
     async def _answer(self, stream, req):
         await trio.sleep(int(req.target[1:]) / 1_000.0)
-        await stream.send(answer_bytes(Final(200, body=req.target), close=False))
+        await stream.send(encode_response(Final(200, body=req.target), close=False))
 
 
 def run_with_server(main):
@@ -45,7 +45,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(server.run)
             await trio.sleep(0.01)
-            caller = HttpCaller(server.address, HeaderNames())
+            caller = HttpClient(server.address, HeaderNames())
             result = await main(caller)
             nursery.cancel_scope.cancel()
         return result, server.connections
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_member_sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_member_sync.py
@@ -3,7 +3,7 @@
 import trio
 from testtools import TestCase
 
-from fuchsiagap_node.core.mesh.sending import Member
+from fuchsiagap_node.core.mesh.outbound_link import Member
 from fuchsiagap_standins.mesh.deployment import a_deployment, a_route
 from fuchsiagap_standins.mesh.virtual import run_in_memory
 
@@ -74,7 +74,7 @@
                 far.scope.cancel()
                 deployment.state.members.pop("certs-1")
                 await trio.sleep(30.0)
-                return near.node.tell.counts["events", "node-gone"]
+                return near.node.event_log.counts["events", "node-gone"]
 
         self.assertEqual(1, run_in_memory(main))
 
@@ -88,7 +88,7 @@
                 await trio.sleep(40.0)
                 early = set(deployment.state.members)
                 await trio.sleep(60.0)
-                counts = near.node.tell.counts
+                counts = near.node.event_log.counts
                 return early, set(deployment.state.members), counts
 
         early, late, counts = run_in_memory(main)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_node.py
@@ -130,7 +130,7 @@
                     cfg, bounds=Bounds(stop=9_000.0), budget=budget, node="other"
                 )
                 node.check_settings()
-                return cfg, unchanged, node.cfg, node.tell.counts
+                return cfg, unchanged, node.cfg, node.event_log.counts
 
         cfg, unchanged, changed, counts = run_in_memory(main)
         self.assertEqual(cfg, unchanged)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_links.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_outbound_links.py
@@ -7,7 +7,11 @@
 from testtools import TestCase
 
 from fuchsiagap_node.core.mesh.link import FramedLink
-from fuchsiagap_node.core.mesh.links import FIRST_LINKS, LOCAL_LINKS, REMOTE_LINKS
+from fuchsiagap_node.core.mesh.outbound_links import (
+    LOCAL_LINKS,
+    REMOTE_LINKS,
+    WATCHER_LINKS,
+)
 from fuchsiagap_standins.mesh.deployment import a_deployment, a_route
 from fuchsiagap_standins.mesh.virtual import run_in_memory
 
@@ -100,7 +104,7 @@
         n_doors, n_linked = run_in_memory(main)
         self.assertEqual(15, n_doors)
         # The first nodes of the data centre by name may stand among these or beside.
-        most = LOCAL_LINKS + FIRST_LINKS
+        most = LOCAL_LINKS + WATCHER_LINKS
         self.assertIn(n_linked, range(LOCAL_LINKS, most + 1))
 
     def test_lines_of_a_start_do_not_grow_with_the_fleet(self):
@@ -110,7 +114,7 @@
                 await deployment.settle()
                 late = deployment.add("certs")
                 await deployment.settle()
-                counts = [host.node.tell.counts for host in (*hosts, late)]
+                counts = [host.node.event_log.counts for host in (*hosts, late)]
                 return [
                     (c["events", "nodes-known"], c["events", "node-known"])
                     for c in counts
@@ -158,7 +162,7 @@
 
                 with mock.patch.object(FramedLink, "post", count):
                     await trio.sleep(seconds)
-                heard = [link.is_heard() for h in hosts for link in h.node._links]
+                heard = [link.is_responsive() for h in hosts for link in h.node._links]
                 return counted["Ping"], heard
 
         return run_in_memory(main)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_poller.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_poller.py
@@ -181,8 +181,8 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(poller.run)
                 await trio.sleep(0.01)
-                streams[0].read_with(poller, lambda _: 1 / 0, lambda _: 1 / 0)
-                streams[1].read_with(poller, got.append, got.append)
+                streams[0].start_reading(poller, lambda _: 1 / 0, lambda _: 1 / 0)
+                streams[1].start_reading(poller, got.append, got.append)
                 for _, there in ends:
                     there.send(b"x")
                 await trio.sleep(0.05)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_server_crashes.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_server_crashes.py
@@ -36,7 +36,7 @@
         async with trio.open_nursery() as nursery:
             await play(host, nursery)
             await trio.sleep(1.0)
-        lines = map(json.loads, host.node.tell.lines())
+        lines = map(json.loads, host.node.event_log.lines())
         return [line for line in lines if line["event"] == "backend-crashed"]
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_stream.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_stream.py
@@ -57,7 +57,7 @@
                     while await stream.receive():
                         pass
                     stream.close()
-                return host.node.tell.counts["events", "fault"]
+                return host.node.event_log.counts["events", "fault"]
 
         self.assertEqual(0, run_on_loopback(main))
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_suspension.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_suspension.py
@@ -134,8 +134,8 @@
                     await trio.sleep(1.0)
                     far.report()
                     answer = await near.send("/read/1", "r-1", 1_000.0)
-                    woken = near.node.tell.counts["events", "resumed"]
-                    others = far.node.tell.counts["events", "resumed"]
+                    woken = near.node.event_log.counts["events", "resumed"]
+                    others = far.node.event_log.counts["events", "resumed"]
                     return answer.status, woken, others
 
             self.assertEqual((200, 1, 0), run_in_memory(main), duration)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_workspaces.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_workspaces.py
@@ -36,8 +36,8 @@
     """Return all log lines and metrics of all nodes."""
     parts = []
     for host in deployment.hosts:
-        parts.extend(host.node.tell.lines())
-        parts.append(host.node.tell.metrics().encode())
+        parts.extend(host.node.event_log.lines())
+        parts.append(host.node.event_log.metrics().encode())
     return b"".join(parts)
 
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/deployment.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/deployment.py
@@ -16,8 +16,8 @@
 from fuchsiagap.core.routes.model import CallerLimits, Route, RouteConfig, Share
 from fuchsiagap.core.workspaces.keys import key_digest
 from fuchsiagap.core.workspaces.model import Workspace
-from fuchsiagap_node.core.mesh.http_answer import Answer, AnswerReader
 from fuchsiagap_node.core.mesh.http_names import HeaderNames
+from fuchsiagap_node.core.mesh.http_response import Response, ResponseReader
 from fuchsiagap_node.core.mesh.node import Node
 from fuchsiagap_node.core.mesh.settings import Addresses, Bounds, MeshSettings
 from fuchsiagap_node.core.mesh.stream import BrokenStream, dial
@@ -120,7 +120,7 @@
         method: str = "GET",
         body: bytes = b"",
         headers: Mapping[str, str] | None = None,
-    ) -> Answer | None:
+    ) -> Response | None:
         """Send a request as a caller; None if the connection ends without an answer."""
         stream = await dial(self.node.cfg.addresses.callers, 500.0)
         data = request_bytes(path, request_id, wait, method, body, headers)
@@ -151,9 +151,9 @@
     return head.encode() + b"\r\n" + body
 
 
-async def read_answer(stream: Stream) -> Answer | None:
+async def read_answer(stream: Stream) -> Response | None:
     """Return the next answer on a connection; None if there is none."""
-    reader = AnswerReader(HeaderNames())
+    reader = ResponseReader(HeaderNames())
     try:
         while data := await stream.receive():
             if answers := reader.feed(data):
@@ -256,7 +256,7 @@
         if self.expects_faults:
             return
         for host in self.hosts:
-            n_faults = host.node.tell.counts["events", "fault"]
+            n_faults = host.node.event_log.counts["events", "fault"]
             assert not n_faults, f"{host.node.cfg.node}: {n_faults} faults in its log"
 
     async def settle(self) -> None:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/memory_store.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/memory_store.py
@@ -22,7 +22,7 @@
 
     from fuchsiagap.core.clock import Milliseconds
     from fuchsiagap.core.routes.model import RouteConfig
-    from fuchsiagap_node.core.mesh.sending import Member
+    from fuchsiagap_node.core.mesh.outbound_link import Member
     from fuchsiagap_node.core.mesh.store import (
         ConfigResult,
         MembersResult,
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/quarantine_play.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/quarantine_play.py
@@ -17,7 +17,7 @@
 from fuchsiagap.core.clock import MS_PER_S, Clock
 from fuchsiagap.core.quarantine.quarantine import QuarantineSettings
 from fuchsiagap_node.core.mesh.crash_reports import FLUSH_MS, CrashReports
-from fuchsiagap_node.core.mesh.telling import Teller
+from fuchsiagap_node.core.mesh.event_log import EventLog
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -226,7 +226,7 @@
         cfg = QuarantineSettings()
         rng = random.Random(self._rng.random())
         reports = CrashReports(
-            cfg, _SERVICE, self._clock, rng, Teller(str(number), self._clock)
+            cfg, _SERVICE, self._clock, rng, EventLog(str(number), self._clock)
         )
         reports.peers = lambda: {
             str(other.number): self._post(number, other)
