--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/__init__.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/__init__.py
@@ -1,6 +1,6 @@
-"""The node of a deployment whose routes come from the platform.
+"""Node of a deployment whose routes come from the platform.
 
-Callers and backend servers speak HTTP/1.1 to the node beside them; nodes speak CBOR
-frames to each other. One request passes two nodes at most: the one that takes it owns
-it, and the one beside the backend server is that server's only door.
+Callers and backend servers speak HTTP/1.1 to the node on their host; nodes exchange
+CBOR frames. A request passes through at most two nodes: the one that receives it owns
+it, and the one on the host of the backend server holds the queue of that server.
 """
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/auxiliary_http.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/auxiliary_http.py
@@ -1,4 +1,4 @@
-"""Small HTTP servers beside the path: reports, readiness and metrics."""
+"""HTTP servers outside the request path: server reports, readiness and metrics."""
 
 from __future__ import annotations
 
@@ -23,26 +23,26 @@
 
     Handle: TypeAlias = Callable[[Request], Final]
 
-# Milliseconds that such a connection may be idle.
-_IDLE_MS = 60_000.0
+# Milliseconds after which an idle connection is closed.
+_IDLE_TIMEOUT_MS = 60_000.0
 _LIMITS = CallerLimits(body_bytes=1_048_576)
 
 
 async def serve_auxiliary(
     address: str, handle: Handle, names: HeaderNames, event_log: EventLog
 ) -> None:
-    """Answer requests at an address with a plain function until cancelled.
+    """Serve requests at an address with a synchronous handler until cancelled.
 
     Parameters
     ----------
     address : str
         ``IP:PORT``.
     handle : callable
-        Returns the answer to a request; it does not wait for anything.
+        Returns the response to a request; must not block.
     names : HeaderNames
         Header names.
     event_log : EventLog
-        Logs.
+        Event log.
     """
 
     async def serve(stream: Stream) -> None:
@@ -64,7 +64,7 @@
 async def _serve(stream: Stream, handle: Handle, reader: RequestReader) -> None:
     while True:
         data = b""
-        with trio.move_on_after(_IDLE_MS / MS_PER_S):
+        with trio.move_on_after(_IDLE_TIMEOUT_MS / MS_PER_S):
             data = await stream.receive()
         if not data:
             return
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/callers.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/callers.py
@@ -1,4 +1,4 @@
-"""The edge towards callers and the backend server on this host: HTTP/1.1."""
+"""HTTP/1.1 server for callers and for nested calls of the local backend server."""
 
 from __future__ import annotations
 
@@ -26,16 +26,17 @@
     from fuchsiagap_node.core.mesh.settings import MeshSettings
     from fuchsiagap_node.core.mesh.stream import Stream
 
-# Requests of one connection that are worked on at the same time; those behind wait
-# unread, which holds the caller back instead of this node's memory.
-_PIPELINED = 16
-# Milliseconds between two looks for silent callers. One look at all connections costs
-# less than a timeout for each read, which takes 14 us (`move_on_after`, timed alone).
-SWEEP_MS = 500.0
-# Milliseconds after a suspension in which requests may have waited unread for all of
-# it.
-_UNREAD_MS = 250.0
-_REASONS = {
+# Pipelined requests of one connection that are processed at the same time. Further
+# requests stay unread in the socket, so that TCP flow control slows the caller down
+# and this node does not buffer them.
+_MAX_PIPELINED = 16
+# Milliseconds between two checks for timed-out connections. One pass over all
+# connections costs less than a `move_on_after` for each read, which takes 14 us.
+IDLE_CHECK_INTERVAL_MS = 500.0
+# Milliseconds after a suspension in which a request that is read may have been waiting
+# in the socket for the whole suspension.
+_SUSPENSION_BACKLOG_MS = 250.0
+_REASON_PHRASES = {
     400: b"Bad Request",
     401: b"Unauthorized",
     404: b"Not Found",
@@ -50,8 +51,18 @@
 
 
 def encode_response(final: Final, close: bool) -> bytes:
-    """Return an answer as it goes to the caller."""
-    parts = [b"HTTP/1.1 %d %s\r\n" % (final.status, final.reason or _reason(final))]
+    """Encode a final response as HTTP/1.1.
+
+    Parameters
+    ----------
+    final : Final
+        Response.
+    close : bool
+        Whether the connection is closed after it.
+    """
+    parts = [
+        b"HTTP/1.1 %d %s\r\n" % (final.status, final.reason or _reason_phrase(final))
+    ]
     if final.headers:
         parts.append(final.headers)
     if final.retry_after > 0.0:
@@ -63,34 +74,34 @@
     return b"".join(parts)
 
 
-def _reason(final: Final) -> bytes:
-    return _REASONS.get(final.status, b"Answer")
+def _reason_phrase(final: Final) -> bytes:
+    return _REASON_PHRASES.get(final.status, b"Answer")
 
 
 class CallerListener:
-    """Takes requests from callers and sends their answers back in order.
+    """Reads requests from callers and sends the responses back in order.
 
     Parameters
     ----------
     cfg : MeshSettings
         Settings.
     entry : Entry
-        Answers the requests.
+        Handles the requests.
     clock : Clock
         Time in milliseconds.
     event_log : EventLog
-        Logs and counters.
+        Event log and counters.
     poller : Poller
-        Watches the connections.
+        Reports readable connections.
 
     Attributes
     ----------
     limits : CallerLimits
-        Limits of the configuration in force.
+        Limits of the active configuration.
     closing : bool
-        Whether connections are closed after their next answer.
+        Whether connections are closed after their last pending response.
     in_progress : int
-        Requests without their whole answer.
+        Requests whose response has not been sent completely.
     """
 
     def __init__(
@@ -109,70 +120,70 @@
         self.limits = CallerLimits()
         self.closing = False
         self.in_progress = 0
-        self._open: dict[_Connection, None] = {}
+        self._connections: dict[_Connection, None] = {}
         self._nursery: trio.Nursery | None = None
-        self._suspended: Milliseconds = 0.0
-        self._unread_until: Milliseconds = float("-inf")
+        self._suspension_ms: Milliseconds = 0.0
+        self._backlog_until: Milliseconds = float("-inf")
 
     def serve(self, stream: Stream) -> None:
-        """Serve one connection until it ends."""
+        """Start serving a connection; it is served by callbacks until it ends."""
         conn = _Connection(self, stream)
-        self._open[conn] = None
-        stream.start_reading(self._poller, conn.take, conn.end)
+        self._connections[conn] = None
+        stream.start_reading(self._poller, conn.on_data, conn.on_end)
 
-    def forget(self, conn: _Connection) -> None:
-        """Forget a connection that has ended."""
-        self._open.pop(conn, None)
+    def remove(self, conn: _Connection) -> None:
+        """Remove a connection that has ended."""
+        self._connections.pop(conn, None)
 
     def log_exception(self, exc: Exception) -> None:
-        """Take an exception of one connection that nobody expected."""
+        """Log an unexpected exception of one connection."""
         self._event_log.log_exception("caller-connection", exc)
 
     def now(self) -> Milliseconds:
-        """Return the time."""
+        """Return the current time."""
         return self._clock.now()
 
     async def run(self) -> None:
-        """Hold the tasks that send to slow callers until cancelled."""
+        """Run the tasks that send to slow callers, until cancelled."""
         try:
             async with trio.open_nursery() as self._nursery:
                 await trio.sleep_forever()
         finally:
-            for conn in list(self._open):
+            for conn in list(self._connections):
                 conn.stream.close()
 
-    def close_silent(self) -> None:
-        """Close the connections of callers that are silent for too long."""
+    def close_timed_out(self) -> None:
+        """Close connections whose idle or header timeout has passed."""
         now = self._clock.now()
-        for conn in [c for c in self._open if c.is_overdue(now)]:
+        for conn in [c for c in self._connections if c.is_timed_out(now)]:
             conn.stream.close()
 
     def close_idle(self) -> None:
         """Close the connections on which no request is in progress."""
-        for conn in list(self._open):
+        for conn in list(self._connections):
             if conn.is_idle():
                 conn.stream.close()
 
     def reader(self) -> RequestReader:
-        """Return a reader under the limits in force."""
+        """Return a request reader with the active limits."""
         return RequestReader(self._cfg.names, self.limits)
 
     def record_suspension(self, suspended: Milliseconds) -> None:
-        """Take in that the host was suspended, with requests that nobody has read."""
-        self._suspended = suspended
-        self._unread_until = self._clock.now() + _UNREAD_MS
+        """Record a suspension of the host, during which requests may have queued up."""
+        self._suspension_ms = suspended
+        self._backlog_until = self._clock.now() + _SUSPENSION_BACKLOG_MS
 
-    def _age_unread(self, req: Request) -> Request:
-        """Return a request with the time that its caller is sure to wait from now."""
-        if req.wait is None or self._clock.now() >= self._unread_until:
+    def _deduct_suspension(self, req: Request) -> Request:
+        """Return the request with the suspension deducted from its time limit."""
+        if req.wait is None or self._clock.now() >= self._backlog_until:
             return req
-        return req._replace(wait=max(req.wait - self._suspended, 0.0))
+        return req._replace(wait=max(req.wait - self._suspension_ms, 0.0))
 
     def begin(
         self, req: Request, done: OnFinal, turn: CallerTurn
     ) -> Cancellable | None:
-        """Begin to answer a request; a fault in it is answered, too."""
-        req = self._age_unread(req)
+        """Start handling a request; an unexpected exception is answered with 502."""
+        req = self._deduct_suspension(req)
         if req.wait is not None and req.wait <= 0.0:
             done(Final(503, retry_after=RETRY_AFTER_MS))
             return None
@@ -184,19 +195,19 @@
             return None
 
     def send_later(self, work: Callable[[], Awaitable[None]]) -> None:
-        """Send the rest of an answer while its connection goes on reading."""
+        """Send the rest of a response in a task while the connection keeps reading."""
         if self._nursery is not None:
             self._nursery.start_soon(work)
 
 
 class _Exchange:
-    """A request of a connection, and its final answer once there is one."""
+    """A request of a connection and, once available, its final response."""
 
-    __slots__ = ("closes", "final", "is_head", "placement")
+    __slots__ = ("closes_connection", "final", "is_head", "placement")
 
     def __init__(self, req: Request | None = None) -> None:
         self.is_head = req is not None and req.method == b"HEAD"
-        self.closes = req is None or not req.keep_alive
+        self.closes_connection = req is None or not req.keep_alive
         self.placement: Cancellable | None = None
         self.final: Final | None = None
 
@@ -204,154 +215,167 @@
 class _Connection:
     """One connection of a caller.
 
-    It reads when the poller calls it; answers are sent, in the order of their requests,
-    by whoever brings them (see `placement`).
+    The poller calls it when there is data to read. A response is sent by the code that
+    produces it, in the order of the requests.
     """
 
-    def __init__(self, edge: CallerListener, stream: Stream) -> None:
+    def __init__(self, listener: CallerListener, stream: Stream) -> None:
         self.stream = stream
-        self._edge = edge
-        self._reader = edge.reader()
-        self._heard_at = edge.now()
-        self._open: deque[_Exchange] = deque()
+        self._listener = listener
+        self._reader = listener.reader()
+        self._last_received_at = listener.now()
+        self._exchanges: deque[_Exchange] = deque()
         self._turn = CallerTurn()
-        self._rest = b""
+        self._unsent = b""
         self._is_paused = False
-        self._ended = False
+        self._ignores_input = False
 
     def is_idle(self) -> bool:
-        return not self._open and not self._reader.in_message
+        return not self._exchanges and not self._reader.in_message
 
-    def is_overdue(self, now: Milliseconds) -> bool:
-        """Whether the caller has been silent for longer than the limits allow."""
-        if self._open:
+    def is_timed_out(self, now: Milliseconds) -> bool:
+        """Whether the idle timeout or the header timeout has passed."""
+        if self._exchanges:
             return False
-        limits = self._edge.limits
+        limits = self._listener.limits
         wait = limits.header_timeout if self._reader.in_message else limits.idle_timeout
-        return now - self._heard_at > wait
+        return now - self._last_received_at > wait
 
-    def take(self, data: bytes) -> None:
-        """Take in what the caller has sent."""
-        self._heard_at = self._edge.now()
-        if self._ended:
+    def on_data(self, data: bytes) -> None:
+        """Process data from the caller; an exception closes the connection."""
+        self._last_received_at = self._listener.now()
+        if self._ignores_input:
             return
         try:
-            self._take(data)
+            self._handle_data(data)
         except Exception as exc:
-            self._edge.log_exception(exc)
-            self._leave()
+            self._listener.log_exception(exc)
+            self._abort()
 
-    def end(self, _: BrokenStream) -> None:
-        """Give up what a caller waits for that has closed the connection."""
-        self._leave()
-        self._edge.forget(self)
+    def on_end(self, _: BrokenStream) -> None:
+        """Cancel what is in progress after the connection has ended."""
+        self._abort()
+        self._listener.remove(self)
 
-    def _take(self, data: bytes) -> None:
+    def _handle_data(self, data: bytes) -> None:
         try:
             requests = self._reader.feed(data)
         except BadRequest as exc:
             self._reject(exc)
             return
         for req in requests:
-            if not self._ended:
+            if not self._ignores_input:
                 self._start(req)
-        if self._reader.wants_continue and self._reader.in_message and not self._open:
-            # Not amid the answers to requests before it, which may be sent in parts.
+        if (
+            self._reader.wants_continue
+            and self._reader.in_message
+            and not self._exchanges
+        ):
+            # Sent only if no earlier response is pending, which may be sent in parts.
             self._reader.wants_continue = False
             self._send_continue()
-        if len(self._open) >= _PIPELINED:
+        if len(self._exchanges) >= _MAX_PIPELINED:
             self._is_paused = True
             self.stream.pause()
 
     def _send_continue(self) -> None:
-        """Ask for the body; a caller with a full window has not read for long."""
+        """Send ``100 Continue``; close the connection if it does not fit in the socket.
+
+        With a full send buffer the caller has not read for a long time.
+        """
         try:
             rest = self.stream.send_some(b"HTTP/1.1 100 Continue\r\n\r\n")
         except BrokenStream:
-            self._leave()
+            self._abort()
             return
         if rest:
-            self._leave()
+            self._abort()
 
-    def _make_room(self) -> None:
-        """Read on where requests waited unread."""
-        if self._is_paused and len(self._open) < _PIPELINED:
+    def _resume_reading(self) -> None:
+        """Resume reading once fewer than the maximum of requests are in progress."""
+        if self._is_paused and len(self._exchanges) < _MAX_PIPELINED:
             self._is_paused = False
             self.stream.resume()
 
     def _start(self, req: Request) -> None:
-        exchange = self._queue(req)
-        self._ended = exchange.closes
+        exchange = self._add_exchange(req)
+        self._ignores_input = exchange.closes_connection
 
         def done(final: Final) -> None:
             exchange.final = final
             self._flush()
 
-        exchange.placement = self._edge.begin(req, done, self._turn)
+        exchange.placement = self._listener.begin(req, done, self._turn)
 
-    def _queue(self, req: Request | None) -> _Exchange:
+    def _add_exchange(self, req: Request | None) -> _Exchange:
         exchange = _Exchange(req)
-        self._open.append(exchange)
-        self._edge.in_progress += 1
+        self._exchanges.append(exchange)
+        self._listener.in_progress += 1
         return exchange
 
     def _reject(self, exc: BadRequest) -> None:
-        """Answer what is no request, after the answers that are still to come."""
-        self._ended = True
-        self._queue(None).final = Final(exc.status)
+        """Answer a malformed request after all pending responses, then close."""
+        self._ignores_input = True
+        self._add_exchange(None).final = Final(exc.status)
         self._flush()
 
     def _flush(self) -> None:
-        """Send the answers whose turn it is."""
-        while self._open and self._open[0].final is not None and not self._rest:
-            exchange = self._open[0]
-            last = len(self._open) == 1 and not self._reader.in_message
-            exchange.closes = exchange.closes or (self._edge.closing and last)
+        """Send the final responses at the head of the queue."""
+        while (
+            self._exchanges
+            and self._exchanges[0].final is not None
+            and not self._unsent
+        ):
+            exchange = self._exchanges[0]
+            last = len(self._exchanges) == 1 and not self._reader.in_message
+            exchange.closes_connection = exchange.closes_connection or (
+                self._listener.closing and last
+            )
             try:
-                self._rest = self.stream.send_some(_bytes_of(exchange))
+                self._unsent = self.stream.send_some(_encode_exchange(exchange))
             except BrokenStream:
-                self._leave()
+                self._abort()
                 return
-            if self._rest:
-                self._edge.send_later(self._send_rest)
+            if self._unsent:
+                self._listener.send_later(self._send_rest)
                 return
             self._sent()
 
     async def _send_rest(self) -> None:
-        """Send the rest of an answer to a caller that reads slowly."""
+        """Send the rest of a response to a caller that reads slowly."""
         try:
-            await self.stream.send(self._rest)
+            await self.stream.send(self._unsent)
         except BrokenStream:
-            self._leave()
+            self._abort()
             return
-        self._rest = b""
-        if self._open:
+        self._unsent = b""
+        if self._exchanges:
             self._sent()
             self._flush()
 
     def _sent(self) -> None:
-        """Go on after a whole answer."""
-        exchange = self._open.popleft()
-        self._edge.in_progress -= 1
-        self._heard_at = self._edge.now()
-        self._make_room()
-        if exchange.closes:
-            self._ended = True
-            self._leave()
-
-    def _leave(self) -> None:
-        """Close the connection and give up what is still in progress on it."""
+        """Remove the exchange whose response was sent completely."""
+        exchange = self._exchanges.popleft()
+        self._listener.in_progress -= 1
+        self._last_received_at = self._listener.now()
+        self._resume_reading()
+        if exchange.closes_connection:
+            self._ignores_input = True
+            self._abort()
+
+    def _abort(self) -> None:
+        """Close the connection and cancel the requests in progress on it."""
         self.stream.close()
-        left, self._open = self._open, deque()
-        self._edge.in_progress -= len(left)
-        for exchange in left:
+        cancelled, self._exchanges = self._exchanges, deque()
+        self._listener.in_progress -= len(cancelled)
+        for exchange in cancelled:
             if exchange.placement is not None and exchange.final is None:
                 exchange.placement.cancel()
 
 
-def _bytes_of(exchange: _Exchange) -> bytes:
-    """Return the answer of an exchange as it goes to the caller."""
+def _encode_exchange(exchange: _Exchange) -> bytes:
+    """Encode the response of an exchange, without its body for HEAD."""
     final = exchange.final
     assert final is not None
-    data = encode_response(final, exchange.closes)
+    data = encode_response(final, exchange.closes_connection)
     return data[: len(data) - len(final.body)] if exchange.is_head else data
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/entry.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/entry.py
@@ -1,4 +1,4 @@
-"""The entry: this node owns the requests that callers on its host send."""
+"""Entry of a request into the mesh: routing, admission and hand-over to placement."""
 
 from __future__ import annotations
 
@@ -29,40 +29,43 @@
 
 
 class Cancellable(Protocol):
-    """A request in progress."""
+    """A request in progress that can be cancelled."""
 
     def cancel(self) -> None:
-        """Give it up: its caller has left."""
+        """Cancel the request because its caller disconnected."""
 
 
 class Entry:
-    """Finds the route of a request, refuses it or has it placed.
+    """Routes each request of a caller, then refuses it or starts its placement.
+
+    The node that takes a request from a caller owns it until it is answered.
 
     Parameters
     ----------
     placing : Placing
-        Hands requests to backend servers.
+        Context of the placement of requests on backend servers.
     pressures : Pressures
-        Told which calls the requests of a route make.
+        Records which nested calls the requests of a route make.
     admission : Admission
-        What is refused at once.
+        Admission control of new requests.
     rotation : ShareRotation
-        Choice among the services of a route.
+        Weighted choice among the services of a route.
     event_log : EventLog
-        Logs and counters.
+        Event log and counters.
     check : WorkspaceCheck
-        Finds the workspace of a request.
+        Authenticates the API key of a request and finds its workspace.
     quotas : Quotas
-        Requests that workspaces may make.
+        Request quotas of workspaces.
 
     Attributes
     ----------
     table : RouteTable or None
-        Routes in force; None until a configuration is known.
+        Active routes; None until a configuration is known.
     stopping : bool
-        Whether new requests are refused since the process is about to end.
+        Whether new requests are refused because the process is about to exit.
     parent_of : callable
-        Returns the request for which the backend server on this host makes a call.
+        Returns the running request of the backend server on this host that makes a
+        nested call, given the identifier of the call; None for a new request.
     """
 
     def __init__(
@@ -89,23 +92,24 @@
     def begin(
         self, req: Request, done: OnFinal, turn: CallerTurn
     ) -> Cancellable | None:
-        """Refuse a request or begin to place it.
+        """Refuse a request or start its placement.
 
         Parameters
         ----------
         req : Request
             The request.
         done : callable
-            Told the final answer, once, now or later: the backend server's, or a
-            truthful word that there is none.
+            Called once with the final response, before or after this method returns:
+            the response of the backend server, or an error that says whether the
+            request may have run.
         turn : CallerTurn
-            What its caller is owed.
+            Fair-admission credit of the caller's connection.
 
         Returns
         -------
         Cancellable or None
-            What is to be cancelled if the caller leaves; None if the answer is final
-            at once.
+            Handle to cancel the request if the caller disconnects; None if the final
+            response was already delivered.
         """
         table = self.table
         if table is None:
@@ -119,7 +123,7 @@
             return None
         parent = self.parent_of(req.request_id)
         if parent is not None and (route.public or table.keys is None):
-            return self._place(req, route, parent, done)
+            return self._place_nested_call(req, route, parent, done)
         caller = self._check.identify(req, route, table)
         if isinstance(caller, Final):
             done(caller)
@@ -139,7 +143,7 @@
         workspace: Workspace | None = None,
         waited: Milliseconds = 0.0,
     ) -> Placement | None:
-        """Refuse a new request for which there is no room, or begin to place it."""
+        """Apply admission control to a new request and start its placement."""
         service = self._rotation.pick(route)
         refusal = self._refusal(req, route, service, turn)
         if refusal is not None:
@@ -151,10 +155,10 @@
         placement.start()
         return placement
 
-    def _place(
+    def _place_nested_call(
         self, req: Request, route: Route, parent: Job, done: OnFinal
     ) -> Placement:
-        """Begin to place a call of the backend server."""
+        """Start the placement of a nested call of the local backend server."""
         service = self._rotation.pick(route)
         self._pressures.note_call(parent.call.route, service, route.name)
         placement = Placement(self._placing, req, route, service, parent, done)
@@ -164,7 +168,7 @@
     def admit_within_quota(
         self, keyed: KeyedRequest, done: OnFinal, waited: Milliseconds
     ) -> Placement | None:
-        """Go on with a request that has its token."""
+        """Continue with a request that has received its quota token."""
         try:
             return self._admit(
                 keyed.req, keyed.route, done, keyed.turn, keyed.workspace, waited
@@ -175,7 +179,7 @@
             return None
 
     def refuse_over_quota(self, keyed: KeyedRequest, answer: QuotaAnswer) -> Final:
-        """Return what the caller gets whose workspace has no token."""
+        """Return the response to a request whose workspace has no quota token."""
         route = keyed.route.name
         cause = answer.verdict.value
         refusal = quota_refusal(answer)
@@ -193,13 +197,13 @@
         return refusal
 
     def now(self) -> Milliseconds:
-        """Return the time."""
+        """Return the current time."""
         return self._placing.clock.now()
 
     def _refusal(
         self, req: Request, route: Route, service: str, turn: CallerTurn
     ) -> Final | None:
-        """Return the refusal of a new request for which there is no room."""
+        """Return the refusal of a new request, or None if it is admitted."""
         if self.stopping:
             return Final(503, retry_after=RETRY_AFTER_MS)
         share = self._admission.admitted_share(service, route)
@@ -220,4 +224,4 @@
 
 
 def _no_parent(_: str) -> None:
-    """Return that a request is no call."""
+    """Treat every request as a new one."""
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/event_log.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/event_log.py
@@ -1,7 +1,7 @@
-"""Structured log lines and counters of one process.
+"""Structured event log and metrics of one process.
 
-Lines go through a bounded buffer to standard output, which is never waited for: what
-does not fit is dropped and counted.
+Events are written as JSON lines to standard output through a bounded buffer. Writing
+never blocks; lines that do not fit in the buffer are dropped and counted.
 """
 
 from __future__ import annotations
@@ -13,39 +13,41 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from fuchsiagap_node.core.mesh.unreadable import Unreadable
+from fuchsiagap_node.core.mesh.malformed_input import Unreadable
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
     from fuchsiagap.core.clock import Clock
 
-# Lines that wait for standard output at most: about a second of the busiest node.
-_BUFFERED_LINES = 2_000
-# Milliseconds between two writes; many lines share one system call.
+# Maximum number of lines that wait for standard output: about a second of the output
+# of the busiest node.
+_MAX_BUFFERED_LINES = 2_000
+# Milliseconds between two writes, so that many lines share one system call.
 FLUSH_MS = 200.0
-# One request in so many that was answered at the first try gets a line; the others
-# are counted only. At 1,000 requests a second that is 5 lines a second.
+# Of the requests answered at the first attempt, one in this many gets a line; the
+# others are only counted. At 1,000 requests per second that is 5 lines per second.
 SAMPLE_ANSWERED = 200
-# Repeats of a fault of one kind at one place, or of one unreadable word, for which one
-# line is written.
-_REPEATED = 100
-# Kinds of unreadable words that are told apart; beyond them all count as one.
-_MOST_UNREADABLE = 200
+# Of equal exceptions or equal malformed inputs, one in this many gets a line after the
+# first one.
+_REPEAT_LOG_INTERVAL = 100
+# Number of distinct malformed inputs that are counted separately; all others share one
+# count.
+_MAX_MALFORMED_KINDS = 200
 # Upper bounds of the latency histogram in milliseconds.
 LATENCY_BOUNDS = (5, 10, 25, 50, 100, 250, 500, 1_000, 2_500, 5_000)
 
 
 @dataclass(frozen=True, slots=True)
 class Gauge:
-    """A value that is true now.
+    """Current value of a metric.
 
     Parameters
     ----------
     name : str
-        Name, with its unit.
+        Metric name without its prefix, with its unit.
     labels : str
-        Labels as the text format has them.
+        Labels in the text format of Prometheus.
     value : float
         Value.
     """
@@ -55,21 +57,26 @@
     value: float
 
     def line(self) -> str:
-        """Return it in the text format of Prometheus."""
+        """Return the gauge in the text format of Prometheus."""
         return f"fuchsiagap_{self.name}{{{self.labels}}} {self.value:g}"
 
 
 class EventLog:
-    """Writes one line for each decision and counts what happens often.
+    """Writes one JSON line for each event, and counts events and requests.
 
     Parameters
     ----------
     node : str
-        Name of the node, in each line.
+        Name of the node, included in each line.
     clock : Clock
         Clock of the process.
     descriptor : int, default=1
-        File descriptor of the lines.
+        File descriptor that lines are written to.
+
+    Attributes
+    ----------
+    counts : Counter
+        Counters by metric name and labels.
     """
 
     def __init__(self, node: str, clock: Clock, descriptor: int = 1) -> None:
@@ -82,21 +89,21 @@
         self.counts: Counter[tuple[str, str]] = Counter()
         self._latency: dict[str, list[int]] = {}
         self._latency_sum: Counter[str] = Counter()
-        self._faults: Counter[tuple[str, str]] = Counter()
-        self._unreadable: Counter[Unreadable] = Counter()
+        self._exception_counts: Counter[tuple[str, str]] = Counter()
+        self._malformed_counts: Counter[Unreadable] = Counter()
 
     def event(self, kind: str, **fields: object) -> None:
-        """Write a line.
+        """Write an event.
 
         Parameters
         ----------
         kind : str
-            What happened.
+            Name of the event.
         **fields : object
-            What decided it: identifiers, values, ages in milliseconds, versions.
+            Details: identifiers, values, ages in milliseconds, versions.
         """
         self.counts["events", kind] += 1
-        if len(self._lines) >= _BUFFERED_LINES:
+        if len(self._lines) >= _MAX_BUFFERED_LINES:
             self._dropped += 1
             self.counts["dropped_lines", ""] += 1
             return
@@ -112,48 +119,66 @@
         self._lines.append(json.dumps(line, default=str).encode() + b"\n")
 
     def lines(self) -> tuple[bytes, ...]:
-        """Return the lines that are still to be written."""
+        """Return the lines that are buffered."""
         return tuple(self._lines)
 
     def log_exception(self, where: str, exc: BaseException) -> None:
-        """Write a line for an exception that nothing else expected.
+        """Write an event for an unexpected exception.
+
+        The first one of a kind is written with its trace. Of the others only one in a
+        hundred is written, because thousands of traces during overload cost more than
+        the fault itself.
 
-        Only the first of a kind gets its trace, and of the others one in a hundred a
-        line: thousands of traces in a surge cost more than what they told of.
+        Parameters
+        ----------
+        where : str
+            Component in which it was raised.
+        exc : BaseException
+            The exception.
         """
         cause = f"{type(exc).__name__}: {exc}"
         kind = where, type(exc).__name__
-        self._faults[kind] += 1
-        seen = self._faults[kind]
+        self._exception_counts[kind] += 1
+        seen = self._exception_counts[kind]
         if seen == 1:
             trace = "".join(traceback.format_exception(exc))
             self.event("fault", where=where, cause=cause, trace=trace[-1_500:])
-        elif seen % _REPEATED == 0:
+        elif seen % _REPEAT_LOG_INTERVAL == 0:
             self.event("fault", where=where, cause=cause, seen=seen)
         else:
             self.counts["events", "fault"] += 1
 
-    def unreadable(self, kind: str, word: Unreadable) -> None:
-        """Write a line for a word from outside that says nothing to be believed.
+    def log_malformed_input(self, kind: str, malformed: Unreadable) -> None:
+        """Write an event for malformed input from outside the process.
 
-        Of equal ones the first gets a line and then one in a hundred: whoever writes
-        them may go on for ever.
+        Of equal inputs the first one is written and then one in a hundred, because
+        their source may repeat them without end.
+
+        Parameters
+        ----------
+        kind : str
+            Name of the event.
+        malformed : Unreadable
+            Where the input was found and what is wrong with it.
         """
-        if word not in self._unreadable and len(self._unreadable) >= _MOST_UNREADABLE:
-            word = Unreadable("", "one of many")
-        self._unreadable[word] += 1
-        seen = self._unreadable[word]
-        if seen % _REPEATED == 1:
-            self.event(kind, place=word.place, reason=word.reason, seen=seen)
+        if (
+            malformed not in self._malformed_counts
+            and len(self._malformed_counts) >= _MAX_MALFORMED_KINDS
+        ):
+            malformed = Unreadable("", "one of many")
+        self._malformed_counts[malformed] += 1
+        seen = self._malformed_counts[malformed]
+        if seen % _REPEAT_LOG_INTERVAL == 1:
+            self.event(kind, place=malformed.place, reason=malformed.reason, seen=seen)
         else:
             self.counts["events", kind] += 1
 
     def count_store_call(self, kind: str, cause: str) -> None:
-        """Count a call to the store by what it asks for and why."""
+        """Count a call to the store by kind and cause."""
         self.counts["store_calls", f'kind="{kind}",cause="{cause}"'] += 1
 
     def count_outcome(self, route: str, outcome: str, latency: float) -> None:
-        """Count a request by route and outcome, and its latency in milliseconds."""
+        """Count a request by route and outcome, and record its latency in ms."""
         self.counts["requests", f'route="{route}",outcome="{outcome}"'] += 1
         buckets = self._latency.get(route)
         if buckets is None:
@@ -182,12 +207,12 @@
             lines.append(f"fuchsiagap_latency_ms_sum{{{labels}}} {spent}")
         return "\n".join(lines) + "\n"
 
-    def never_wait(self) -> None:
-        """Make sure that no line ever waits for whoever reads the output."""
+    def set_non_blocking(self) -> None:
+        """Make the output non-blocking, so that a slow reader blocks nothing."""
         os.set_blocking(self._descriptor, False)
 
     def flush(self) -> None:
-        """Write what standard output takes at once."""
+        """Write as many buffered lines as the output accepts without blocking."""
         while self._rest or self._lines:
             if not self._rest:
                 self._rest = b"".join(self._lines)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/frames.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/frames.py
@@ -1,8 +1,7 @@
-"""Messages between nodes as bytes: length-prefixed CBOR on one TCP connection.
+"""Encoding of messages between nodes: length-prefixed CBOR on a TCP connection.
 
-Plain frames stand here in place of websockets: on the path of a request the websocket
-layer costs as much as everything else a link does, and a link carries no other
-protocol.
+Links use plain frames instead of websockets: on the request path the websocket layer
+costs as much as everything else that a link does, and a link carries no other protocol.
 """
 
 from __future__ import annotations
@@ -38,16 +37,16 @@
 )
 from fuchsiagap_node.core.mesh.outcome import Answered, MayHaveRun, NotRun
 
-# Largest frame: a body at the usual limit of 64 MB and its head.
+# Largest frame: a body at the default limit of 64 MB and its head.
 MAX_FRAME_BYTES = 80_000_000
 _PREFIX_BYTES = 4
-# Parts of a place in which replies tell the offered load: a small number takes 2 bytes
-# where a fraction takes 9, and most of a reply is its head.
-_PARTS_OF_A_PLACE = 10
+# Offered load is sent in replies as an integer of tenths of a slot: a small integer
+# takes 2 bytes where a float takes 9, and most of a reply is its head.
+_OFFERED_SCALE = 10
 
-# Where the protocol stands among the fields of a `Hello`, at its end.
-_PROTOCOL_AT = 6
-_HELLO, _STATUS, _CALL, _CANCEL, _PING, _PONG, _WANTED, _CONFIG = range(8)
+# Index of the protocol version among the fields of a `Hello`; it is the last one.
+_PROTOCOL_INDEX = 6
+_HELLO, _STATUS, _CALL, _CANCEL, _PING, _PONG, _CONFIG_WANTED, _CONFIG = range(8)
 _CRASH, _HELD = 8, 9
 _ANSWERED, _NOT_RUN, _MAY_HAVE_RUN = range(10, 13)
 _CLEARED = 13
@@ -55,16 +54,16 @@
 
 
 class BadFrame(Exception):
-    """A frame that is none of the messages."""
+    """A frame that is not a valid message."""
 
 
 def encode(message: Message) -> bytes:
-    """Return the frame of a message."""
-    payload = cbor2.dumps(_fields(message))
+    """Encode a message as a frame with its length prefix."""
+    payload = cbor2.dumps(_encode_fields(message))
     return len(payload).to_bytes(_PREFIX_BYTES, "big") + payload
 
 
-def _fields(message: Message) -> list[object]:
+def _encode_fields(message: Message) -> list[object]:
     match message:
         case Call() as m:
             return [
@@ -86,7 +85,7 @@
                 m.fingerprint,
             ]
         case Reply() as reply:
-            return _reply_fields(reply)
+            return _encode_reply(reply)
         case Status() as m:
             return [
                 _STATUS,
@@ -119,7 +118,7 @@
                 m.protocol,
             ]
         case ConfigWanted():
-            return [_WANTED]
+            return [_CONFIG_WANTED]
         case ConfigText(epoch, revision, text):
             return [_CONFIG, epoch, revision, text]
         case Crash(incarnation, service, age, fingerprints):
@@ -138,9 +137,9 @@
             return [_TOKENS_GRANTED, question, workspace, tokens, wait, is_owner]
 
 
-def _reply_fields(reply: Reply) -> list[object]:
+def _encode_reply(reply: Reply) -> list[object]:
     call_id, outcome, load, offered, below = reply
-    common = [call_id, load, round(offered * _PARTS_OF_A_PLACE), *below]
+    common = [call_id, load, round(offered * _OFFERED_SCALE), *below]
     match outcome:
         case Answered(status, reason, headers, body):
             return [_ANSWERED, *common, status, reason, headers, body]
@@ -151,10 +150,21 @@
 
 
 def decode(payload: bytes) -> Message:
-    """Return the message of a frame's payload; `BadFrame` if it is none."""
+    """Decode the payload of a frame.
+
+    Parameters
+    ----------
+    payload : bytes
+        Frame without its length prefix.
+
+    Raises
+    ------
+    BadFrame
+        If the payload is not a valid message.
+    """
     try:
         fields = cbor2.loads(payload)
-        return _message(fields[0], fields[1:])
+        return _decode_fields(fields[0], fields[1:])
     except (
         cbor2.CBORDecodeError,
         TypeError,
@@ -167,33 +177,33 @@
         raise BadFrame(f"{type(exc).__name__}: {exc}") from exc
 
 
-def _message(kind: int, rest: list[object]) -> Message:
-    if kind == _HELLO and rest[_PROTOCOL_AT:] != [PROTOCOL]:
-        raise ValueError(f"protocol {rest[_PROTOCOL_AT:]} where {PROTOCOL} is spoken")
+def _decode_fields(kind: int, rest: list[object]) -> Message:
+    if kind == _HELLO and rest[_PROTOCOL_INDEX:] != [PROTOCOL]:
+        raise ValueError(f"protocol {rest[_PROTOCOL_INDEX:]} instead of {PROTOCOL}")
     _check_types(kind, rest)
-    if kind in _REPORTS:
-        return _report(kind, rest)
-    if kind in _OUTCOMES:
+    if kind in _CRASH_REPORT_KINDS:
+        return _decode_crash_report(kind, rest)
+    if kind in _OUTCOME_CLASSES:
         call_id, load, offered, fullness, calls, failed, *outcome = rest
-        settled = _OUTCOMES[kind](*outcome)  # type: ignore[arg-type]
+        call_outcome = _OUTCOME_CLASSES[kind](*outcome)  # type: ignore[arg-type]
         if not (
-            0 <= load < _MOST  # type: ignore[operator]
-            and 0 <= offered < _MOST  # type: ignore[operator]
-            and NO_CALLS <= fullness < _MOST  # type: ignore[operator]
-            and 0 <= calls < _MOST  # type: ignore[operator]
+            0 <= load < _MAX_NUMBER  # type: ignore[operator]
+            and 0 <= offered < _MAX_NUMBER  # type: ignore[operator]
+            and NO_CALLS <= fullness < _MAX_NUMBER  # type: ignore[operator]
+            and 0 <= calls < _MAX_NUMBER  # type: ignore[operator]
         ):
-            raise ValueError(f"a number of the reply is out of range: {rest[1:5]}")
-        places = offered / _PARTS_OF_A_PLACE  # type: ignore[operator]
+            raise ValueError(f"number of a reply out of range: {rest[1:5]}")
+        offered_slots = offered / _OFFERED_SCALE  # type: ignore[operator]
         below = Below(fullness, calls, failed)  # type: ignore[arg-type]
-        return Reply(call_id, settled, load, places, below)  # type: ignore[arg-type]
-    message = cast("Message", _KINDS[kind](*rest))
+        return Reply(call_id, call_outcome, load, offered_slots, below)  # type: ignore[arg-type]
+    message = cast("Message", _MESSAGE_CLASSES[kind](*rest))
     if isinstance(message, Status):
         _check_status(message)
         return replace(message, update_source=UpdateSource(message.update_source))
     if isinstance(message, Call):
         _check_call(message)
     elif isinstance(message, ConfigText):
-        _check_place(message)
+        _check_config_position(message)
     elif isinstance(message, Age):
         _check_version(message.version)
         _check_age(message.age)
@@ -202,166 +212,170 @@
     return message
 
 
-def _check_place(config: ConfigText) -> None:
-    """Raise `ValueError` where a number could be no place in a store's history."""
-    if not (NO_EPOCH <= config.epoch < _MOST and 0 <= config.revision < _MOST):
-        raise ValueError(f"no place: {config.epoch}, {config.revision}")
+def _check_config_position(config: ConfigText) -> None:
+    """Raise `ValueError` unless the position in the store's history is valid."""
+    if not (
+        NO_EPOCH <= config.epoch < _MAX_NUMBER and 0 <= config.revision < _MAX_NUMBER
+    ):
+        raise ValueError(
+            f"store position out of range: {config.epoch}, {config.revision}"
+        )
 
 
 def _check_version(version: int) -> None:
-    """Raise `ValueError` unless a number may be a version."""
-    if not 0 <= version < _MOST:
+    """Raise `ValueError` unless a version is in range."""
+    if not 0 <= version < _MAX_NUMBER:
         raise ValueError(f"version out of range: {version}")
 
 
 def _check_call(call: Call) -> None:
-    """Raise `ValueError` where a field would make no sense to whoever uses it."""
-    if not -_MOST < call.left < _MOST:
+    """Raise `ValueError` unless the time left and the fingerprint are valid."""
+    if not -_MAX_NUMBER < call.left < _MAX_NUMBER:
         raise ValueError(f"time left out of range: {call.left}")
     if len(call.fingerprint) != FINGERPRINT_BYTES:
         raise ValueError(f"fingerprint of {len(call.fingerprint)} bytes")
 
 
 def _check_tokens(message: TokensWanted | TokensGranted) -> None:
-    """Raise `ValueError` where a number could be no count or no time."""
-    if not 0 <= message.tokens < _MOST:
+    """Raise `ValueError` unless the token count and the wait are in range."""
+    if not 0 <= message.tokens < _MAX_NUMBER:
         raise ValueError(f"tokens out of range: {message.tokens}")
     if isinstance(message, TokensGranted):
         _check_age(message.wait)
 
 
-def _report(kind: int, rest: list[object]) -> Message:
-    """Return a report about requests that crash servers."""
+def _decode_crash_report(kind: int, rest: list[object]) -> Message:
+    """Decode a report about requests that crash backend servers."""
     match kind, rest:
         case int(), [str() as incarnation, str() as service, age, bytes() as joined]:
             _check_age(age)
-            prints = frozenset(_fingerprints(joined))
-            return Crash(incarnation, service, age, prints)  # type: ignore[arg-type]
+            fingerprints = frozenset(_fingerprints(joined))
+            return Crash(incarnation, service, age, fingerprints)  # type: ignore[arg-type]
         case int(), [bytes() as fingerprint, str() as service, int() as crashes, age]:
             _check_age(age)
-            if not 0 <= crashes < _MOST:
+            if not 0 <= crashes < _MAX_NUMBER:
                 raise ValueError(f"crashes out of range: {crashes}")
             (fingerprint,) = _fingerprints(fingerprint)
             return Held(fingerprint, service, crashes, age)  # type: ignore[arg-type]
         case int(), [bytes() as joined]:
             return Cleared(tuple(_fingerprints(joined)))
-    raise ValueError(f"no report: {kind}")
+    raise ValueError(f"invalid crash report of kind {kind}")
 
 
 def _check_age(age: object) -> None:
-    """Raise `ValueError` unless a number may be an age in milliseconds."""
-    if not 0 <= age < _MOST:  # type: ignore[operator]
+    """Raise `ValueError` unless an age in milliseconds is in range."""
+    if not 0 <= age < _MAX_NUMBER:  # type: ignore[operator]
         raise ValueError(f"age out of range: {age}")
 
 
 def _fingerprints(joined: bytes) -> list[bytes]:
-    """Return the fingerprints that stand one after the other."""
+    """Split concatenated fingerprints."""
     if len(joined) % FINGERPRINT_BYTES:
-        raise ValueError(f"{len(joined)} bytes are no whole fingerprints")
-    places = range(0, len(joined), FINGERPRINT_BYTES)
-    return [joined[at : at + FINGERPRINT_BYTES] for at in places]
+        raise ValueError(f"truncated fingerprint: {len(joined)} bytes in total")
+    offsets = range(0, len(joined), FINGERPRINT_BYTES)
+    return [joined[at : at + FINGERPRINT_BYTES] for at in offsets]
 
 
 def _check_types(kind: int, rest: list[object]) -> None:
-    """Raise `TypeError` unless the fields of a message have its types.
+    """Raise `TypeError` unless the fields have the types of their message.
 
-    Those seen before are found by one look-up, since each call and reply comes here.
+    Valid combinations are cached, because every call and reply is checked here.
     """
     types = tuple(map(type, rest))
-    if (kind, types) in _SEEN_TYPES:
+    if (kind, types) in _VALIDATED_TYPES:
         return
     expected = _TYPES[kind]
     if len(types) != len(expected):
-        raise TypeError(f"{len(types)} fields where {len(expected)} were expected")
-    for place, (found, allowed) in enumerate(zip(types, expected, strict=True)):
+        raise TypeError(f"{len(types)} fields instead of {len(expected)}")
+    for index, (found, allowed) in enumerate(zip(types, expected, strict=True)):
         if found not in allowed:
-            raise TypeError(f"field {place}: {found.__name__} was not expected")
-    _SEEN_TYPES.add((kind, types))
+            raise TypeError(f"field {index}: unexpected type {found.__name__}")
+    _VALIDATED_TYPES.add((kind, types))
 
 
 def _check_status(status: Status) -> None:
-    """Raise `ValueError` where a number would make no sense to whoever uses it."""
+    """Raise `ValueError` unless all numbers of a status are in range."""
     if not (
-        0 <= status.limit < _MOST
-        and 0 <= status.load < _MOST
-        and 0 <= status.offered < _MOST
+        0 <= status.limit < _MAX_NUMBER
+        and 0 <= status.load < _MAX_NUMBER
+        and 0 <= status.offered < _MAX_NUMBER
         and 0 <= status.failing <= 1
-        and 0 <= status.version < _MOST
-        and 0 <= status.service_ms < _MOST
-        and NO_EPOCH <= status.epoch < _MOST
+        and 0 <= status.version < _MAX_NUMBER
+        and 0 <= status.service_ms < _MAX_NUMBER
+        and NO_EPOCH <= status.epoch < _MAX_NUMBER
     ):
-        raise ValueError(f"a number is out of range: {status}")
+        raise ValueError(f"number of a status out of range: {status}")
 
 
-# No number that a node tells of a load, a time or a revision comes near it.
-_MOST = 2**53
-_TEXT, _BYTES, _WHOLE, _TRUTH = (str,), (bytes,), (int,), (bool,)
+# Exclusive upper bound of all loads, times, versions and revisions that nodes exchange.
+_MAX_NUMBER = 2**53
+_STR, _BYTES, _INT, _BOOL = (str,), (bytes,), (int,), (bool,)
 _NUMBER = (float, int)
-_BELOW = (_WHOLE, _WHOLE, _WHOLE, _NUMBER, _WHOLE, _TRUTH)
-# Types that each field of a message may have, by its kind. A truth value is no number,
-# so exact types are compared.
+_REPLY_PREFIX = (_INT, _INT, _INT, _NUMBER, _INT, _BOOL)
+# Allowed types of each field of a message, by message kind. Exact types are compared,
+# because `bool` is a subclass of `int`.
 _TYPES: dict[int, tuple[tuple[type, ...], ...]] = {
-    _HELLO: (*5 * (_TEXT,), _TRUTH, _WHOLE),
-    _STATUS: (_TEXT, _WHOLE, _WHOLE, _NUMBER, _NUMBER, _TRUTH, *4 * (_WHOLE,)),
+    _HELLO: (*5 * (_STR,), _BOOL, _INT),
+    _STATUS: (_STR, _INT, _INT, _NUMBER, _NUMBER, _BOOL, *4 * (_INT,)),
     _CALL: (
-        *(_WHOLE, _TEXT, _BYTES, _BYTES, _NUMBER, _WHOLE, _WHOLE),
-        *3 * (_TRUTH,),
-        _WHOLE,
-        _TRUTH,
-        *2 * (_TEXT,),
+        *(_INT, _STR, _BYTES, _BYTES, _NUMBER, _INT, _INT),
+        *3 * (_BOOL,),
+        _INT,
+        _BOOL,
+        *2 * (_STR,),
         _BYTES,
     ),
-    _CANCEL: (_WHOLE,),
+    _CANCEL: (_INT,),
     _PING: (),
     _PONG: (),
-    _WANTED: (),
-    _CONFIG: (_WHOLE, _WHOLE, _BYTES),
-    _CRASH: (_TEXT, _TEXT, _NUMBER, _BYTES),
-    _HELD: (_BYTES, _TEXT, _WHOLE, _NUMBER),
+    _CONFIG_WANTED: (),
+    _CONFIG: (_INT, _INT, _BYTES),
+    _CRASH: (_STR, _STR, _NUMBER, _BYTES),
+    _HELD: (_BYTES, _STR, _INT, _NUMBER),
     _CLEARED: (_BYTES,),
-    _AGE_WANTED: (_WHOLE,),
-    _AGE: (_WHOLE, _WHOLE, _NUMBER),
-    _TOKENS_WANTED: (_WHOLE, _TEXT, _WHOLE),
-    _TOKENS_GRANTED: (_WHOLE, _TEXT, _WHOLE, _NUMBER, _TRUTH),
-    _ANSWERED: (*_BELOW, _WHOLE, *3 * (_BYTES,)),
-    _NOT_RUN: (*_BELOW, _TEXT, _TRUTH),
-    _MAY_HAVE_RUN: (*_BELOW, _TEXT),
+    _AGE_WANTED: (_INT,),
+    _AGE: (_INT, _INT, _NUMBER),
+    _TOKENS_WANTED: (_INT, _STR, _INT),
+    _TOKENS_GRANTED: (_INT, _STR, _INT, _NUMBER, _BOOL),
+    _ANSWERED: (*_REPLY_PREFIX, _INT, *3 * (_BYTES,)),
+    _NOT_RUN: (*_REPLY_PREFIX, _STR, _BOOL),
+    _MAY_HAVE_RUN: (*_REPLY_PREFIX, _STR),
 }
-# Kinds and types that were found right; as many as messages have ways to be written.
-_SEEN_TYPES: set[tuple[int, tuple[type, ...]]] = set()
-_KINDS = {
+# Cache of valid combinations of kind and field types; bounded by the valid encodings.
+_VALIDATED_TYPES: set[tuple[int, tuple[type, ...]]] = set()
+_MESSAGE_CLASSES = {
     _HELLO: Hello,
     _STATUS: Status,
     _CALL: Call,
     _CANCEL: Cancel,
     _PING: Ping,
     _PONG: Pong,
-    _WANTED: ConfigWanted,
+    _CONFIG_WANTED: ConfigWanted,
     _CONFIG: ConfigText,
     _AGE_WANTED: AgeWanted,
     _AGE: Age,
     _TOKENS_WANTED: TokensWanted,
     _TOKENS_GRANTED: TokensGranted,
 }
-_REPORTS = frozenset({_CRASH, _HELD, _CLEARED})
-_OUTCOMES = {_ANSWERED: Answered, _NOT_RUN: NotRun, _MAY_HAVE_RUN: MayHaveRun}
+_CRASH_REPORT_KINDS = frozenset({_CRASH, _HELD, _CLEARED})
+_OUTCOME_CLASSES = {_ANSWERED: Answered, _NOT_RUN: NotRun, _MAY_HAVE_RUN: MayHaveRun}
 
 
 class FrameReader:
-    """Cuts the bytes of a link into messages."""
+    """Incremental parser of the messages on one link."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Message]:
-        """Take in bytes and return the messages that they complete.
+        """Parse data and return the messages that it completes.
 
-        A `Hello` ends what is returned, since it says how to read what follows.
+        Parsing stops after a `Hello`, because it determines how the rest is encoded.
 
         Raises
         ------
         BadFrame
-            If they are no frames; the link has to be closed.
+            If the data is not a valid message; the link has to be closed.
         """
         buffer = self._buffer
         buffer += data
@@ -371,7 +385,7 @@
             body = start + _PREFIX_BYTES
             size = int.from_bytes(buffer[start:body], "big")
             if size > MAX_FRAME_BYTES:
-                raise BadFrame(f"frame of {size} bytes, at most {MAX_FRAME_BYTES}")
+                raise BadFrame(f"frame of {size} bytes exceeds {MAX_FRAME_BYTES} bytes")
             if len(buffer) < body + size:
                 break
             message = decode(bytes(buffer[body : body + size]))
@@ -383,7 +397,7 @@
         return messages
 
     def take_rest(self) -> bytes:
-        """Return and forget the bytes that are in no message yet."""
+        """Remove and return the bytes that have not been parsed."""
         rest = bytes(self._buffer)
         self._buffer.clear()
         return rest
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/gauges.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/gauges.py
@@ -1,4 +1,4 @@
-"""What a node believes now, and how old that is, for its metrics page."""
+"""Gauges of a node's state, and of the age of that state, for its metrics page."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
     from fuchsiagap_node.core.mesh.quotas import Quotas
 
 
-# Workspaces that have gauges of their own on a node.
-_MOST_WORKSPACES = 10
+# Maximum number of workspaces with separate gauges.
+_MAX_WORKSPACES = 10
 
 
 def config_gauges(config: ConfigSync) -> Iterator[Gauge]:
-    """Yield the version in force, and since when the store was not heard of."""
+    """Yield the active version and the time since the store last answered."""
     yield Gauge("config_version", "", config.in_force.version)
     yield Gauge("store_epoch", "", config.epoch)
     yield Gauge("store_revision", "", config.revision)
@@ -33,12 +33,12 @@
     yield Gauge("store_request_age_ms", "", round(config.request_age))
     for source in UpdateSource:
         labels = f'source="{source.name.lower()}"'
-        is_it = config.update_source is source
-        yield Gauge("config_update_source", labels, float(is_it))
+        is_current = config.update_source is source
+        yield Gauge("config_update_source", labels, float(is_current))
 
 
 def backend_gauges(door: Door) -> Iterator[Gauge]:
-    """Yield what the node believes of its own backend server."""
+    """Yield the state of the local backend server and its queue."""
     yield Gauge("backend_ready", "", float(bool(door.instance())))
     yield Gauge("backend_beat_age_ms", "", round(door.beat_age))
     yield Gauge("backend_places", "", door.limit)
@@ -48,17 +48,17 @@
 
 
 def quarantine_gauges(reports: CrashReports) -> Iterator[Gauge]:
-    """Yield how many requests are held, and how many are suspected."""
+    """Yield the numbers of quarantined and of suspected requests."""
     yield Gauge("quarantine_held", "", reports.quarantine.n_held)
     yield Gauge("quarantine_suspects", "", reports.quarantine.n_suspects)
 
 
 def workspace_gauges(config: ConfigSync, quotas: Quotas) -> Iterator[Gauge]:
-    """Yield the age of what is known of keys, and the workspaces asked for most."""
+    """Yield the age of the API key data, and the quotas of the busiest workspaces."""
     age = config.in_force.knowledge_age
     yield Gauge("knowledge_age_ms", "", round(age) if age < float("inf") else -1.0)
     yield Gauge("quotas_owned", "", quotas.grants.n_owned)
-    for name, rate in quotas.holdings.busiest(_MOST_WORKSPACES):
+    for name, rate in quotas.holdings.busiest(_MAX_WORKSPACES):
         labels = f'workspace="{name}"'
         yield Gauge("workspace_requests_a_second", labels, round(rate, 1))
         yield Gauge("workspace_tokens", labels, quotas.holdings.tokens(name))
@@ -68,7 +68,7 @@
 
 
 def peer_gauges(peers: Peers) -> Iterator[Gauge]:
-    """Yield, for each service, the servers in reach and how full they are."""
+    """Yield the known and usable servers of each service, and their fullness."""
     for service in peers.services():
         targets = peers.targets(service)
         labels = f'service="{service}"'
@@ -79,7 +79,7 @@
 
 
 def admission_gauges(admission: Admission) -> Iterator[Gauge]:
-    """Yield the share of each route's new requests that is let in."""
+    """Yield the admitted share of the new requests of each route."""
     for service, route, share in admission.shares():
         labels = f'service="{service}",route="{route}"'
         yield Gauge("admitted_share", labels, round(share, 3))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/http_client.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/http_client.py
@@ -1,4 +1,4 @@
-"""HTTP calls beside the path, on a connection that is kept between two of them."""
+"""HTTP client for calls outside the request path, with one kept-alive connection."""
 
 from __future__ import annotations
 
@@ -15,15 +15,16 @@
     from fuchsiagap_node.core.mesh.http_names import HeaderNames
     from fuchsiagap_node.core.mesh.http_response import Response
 
-_DIAL_MS = 1_000.0
+# Milliseconds to open a connection.
+_CONNECT_TIMEOUT_MS = 1_000.0
 
 
 class CallFailed(Exception):
-    """No whole answer came; the call may have taken effect."""
+    """No complete response arrived; the call may have taken effect."""
 
 
 class HttpClient:
-    """A client for one server; calls at the same time use connections of their own.
+    """Client of one server; concurrent calls use separate connections.
 
     Parameters
     ----------
@@ -41,21 +42,21 @@
     async def call(
         self, method: str, target: str, body: bytes, wait: Milliseconds
     ) -> Response:
-        """Send a request and return its answer.
+        """Send a request and return its response.
 
         Parameters
         ----------
         method, target : str
-            Method and target.
+            Method and request target.
         body : bytes
-            JSON body, or nothing.
+            JSON body; may be empty.
         wait : float
-            Milliseconds until it is given up.
+            Timeout of the call in milliseconds.
 
         Raises
         ------
         CallFailed
-            Without a whole answer in time.
+            If no complete response arrives in time.
         """
         with trio.move_on_after(wait / MS_PER_S):
             try:
@@ -78,13 +79,13 @@
         return answer
 
     async def _connect(self) -> Stream:
-        """Return a connection on which nothing is under way."""
+        """Return the idle connection if it is reusable, or a new one."""
         stream, self._idle = self._idle, None
         if stream is not None and stream.is_reusable():
             return stream
         if stream is not None:
             stream.close()
-        stream = await dial(self._address, _DIAL_MS)
+        stream = await dial(self._address, _CONNECT_TIMEOUT_MS)
         stream.enable_keepalive()
         return stream
 
@@ -104,10 +105,10 @@
             if answers:
                 return answers[0]
             if not data:
-                raise BadResponse("the connection ended without an answer")
+                raise BadResponse("connection closed before a response")
 
     def close(self) -> None:
-        """Close the connection that is kept, if there is one."""
+        """Close the idle connection, if there is one."""
         if self._idle is not None:
             self._idle.close()
             self._idle = None
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/http_names.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/http_names.py
@@ -1,11 +1,11 @@
-"""Names of the headers by which callers and backend servers speak to the node."""
+"""Names of the HTTP headers between callers, nodes and backend servers."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# Headers that concern one connection only (RFC 9110, 7.6.1), and those that the node
-# writes itself for each hop.
+# Hop-by-hop headers (RFC 9110, 7.6.1), and headers that the node sets itself on each
+# hop.
 HOP_HEADERS = frozenset(
     {
         b"connection",
@@ -23,32 +23,34 @@
 
 @dataclass(frozen=True, slots=True)
 class HeaderNames:
-    """Header names, in the case in which they are sent.
+    """Header names, in the spelling in which they are sent.
 
     Parameters
     ----------
     request_id : bytes
-        Identifies one attempt of a caller; echoed by backend servers.
+        Identifier of one attempt of a caller; echoed by backend servers.
     deadline : bytes
-        Milliseconds that the sender still waits.
+        Time that the sender continues to wait, in milliseconds.
     target : bytes
-        Incarnation that alone may run the request.
+        The only incarnation of a backend server that may run the request.
     caller : bytes
-        Service on whose host the request began; set by the node.
+        Service of the host that the request came from; set by the node.
     not_run : bytes
-        On an answer: the backend server did not run the request.
+        On a response: the backend server did not run the request.
     load : bytes
-        On an answer: running, waiting and places, separated by commas.
+        On a response: numbers of running requests, waiting requests and slots,
+        separated by commas.
     instance : bytes
-        On a health answer or a misdirected one: incarnation that answered.
+        On a response to a health check or to a misdirected request: incarnation that
+        answered.
     signature : bytes
-        On an answer: the backend server made it.
+        On a response: shows that the backend server produced it.
     key : bytes
-        API key of a caller; goes no further than the first node.
+        API key of a caller; not forwarded by the first node.
     workspace : bytes
-        Workspace that holds the caller's key; set by the node.
+        Workspace that owns the API key of the caller; set by the node.
     identity : tuple of bytes
-        Headers by which callers say who they are; repeats of a request share them.
+        Headers that identify the caller; the same on retries of a request.
     """
 
     request_id: bytes = b"Call-Id"
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/http_request.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/http_request.py
@@ -1,4 +1,4 @@
-"""Requests as they come in from callers."""
+"""Parser of HTTP/1.1 requests from callers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Request(NamedTuple):
-    """One whole request of a caller.
+    """One complete request of a caller.
 
     Parameters
     ----------
@@ -24,17 +24,17 @@
     host : str
         Value of the ``Host`` header.
     headers : bytes
-        Header lines that go on to the backend server, each closed by CR LF.
+        Header lines forwarded to the backend server, each terminated by CR LF.
     body : bytes
-        Whole body.
+        Complete body.
     request_id : str
         Identifier of the attempt; empty if the caller sent none.
     wait : float or None
-        Milliseconds that the caller waits; None if it did not say.
+        Milliseconds that the caller waits; None if not stated.
     keep_alive : bool
-        Whether the connection may be used again.
+        Whether the connection may be reused.
     identity : tuple of bytes, default=()
-        Header lines that name the caller.
+        Header lines and key digests that identify the caller.
     key : bytes, default=b""
         Digest of the caller's API key; empty if there is none, or more than one.
     """
@@ -52,14 +52,14 @@
 
 
 class BadRequest(Exception):
-    """The bytes are no request that can be served.
+    """The data is not a valid request.
 
     Parameters
     ----------
     status : int
-        Status of the answer.
+        HTTP status of the response.
     detail : str
-        What was wrong and what was expected.
+        What was found and what was expected.
     """
 
     def __init__(self, status: int, detail: str) -> None:
@@ -69,18 +69,25 @@
 
 
 class RequestReader:
-    """Cuts the bytes of one connection into requests.
+    """Incremental parser of the requests on one connection.
 
     Parameters
     ----------
     names : HeaderNames
         Header names.
     limits : CallerLimits
-        What a request may measure.
+        Size limits of a request.
+
+    Attributes
+    ----------
+    wants_continue : bool
+        Whether the caller waits for ``100 Continue`` before it sends the body.
+    in_message : bool
+        Whether a request has begun and is not complete.
     """
 
     def __init__(self, names: HeaderNames, limits: CallerLimits) -> None:
-        self._own = frozenset(
+        self._node_headers = frozenset(
             name.lower()
             for name in (
                 names.deadline,
@@ -91,13 +98,13 @@
             )
         )
         self._key_name = names.key.lower()
-        self._request_id = names.request_id.lower()
-        self._deadline = names.deadline.lower()
-        self._identifying = frozenset(name.lower() for name in names.identity)
+        self._request_id_name = names.request_id.lower()
+        self._deadline_name = names.deadline.lower()
+        self._identity_names = frozenset(name.lower() for name in names.identity)
         self._limits = limits
         self._parser = httptools.HttpRequestParser(self)
-        self._done: list[Request] = []
-        self._fault: BadRequest | None = None
+        self._completed: list[Request] = []
+        self._error: BadRequest | None = None
         self.wants_continue = False
         self.in_message = False
         self._reset()
@@ -107,7 +114,7 @@
         self._lines: list[bytes] = []
         self._identity: list[bytes] = []
         self._keys: list[bytes] = []
-        self._dropped: set[bytes] = set()
+        self._hop_names: set[bytes] = set()
         self._host = ""
         self._id = ""
         self._wait: float | None = None
@@ -117,88 +124,90 @@
         self._has_length = False
 
     def feed(self, data: bytes) -> list[Request]:
-        """Take in bytes and return the requests that they complete.
+        """Parse data and return the requests that it completes.
 
         Raises
         ------
         BadRequest
-            If they are no request; the connection has to be closed.
+            If the data is not a valid request; the connection has to be closed.
         """
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             raise BadRequest(400, "upgrade is not supported") from None
         except (httptools.HttpParserError, ValueError) as exc:
-            raise self._fault or BadRequest(400, f"not HTTP/1.1: {exc}") from None
-        if self._fault is not None:
-            raise self._fault
-        done, self._done = self._done, []
-        return done
+            raise self._error or BadRequest(
+                400, f"malformed HTTP/1.1 request: {exc}"
+            ) from None
+        if self._error is not None:
+            raise self._error
+        completed, self._completed = self._completed, []
+        return completed
 
     def on_message_begin(self) -> None:
-        """Start a request."""
+        """Reset the state for a new request."""
         self._reset()
         self.in_message = True
 
     def on_url(self, part: bytes) -> None:
-        """Take in a part of the request target."""
+        """Append to the request target."""
         self._target += part
-        self._count_head(len(part))
+        self._add_head_size(len(part))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take in one header line."""
-        self._count_head(len(name) + len(value) + 4)
-        low = name.lower()
-        if low == self._request_id:
+        """Process one header."""
+        self._add_head_size(len(name) + len(value) + 4)
+        lower_name = name.lower()
+        if lower_name == self._request_id_name:
             self._id = value.decode("latin-1")
-        elif low == b"host":
+        elif lower_name == b"host":
             self._host = value.decode("latin-1")
-        elif low in self._own:
-            if low == self._deadline:
-                self._wait = _milliseconds(value)
-            elif low == self._key_name:
+        elif lower_name in self._node_headers:
+            if lower_name == self._deadline_name:
+                self._wait = _parse_ms(value)
+            elif lower_name == self._key_name:
                 self._keys.append(key_digest(value))
             return
-        elif low in HOP_HEADERS:
-            self._take_hop(low, value)
+        elif lower_name in HOP_HEADERS:
+            self._handle_hop_header(lower_name, value)
             return
         line = name + b": " + value + b"\r\n"
-        if low in self._identifying:
-            self._identity.append(low + b":" + value)
+        if lower_name in self._identity_names:
+            self._identity.append(lower_name + b":" + value)
         self._lines.append(line)
 
-    def _take_hop(self, low: bytes, value: bytes) -> None:
-        if low == b"connection":
+    def _handle_hop_header(self, lower_name: bytes, value: bytes) -> None:
+        if lower_name == b"connection":
             tokens = (token.strip().lower() for token in value.split(b","))
-            self._dropped.update(t for t in tokens if t not in HOP_HEADERS)
-        elif low == b"expect" and value.lower() == b"100-continue":
+            self._hop_names.update(t for t in tokens if t not in HOP_HEADERS)
+        elif lower_name == b"expect" and value.lower() == b"100-continue":
             self.wants_continue = True
-        elif low in (b"content-length", b"transfer-encoding"):
+        elif lower_name in (b"content-length", b"transfer-encoding"):
             self._has_length = True
 
     def on_body(self, part: bytes) -> None:
-        """Take in a part of the body."""
+        """Append to the body; fail above the size limit."""
         self._body_size += len(part)
         if self._body_size > self._limits.body_bytes:
             limit = self._limits.body_bytes
-            self._fail(BadRequest(413, f"body above {limit} bytes"))
+            self._fail(BadRequest(413, f"body exceeds {limit} bytes"))
         self._body.append(part)
 
     def on_message_complete(self) -> None:
-        """Finish a request."""
+        """Complete a request."""
         self.in_message = False
         target = self._target
         if not target.startswith(b"/"):
-            self._fail(BadRequest(400, "the target has to begin with a slash"))
+            self._fail(BadRequest(400, "request target does not begin with a slash"))
         lines = self._lines
-        if self._dropped:
+        if self._hop_names:
             lines = [
-                x for x in lines if x.split(b":", 1)[0].lower() not in self._dropped
+                x for x in lines if x.split(b":", 1)[0].lower() not in self._hop_names
             ]
         body = self._body[0] if len(self._body) == 1 else b"".join(self._body)
         if self._has_length:
             lines.append(b"Content-Length: %d\r\n" % len(body))
-        self._done.append(
+        self._completed.append(
             Request(
                 self._parser.get_method(),
                 target,
@@ -213,18 +222,18 @@
             )
         )
 
-    def _count_head(self, size: int) -> None:
+    def _add_head_size(self, size: int) -> None:
         self._head_size += size
         if self._head_size > self._limits.header_bytes:
             limit = self._limits.header_bytes
-            self._fail(BadRequest(431, f"head above {limit} bytes"))
+            self._fail(BadRequest(431, f"request head exceeds {limit} bytes"))
 
-    def _fail(self, fault: BadRequest) -> None:
-        self._fault = self._fault or fault
-        raise ValueError(fault.detail)
+    def _fail(self, error: BadRequest) -> None:
+        self._error = self._error or error
+        raise ValueError(error.detail)
 
 
-def _milliseconds(value: bytes) -> float | None:
+def _parse_ms(value: bytes) -> float | None:
     try:
         wait = float(value)
     except ValueError:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/http_response.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/http_response.py
@@ -1,4 +1,4 @@
-"""Answers as they come in from backend servers and from the platform."""
+"""Parser of HTTP/1.1 responses from backend servers and from the platform."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Response(NamedTuple):
-    """One whole answer.
+    """One complete HTTP response.
 
     Parameters
     ----------
@@ -22,21 +22,21 @@
     reason : bytes
         Reason phrase.
     headers : bytes
-        End-to-end header lines, each closed by CR LF.
+        End-to-end header lines, each terminated by CR LF.
     body : bytes
-        Whole body.
+        Complete body.
     request_id : str
-        Echoed identifier; empty if there was none.
+        Echoed request identifier; empty if there was none.
     not_run : bool
-        Whether the backend server says that it did not run the request.
+        Whether the backend server states that it did not run the request.
     instance : str
-        Incarnation that answered, where it says so.
+        Incarnation that answered; empty if not stated.
     load : bytes
-        Load as reported; empty if it was not.
+        Load report of the backend server; empty if there was none.
     idle_timeout : float or None
-        Milliseconds for which the connection stays open when idle, if it says so.
+        Idle timeout of the server in milliseconds; None if not stated.
     keep_alive : bool
-        Whether the connection may be used again.
+        Whether the connection may be reused.
     """
 
     status: int
@@ -52,16 +52,21 @@
 
 
 class BadResponse(Exception):
-    """The bytes are no answer, or not a whole one."""
+    """The data is not a complete HTTP response."""
 
 
 class ResponseReader:
-    """Cuts the bytes of one connection into answers.
+    """Incremental parser of the responses on one connection.
 
     Parameters
     ----------
     names : HeaderNames
         Header names.
+
+    Attributes
+    ----------
+    in_message : bool
+        Whether a response has begun and is not complete.
     """
 
     def __init__(self, names: HeaderNames) -> None:
@@ -70,7 +75,7 @@
         self._load_name = names.load.lower()
         self._instance_name = names.instance.lower()
         self._parser = httptools.HttpResponseParser(self)
-        self._done: list[Response] = []
+        self._completed: list[Response] = []
         self._reset()
         self.in_message = False
 
@@ -83,89 +88,95 @@
         self._instance = ""
         self._load = b""
         self._idle_timeout: float | None = None
-        self._framed = False
-        self._head_done = False
+        self._has_framing = False
+        self._is_head_complete = False
 
     def feed(self, data: bytes) -> list[Response]:
-        """Take in bytes and return the answers that they complete.
+        """Parse data and return the responses that it completes.
 
         Raises
         ------
         BadResponse
-            If they are none; answers completed before the fault are lost with it.
+            If the data is malformed and completes no response. Malformed data after a
+            complete response only sets `in_message`.
         """
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as exc:
-            if self._done:
+            if self._completed:
                 self.in_message = True
-                return self._take()
-            raise BadResponse(f"not an HTTP/1.1 answer: {exc}") from None
-        return self._take()
+                return self._take_completed()
+            raise BadResponse(f"malformed HTTP/1.1 response: {exc}") from None
+        return self._take_completed()
 
     def end(self) -> list[Response]:
-        """Take in the orderly end of the connection.
+        """Process the orderly end of the connection.
+
+        Returns
+        -------
+        list of Response
+            The response that extends to the end of the connection, if there is one.
 
         Raises
         ------
         BadResponse
-            If an answer is cut short by it.
+            If the end of the connection truncates a response.
         """
         if not self.in_message:
             return []
-        if not self._head_done or self._framed:
-            raise BadResponse("the connection ended within an answer")
+        if not self._is_head_complete or self._has_framing:
+            raise BadResponse("connection closed in the middle of a response")
         self._finish(keep_alive=False)
-        return self._take()
+        return self._take_completed()
 
-    def _take(self) -> list[Response]:
-        done, self._done = self._done, []
+    def _take_completed(self) -> list[Response]:
+        done, self._completed = self._completed, []
         return done
 
     def on_message_begin(self) -> None:
-        """Start an answer."""
+        """Reset the state for a new response."""
         self._reset()
         self.in_message = True
 
     def on_status(self, part: bytes) -> None:
-        """Take in a part of the reason phrase."""
+        """Append to the reason phrase."""
         self._reason += part
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take in one header line."""
-        low = name.lower()
-        if low in HOP_HEADERS:
-            if low == b"keep-alive":
+        """Process one header."""
+        lower_name = name.lower()
+        if lower_name in HOP_HEADERS:
+            if lower_name == b"keep-alive":
                 self._idle_timeout = _idle_timeout(value)
-            elif low != b"connection":
-                self._framed = True
+            elif lower_name != b"connection":
+                self._has_framing = True
             return
-        if low == self._id_name:
+        if lower_name == self._id_name:
             self._request_id = value.decode("latin-1")
-        elif low == self._not_run_name:
+        elif lower_name == self._not_run_name:
             self._not_run = True
-        elif low == self._load_name:
+        elif lower_name == self._load_name:
             self._load = value
-        elif low == self._instance_name:
+        elif lower_name == self._instance_name:
             self._instance = value.decode("latin-1")
         self._lines.append(name + b": " + value + b"\r\n")
 
     def on_headers_complete(self) -> None:
-        """Finish the head."""
-        self._head_done = True
+        """Mark the head as complete."""
+        self._is_head_complete = True
 
     def on_body(self, part: bytes) -> None:
-        """Take in a part of the body."""
+        """Append to the body."""
         self._body.append(part)
 
     def on_message_complete(self) -> None:
-        """Finish an answer."""
+        """Complete a response; informational ones (1xx) are dropped."""
         if self._parser.get_status_code() >= 200:
             self._finish(self._parser.should_keep_alive())
 
     def _finish(self, keep_alive: bool) -> None:
         self.in_message = False
-        self._done.append(
+        self._completed.append(
             Response(
                 self._parser.get_status_code(),
                 self._reason,
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/link.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/link.py
@@ -1,4 +1,4 @@
-"""What both ends of a link between two nodes share."""
+"""Framed connection between two nodes, common to both ends of a link."""
 
 from __future__ import annotations
 
@@ -19,17 +19,19 @@
     from fuchsiagap_node.core.mesh.poller import Poller
     from fuchsiagap_node.core.mesh.stream import Stream
 
-# Milliseconds after which the system gives up on bytes that nobody acknowledges.
-_UNACKNOWLEDGED_MS = 3_000.0
+# Milliseconds after which the kernel resets a link whose data is not acknowledged.
+_ACK_TIMEOUT_MS = 3_000.0
 # Compression of links between data centres: the fastest level, and a window of 4 KiB,
-# which holds the last dozen heads; the state of a link was not measured.
-_LEVEL = 1
+# which holds about the last dozen request heads.
+_COMPRESSION_LEVEL = 1
 _WINDOW_BITS = 12
 _MEMORY_LEVEL = 5
 
 
 class FramedLink:
-    """Sends messages of one turn of the loop in one write, and reads them whole.
+    """Connection that carries whole messages.
+
+    Messages queued in one iteration of the event loop are sent in one write.
 
     Parameters
     ----------
@@ -41,25 +43,25 @@
     Attributes
     ----------
     last_received_at : float
-        When the other end was last heard of.
-    greeted : bool
+        Time of the last data from the peer, in milliseconds.
+    hello_sent : bool
         Whether this end has sent its `Hello`.
     """
 
     def __init__(self, stream: Stream, clock: Clock) -> None:
-        stream.set_user_timeout(_UNACKNOWLEDGED_MS)
+        stream.set_user_timeout(_ACK_TIMEOUT_MS)
         self._stream = stream
         self._clock = clock
         self._outbox: list[bytes] = []
-        self._head = b""
+        self._uncompressed_hello = b""
         self._unsent: list[int] = []
-        self._filled = trio.Event()
-        self._writing = False
+        self._wakeup = trio.Event()
+        self._is_writing = False
         self._reader = FrameReader()
-        self._pack: zlib._Compress | None = None
-        self._unpack: zlib._Decompress | None = None
+        self._compressor: zlib._Compress | None = None
+        self._decompressor: zlib._Decompress | None = None
         self._on_message: Callable[[Message], None] = _ignore
-        self._ended: Exception | None = None
+        self._end_reason: Exception | None = None
         self.last_received_at: Milliseconds = clock.now()
         self.hello_sent = False
 
@@ -69,56 +71,65 @@
         Parameters
         ----------
         message : Message
-            Message.
+            The message.
         call_id : int, default=0
-            Number of the call that it hands over; see `unsent`.
+            Identifier of the call that the message carries, 0 for other messages; see
+            `unsent`.
         """
         frame = encode(message)
-        if self._pack is None and not self._outbox and not self._writing:
+        if self._compressor is None and not self._outbox and not self._is_writing:
             self._send_now(frame, call_id)
             return
         if call_id:
             self._unsent.append(call_id)
         self._outbox.append(frame)
-        self._filled.set()
+        self._wakeup.set()
 
     def _send_now(self, frame: bytes, call_id: int) -> None:
-        """Send what goes out at once, without waking a task for it.
+        """Send a frame immediately, without waking the writing task.
 
-        Bytes between data centres wait for the writing task instead: what is
-        compressed together is smaller.
+        Frames between data centres wait for the writing task instead, because messages
+        compress better together.
         """
         try:
             rest = self._stream.send_some(frame)
         except BrokenStream:
-            # Nothing of it left; the reading task notices the closed connection.
+            # No byte of it was sent; the reader notices the closed connection.
             self._unsent.append(call_id)
             self._stream.close()
             return
         if rest:
             self._outbox.append(rest)
-            self._filled.set()
+            self._wakeup.set()
 
     def post_hello(self, hello: Hello, compressed: bool) -> None:
-        """Queue the first message, and compress what follows if `compressed`.
+        """Queue the first message, and compress all later ones if requested.
+
+        Request heads repeat from one request to the next. Compression reduces the
+        traffic between data centres, which is expensive, from 0.050 to 0.044 GB on a
+        day of high load.
 
-        Heads of requests repeat from one to the next: on links between data centres,
-        whose bytes are dear, that took 0.050 to 0.044 GB on a high day.
+        Parameters
+        ----------
+        hello : Hello
+            The first message.
+        compressed : bool
+            Whether all later messages are compressed.
         """
         self.post(replace(hello, compressed=compressed))
         self.hello_sent = True
         if compressed:
-            self._head, self._outbox = b"".join(self._outbox), []
-            self._pack = zlib.compressobj(
-                _LEVEL, zlib.DEFLATED, _WINDOW_BITS, _MEMORY_LEVEL
+            self._uncompressed_hello, self._outbox = b"".join(self._outbox), []
+            self._compressor = zlib.compressobj(
+                _COMPRESSION_LEVEL, zlib.DEFLATED, _WINDOW_BITS, _MEMORY_LEVEL
             )
 
     def unsent(self) -> frozenset[int]:
-        """Return the calls of which no byte has left this node."""
+        """Return the identifiers of calls of which no byte has been sent."""
         return frozenset(self._unsent)
 
-    def withdraw(self, call_id: int) -> None:
-        """Tell the other end that a call is no longer wanted."""
+    def cancel(self, call_id: int) -> None:
+        """Send the cancellation of a call."""
         self.post(Cancel(call_id))
 
     async def serve(
@@ -129,76 +140,81 @@
         Parameters
         ----------
         poller : Poller
-            Watches the connection.
+            Reports when the connection is readable.
         on_message : callable
-            Told each message.
+            Called with each message.
 
         Raises
         ------
         BrokenStream, BadFrame
-            Why the link has ended.
+            The reason why the link has ended. Any other exception of `on_message` is
+            raised as well.
         """
         self._on_message = on_message
-        self._stream.start_reading(poller, self._read, self.end)
+        self._stream.start_reading(poller, self._handle_data, self.end)
         try:
             await self._write()
         except BrokenStream:
-            if self._ended is None:
+            if self._end_reason is None:
                 raise
-        assert self._ended is not None
-        raise self._ended
-
-    def end(self, why: Exception) -> None:
-        """End the link; `serve` raises the reason."""
-        if self._ended is None:
-            self._ended = why
-            self._filled.set()
+        assert self._end_reason is not None
+        raise self._end_reason
+
+    def end(self, reason: Exception) -> None:
+        """Close the link; `serve` raises the reason."""
+        if self._end_reason is None:
+            self._end_reason = reason
+            self._wakeup.set()
             self._stream.close()
 
     async def _write(self) -> None:
-        """Send what is queued until the link ends."""
+        """Send queued frames until the link ends."""
         while True:
-            await self._filled.wait()
-            if self._ended is not None:
+            await self._wakeup.wait()
+            if self._end_reason is not None:
                 return
-            self._filled = trio.Event()
+            self._wakeup = trio.Event()
             frames, self._outbox = self._outbox, []
             self._unsent = []
             data = b"".join(frames) if len(frames) != 1 else frames[0]
-            if self._pack is not None and data:
-                data = self._pack.compress(data) + self._pack.flush(zlib.Z_SYNC_FLUSH)
-            head, self._head = self._head, b""
-            self._writing = True
-            await self._stream.send(head + data if head else data)
-            self._writing = False
-
-    def _read(self, data: bytes) -> None:
-        """Take in bytes; what goes wrong with them ends the link."""
+            if self._compressor is not None and data:
+                data = self._compressor.compress(data) + self._compressor.flush(
+                    zlib.Z_SYNC_FLUSH
+                )
+            uncompressed_hello, self._uncompressed_hello = self._uncompressed_hello, b""
+            self._is_writing = True
+            await self._stream.send(
+                uncompressed_hello + data if uncompressed_hello else data
+            )
+            self._is_writing = False
+
+    def _handle_data(self, data: bytes) -> None:
+        """Process received data; any exception ends the link."""
         self.last_received_at = self._clock.now()
         try:
-            for message in self._messages(data):
+            for message in self._decode(data):
                 self._on_message(message)
         except Exception as exc:
             self.end(exc)
 
-    def _messages(self, data: bytes) -> list[Message]:
-        """Return the messages that bytes complete."""
-        messages = self._reader.feed(self._unpacked(data))
+    def _decode(self, data: bytes) -> list[Message]:
+        """Return the messages that the data completes."""
+        messages = self._reader.feed(self._decompress(data))
         last = messages[-1] if messages else None
         if isinstance(last, Hello):
             rest = self._reader.take_rest()
             if last.compressed:
-                self._unpack = zlib.decompressobj(_WINDOW_BITS)
-            messages += self._reader.feed(self._unpacked(rest))
+                self._decompressor = zlib.decompressobj(_WINDOW_BITS)
+            messages += self._reader.feed(self._decompress(rest))
         return messages
 
-    def _unpacked(self, data: bytes) -> bytes:
-        if self._unpack is None:
+    def _decompress(self, data: bytes) -> bytes:
+        if self._decompressor is None:
             return data
         try:
-            return self._unpack.decompress(data)
+            return self._decompressor.decompress(data)
         except zlib.error as exc:
-            raise BadFrame(f"cannot be unpacked: {exc}") from exc
+            raise BadFrame(f"decompression failed: {exc}") from exc
 
     def close(self) -> None:
         """Close the connection."""
@@ -206,4 +222,4 @@
 
 
 def _ignore(_: Message) -> None:
-    """Do nothing."""
+    """Default callback; does nothing."""
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/member_sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/member_sync.py
@@ -205,7 +205,7 @@
                     self._event_log.event("store-regained", what="members")
                 for entry in result.broken:
                     # It is neither dialled nor removed: who wrote it may need it.
-                    self._event_log.unreadable("entry-unreadable", entry)
+                    self._event_log.log_malformed_input("entry-unreadable", entry)
                 self._links.add_members(result.present.values())
                 self._links.remove_unlisted(result.present, _FORGET_MS)
                 return result.present
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/node.py
@@ -1,4 +1,4 @@
-"""One node, put together, from its start to its planned stop."""
+"""Node process: assembles all components, and runs them until the planned stop."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from fuchsiagap_node.core.mesh import poller
 from fuchsiagap_node.core.mesh.admission import STEP_MS, Admission
 from fuchsiagap_node.core.mesh.auxiliary_http import serve_auxiliary
-from fuchsiagap_node.core.mesh.callers import SWEEP_MS, CallerListener
+from fuchsiagap_node.core.mesh.callers import IDLE_CHECK_INTERVAL_MS, CallerListener
 from fuchsiagap_node.core.mesh.config_sync import REFRESH_MS as CONFIG_REFRESH_MS
 from fuchsiagap_node.core.mesh.config_sync import ConfigSync
 from fuchsiagap_node.core.mesh.crash_reports import FLUSH_MS as CLEARANCES_MS
@@ -36,9 +36,12 @@
     workspace_gauges,
 )
 from fuchsiagap_node.core.mesh.load_line import load_fields
+from fuchsiagap_node.core.mesh.malformed_input import Unreadable
 from fuchsiagap_node.core.mesh.member_sync import MemberSync
 from fuchsiagap_node.core.mesh.messages import Hello
-from fuchsiagap_node.core.mesh.outbound_link import LOOK_MS as LINK_LOOK_MS
+from fuchsiagap_node.core.mesh.outbound_link import (
+    LIVENESS_CHECK_INTERVAL_MS as LINK_CHECK_INTERVAL_MS,
+)
 from fuchsiagap_node.core.mesh.outbound_link import Member, OutboundLink
 from fuchsiagap_node.core.mesh.outbound_links import OutboundLinks
 from fuchsiagap_node.core.mesh.outcome import LEAVING
@@ -51,7 +54,6 @@
 from fuchsiagap_node.core.mesh.suspension_watch import SuspensionWatch
 from fuchsiagap_node.core.mesh.taking import TakingLinks
 from fuchsiagap_node.core.mesh.ticker import TICK_MS, Ticker
-from fuchsiagap_node.core.mesh.unreadable import Unreadable
 from fuchsiagap_node.core.mesh.workspaces import Workspaces
 
 if TYPE_CHECKING:
@@ -64,56 +66,72 @@
     from fuchsiagap_node.core.mesh.store import Store, StoredConfig
 
 _SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-# Milliseconds between two looks at whether the door's status is worth sending.
-_STATUS_MS = 250.0
-# Milliseconds between two lines of load: what a surge does to a server or an entry
-# lasts for seconds, and a node writes some ten lines a second beside them.
-_LOAD_LINE_MS = 1_000.0
-# Milliseconds between two looks at whether links to other nodes are needed.
-_CHOOSE_LINKS_MS = 1_000.0
-# Milliseconds after SIGTERM for which the backend server, which may live on, still gets
-# requests: its outage is as much shorter. What it gets last has the rest to end in.
-_DOOR_OPEN_MS = 2_000.0
-# Milliseconds after SIGTERM for which callers still send here: the platform asks once a
-# second and takes a node out after two misses.
-_KNOWN_AS_READY_MS = 2_500.0
-# Milliseconds after SIGTERM from which new requests are refused, so that those taken
-# before still end: callers that find too few other nodes go on sending.
+# Milliseconds between two checks whether the status of the backend queue has changed
+# enough to be sent.
+_STATUS_INTERVAL_MS = 250.0
+# Milliseconds between two load events: the effects of overload on a server or an entry
+# last for seconds, and a node writes about ten other lines per second.
+_LOAD_EVENT_INTERVAL_MS = 1_000.0
+# Milliseconds between two updates of the set of links to other nodes.
+_UPDATE_LINKS_INTERVAL_MS = 1_000.0
+# Milliseconds after SIGTERM for which the backend server, which may outlive the node,
+# still gets requests. This shortens its outage; the last requests have the rest of the
+# stop time to finish.
+_BACKEND_QUEUE_OPEN_MS = 2_000.0
+# Milliseconds after SIGTERM for which callers still send requests here: the platform
+# checks readiness once per second and removes a node after two failed checks.
+_READINESS_PROPAGATION_MS = 2_500.0
+# Milliseconds after SIGTERM from which new requests are refused, so that those accepted
+# before can finish: callers that find too few other nodes continue to send.
 _REFUSE_AFTER_MS = 3_000.0
-# Milliseconds before the end of the time to stop at which the process ends by itself.
+# Milliseconds before the end of the stop time at which the process exits by itself.
 _STOP_MARGIN_MS = 700.0
-# Milliseconds between two looks at what is still in progress.
-_STOP_LOOK_MS = 50.0
-# Milliseconds between two looks at the settings file; a second is well within the two
-# that a change of configuration may take.
-_SETTINGS_MS = 1_000.0
-# Milliseconds after its start for which a node waits to hear from another one which
-# requests are held before it uses the server beside it; others know by themselves.
-_CATCH_UP_MS = 1_000.0
-# Milliseconds before work in the background that failed starts again.
-_RESTART_MS = 500.0
-# Objects between two collections of the youngest generation: the path makes few cycles,
-# so fewer collections are enough. What it gains was not measured.
-_GC_YOUNG = 20_000
+# Milliseconds between two checks during a stop whether work is still in progress.
+_STOP_POLL_INTERVAL_MS = 50.0
+# Milliseconds between two checks of the settings file: well below the 2 s within which
+# a change of configuration has to take effect.
+_SETTINGS_CHECK_INTERVAL_MS = 1_000.0
+# Milliseconds after its start for which a node waits for another node to send the
+# quarantined requests before it uses its local backend server.
+_SNAPSHOT_WAIT_MS = 1_000.0
+# Milliseconds before a background task that failed is restarted.
+_RESTART_DELAY_MS = 500.0
+# Allocations between two garbage collections of the youngest generation. The request
+# path creates few reference cycles, so that fewer collections suffice.
+_GC_YOUNG_THRESHOLD = 20_000
 
 
 class Node:
-    """A node of a deployment.
+    """Node of a deployment.
 
     Parameters
     ----------
     cfg : MeshSettings
         Settings.
     store : Store
-        The platform's store.
+        Configuration store of the platform.
     read_report : callable
-        Returns what a backend server says in a request to the reports address.
+        Parses a report that a backend server sent to the reports address.
     clock : Clock, optional
-        Clock of the process; by default that of the running loop.
+        Clock of the process; by default that of the running event loop.
     reload : callable, optional
-        Returns the settings as they stand now, or why they cannot be used.
+        Returns the current settings, or a message why they are invalid.
     rng : random.Random, optional
-        Breaks ties and spreads what nodes would do together; by default unseeded.
+        Breaks ties, and spreads actions that nodes would otherwise take at the same
+        time; by default unseeded.
+
+    Attributes
+    ----------
+    cfg : MeshSettings
+        Active settings.
+    event_log : EventLog
+        Event log and metrics.
+    door : Door
+        Queue of the local backend server.
+    entry : Entry
+        Handles the requests of callers.
+    reports : CrashReports
+        Reports of requests that crash backend servers.
     """
 
     def __init__(
@@ -180,7 +198,7 @@
         )
         self._callers = CallerListener(cfg, self.entry, clock, event_log, self._poller)
         self.entry.parent_of = self.door.parent_of
-        self._config.changed = self._tell_status
+        self._config.changed = self._send_status
         hello = Hello(
             own.node, own.incarnation, own.address, own.data_centre, own.service
         )
@@ -192,10 +210,10 @@
         self.door.repeats.n_doors = lambda: self._links.n_known_nodes(cfg.service) + 1
         self._members = MemberSync(own, self._links, store, cfg, clock, rng, event_log)
         self._config.on_return = self._members.note_return
-        self._settings_fault = ""
+        self._settings_error = ""
         self._leaving = False
-        self._is_caught_up = False
-        self._alone_from = clock.now() + _CATCH_UP_MS
+        self._snapshot_wait_over = False
+        self._snapshot_deadline = clock.now() + _SNAPSHOT_WAIT_MS
         self._taking = TakingLinks(
             hello, self.door, self._own_status.now, clock, event_log, self._poller
         )
@@ -205,90 +223,95 @@
         self._workspaces.prepare_taking(self._taking)
         self._taking.on_report = self.reports.handle
         self._taking.send_snapshot = self.reports.send_snapshot
-        self.reports.peers = self._posts
-        self.door.changed = self._tell_status
+        self.reports.peers = self._post_functions
+        self.door.changed = self._send_status
         self._ticker = Ticker(clock, event_log)
         for interval, do in (
             (TICK_MS, self.door.look),
             (TICK_MS, self._placing.look),
             (STEP_MS, self._admission.step),
-            (_STATUS_MS, self._tell_status),
-            (_LOAD_LINE_MS, self._tell_load),
-            (LINK_LOOK_MS, self._links.look),
-            (_CHOOSE_LINKS_MS, self._links.choose),
+            (_STATUS_INTERVAL_MS, self._send_status),
+            (_LOAD_EVENT_INTERVAL_MS, self._log_load),
+            (LINK_CHECK_INTERVAL_MS, self._links.check_liveness),
+            (_UPDATE_LINKS_INTERVAL_MS, self._links.update_links),
             (CONFIG_REFRESH_MS, self._config.refresh),
-            (SWEEP_MS, self._callers.close_silent),
+            (IDLE_CHECK_INTERVAL_MS, self._callers.close_timed_out),
             (CLEARANCES_MS, self.reports.flush),
-            (_SETTINGS_MS, self.check_settings),
+            (_SETTINGS_CHECK_INTERVAL_MS, self.check_settings),
         ):
             self._ticker.every(interval, do)
         self._workspaces.schedule(self._ticker)
 
     def _prepare_link(self, link: OutboundLink) -> None:
-        link.on_status = self._handle_status_of
+        link.on_status = self._handle_peer_status
         link.on_config = lambda text: self._config.adopt_text(text, link.member.node)
         link.on_report = self.reports.handle
-        link.heard_elsewhere = partial(self._taking.last_received_at, link.member.node)
+        link.inbound_received_at = partial(
+            self._taking.last_received_at, link.member.node
+        )
         self._workspaces.prepare_link(link)
         link.send_snapshot = self.reports.send_snapshot
 
-    def _handle_status_of(self, link: OutboundLink) -> None:
-        """Follow what another node says of itself and of its server."""
+    def _handle_peer_status(self, link: OutboundLink) -> None:
+        """Process the status of another node and of its backend server."""
         self._config.handle_peer_status(link)
         target = link.target
         self.reports.resolve_server(target.node, target.service, target.instance)
-        if not self._is_caught_up:
-            self._is_caught_up = True
-            self._tell_status()
+        if not self._snapshot_wait_over:
+            self._snapshot_wait_over = True
+            self._send_status()
 
     def close_links(self) -> None:
         """Close all links in both directions."""
         self._links.close_all()
         self._taking.close_all()
 
-    def _resume(self, suspended: Milliseconds) -> None:
-        """Begin anew with others after the host was suspended.
+    def _handle_suspension(self, suspended: Milliseconds) -> None:
+        """Reopen all links after a suspension of the host.
 
-        What waits to be read was sent before or meanwhile and nobody can tell when:
-        statuses, configurations and calls on links are dropped with them, and callers
-        are taken to have waited since it began. It runs before any task does.
+        Unread data was sent before or during the suspension, at an unknown time.
+        Therefore statuses, configurations and calls on links are dropped with the
+        links, and callers are assumed to have waited for the whole suspension. This
+        method runs before any other task resumes.
         """
         self.event_log.event("resumed", suspended=round(suspended))
         self.close_links()
         self._callers.record_suspension(suspended)
-        self._is_caught_up = False
-        self._alone_from = self._clock.now() + _CATCH_UP_MS
-        self._tell_status()
+        self._snapshot_wait_over = False
+        self._snapshot_deadline = self._clock.now() + _SNAPSHOT_WAIT_MS
+        self._send_status()
 
-    def _posts(self) -> dict[str, Post]:
-        """Return how to reach each node that is linked in either direction."""
+    def _post_functions(self) -> dict[str, Post]:
+        """Return the send function of each node linked in either direction."""
         posts = dict(self._taking.posts())
-        posts.update((k.member.node, k.post) for k in self._links if k.is_open())
+        posts.update(
+            (link.member.node, link.post) for link in self._links if link.is_open()
+        )
         return posts
 
     def _adopt(self, stored: StoredConfig) -> None:
-        """Put a configuration in force."""
+        """Activate a configuration."""
         self.entry.table = RouteTable(stored.config)
         self._rotation.adopt(stored.config)
         self._callers.limits = stored.config.limits
         self._workspaces.adopt(stored.config)
-        self._tell_status()
+        self._send_status()
 
-    def _tell_status(self) -> None:
+    def _send_status(self) -> None:
         status = self._own_status.now()
-        if not self._is_caught_up:
-            # What this host's callers ask for may be held by all others.
-            self._is_caught_up = self._clock.now() >= self._alone_from
+        if not self._snapshot_wait_over:
+            # Requests of callers on this host may be quarantined on all other nodes.
+            self._snapshot_wait_over = self._clock.now() >= self._snapshot_deadline
             status = replace(status, instance="")
         self._own.take_status(status)
         self._taking.tell_status()
 
-    def _tell_load(self) -> None:
-        """Write how full the server is, what is let in, and what that follows.
+    def _log_load(self) -> None:
+        """Write an event with the load, the admitted shares and their inputs.
 
-        Whether places stand empty while requests are refused, whether the entries
-        agree, and whether what they believe is what the servers say, can be seen only
-        where all of it stands at the same moments.
+        All values are written at the same time. Only then do they show whether slots
+        are empty while requests are refused, whether entries agree, and whether the
+        load that entries assume is the load that servers report.
         """
         fields = load_fields(
             self.door,
@@ -301,32 +324,32 @@
             self.event_log.event("load", **fields)
 
     async def run(self) -> None:
-        """Serve until SIGTERM, then stop without cutting anything."""
-        gc.set_threshold(_GC_YOUNG, 20, 50)
+        """Serve until SIGTERM, then drain and stop."""
+        gc.set_threshold(_GC_YOUNG_THRESHOLD, 20, 50)
         gc.freeze()
-        # Until the end: a signal without a receiver ends the process at once, also in
-        # the midst of a planned stop.
+        # The receiver stays open until the end: a signal without a receiver terminates
+        # the process immediately, also during a planned stop.
         with trio.open_signal_receiver(*_SIGNALS) as signals:
             async with trio.open_nursery() as nursery:
-                self.event_log.never_wait()
+                self.event_log.set_non_blocking()
                 self._ticker.every(FLUSH_MS, self.event_log.flush)
-                asked = trio.Event()
-                nursery.start_soon(self._take_signals, signals, asked)
+                stop_requested = trio.Event()
+                nursery.start_soon(self._handle_signals, signals, stop_requested)
                 nursery.start_soon(self.serve)
-                await asked.wait()
+                await stop_requested.wait()
                 await self.stop()
                 nursery.cancel_scope.cancel()
             self.event_log.event("stopped")
             self.event_log.flush()
 
     async def serve(self) -> None:
-        """Serve until cancelled."""
+        """Start all servers and background tasks, and serve until cancelled."""
         cfg = self.cfg
         names = cfg.names
         self.event_log.event(
             "started", service=cfg.service, data_centre=cfg.data_centre
         )
-        watch = SuspensionWatch(self._clock.catch_up, self._resume)
+        watch = SuspensionWatch(self._clock.catch_up, self._handle_suspension)
         trio.lowlevel.add_instrument(watch)
         self._poller.before_calls = partial(watch.after_io_wait, 0.0)
         async with trio.open_nursery() as nursery:
@@ -339,40 +362,42 @@
                 self._ticker.run,
             ):
                 nursery.start_soon(work)
-            at = cfg.addresses
-            nursery.start_soon(accept_each, listen(at.callers), self._callers.serve)
+            addresses = cfg.addresses
             nursery.start_soon(
-                accept_all, listen(at.peers), self._taking.serve, nursery
+                accept_each, listen(addresses.callers), self._callers.serve
             )
-            sides = [
-                (at.health, self._answer_health),
-                (at.reports, self._answer_report),
+            nursery.start_soon(
+                accept_all, listen(addresses.peers), self._taking.serve, nursery
+            )
+            auxiliary_servers = [
+                (addresses.health, self._answer_health),
+                (addresses.reports, self._answer_report),
             ]
-            if at.metrics:
-                sides.append((at.metrics, self._answer_metrics))
-            for address, handle in sides:
+            if addresses.metrics:
+                auxiliary_servers.append((addresses.metrics, self._answer_metrics))
+            for address, handle in auxiliary_servers:
                 nursery.start_soon(
                     serve_auxiliary, address, handle, names, self.event_log
                 )
             for work in (self._config.run, self._members.run):
-                nursery.start_soon(self._go_on, work)
+                nursery.start_soon(self._restart_on_failure, work)
 
-    async def _go_on(self, work: Callable[[], Awaitable[None]]) -> None:
-        """Start work again that ends by an exception nobody expected."""
+    async def _restart_on_failure(self, work: Callable[[], Awaitable[None]]) -> None:
+        """Run a background task, and restart it whenever it ends or fails."""
         while True:
             try:
                 await work()
             except Exception as exc:
                 self.event_log.log_exception("background", exc)
-            await trio.sleep(_RESTART_MS / MS_PER_S)
+            await trio.sleep(_RESTART_DELAY_MS / MS_PER_S)
 
     @property
     def version_in_force(self) -> int:
-        """Version of the configuration in force; 0 before the first."""
+        """Version of the active configuration; 0 if there is none yet."""
         return self._config.in_force.version
 
     def is_ready(self) -> bool:
-        """Whether callers should be sent here."""
+        """Whether the node accepts requests of callers."""
         return self.entry.table is not None and not self._leaving
 
     def _answer_health(self, req: Request) -> Final:
@@ -383,16 +408,16 @@
     def _answer_report(self, req: Request) -> Final:
         report = self._read_report(req)
         if isinstance(report, BackendReport):
-            report = self._of_own_service(report)
+            report = self._check_service(report)
         if isinstance(report, Unreadable):
-            self.event_log.unreadable("report-unreadable", report)
+            self.event_log.log_malformed_input("report-unreadable", report)
             text = f"{report.place}: {report.reason}\n".encode()
             return Final(400, headers=b"Content-Type: text/plain\r\n", body=text)
         self.door.take_report(report)
         return Final(200, headers=b"Content-Type: application/json\r\n", body=b"{}")
 
-    def _of_own_service(self, report: BackendReport) -> BackendReport | Unreadable:
-        """Return a report if it is of the service that this node stands beside."""
+    def _check_service(self, report: BackendReport) -> BackendReport | Unreadable:
+        """Return a report, or why it does not match the service of this node."""
         service = self.cfg.service
         if report.state is BackendState.GONE or report.service == service:
             return report
@@ -402,7 +427,7 @@
     def _answer_metrics(self, req: Request) -> Final:
         if req.method != b"GET":
             return Final(404)
-        kind = b"Content-Type: text/plain; version=0.0.4\r\n"
+        content_type = b"Content-Type: text/plain; version=0.0.4\r\n"
         gauges = itertools.chain(
             config_gauges(self._config),
             backend_gauges(self.door),
@@ -411,58 +436,66 @@
             workspace_gauges(self._config, self._workspaces.quotas),
             admission_gauges(self._admission),
         )
-        return Final(200, headers=kind, body=self.event_log.metrics(gauges).encode())
+        return Final(
+            200, headers=content_type, body=self.event_log.metrics(gauges).encode()
+        )
 
-    async def _take_signals(
-        self, signals: AsyncIterator[int], asked: trio.Event
+    async def _handle_signals(
+        self, signals: AsyncIterator[int], stop_requested: trio.Event
     ) -> None:
-        """Read the settings at SIGHUP, and note that a stop is asked for."""
-        async for number in signals:
-            if number == signal.SIGHUP:
+        """Reload the settings on SIGHUP; request a stop on any other signal."""
+        async for signal_number in signals:
+            if signal_number == signal.SIGHUP:
                 self.check_settings()
                 continue
-            self.event_log.event("stopping", signal=number, again=asked.is_set())
-            asked.set()
+            self.event_log.event(
+                "stopping", signal=signal_number, again=stop_requested.is_set()
+            )
+            stop_requested.set()
 
     def check_settings(self) -> None:
-        """Adopt settings that have changed; addresses and names need a new start."""
-        found = self.cfg if self._reload is None else self._reload()
-        if isinstance(found, str):
-            if found != self._settings_fault:
-                self.event_log.event("settings-refused", cause=found)
-            self._settings_fault = found
+        """Reload the settings and apply changes of the bounds and of the retry budget.
+
+        All other settings take effect after a restart only.
+        """
+        reloaded = self.cfg if self._reload is None else self._reload()
+        if isinstance(reloaded, str):
+            if reloaded != self._settings_error:
+                self.event_log.event("settings-refused", cause=reloaded)
+            self._settings_error = reloaded
             return
-        self._settings_fault = ""
-        if found == self.cfg:
+        self._settings_error = ""
+        if reloaded == self.cfg:
             return
         changed = [
             field.name
-            for field in fields(found)
-            if getattr(found, field.name) != getattr(self.cfg, field.name)
+            for field in fields(reloaded)
+            if getattr(reloaded, field.name) != getattr(self.cfg, field.name)
         ]
         adopted = [name for name in changed if name in ("bounds", "budget")]
         self.event_log.event("settings-changed", changed=changed, adopted=adopted)
-        self.cfg = replace(self.cfg, bounds=found.bounds, budget=found.budget)
+        self.cfg = replace(self.cfg, bounds=reloaded.bounds, budget=reloaded.budget)
         self.door.adopt(self.cfg)
         self._config.adopt_bounds(self.cfg.bounds)
         self._members.adopt_bounds(self.cfg.bounds)
 
-    def _close_door(self) -> None:
-        """Give back what waits for the backend server, and let others know."""
+    def _close_backend_queue(self) -> None:
+        """Reject the requests in the backend queue, and send the new status."""
         if not self.door.leaving:
             self.door.leaving = True
             self.door.turn_away(LEAVING)
-            self._tell_status()
+            self._send_status()
 
     async def stop(self) -> None:
-        """Take less and less that is new, finish what is in progress, and end."""
+        """Stop accepting work in steps, and wait for work in progress to finish."""
         started = self._clock.now()
         self._leaving = True
         async with trio.open_nursery() as nursery:
             if not self.door.instance():
-                # Beside the rest: a store that is silent must not use up the time.
+                # Runs concurrently, so that a store that does not answer does not use
+                # up the stop time.
                 nursery.start_soon(self._members.withdraw)
-            await self._wind_down(started)
+            await self._drain(started)
             nursery.cancel_scope.cancel()
         self.event_log.event(
             "ending",
@@ -471,17 +504,17 @@
             took=round(self._clock.now() - started),
         )
 
-    async def _wind_down(self, started: Milliseconds) -> None:
-        """Close the door, then the callers' connections, until nothing is left."""
-        whole = self.cfg.bounds.stop
-        while (spent := self._clock.now() - started) < whole - _STOP_MARGIN_MS:
-            if spent >= min(_DOOR_OPEN_MS, whole / 3.0):
-                self._close_door()
-            if spent >= min(_KNOWN_AS_READY_MS, whole / 2.0):
+    async def _drain(self, started: Milliseconds) -> None:
+        """Close the backend queue, then connections, until all work is done."""
+        time_to_stop = self.cfg.bounds.stop
+        while (spent := self._clock.now() - started) < time_to_stop - _STOP_MARGIN_MS:
+            if spent >= min(_BACKEND_QUEUE_OPEN_MS, time_to_stop / 3.0):
+                self._close_backend_queue()
+            if spent >= min(_READINESS_PROPAGATION_MS, time_to_stop / 2.0):
                 self._callers.closing = True
                 self._callers.close_idle()
                 if not self._callers.in_progress and not self.door.running:
                     break
-            if spent >= min(_REFUSE_AFTER_MS, whole / 2.0):
+            if spent >= min(_REFUSE_AFTER_MS, time_to_stop / 2.0):
                 self.entry.stopping = True
-            await trio.sleep(_STOP_LOOK_MS / MS_PER_S)
+            await trio.sleep(_STOP_POLL_INTERVAL_MS / MS_PER_S)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/outbound_link.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/outbound_link.py
@@ -1,4 +1,4 @@
-"""The sending end of a link: one task for each node that this one sends to."""
+"""Outbound end of a link: sends calls to another node and keeps the link open."""
 
 from __future__ import annotations
 
@@ -40,38 +40,41 @@
     from fuchsiagap_node.core.mesh.poller import Poller
     from fuchsiagap_node.core.mesh.stream import Stream
 
-# What a call led to whose reply does not come.
-_NOTHING_KNOWN = Below(NO_CALLS, 0)
-# Milliseconds to open a link; ten round trips between regions and room for a busy host.
-_DIAL_MS = 1_000.0
-# Milliseconds between two attempts to reach a node, doubled up to the second figure.
-_REDIAL_MS = 150.0
-_REDIAL_MAX_MS = 1_000.0
-# Milliseconds between two looks at a link.
-LOOK_MS = 400.0
-# Milliseconds of silence after which a ping is sent where no calls wait; where some do,
-# each look sends one.
-_IDLE_PING_MS = 1_200.0
-# Milliseconds of silence after which nothing new is sent to the node; beyond two pings.
-_SUSPECT_MS = 1_000.0
-_IDLE_SUSPECT_MS = 2_000.0
-# Milliseconds of silence after which the link is closed and its calls are given back.
-_LOST_MS = 2_200.0
-_IDLE_LOST_MS = 3_400.0
+# Downstream summary of a call that gets no reply.
+_NO_DOWNSTREAM_INFO = Below(NO_CALLS, 0)
+# Milliseconds to open a link: ten round trips between regions and a reserve for a busy
+# host.
+_CONNECT_TIMEOUT_MS = 1_000.0
+# Milliseconds between two attempts to connect, doubled after each up to the maximum.
+_RECONNECT_DELAY_MS = 150.0
+_MAX_RECONNECT_DELAY_MS = 1_000.0
+# Milliseconds between two liveness checks of a link.
+LIVENESS_CHECK_INTERVAL_MS = 400.0
+# Milliseconds of silence after which a ping is sent if no calls are pending. While
+# calls are pending, each liveness check sends one.
+_IDLE_PING_AFTER_MS = 1_200.0
+# Milliseconds of silence after which the node is suspected and gets no new calls, while
+# calls are pending and while idle: longer than two pings.
+_SUSPECT_AFTER_MS = 1_000.0
+_IDLE_SUSPECT_AFTER_MS = 2_000.0
+# Milliseconds of silence after which the link is closed and its pending calls fail,
+# while calls are pending and while idle.
+_CLOSE_AFTER_MS = 2_200.0
+_IDLE_CLOSE_AFTER_MS = 3_400.0
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A node, as it announces itself.
+    """Announcement of a node.
 
     Parameters
     ----------
     node, incarnation : str
-        Name, and what tells this process from an earlier one.
+        Name, and identifier of the process among those of the same name.
     address : str
-        Where it takes links.
+        ``IP:PORT`` at which it accepts links.
     data_centre, service : str
-        Where it stands, and the service of the backend server beside it.
+        Its data centre, and the service of the backend server on its host.
     """
 
     node: str
@@ -82,49 +85,51 @@
 
 
 class OutboundLink:
-    """A door on another host.
+    """Link to the backend queue of another node.
 
     Parameters
     ----------
     member : Member
         The node.
     hello : Hello
-        What this node says of itself.
+        First message on a link, which describes this node.
     local : bool
-        Whether the node stands in this node's data centre.
+        Whether the node is in the same data centre as this node.
     clock : Clock
         Time in milliseconds.
     event_log : EventLog
-        Logs and counters.
+        Event log and counters.
     poller : Poller
-        Watches the connection.
+        Reports when the connection is readable.
 
     Attributes
     ----------
     target : Target
-        The backend server beside the node, as this node sees it.
+        State of the backend server of the node, as known to this node.
     version : int
-        Version of the configuration that the node has adopted.
+        Version of the configuration that is active on the node.
     epoch : int
-        Epoch of the store, as the node last heard from it.
+        Epoch of the store that the node last received.
     update_source : UpdateSource
-        How the node hears of newer ones.
+        How the node receives configuration updates.
     on_config : callable
-        Told the configuration that the node sends.
+        Called with a configuration that the node sends.
     on_status : callable
-        Told that the node's status changed.
+        Called when the status of the node changes.
     on_report : callable
-        Told what the node reports of requests that crash servers.
+        Called with a report of requests that crash backend servers.
     on_age : callable
-        Told how old the node's knowledge of the configuration is.
+        Called with the age of the configuration that the node knows.
     on_tokens : callable
-        Told what the node grants of a quota that it owns.
+        Called with tokens that the node grants from a quota that it owns.
     on_open : callable
-        Told that the link can be used.
-    heard_elsewhere : callable
-        Returns when the node was last heard of on its own link to this one.
+        Called when the link is ready for use.
+    inbound_received_at : callable
+        Returns the time of the last data on the link that the node opened to this one.
     send_snapshot : callable
-        Sends the node what it has to know first.
+        Sends the initial state to the node.
+    scope : trio.CancelScope
+        Scope of `run`.
     """
 
     def __init__(
@@ -142,57 +147,64 @@
         self._clock = clock
         self._event_log = event_log
         self._link: FramedLink | None = None
-        self._serving: FramedLink | None = None
+        self._connection: FramedLink | None = None
         self._pending: dict[int, OnReply] = {}
         self.target = Target(member.node, "", member.service, local, usable=False)
         self.version = 0
         self.epoch = NO_EPOCH
         self.update_source = UpdateSource.PEERS
-        # Of two nodes that are linked both ways, one asks first and the other is heard.
+        # Of two nodes with links in both directions, only one pings while both are
+        # idle: its traffic shows the other one that it is alive.
         is_first = hello.node < member.node
-        self._idle_ping = _IDLE_PING_MS if is_first else _IDLE_PING_MS + LOOK_MS
+        self._idle_ping_after = (
+            _IDLE_PING_AFTER_MS
+            if is_first
+            else _IDLE_PING_AFTER_MS + LIVENESS_CHECK_INTERVAL_MS
+        )
         self._reached_at = clock.now()
         self._busy_since = clock.now()
-        self._is_closed_here = False
+        self._reconnect_at_once = False
         self.on_config: Callable[[ConfigText], None] = _ignore
         self.on_status: Callable[[OutboundLink], None] = _ignore
         self.on_report: Callable[[Report, str], None] = _ignore_both
         self.on_age: Callable[[Age, str], None] = _ignore_both
         self.on_tokens: Callable[[TokensGranted], None] = _ignore
         self.on_open: Callable[[OutboundLink], None] = _ignore
-        self.heard_elsewhere: Callable[[], Milliseconds] = _never
+        self.inbound_received_at: Callable[[], Milliseconds] = _never_received
         self.send_snapshot: Callable[[Post], None] = _ignore
         self.scope = trio.CancelScope()
 
     @property
     def reached_at(self) -> Milliseconds:
-        """When the node was last reached; at first, when it became known."""
-        here = self._reached_at if self._link is None else self._link.last_received_at
-        return max(here, self.heard_elsewhere())
+        """Time of the last data from the node; initially when it became known."""
+        received_at = (
+            self._reached_at if self._link is None else self._link.last_received_at
+        )
+        return max(received_at, self.inbound_received_at())
 
     def is_up(self) -> bool:
-        """Whether the node is linked and heard of."""
+        """Whether the node is connected and its backend server is usable."""
         return self._link is not None and self.target.usable
 
     def is_open(self) -> bool:
-        """Whether the node is linked."""
+        """Whether the node is connected."""
         return self._link is not None
 
     def is_responsive(self) -> bool:
-        """Whether the node is linked and was heard of, also without a server."""
+        """Whether the node is connected and not silent, with or without a server."""
         link = self._link
         return link is not None and (
-            self._clock.now() - self.reached_at < _IDLE_SUSPECT_MS
+            self._clock.now() - self.reached_at < _IDLE_SUSPECT_AFTER_MS
         )
 
-    def is_unused(self) -> bool:
-        """Whether no call waits for its reply."""
+    def has_no_pending_calls(self) -> bool:
+        """Whether no call is waiting for its reply."""
         return not self._pending
 
     def send(self, call: Call, reply: OnReply) -> None:
-        """Send a call; `reply` is told its outcome, once."""
+        """Send a call; `reply` is called once with its outcome."""
         if self._link is None:
-            reply(NotRun(LINK_LOST), _NOTHING_KNOWN)
+            reply(NotRun(LINK_LOST), _NO_DOWNSTREAM_INFO)
             return
         if not self._pending:
             self._busy_since = self._clock.now()
@@ -201,32 +213,32 @@
         self._link.post(call, call.call_id)
 
     def cancel(self, call_id: int) -> None:
-        """Say that a call is no longer wanted."""
+        """Cancel a call; its reply is ignored."""
         if self._pending.pop(call_id, None) is not None:
             self.target.mine -= 1
             if self._link is not None:
-                self._link.withdraw(call_id)
+                self._link.cancel(call_id)
 
     def close(self) -> None:
-        """Close the link, as far as it is open; it is opened anew at once."""
+        """Close the link if it is open; it is reopened immediately."""
         self.target.usable = False
-        if self._serving is not None:
-            self._serving.close()
-            self._is_closed_here = True
+        if self._connection is not None:
+            self._connection.close()
+            self._reconnect_at_once = True
 
     def post(self, message: Message) -> None:
-        """Send a message if the link is up."""
+        """Send a message if the link is open; drop it otherwise."""
         if self._link is not None:
             self._link.post(message)
 
     async def run(self) -> None:
-        """Keep the link open until cancelled."""
-        wait = _REDIAL_MS
+        """Keep the link open, reconnecting with backoff, until cancelled."""
+        wait = _RECONNECT_DELAY_MS
         with self.scope:
             while True:
                 started = self._clock.now()
                 try:
-                    stream = await dial(self.member.address, _DIAL_MS)
+                    stream = await dial(self.member.address, _CONNECT_TIMEOUT_MS)
                     await self._serve(stream)
                 except (BrokenStream, BadFrame) as exc:
                     self._event_log.event(
@@ -234,58 +246,65 @@
                     )
                 except Exception as exc:
                     self._event_log.log_exception("sending-link", exc)
-                if self._is_closed_here:
-                    self._is_closed_here = False
+                if self._reconnect_at_once:
+                    self._reconnect_at_once = False
                     continue
-                if self._clock.now() - started > _REDIAL_MAX_MS:
-                    wait = _REDIAL_MS
+                if self._clock.now() - started > _MAX_RECONNECT_DELAY_MS:
+                    wait = _RECONNECT_DELAY_MS
                 await trio.sleep(wait / MS_PER_S)
-                wait = min(2 * wait, _REDIAL_MAX_MS)
+                wait = min(2 * wait, _MAX_RECONNECT_DELAY_MS)
 
     async def _serve(self, stream: Stream) -> None:
         link = FramedLink(stream, self._clock)
         link.post_hello(self._hello, compressed=not self.target.local)
 
-        def take(message: Message) -> None:
-            self._take_message(link, message)
+        def handle(message: Message) -> None:
+            self._handle_message(link, message)
 
-        self._serving = link
+        self._connection = link
         try:
-            await link.serve(self._poller, take)
+            await link.serve(self._poller, handle)
         except (BrokenStream, BadFrame) as exc:
             self._event_log.event("link-down", to=self.member.node, cause=str(exc))
         finally:
-            self._serving = None
-            self._lose(link)
+            self._connection = None
+            self._handle_loss(link)
             link.close()
 
-    def look(self) -> None:
-        """Ping a silent node, suspect it, and give the link up."""
-        if self._serving is None:
+    def check_liveness(self) -> None:
+        """Ping a silent node, then suspect it, then close the link."""
+        if self._connection is None:
             return
-        link = self._serving
+        link = self._connection
         busy = bool(self._pending)
-        # Whether this very connection works counts from when a call waits on it.
-        here = max(link.last_received_at, self._busy_since)
-        silent = self._clock.now() - (here if busy else self.reached_at)
-        if silent >= (_LOST_MS if busy else _IDLE_LOST_MS):
+        # While calls are pending, only data on this connection counts, starting from
+        # the time when the first of them was sent.
+        received_at = max(link.last_received_at, self._busy_since)
+        silent = self._clock.now() - (received_at if busy else self.reached_at)
+        if silent >= (_CLOSE_AFTER_MS if busy else _IDLE_CLOSE_AFTER_MS):
             self._event_log.event("link-silent", to=self.member.node, silent=silent)
             link.end(BrokenStream("silent"))
             return
-        if silent >= (_SUSPECT_MS if busy else _IDLE_SUSPECT_MS) and self.target.usable:
+        if (
+            silent >= (_SUSPECT_AFTER_MS if busy else _IDLE_SUSPECT_AFTER_MS)
+            and self.target.usable
+        ):
             self.target.usable = False
             self._event_log.event(
                 "node-suspected", node=self.member.node, silent=silent
             )
-        if silent >= (LOOK_MS if busy else self._idle_ping) * 0.9:
+        if (
+            silent
+            >= (LIVENESS_CHECK_INTERVAL_MS if busy else self._idle_ping_after) * 0.9
+        ):
             link.post(Ping())
 
-    def _take_message(self, link: FramedLink, message: Message) -> None:
+    def _handle_message(self, link: FramedLink, message: Message) -> None:
         match message:
             case Reply() as reply:
-                self._take_reply(reply)
+                self._handle_reply(reply)
             case Status() as status:
-                self._take_status(status)
+                self._handle_status(status)
             case ConfigText() as config:
                 self.on_config(config)
             case Crash() | Held() | Cleared() as report:
@@ -295,20 +314,20 @@
             case TokensGranted() as tokens:
                 self.on_tokens(tokens)
             case Hello() as hello:
-                self._check(hello, link)
+                self._handle_hello(hello, link)
         if not self.target.usable and self.target.instance and self._link:
             self.target.usable = True
 
-    def _check(self, hello: Hello, link: FramedLink) -> None:
-        """Make sure that the right node answers at the address."""
+    def _handle_hello(self, hello: Hello, link: FramedLink) -> None:
+        """Check that the expected node answers, and activate the link."""
         if hello.node != self.member.node or hello.service != self.member.service:
-            raise BrokenStream(f"{hello.node} answers at {self.member.address}")
+            raise BrokenStream(f"unexpected node {hello.node} at {self.member.address}")
         self._link = link
         self.send_snapshot(link.post)
         self.on_open(self)
         self._event_log.event("link-up", to=hello.node, incarnation=hello.incarnation)
 
-    def _take_reply(self, reply: Reply) -> None:
+    def _handle_reply(self, reply: Reply) -> None:
         self.target.others = max(reply.load - self.target.mine, 0)
         self.target.offered = reply.offered
         on_outcome = self._pending.pop(reply.call_id, None)
@@ -318,7 +337,7 @@
         self.target.mine -= 1
         on_outcome(reply.outcome, reply.below)
 
-    def _take_status(self, status: Status) -> None:
+    def _handle_status(self, status: Status) -> None:
         target = self.target
         target.instance = status.instance
         target.usable = bool(status.instance)
@@ -333,8 +352,8 @@
         self.update_source = status.update_source
         self.on_status(self)
 
-    def _lose(self, link: FramedLink) -> None:
-        """Give back the calls of a link that has ended."""
+    def _handle_loss(self, link: FramedLink) -> None:
+        """Fail the pending calls of a link that has ended."""
         if self._link is not None:
             self._reached_at = link.last_received_at
         self._link = None
@@ -345,17 +364,17 @@
         self.target.mine = 0
         for call_id, reply in pending.items():
             lost = NotRun(LINK_LOST) if call_id in unsent else MayHaveRun(LINK_LOST)
-            reply(lost, _NOTHING_KNOWN)
+            reply(lost, _NO_DOWNSTREAM_INFO)
 
 
-def _never() -> Milliseconds:
-    """Return that the node was not heard of."""
+def _never_received() -> Milliseconds:
+    """Return that no data arrived from the node."""
     return float("-inf")
 
 
 def _ignore(_: object) -> None:
-    """Do nothing."""
+    """Default callback; does nothing."""
 
 
 def _ignore_both(_: object, __: object) -> None:
-    """Do nothing."""
+    """Default callback; does nothing."""
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/outbound_links.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/outbound_links.py
@@ -1,4 +1,4 @@
-"""Links to other nodes: to all of a small service, to a subset of a large one."""
+"""Known nodes, and links to all nodes of small services and to some of large ones."""
 
 from __future__ import annotations
 
@@ -19,54 +19,59 @@
     from fuchsiagap_node.core.mesh.peers import Peers
     from fuchsiagap_node.core.mesh.poller import Poller
 
-# Nodes of one service that a node keeps links to, in its own data centre and elsewhere.
-# Each restart opens every link anew at both ends, and each link is pinged: at 81 nodes
-# that are 32 links a node in place of 80. A choice compares six servers of each place.
-# With 10 and 6 a node at rest among 60 took 6.97 ms of processor time a second, with
-# these 5.31 (`bench_fleet 60 20`, once each beside two plays).
+# Number of nodes of one service that a node keeps links to, in its own data centre and
+# in all others. Each restart reopens every link at both ends and each link is pinged;
+# in a fleet of 81 nodes these limits give 32 links per node instead of 80. A placement
+# compares at most six servers in its own data centre and six in all others. An idle
+# node among 60 uses 5.31 ms of processor time per second with these limits, and 6.97 ms
+# with 10 and 6.
 LOCAL_LINKS = 8
 REMOTE_LINKS = 3
-# First nodes of the data centre, by name, that each node of it links to as well: those
-# watch the configuration, and who has no link to any of them watches too. In a data
-# centre of 320 nodes that is as many links in for each of the two, 12 to 22 KB each.
+# Number of nodes of the data centre, first by name, that every node there links to as
+# well. These watch the configuration, and a node without a link to any of them watches
+# it too. In a data centre of 320 nodes each of the two has that many inbound links, of
+# 12 to 22 KB each.
 WATCHER_LINKS = 2
-# Nodes that are told of with a line each; more at once, as at a start, with one line:
-# 195 nodes that start together wrote 38,000 lines.
-_TOLD_ONE_BY_ONE = 5
-# Services up to which all are linked, asked for or not. Among 220 services a node would
-# hold up to 2,400 links, most to services that nobody asks for on its host.
-_ALL_SERVICES = 16
-# Milliseconds out of reach after which a node no longer counts among these, and the
-# next one is linked too.
-_DOWN_MS = 3_000.0
-# Milliseconds for which a link is kept that one node was asked for by name.
-_ASKED_FOR_MS = 60_000.0
+# Number of new nodes up to which each gets a log event. More at the same time, as at a
+# start, share one event: otherwise 195 nodes that start together write 38,000 lines.
+_MAX_SINGLE_EVENTS = 5
+# Number of services up to which all are linked, requested or not. With 220 services a
+# node would hold up to 2,400 links, most of them to services that no caller on its host
+# requests.
+_MAX_EAGER_SERVICES = 16
+# Milliseconds without data after which a node no longer counts towards these limits,
+# and the next one is linked in addition.
+_UNREACHABLE_MS = 3_000.0
+# Milliseconds for which a link is kept after `ensure_link` requested it.
+_REQUESTED_LINK_TTL_MS = 60_000.0
 
 
 class OutboundLinks:
-    """The nodes that are known, and links to those that requests may go to.
+    """Known nodes, and links to those that requests may be sent to.
 
     Parameters
     ----------
     own : Member
         This node.
     hello : Hello
-        What it says of itself on links.
+        First message on each link, which describes this node.
     peers : Peers
-        Doors; each link is one.
+        Receives each link as a peer that calls can be sent to.
     clock : Clock
         Time in milliseconds.
     event_log : EventLog
-        Logs.
+        Event log.
     poller : Poller
-        Watches the connections.
+        Reports readable connections.
 
     Attributes
     ----------
     nursery : trio.Nursery or None
-        Holds the tasks of the links; None until the node serves.
+        Runs the tasks of the links; None until the node serves.
     on_link : callable
-        Told of each new link before it is opened.
+        Called with each new link before it is opened.
+    n_changes : int
+        Counts the changes of the set of known nodes.
     """
 
     def __init__(
@@ -86,44 +91,47 @@
         self._event_log = event_log
         self._known: dict[str, Member] = {}
         self._links: dict[str, OutboundLink] = {}
-        # Members by service and by whether they are near, in the order of choice.
+        # Members by service and by whether they are in this data centre, in order of
+        # preference.
         self._ranked: dict[tuple[str, bool], list[Member]] = {}
-        # Members of this node's data centre by name.
-        self._near: list[Member] = []
+        # Members in this data centre, sorted by name.
+        self._local_members: list[Member] = []
         self._n_known: Counter[str] = Counter()
-        self._by_place: dict[str, list[str]] = {}
-        self._asked_for: dict[str, Milliseconds] = {}
-        # Counts the changes of the nodes that are known.
+        self._by_data_centre: dict[str, list[str]] = {}
+        self._requested_at: dict[str, Milliseconds] = {}
         self.n_changes = 0
         self.nursery: trio.Nursery | None = None
         self.on_link: Callable[[OutboundLink], None] = _ignore
-        peers.on_first_wanted = self.choose
+        peers.on_first_wanted = self.update_links
 
     def __iter__(self) -> Iterator[OutboundLink]:
         return iter(list(self._links.values()))
 
     def n_known_nodes(self, service: str) -> int:
-        """Return how many nodes are known of a service, linked or not."""
+        """Return the number of known nodes of a service, linked or not."""
         return self._n_known[service]
 
     def known_nodes(self) -> Iterable[str]:
-        """Return the names of all other nodes that are known."""
+        """Return the names of all known nodes except this one."""
         return self._known.keys()
 
     def by_data_centre(self) -> Mapping[str, Sequence[str]]:
-        """Return the other nodes by data centre, in the order of choice."""
-        return self._by_place
+        """Return the known nodes by data centre, in order of preference."""
+        return self._by_data_centre
 
     def ensure_link(self, node: str) -> OutboundLink | None:
-        """Return a link to one node, which is kept as long as it is asked for."""
+        """Return a link to a node, opened if needed; None if the node is unknown.
+
+        The link is kept as long as it is requested again from time to time.
+        """
         member = self._known.get(node)
         if member is None or self.nursery is None:
             return None
-        self._asked_for[node] = self._clock.now()
-        return self._link(member, member.data_centre == self._own.data_centre)
+        self._requested_at[node] = self._clock.now()
+        return self._get_or_open(member, member.data_centre == self._own.data_centre)
 
     def handle_hello(self, hello: Hello) -> None:
-        """Learn of a node that has opened a link to this one."""
+        """Add a node that has opened a link to this one."""
         member = Member(
             hello.node,
             hello.incarnation,
@@ -134,27 +142,29 @@
         self.add_members([member])
 
     def add_members(self, members: Iterable[Member]) -> None:
-        """Learn of nodes, and link those that belong to the subset."""
-        news = [m for m in members if self._is_news(m)]
-        for member in news:
+        """Add nodes, and link those that belong to the subset."""
+        new_members = [m for m in members if self._is_new(m)]
+        for member in new_members:
             self._drop_link(member.node)
             self._known[member.node] = member
-        if len(news) > _TOLD_ONE_BY_ONE:
-            services = Counter(member.service for member in news)
-            self._event_log.event("nodes-known", nodes=len(news), services=services)
+        if len(new_members) > _MAX_SINGLE_EVENTS:
+            services = Counter(member.service for member in new_members)
+            self._event_log.event(
+                "nodes-known", nodes=len(new_members), services=services
+            )
         else:
-            for member in news:
+            for member in new_members:
                 self._event_log.event(
                     "node-known",
                     node=member.node,
                     service=member.service,
                     address=member.address,
                 )
-        if news:
-            self._rank()
-            self.choose()
+        if new_members:
+            self._rank_members()
+            self.update_links()
 
-    def _is_news(self, member: Member) -> bool:
+    def _is_new(self, member: Member) -> bool:
         known = self._known.get(member.node)
         if member.node == self._own.node or self.nursery is None:
             return False
@@ -162,24 +172,32 @@
             (known.address, known.service) != (member.address, member.service)
         )
 
-    def remove_unlisted(self, listed: Iterable[str], patience: float) -> None:
-        """Forget nodes that are not listed and were out of reach for a time."""
+    def remove_unlisted(self, listed: Iterable[str], max_silence: float) -> None:
+        """Remove nodes that are not listed and were silent for a time.
+
+        Parameters
+        ----------
+        listed : iterable of str
+            Names of the nodes that are listed.
+        max_silence : float
+            Milliseconds without data after which a linked node is removed.
+        """
         now = self._clock.now()
         gone = []
         for node in self._known.keys() - set(listed):
             link = self._links.get(node)
-            if link is None or now - link.reached_at > patience:
+            if link is None or now - link.reached_at > max_silence:
                 gone.append(node)
         for node in gone:
             del self._known[node]
             self._drop_link(node)
             self._event_log.event("node-gone", node=node)
         if gone:
-            self._rank()
-            self.choose()
+            self._rank_members()
+            self.update_links()
 
-    def _rank(self) -> None:
-        """Order the nodes of each service; the order differs from node to node."""
+    def _rank_members(self) -> None:
+        """Order the nodes of each service by rendezvous hash with this node."""
         self._ranked = {}
         self.n_changes += 1
         own = self._own
@@ -188,53 +206,70 @@
             return rendezvous_rank(own.node, member.node)
 
         ranked = sorted(self._known.values(), key=rank)
-        for member in _by_turns(ranked):
-            near = member.data_centre == own.data_centre
-            self._ranked.setdefault((member.service, near), []).append(member)
-        self._by_place = {}
+        for member in _interleave_data_centres(ranked):
+            is_local = member.data_centre == own.data_centre
+            self._ranked.setdefault((member.service, is_local), []).append(member)
+        self._by_data_centre = {}
         for member in ranked:
-            self._by_place.setdefault(member.data_centre, []).append(member.node)
-        beside = [m for m in self._known.values() if m.data_centre == own.data_centre]
-        self._near = sorted(beside, key=lambda member: member.node)
+            self._by_data_centre.setdefault(member.data_centre, []).append(member.node)
+        local = [m for m in self._known.values() if m.data_centre == own.data_centre]
+        self._local_members = sorted(local, key=lambda member: member.node)
         self._n_known = Counter(member.service for member in self._known.values())
 
-    def choose(self) -> None:
-        """Link the first nodes of each service, more where some are out of reach."""
-        wanted = self._open(self._near, True, WATCHER_LINKS)
+    def update_links(self) -> None:
+        """Open links until enough nodes of each service are reachable; close others."""
+        wanted = self._ensure_links(self._local_members, True, WATCHER_LINKS)
         now = self._clock.now()
-        some = len({service for service, _ in self._ranked}) > _ALL_SERVICES
-        for (service, near), members in self._ranked.items():
-            if some and not self._peers.is_wanted(service, now):
+        is_selective = (
+            len({service for service, _ in self._ranked}) > _MAX_EAGER_SERVICES
+        )
+        for (service, is_local), members in self._ranked.items():
+            if is_selective and not self._peers.is_wanted(service, now):
                 continue
-            wanted |= self._open(members, near, LOCAL_LINKS if near else REMOTE_LINKS)
-        for node, at in list(self._asked_for.items()):
-            if now - at > _ASKED_FOR_MS or node not in self._known:
-                del self._asked_for[node]
-        wanted |= self._asked_for.keys()
+            wanted |= self._ensure_links(
+                members, is_local, LOCAL_LINKS if is_local else REMOTE_LINKS
+            )
+        for node, at in list(self._requested_at.items()):
+            if now - at > _REQUESTED_LINK_TTL_MS or node not in self._known:
+                del self._requested_at[node]
+        wanted |= self._requested_at.keys()
         for node, link in list(self._links.items()):
-            if node not in wanted and link.is_unused():
+            if node not in wanted and link.has_no_pending_calls():
                 self._drop_link(node)
 
-    def _open(self, members: Iterable[Member], near: bool, room: int) -> set[str]:
-        """Link the first so many of some nodes that are up, and return all linked."""
+    def _ensure_links(
+        self, members: Iterable[Member], is_local: bool, n_missing: int
+    ) -> set[str]:
+        """Link members in order until `n_missing` of them are reachable.
+
+        Returns
+        -------
+        set of str
+            Names of all members that are linked, reachable or not.
+        """
         linked = set()
         for member in members:
-            if room <= 0:
+            if n_missing <= 0:
                 break
             linked.add(member.node)
-            room -= self._is_up(self._link(member, near))
+            n_missing -= self._is_reachable(self._get_or_open(member, is_local))
         return linked
 
-    def _is_up(self, link: OutboundLink) -> bool:
-        return self._clock.now() - link.reached_at < _DOWN_MS
+    def _is_reachable(self, link: OutboundLink) -> bool:
+        return self._clock.now() - link.reached_at < _UNREACHABLE_MS
 
-    def _link(self, member: Member, near: bool) -> OutboundLink:
-        """Return the link to a node; open it if there is none."""
+    def _get_or_open(self, member: Member, is_local: bool) -> OutboundLink:
+        """Return the link to a node, opened if there is none."""
         link = self._links.get(member.node)
         if link is None:
             assert self.nursery is not None
             link = OutboundLink(
-                member, self._hello, near, self._clock, self._event_log, self._poller
+                member,
+                self._hello,
+                is_local,
+                self._clock,
+                self._event_log,
+                self._poller,
             )
             self._links[member.node] = link
             self.on_link(link)
@@ -249,30 +284,30 @@
             self._peers.drop(node)
 
     def close_all(self) -> None:
-        """Close every link; each is opened anew by its task."""
+        """Close every link; each is reopened by its task."""
         for link in self._links.values():
             link.close()
 
-    def look(self) -> None:
-        """Look at each link, whether its node is silent."""
+    def check_liveness(self) -> None:
+        """Check the liveness of each link."""
         for link in self._links.values():
-            link.look()
+            link.check_liveness()
 
 
-def _by_turns(members: Iterable[Member]) -> list[Member]:
-    """Return members so that those of each service alternate between data centres.
+def _interleave_data_centres(members: Iterable[Member]) -> list[Member]:
+    """Reorder members so that those of each service alternate between data centres.
 
-    The first few of another data centre are linked: if all stood in one, a cut there
-    would leave none.
+    Only the first few members in other data centres are linked. If all of these were in
+    one data centre, a network partition there would leave none reachable.
     """
     n_before: Counter[tuple[str, str]] = Counter()
-    places = []
+    positions = []
     for member in members:
         group = member.service, member.data_centre
-        places.append((n_before[group], member))
+        positions.append((n_before[group], member))
         n_before[group] += 1
-    return [member for _, member in sorted(places, key=lambda place: place[0])]
+    return [member for _, member in sorted(positions, key=lambda position: position[0])]
 
 
 def _ignore(_: object) -> None:
-    """Do nothing."""
+    """Default callback; does nothing."""
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/store.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/store.py
@@ -11,8 +11,8 @@
     from fuchsiagap.core.clock import Milliseconds
     from fuchsiagap.core.freshness.store_view import Cursor
     from fuchsiagap.core.routes.model import RouteConfig
+    from fuchsiagap_node.core.mesh.malformed_input import Unreadable
     from fuchsiagap_node.core.mesh.outbound_link import Member
-    from fuchsiagap_node.core.mesh.unreadable import Unreadable
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/stream.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/stream.py
@@ -1,7 +1,7 @@
-"""A TCP connection as the path of a request needs it.
+"""TCP connections of the request path.
 
-Thinner than trio's own stream: a send tries the socket at once and waits only if the
-socket is full, which saves two checkpoints for each message.
+`Stream` is thinner than trio's own stream: a send tries the socket at once and waits
+only if the send buffer is full, which saves two checkpoints for each message.
 """
 
 from __future__ import annotations
@@ -21,55 +21,55 @@
     from fuchsiagap.core.clock import Milliseconds
     from fuchsiagap_node.core.mesh.poller import Poller
 
-Told = TypeVar("Told")
+Argument = TypeVar("Argument")
 
-# Bytes of one read: a page of small messages, or a good part of a large body.
+# Maximum bytes of one read: many small messages, or a large part of a large body.
 READ_BYTES = 65_536
-# Connections that may wait to be accepted.
+# Maximum number of connections that wait to be accepted.
 _BACKLOG = 1_024
-# A pause before accepting again when descriptors have run out, in seconds.
+# Seconds before accepting again after file descriptors have run out.
 _ACCEPT_PAUSE_S = 0.05
 
 
 @dataclass(frozen=True, slots=True)
-class Probes:
-    """When the system probes a connection that is silent.
+class KeepaliveProbes:
+    """TCP keepalive settings of a connection.
 
     Parameters
     ----------
     idle_s, interval_s : int
-        Seconds of silence before the first probe, and between two.
-    unanswered : int
-        Probes that stay unanswered when the connection breaks.
+        Seconds of silence before the first probe, and between two probes.
+    max_unanswered : int
+        Number of unanswered probes after which the connection is reset.
     """
 
     idle_s: int
     interval_s: int
-    unanswered: int
+    max_unanswered: int
 
 
-# A silent watch breaks after 5 s, within the watch of a node that looks closely.
-WATCH_PROBES = Probes(2, 1, 3)
-# An idle connection to a backend server breaks after 3 s of silence; the next call on
-# it would wait for its time-out.
-IDLE_PROBES = Probes(1, 1, 2)
+# A watch whose peer is silent is reset after 5 s, well before the watch itself ends.
+WATCH_PROBES = KeepaliveProbes(2, 1, 3)
+# An idle connection to a backend server is reset after 3 s of silence. Otherwise the
+# next call on it would wait for its timeout.
+IDLE_PROBES = KeepaliveProbes(1, 1, 2)
 _OUT_OF_DESCRIPTORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS})
 
 
 class BrokenStream(Exception):
-    """The connection was reset, or could not be opened."""
+    """The connection was reset, was closed or could not be opened."""
 
 
 class EndedStream(BrokenStream):
-    """The other end has closed in order."""
+    """The peer closed the connection in an orderly way."""
 
 
 class SilentStream(BrokenStream):
-    """The other end has acknowledged nothing for too long."""
+    """The peer did not answer or acknowledge within the time limit."""
 
 
 class RefusedStream(BrokenStream):
-    """Nobody takes connections at the address."""
+    """The address refused the connection."""
 
 
 class Stream:
@@ -78,7 +78,12 @@
     Parameters
     ----------
     sock : socket.socket
-        A connected socket; it becomes non-blocking.
+        A connected socket; it is made non-blocking.
+
+    Attributes
+    ----------
+    closed : bool
+        Whether this end has closed the connection.
     """
 
     __slots__ = ("_on_data", "_on_end", "_poller", "_sock", "closed")
@@ -98,17 +103,17 @@
         on_data: Callable[[bytes], None],
         on_end: Callable[[BrokenStream], None],
     ) -> None:
-        """Read by functions from now on, in place of `receive`.
+        """Read by callbacks from now on, instead of `receive`.
 
         Parameters
         ----------
         poller : Poller
-            Watches the connection.
+            Reports when the connection is readable.
         on_data : callable
-            Told the bytes that come.
+            Called with the data that arrives.
         on_end : callable
-            Told once why no more come. Where this end closes the connection, it is
-            told soon after, not from within `close`.
+            Called once with the reason when the connection ends. If this end closes
+            the connection, it is called soon after `close`, not from within it.
         """
         self._check_open()
         self._poller = poller
@@ -117,58 +122,60 @@
         poller.add(self._sock, self._read)
 
     def pause(self) -> None:
-        """Read nothing until `resume`."""
+        """Stop reading until `resume`."""
         if self._poller is not None and not self.closed:
             self._poller.remove(self._sock)
 
     def resume(self) -> None:
-        """Go on reading."""
+        """Continue reading."""
         if self._poller is not None and not self.closed:
             self._poller.add(self._sock, self._read)
 
     def _read(self) -> None:
-        """Read what is there, and tell it."""
+        """Read the available data and pass it to the callback."""
         try:
             data = self._sock.recv(READ_BYTES)
         except BlockingIOError:
             return
         except TimeoutError as exc:
-            self._end(SilentStream(str(exc)))
+            self._finish_reading(SilentStream(str(exc)))
         except OSError as exc:
-            self._end(BrokenStream(str(exc)))
+            self._finish_reading(BrokenStream(str(exc)))
         else:
             if data:
-                self._call(self._on_data, data)
+                self._run_callback(self._on_data, data)
             else:
-                self._end(EndedStream("closed by the other end"))
+                self._finish_reading(EndedStream("closed by the peer"))
 
-    def _end(self, why: BrokenStream) -> None:
-        """Read no more, and tell why, once."""
+    def _finish_reading(self, reason: BrokenStream) -> None:
+        """Stop reading and call `on_end`, once."""
         self.pause()
         on_end, self._on_end = self._on_end, _ignore
-        self._call(on_end, why)
+        self._run_callback(on_end, reason)
 
-    def _call(self, told: Callable[[Told], None], what: Told) -> None:
-        """Call a function; an exception ends its connection and nothing else."""
+    def _run_callback(
+        self, callback: Callable[[Argument], None], argument: Argument
+    ) -> None:
+        """Call a callback; an exception from it closes only this connection."""
         try:
-            told(what)
+            callback(argument)
         except Exception as exc:
             assert self._poller is not None
             self._poller.on_fault(exc)
             self.close()
 
     async def receive(self) -> bytes:
-        """Wait for bytes.
+        """Wait for data.
 
         Returns
         -------
         bytes
-            Empty when the other end has closed in order.
+            Data; empty if the peer closed the connection in an orderly way.
 
         Raises
         ------
         BrokenStream
-            If the connection was reset or closed here.
+            If the connection was reset, or closed by this end.
         """
         while True:
             self._check_open()
@@ -183,7 +190,13 @@
                 raise BrokenStream(str(exc)) from exc
 
     async def send(self, data: bytes) -> None:
-        """Send all bytes; `BrokenStream` if the connection breaks."""
+        """Send all data.
+
+        Raises
+        ------
+        BrokenStream
+            If the connection was reset, or closed by this end.
+        """
         rest = self.send_some(data)
         if not rest:
             return
@@ -203,7 +216,7 @@
                 raise BrokenStream(str(exc)) from exc
 
     def send_some(self, data: bytes) -> bytes:
-        """Send what the socket takes at once, and return the rest."""
+        """Send as much as the socket accepts without waiting, and return the rest."""
         self._check_open()
         try:
             sent = self._sock.send(data)
@@ -216,15 +229,15 @@
     def _check_open(self) -> None:
         """Raise `BrokenStream` if this end has closed the connection.
 
-        The descriptor of a closed socket is -1, and trio takes every later wait on -1
-        for a second one on the same descriptor: one wait on a closed connection broke
-        14,248 others in 40 s of a surge.
+        The descriptor of a closed socket is -1, and trio treats every later wait on -1
+        as a second wait on the same descriptor. Without this check, one wait on a
+        closed connection broke 14,248 others within 40 s of overload.
         """
         if self.closed:
             raise BrokenStream("closed by this end")
 
     def is_reusable(self) -> bool:
-        """Whether the connection is open and has nothing to read."""
+        """Whether the connection is open and has no unread data."""
         try:
             self._sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -234,51 +247,58 @@
         return False
 
     def set_user_timeout(self, wait: Milliseconds) -> None:
-        """Break the connection if sent bytes stay unacknowledged for `wait` ms."""
+        """Reset the connection if sent data stays unacknowledged for `wait` ms."""
         self._sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(wait))
 
-    def enable_keepalive(self, probes: Probes = WATCH_PROBES) -> None:
-        """Break the connection some seconds after the other end has gone silent.
+    def enable_keepalive(self, probes: KeepaliveProbes = WATCH_PROBES) -> None:
+        """Enable TCP keepalive, which resets the connection when the peer is silent.
+
+        The kernel sends the probes, so a watch that waits for half a minute needs no
+        calls to check its connection.
 
-        The system probes by itself, so a watch that waits for half a minute needs no
-        calls to show that its connection is alive.
+        Parameters
+        ----------
+        probes : KeepaliveProbes
+            When to probe, and when to give up.
         """
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
         for option, value in (
             (socket.TCP_KEEPIDLE, probes.idle_s),
             (socket.TCP_KEEPINTVL, probes.interval_s),
-            (socket.TCP_KEEPCNT, probes.unanswered),
+            (socket.TCP_KEEPCNT, probes.max_unanswered),
         ):
             self._sock.setsockopt(socket.IPPROTO_TCP, option, value)
 
     def close(self) -> None:
-        """Close the connection; whoever waits on it gets `BrokenStream`."""
+        """Close the connection; pending waits on it raise `BrokenStream`."""
         if self.closed:
             return
         if self._poller is not None:
             self._poller.remove(self._sock)
-            why = BrokenStream("closed by this end")
-            trio.lowlevel.current_trio_token().run_sync_soon(self._end, why)
+            reason = BrokenStream("closed by this end")
+            trio.lowlevel.current_trio_token().run_sync_soon(
+                self._finish_reading, reason
+            )
         self.closed = True
         trio.lowlevel.notify_closing(self._sock)
         self._sock.close()
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return host and port of ``IP:PORT``."""
+    """Split ``IP:PORT`` into IP address and port."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 async def dial(address: str, wait: Milliseconds) -> Stream:
-    """Open a connection.
+    """Open a TCP connection.
 
     Parameters
     ----------
     address : str
         ``IP:PORT``.
     wait : float
-        Milliseconds it may take.
+        Timeout in milliseconds.
 
     Returns
     -------
@@ -288,11 +308,11 @@
     Raises
     ------
     RefusedStream
-        If nobody takes connections there.
+        If the address refuses the connection.
     SilentStream
-        If there is none in time.
+        If the connection is not established in time.
     BrokenStream
-        If it cannot be opened for another reason.
+        If it cannot be established for another reason.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
@@ -334,7 +354,7 @@
 async def accept_all(
     sock: socket.socket, handle: Handler, nursery: trio.Nursery
 ) -> None:
-    """Start `handle` in the nursery for each connection that comes in."""
+    """Start `handle` in the nursery for each accepted connection, until cancelled."""
 
     def start(stream: Stream) -> None:
         nursery.start_soon(handle, stream)
@@ -343,16 +363,16 @@
 
 
 async def accept_each(sock: socket.socket, take: Callable[[Stream], None]) -> None:
-    """Call `take` for each connection that comes in."""
+    """Call `take` for each accepted connection, until cancelled."""
     with sock:
         while True:
             await trio.lowlevel.wait_readable(sock)
-            if not _accept_waiting(sock, take):
+            if not _accept_pending(sock, take):
                 await trio.sleep(_ACCEPT_PAUSE_S)
 
 
-def _accept_waiting(sock: socket.socket, take: Callable[[Stream], None]) -> bool:
-    """Accept what waits; False if descriptors have run out."""
+def _accept_pending(sock: socket.socket, take: Callable[[Stream], None]) -> bool:
+    """Accept all pending connections; False if file descriptors have run out."""
     while True:
         try:
             conn, _ = sock.accept()
@@ -369,4 +389,4 @@
 
 
 def _ignore(_: object) -> None:
-    """Do nothing."""
+    """Default callback; does nothing."""
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_callers.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_callers.py
@@ -1,4 +1,4 @@
-"""The edge towards callers: framing, limits, kept and silent connections."""
+"""HTTP server for callers: framing, limits, keep-alive and idle timeouts."""
 
 import trio
 from testtools import TestCase
@@ -18,8 +18,8 @@
 LONG = a_route("read", timeout=5_000.0)
 
 
-def sent(*parts, pause=0.0, behaviour=None):
-    """Return the answer to bytes sent in parts, and the server's requests."""
+def send_parts(*parts, pause=0.0, behaviour=None):
+    """Send data in parts; return the response and the requests the server received."""
 
     async def main():
         async with a_deployment(READ) as deployment:
@@ -39,53 +39,53 @@
 
 
 class TestFraming(TestCase):
-    def test_chunked_body_arrives_whole(self):
+    def test_chunked_body_is_reassembled(self):
         head = request_bytes("/read/1", "r1", method="POST")[:-2]
         chunks = b"5\r\nhello\r\n6\r\n world\r\n0\r\n\r\n"
-        answer, heads = sent(
+        answer, heads = send_parts(
             head + b"Transfer-Encoding: chunked\r\n\r\n", chunks, pause=0.01
         )
         self.assertEqual(200, answer.status)
         self.assertEqual(b"hello world", heads[0].body)
 
-    def test_request_in_small_pieces(self):
+    def test_request_in_small_parts_is_reassembled(self):
         data = request_bytes("/read/1", "r1", method="PUT", body=b"x" * 50)
         parts = [data[n : n + 9] for n in range(0, len(data), 9)]
-        answer, heads = sent(*parts, pause=0.001)
+        answer, heads = send_parts(*parts, pause=0.001)
         self.assertEqual(200, answer.status)
         self.assertEqual(b"x" * 50, heads[0].body)
 
-    def test_headers_of_one_connection_do_not_go_on(self):
+    def test_hop_by_hop_headers_are_not_forwarded(self):
         head = request_bytes("/read/1", "r1")[:-2]
         extra = (
             b"Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\nTE: trailers\r\nX-End: 2\r\n"
         )
-        _, heads = sent(head + extra + b"\r\n")
+        _, heads = send_parts(head + extra + b"\r\n")
         self.assertNotIn(b"X-Hop", heads[0].headers)
         self.assertNotIn(b"TE:", heads[0].headers)
         self.assertIn(b"X-End: 2\r\n", heads[0].headers)
 
-    def test_what_is_no_request_gets_400_and_reaches_no_server(self):
+    def test_malformed_request_gets_400_and_reaches_no_server(self):
         for data in (
             b"no request at all\r\n\r\n",
             b"GET http://api.example/read/1 HTTP/1.1\r\nHost: api.example\r\n\r\n",
             b"POST /read/1 HTTP/1.1\r\nHost: api.example\r\nContent-Length: 5\r\n"
             b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
         ):
-            answer, heads = sent(data)
+            answer, heads = send_parts(data)
             self.assertEqual(400, answer.status, data)
             self.assertEqual([], heads)
 
-    def test_bytes_behind_a_request_are_no_part_of_it(self):
+    def test_pipelined_request_is_not_part_of_the_body_before_it(self):
         hidden = request_bytes("/read/2", "r2")
         data = request_bytes("/read/1", "r1", method="POST", body=b"abc")
-        _, heads = sent(data + hidden, pause=0.05)
+        _, heads = send_parts(data + hidden, pause=0.05)
         bodies = {head.target: head.body for head in heads}
         self.assertEqual({b"/read/1": b"abc", b"/read/2": b""}, bodies)
 
 
 class TestLimits(TestCase):
-    def test_head_and_body_above_the_limits(self):
+    def test_head_and_body_above_the_limits_are_rejected(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 host = deployment.add("certs")
@@ -103,7 +103,7 @@
         answers = run_in_memory(main)
         self.assertEqual([431, 413, 200], [answer.status for answer in answers])
 
-    def test_silent_callers_are_closed_and_busy_ones_are_not(self):
+    def test_idle_connection_is_closed_and_busy_one_is_not(self):
         async def main():
             async with a_deployment(LONG) as deployment:
                 host = deployment.add("certs")
@@ -127,7 +127,7 @@
         self.assertEqual(b"", ended)
         self.assertEqual(200, answer.status)
 
-    def test_kept_connection_serves_one_request_after_the_other(self):
+    def test_keep_alive_connection_serves_successive_requests(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 host = deployment.add("certs")
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_frames.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_frames.py
@@ -1,4 +1,4 @@
-"""Messages between nodes, and what is no message."""
+"""Encoding and decoding of messages between nodes, and rejection of invalid frames."""
 
 import contextlib
 import os
@@ -47,7 +47,7 @@
     Held(b"a" * 16, "certs", 3, 0.0),
     Cleared((b"a" * 16, b"b" * 16)),
 )
-# Mutated frames; 100,000 by hand: `FUZZ_RUNS=100000`.
+# Number of mutated frames; set `FUZZ_RUNS` for longer runs, such as 100,000.
 N_RUNS = int(os.environ.get("FUZZ_RUNS", "3000"))
 
 
@@ -56,20 +56,20 @@
     return encode(message)[_PREFIX_BYTES:]
 
 
-def changed(message, place, value):
-    """Return the payload of a message with another field."""
+def changed(message, index, value):
+    """Return the payload of a message with one field replaced."""
     fields = cbor2.loads(payload(message))
-    fields[place] = value
+    fields[index] = value
     return cbor2.dumps(fields)
 
 
 class TestFrames(TestCase):
-    def test_each_message_comes_out_as_it_went_in(self):
+    def test_each_message_survives_a_round_trip(self):
         for message in MESSAGES:
             self.assertEqual(message, decode(payload(message)))
 
-    def test_field_of_another_type_is_no_message(self):
-        for place, value in (
+    def test_field_of_a_wrong_type_is_rejected(self):
+        for index, value in (
             (1, 5),
             (2, "8"),
             (2, True),
@@ -81,11 +81,11 @@
             (7, -1),
             (7, 2**80),
         ):
-            frame = changed(STATUS, place, value)
+            frame = changed(STATUS, index, value)
             self.assertRaises(BadFrame, decode, frame)
 
-    def test_number_that_makes_no_sense_is_no_message(self):
-        for place, value in (
+    def test_number_out_of_range_is_rejected(self):
+        for index, value in (
             (2, -1),
             (3, 2**60),
             (4, float("inf")),
@@ -93,25 +93,25 @@
             (5, 1.5),
             (5, -0.5),
         ):
-            self.assertRaises(BadFrame, decode, changed(STATUS, place, value))
+            self.assertRaises(BadFrame, decode, changed(STATUS, index, value))
         reply = MESSAGES[3]
-        for place, value in ((2, -1), (4, float("nan")), (4, -2.0), (5, 2**60)):
-            self.assertRaises(BadFrame, decode, changed(reply, place, value))
+        for index, value in ((2, -1), (4, float("nan")), (4, -2.0), (5, 2**60)):
+            self.assertRaises(BadFrame, decode, changed(reply, index, value))
 
-    def test_fingerprint_that_is_not_whole_is_no_message(self):
+    def test_truncated_fingerprint_is_rejected(self):
         call, crash, held, cleared = MESSAGES[2], *MESSAGES[-3:]
-        for message, place in ((call, 15), (crash, 4), (held, 1), (cleared, 1)):
-            self.assertRaises(BadFrame, decode, changed(message, place, b"a" * 15))
+        for message, index in ((call, 15), (crash, 4), (held, 1), (cleared, 1)):
+            self.assertRaises(BadFrame, decode, changed(message, index, b"a" * 15))
 
-    def test_missing_and_further_fields_are_no_message(self):
+    def test_missing_and_additional_fields_are_rejected(self):
         fields = cbor2.loads(payload(STATUS))
         for found in (fields[:-1], [*fields, 1], [], [99], [[1], 2], {"a": 1}, 7):
             self.assertRaises(BadFrame, decode, cbor2.dumps(found))
 
-    def test_nesting_without_an_end_is_no_message(self):
+    def test_unbounded_nesting_is_rejected(self):
         self.assertRaises(BadFrame, decode, b"\x81" * 100_000)
 
-    def test_mutated_frames_end_in_a_message_or_in_no_message(self):
+    def test_mutated_frame_is_decoded_or_raises_bad_frame(self):
         rng = random.Random(1)
         for _ in range(N_RUNS):
             frame = mutated(payload(rng.choice(MESSAGES)), rng)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_gauges.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_gauges.py
@@ -1,4 +1,4 @@
-"""What the metrics page says a node believes."""
+"""Gauges on the metrics page of a node, and its load events."""
 
 import json
 
@@ -13,7 +13,7 @@
 
 
 async def metrics_of(host):
-    """Return a node's metrics, by name and labels."""
+    """Return the metrics of a node by name and labels."""
     caller = HttpClient(host.node.cfg.addresses.metrics, HeaderNames())
     answer = await caller.call("GET", "/metrics", b"", 1_000.0)
     caller.close()
@@ -22,7 +22,7 @@
 
 
 class TestGauges(TestCase):
-    def test_question_that_the_store_does_not_answer_shows_its_age(self):
+    def test_age_of_an_unanswered_store_request_grows(self):
         async def main():
             async with a_deployment(a_route("read")) as deployment:
                 host = deployment.add("certs")
@@ -35,7 +35,7 @@
 
         self.assertAlmostEqual(2_000.0, run_in_memory(main), delta=5.0)
 
-    def test_beliefs_and_their_age(self):
+    def test_gauges_follow_lost_servers_and_a_lost_store(self):
         async def main():
             async with a_deployment(a_route("read")) as deployment:
                 hosts = [deployment.add("certs") for _ in range(3)]
@@ -59,8 +59,8 @@
         self.assertEqual(1, before[share])
 
 
-class TestLoadLines(TestCase):
-    def test_load_and_what_is_let_in_stand_in_one_line_a_second(self):
+class TestLoadEvents(TestCase):
+    def test_load_event_shows_the_load_and_the_admitted_share(self):
         async def main():
             async with a_deployment(a_route("read", priority=1)) as deployment:
                 host = deployment.add("certs", slots=2)
@@ -80,6 +80,6 @@
         full = max(loads, key=lambda line: line["offered"])
         self.assertEqual((2, 2), (full["running"], full["places"]))
         self.assertGreater(full["offered"], 2.0)
-        share, believed = full["let_in"]["certs read"]
+        share, fullness = full["let_in"]["certs read"]
         self.assertLess(share, 1.0)
-        self.assertGreater(believed, 1.0)
+        self.assertGreater(fullness, 1.0)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_http_client.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_http_client.py
@@ -1,4 +1,4 @@
-"""Calls beside the path, one after the other and at the same time."""
+"""Successive and concurrent calls of the HTTP client."""
 
 import trio
 from testtools import TestCase
@@ -16,7 +16,7 @@
 
 
 class Server:
-    """Answers after as many milliseconds as the target says; counts connections."""
+    """Server that delays each response as the target says, and counts connections."""
 
     def __init__(self):
         self.address = free_address()
@@ -38,7 +38,7 @@
 
 
 def run_with_server(main):
-    """Run `main` with a server and a client of it; return its connections besides."""
+    """Run `main` with a client; return its result and the number of connections."""
 
     async def run():
         server = Server()
@@ -54,21 +54,21 @@
 
 
 async def get(caller, delay_ms, wait_ms=1_000.0):
-    """Return the body of an answer, or that there was none."""
+    """Return the body of the response, or the message of the error."""
     try:
         return (await caller.call("GET", f"/{delay_ms}", b"", wait_ms)).body
     except CallFailed as exc:
         return str(exc)
 
 
-class TestHttpCaller(TestCase):
-    def test_calls_one_after_the_other_share_a_connection(self):
+class TestHttpClient(TestCase):
+    def test_successive_calls_share_a_connection(self):
         async def main(caller):
             return [await get(caller, delay) for delay in (5, 0, 3)]
 
         self.assertEqual(([b"/5", b"/0", b"/3"], 1), run_with_server(main))
 
-    def test_calls_at_the_same_time_get_their_own_answers(self):
+    def test_concurrent_calls_get_their_own_responses(self):
         async def main(caller):
             found = {}
 
@@ -84,7 +84,7 @@
         self.assertEqual({300: b"/300", 10: b"/10", 200: b"/200"}, found)
         self.assertEqual((b"/1", 3), (last, connections))
 
-    def test_connection_of_a_call_that_was_given_up_is_not_used_again(self):
+    def test_connection_of_a_timed_out_call_is_not_reused(self):
         async def main(caller):
             return await get(caller, 400, wait_ms=100.0), await get(caller, 0)
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_link.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_link.py
@@ -1,4 +1,4 @@
-"""Links between data centres are compressed, and those within are not."""
+"""Framing of links, and calls over the compressed links between data centres."""
 
 import trio
 from testtools import TestCase
@@ -12,13 +12,13 @@
 
 
 class TestLink(TestCase):
-    def test_hello_ends_what_is_read_at_once(self):
+    def test_parsing_stops_after_hello(self):
         reader = FrameReader()
         data = encode(HELLO) + encode(Ping())
         self.assertEqual([HELLO], reader.feed(data))
         self.assertEqual(encode(Ping()), reader.take_rest())
 
-    def test_requests_pass_between_data_centres_both_ways(self):
+    def test_requests_and_replies_pass_between_data_centres(self):
         async def main():
             async with a_deployment(a_route("read")) as deployment:
                 near = deployment.add("bookings", "hall-a")
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_node.py
@@ -1,4 +1,4 @@
-"""A node's planned stop and its settings."""
+"""Planned stop of a node, and changes of its settings."""
 
 from dataclasses import replace
 from functools import partial
@@ -18,7 +18,7 @@
 
 
 class TestPlannedStop(TestCase):
-    def test_nothing_is_cut_and_others_take_over(self):
+    def test_no_request_is_lost_and_other_nodes_take_over(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 hosts = [deployment.add("certs", slots=32) for _ in range(2)]
@@ -42,7 +42,7 @@
         self.assertEqual([200] * 30, [answer.status for answer in answers])
         self.assertFalse(ready)
 
-    def test_server_that_lives_on_is_used_while_callers_still_come(self):
+    def test_local_server_is_used_until_callers_leave(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 host = deployment.add("certs")
@@ -62,7 +62,7 @@
         answers = run_in_memory(main)
         self.assertEqual([200] * 3, [answer.status for answer in answers])
 
-    def test_new_requests_late_in_the_stop_are_refused_as_not_run(self):
+    def test_new_requests_late_in_the_stop_are_refused(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 host = deployment.add("certs")
@@ -84,7 +84,7 @@
         answers = run_in_memory(main)
         self.assertEqual([200, 200, 503, 503], [a.status for _, a in answers])
 
-    def test_store_that_does_not_answer_does_not_hold_up_the_stop(self):
+    def test_unresponsive_store_does_not_delay_the_stop(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 host = deployment.add("certs")
@@ -114,7 +114,7 @@
 
 
 class TestSettings(TestCase):
-    def test_changed_bounds_are_adopted_and_bad_settings_are_not(self):
+    def test_changed_bounds_are_applied_and_invalid_settings_are_not(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 host = deployment.add("certs")
@@ -139,7 +139,7 @@
         self.assertEqual(1, counts["events", "settings-refused"])
         self.assertEqual(1, counts["events", "settings-changed"])
 
-    def test_store_that_turns_nodes_away_is_asked_by_the_bound_that_was_set_anew(self):
+    def test_changed_bound_sets_the_call_rate_to_an_unavailable_store(self):
         async def calls(bound):
             async with a_deployment(READ) as deployment:
                 host = deployment.add("certs")
@@ -154,6 +154,6 @@
                 await trio.sleep(40.0)
                 return deployment.state.calls - before
 
-        often = run_in_memory(partial(calls, 2_000.0))
-        seldom = run_in_memory(partial(calls, 20_000.0))
-        self.assertGreater(often, 2.0 * seldom)
+        frequent = run_in_memory(partial(calls, 2_000.0))
+        rare = run_in_memory(partial(calls, 20_000.0))
+        self.assertGreater(frequent, 2.0 * rare)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_outbound_links.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_outbound_links.py
@@ -1,4 +1,4 @@
-"""Links to all nodes of a small service, and to a subset of a large one."""
+"""Links to all nodes of a small service, and to a subset of a large one; pings."""
 
 from collections import Counter
 from unittest import mock
@@ -19,12 +19,12 @@
 
 
 def linked(host):
-    """Return the nodes that a host's node has links to."""
+    """Return the names of the nodes that a node has links to."""
     return {link.member.node for link in host.node._links}
 
 
 class TestLinks(TestCase):
-    def test_small_services_are_linked_whole(self):
+    def test_all_nodes_of_a_small_service_are_linked(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 near = deployment.add("bookings")
@@ -35,7 +35,7 @@
 
         self.assertEqual(REMOTE_LINKS, len(run_in_memory(main)))
 
-    def test_large_services_are_linked_in_part_and_each_server_is_reached(self):
+    def test_subsets_of_a_large_service_cover_all_its_nodes(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 callers = [deployment.add("bookings", "hall-c") for _ in range(6)]
@@ -72,7 +72,7 @@
         for places in run_in_memory(main):
             self.assertLessEqual({"hall-a", "hall-b"}, places)
 
-    def test_node_out_of_reach_is_replaced_and_taken_back(self):
+    def test_unreachable_nodes_are_replaced(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 near = deployment.add("bookings", "hall-a")
@@ -92,7 +92,7 @@
         self.assertEqual(REMOTE_LINKS, len(up))
         self.assertTrue(names.isdisjoint(up))
 
-    def test_all_doors_share_the_retry_budget_linked_or_not(self):
+    def test_retry_budget_is_shared_by_all_nodes_linked_or_not(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 deployment.add("bookings")
@@ -103,11 +103,11 @@
 
         n_doors, n_linked = run_in_memory(main)
         self.assertEqual(15, n_doors)
-        # The first nodes of the data centre by name may stand among these or beside.
+        # The nodes that watch the configuration may be among these or additional.
         most = LOCAL_LINKS + WATCHER_LINKS
         self.assertIn(n_linked, range(LOCAL_LINKS, most + 1))
 
-    def test_lines_of_a_start_do_not_grow_with_the_fleet(self):
+    def test_number_of_start_events_does_not_grow_with_the_fleet(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 hosts = [deployment.add("certs") for _ in range(30)]
@@ -124,7 +124,7 @@
             self.assertLessEqual(together, 2)
             self.assertLessEqual(alone, 12)
 
-    def test_of_many_services_those_are_linked_that_are_asked_for(self):
+    def test_of_many_services_only_requested_ones_are_linked(self):
         names = [f"s{number:02}" for number in range(20)]
         routes = [a_route(name, name) for name in names]
 
@@ -144,10 +144,10 @@
 
 
 class TestPings(TestCase):
-    """Two nodes that are linked both ways hear of each other by one ping."""
+    """Of two idle nodes with links in both directions, only one pings."""
 
     def pings(self, seconds):
-        """Return the pings of two nodes at rest, and whether they hear each other."""
+        """Return the pings of two idle nodes, and whether each sees the other alive."""
 
         async def main():
             async with a_deployment(a_route("read")) as deployment:
@@ -162,14 +162,16 @@
 
                 with mock.patch.object(FramedLink, "post", count):
                     await trio.sleep(seconds)
-                heard = [link.is_responsive() for h in hosts for link in h.node._links]
-                return counted["Ping"], heard
+                responsive = [
+                    link.is_responsive() for h in hosts for link in h.node._links
+                ]
+                return counted["Ping"], responsive
 
         return run_in_memory(main)
 
-    def test_one_of_two_nodes_at_rest_pings(self):
-        n_pings, heard = self.pings(24.0)
-        self.assertEqual([True, True], heard)
-        # Each would ping some 15 to 20 times by itself.
+    def test_only_one_of_two_idle_nodes_pings(self):
+        n_pings, responsive = self.pings(24.0)
+        self.assertEqual([True, True], responsive)
+        # Each node would ping 15 to 20 times on its own.
         self.assertLessEqual(n_pings, 24.0 / 1.08 + 2)
         self.assertGreaterEqual(n_pings, 24.0 / 1.7)
