--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_path.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_path.py
@@ -1,4 +1,4 @@
-"""The way of a request over two nodes, and what becomes of it when things fail."""
+"""Request path over two nodes, and outcomes of requests when components fail."""
 
 import functools
 import random
@@ -24,7 +24,7 @@
 
 
 class TestPath(TestCase):
-    def test_answer_of_another_host_is_whole(self):
+    def test_response_from_another_host_is_complete(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 caller = deployment.add("bookings")
@@ -39,7 +39,7 @@
         self.assertIn(b"Calling-Service: bookings\r\n", head.headers)
         self.assertIn(b"Incarnation-Wanted: i-certs-1\r\n", head.headers)
 
-    def test_headers_that_the_node_sets_are_not_taken_from_callers(self):
+    def test_headers_set_by_the_node_are_not_accepted_from_callers(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 host = deployment.add("certs")
@@ -81,7 +81,7 @@
         data = run_in_memory(main)
         self.assertLess(data.index(b"/read/slow"), data.index(b"/read/fast"))
 
-    def test_no_configuration_is_a_refusal_and_no_route_is_404(self):
+    def test_missing_configuration_is_503_and_missing_route_is_404(self):
         async def main():
             async with a_deployment() as deployment:
                 host = deployment.add("certs")
@@ -100,7 +100,7 @@
         self.assertEqual(404, after.status)
         self.assertTrue(ready)
 
-    def test_refused_request_goes_to_another_server_and_runs_once(self):
+    def test_refused_request_is_retried_on_another_server_and_runs_once(self):
         async def main():
             async with a_deployment(WRITE) as deployment:
                 hosts = [deployment.add("certs", budget=AMPLE) for _ in range(2)]
@@ -114,7 +114,7 @@
         self.assertEqual({}, dict(refused))
         self.assertEqual({f"r{n}": 1 for n in range(8)}, dict(runs))
 
-    def test_request_that_may_have_run_is_not_repeated_nor_called_not_run(self):
+    def test_non_idempotent_request_that_may_have_run_is_502_and_not_retried(self):
         for manner in (Manner.CUT, Manner.SHORT, Manner.GARBLE):
 
             async def main(manner=manner):
@@ -130,7 +130,7 @@
             self.assertEqual(502, answer.status, manner)
             self.assertEqual({"r1": 1}, dict(runs), manner)
 
-    def test_idempotent_request_is_repeated_after_a_broken_answer(self):
+    def test_idempotent_request_is_retried_after_a_truncated_response(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 hosts = [deployment.add("certs", budget=AMPLE) for _ in range(2)]
@@ -141,7 +141,7 @@
         answers = run_in_memory(main)
         self.assertEqual([200] * 6, [answer.status for answer in answers])
 
-    def test_repeats_stop_with_the_budget(self):
+    def test_retries_stop_when_the_budget_is_exhausted(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 budget = SharedBudget(0.0, 0.0, 10_000.0)
@@ -156,7 +156,7 @@
         self.assertEqual(502, answer.status)
         self.assertEqual({"r1": 1}, dict(runs))
 
-    def test_extra_bytes_after_an_answer_reach_no_other_request(self):
+    def test_extra_bytes_after_a_response_reach_no_other_request(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 host = deployment.add("certs")
@@ -175,7 +175,7 @@
             [b"/read/%d" % n for n in range(5)], [answer.body for answer in answers]
         )
 
-    def test_answer_without_length_ends_with_its_connection(self):
+    def test_response_without_length_ends_with_its_connection(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 host = deployment.add("certs")
@@ -185,7 +185,7 @@
 
         self.assertEqual(b"all", run_in_memory(main).body)
 
-    def test_promise_that_the_server_did_not_make_is_not_passed_on(self):
+    def test_503_without_not_run_header_is_not_passed_on(self):
         async def main():
             async with a_deployment(WRITE) as deployment:
                 host = deployment.add("certs")
@@ -195,7 +195,7 @@
 
         self.assertEqual(502, run_in_memory(main).status)
 
-    def test_silent_server_ends_at_the_timeout_of_the_route(self):
+    def test_unresponsive_server_times_out_after_the_route_timeout(self):
         async def main():
             async with a_deployment(a_route("read", timeout=300.0)) as deployment:
                 deployment.expects_faults = True
@@ -210,7 +210,7 @@
         self.assertEqual(504, answer.status)
         self.assertTrue(0.25 < took < 0.55, took)
 
-    def test_caller_that_leaves_is_followed_to_the_server(self):
+    def test_disconnect_of_a_caller_cancels_only_idempotent_requests(self):
         async def main():
             async with a_deployment(READ, WRITE) as deployment:
                 caller = deployment.add("bookings")
@@ -229,7 +229,7 @@
         self.assertEqual(["r1"], cancelled)
         self.assertEqual(1, running)
 
-    def test_leaving_server_gets_nothing_more(self):
+    def test_draining_server_gets_no_new_requests(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 hosts = [deployment.add("certs") for _ in range(2)]
@@ -246,7 +246,7 @@
         self.assertEqual(5, sum(hosts[1].server.runs.values()))
         self.assertEqual(503, last.status)
 
-    def test_host_that_dies_amid_requests_leaves_no_caller_without_an_answer(self):
+    def test_all_requests_are_answered_when_a_host_fails(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 hosts = [deployment.add("certs", budget=AMPLE) for _ in range(3)]
@@ -270,7 +270,7 @@
         self.assertEqual(30, len(answers))
         self.assertEqual({200}, {answer.status for answer in answers})
 
-    def test_faster_server_is_preferred_where_there_is_room(self):
+    def test_faster_server_is_preferred_while_it_has_free_slots(self):
         async def main():
             async with a_deployment(a_route("read")) as deployment:
                 caller = deployment.add("bookings")
@@ -291,9 +291,9 @@
         share = (last[1] - first[1]) / 300
         self.assertGreater(share, 0.75)
 
-    def test_servers_that_refuse_at_random_are_asked_again(self):
-        # Six of ten requests are refused however empty the servers are, as by a server
-        # that fails: trees of eight calls come through only if each call does.
+    def test_requests_are_retried_on_servers_that_refuse_at_random(self):
+        # Six of ten requests are refused at any load, as by a failing server. A request
+        # with eight nested calls succeeds only if each call does.
         async def main():
             async with a_deployment(a_route("read", max_attempts=2)) as deployment:
                 budget = SharedBudget(5.0, 1_000.0, 10_000.0)
@@ -319,7 +319,7 @@
         self.assertGreater(n_well, 0.9 * 200)
         self.assertLessEqual(n_servers, 2)
 
-    def test_calls_of_a_running_request_are_told_from_new_requests(self):
+    def test_nested_calls_are_distinguished_from_new_requests(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 host = deployment.add("certs")
@@ -341,7 +341,7 @@
         self.assertIsNone(others)
         self.assertIsNone(itself)
 
-    def test_exception_amid_a_request_is_answered_and_ends_nothing_else(self):
+    def test_exception_during_a_request_is_502_and_affects_no_other(self):
         async def main():
             async with a_deployment(a_route("read", timeout=300.0)) as deployment:
                 deployment.expects_faults = True
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_resets.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_resets.py
@@ -1,11 +1,11 @@
-"""Callers whose connection is reset amid a request, and who go elsewhere.
-
-What users saw: a connection was dropped in a request that must not run twice, the
-technician pressed again, and two cycle starts stood in the record; two certificates,
-and nobody knew which was real. What is promised there: each attempt runs at most once,
-whatever becomes of the connection; one that has no place yet when its caller leaves
-never runs; one that runs is left to end. What the caller saw of it is in doubt. Pressed
-again, it is another attempt under another identifier, which is told as it is.
+"""Callers whose connection is reset during a non-idempotent request.
+
+Guards against duplicate effects: after a reset a user repeats the action, and the
+record shows two cycle starts, or two certificates of which nobody knows the valid one.
+Each attempt runs at most once, whatever happens to its connection. An attempt that is
+still queued when its caller disconnects never runs; one that is running is not
+cancelled, and its outcome is unknown to the caller. A repeated action is a new attempt
+with a new identifier, and is reported as such.
 """
 
 import trio
@@ -21,8 +21,8 @@
 WORK_MS = 300.0
 
 
-async def a_service(deployment, data_centre, slots=8):
-    """Return an entry without a server of the service, and the server's host."""
+async def deploy_service(deployment, data_centre, slots=8):
+    """Return a host without a server of the service, and the host with the server."""
     entry = deployment.add("pages")
     host = deployment.add("certs", data_centre, slots=slots)
     host.server.behave = lambda _: Behaviour(work=WORK_MS)
@@ -38,7 +38,7 @@
 
 
 def runs(*hosts):
-    """Return the identifiers of what the servers of hosts ran, in order."""
+    """Return the identifiers of the requests that the servers ran, in order."""
     found = []
     for host in hosts:
         for head in host.server.heads:
@@ -48,12 +48,12 @@
 
 
 class TestResets(TestCase):
-    def play(self, data_centre, path, after, method="POST", slots=8):
-        """Return what ran where a caller is reset some time after it has asked."""
+    def reset_after(self, data_centre, path, after, method="POST", slots=8):
+        """Reset a caller some time after its request; return what ran."""
 
         async def main():
             async with a_deployment(WRITE, READ) as deployment:
-                entry, host = await a_service(deployment, data_centre, slots)
+                entry, host = await deploy_service(deployment, data_centre, slots)
                 first = None
                 if slots == 1:
                     first = await send(entry, path, "first", method)
@@ -70,31 +70,31 @@
 
         return run_in_memory(main)
 
-    def test_reset_before_it_is_passed_on(self):
-        # Its server has one place, which another request holds.
+    def test_queued_request_does_not_run_after_a_reset(self):
+        # The server has one slot, which another request occupies.
         for data_centre in ("hall-a", "hall-b"):
-            ran, _ = self.play(data_centre, "/write/1", 0.05, slots=1)
+            ran, _ = self.reset_after(data_centre, "/write/1", 0.05, slots=1)
             self.assertEqual(["first"], ran, data_centre)
 
-    def test_reset_while_it_runs(self):
+    def test_running_request_is_not_cancelled_by_a_reset(self):
         for data_centre in ("hall-a", "hall-b"):
-            ran, running = self.play(data_centre, "/write/1", 0.1)
+            ran, running = self.reset_after(data_centre, "/write/1", 0.1)
             self.assertEqual((["asked"], 1), (ran, running), data_centre)
 
-    def test_reset_after_it_has_run(self):
+    def test_finished_request_does_not_run_again_after_a_reset(self):
         for data_centre in ("hall-a", "hall-b"):
-            ran, running = self.play(data_centre, "/write/1", 0.5)
+            ran, running = self.reset_after(data_centre, "/write/1", 0.5)
             self.assertEqual((["asked"], 0), (ran, running), data_centre)
 
-    def test_reset_of_what_may_be_repeated_ends_it_at_the_server(self):
+    def test_reset_cancels_an_idempotent_request_at_the_server(self):
         for data_centre in ("hall-a", "hall-b"):
-            ran, running = self.play(data_centre, "/read/1", 0.1, "GET")
+            ran, running = self.reset_after(data_centre, "/read/1", 0.1, "GET")
             self.assertEqual((["asked"], 0), (ran, running), data_centre)
 
-    def test_reset_on_the_first_byte(self):
+    def test_incomplete_request_does_not_run_after_a_reset(self):
         async def main():
             async with a_deployment(WRITE) as deployment:
-                entry, host = await a_service(deployment, "hall-a")
+                entry, host = await deploy_service(deployment, "hall-a")
                 stream = await dial(entry.node.cfg.addresses.callers, 500.0)
                 await stream.send(request_bytes("/write/1", "asked", method="POST")[:9])
                 stream.close()
@@ -103,12 +103,12 @@
 
         self.assertEqual([], run_in_memory(main))
 
-    def moved(self, after):
-        """Return statuses and runs where a caller is reset and asks elsewhere."""
+    def send_elsewhere(self, after):
+        """Reset a caller that then sends elsewhere; return its status and what ran."""
 
         async def main():
             async with a_deployment(WRITE) as deployment:
-                entry, host = await a_service(deployment, "hall-a")
+                entry, host = await deploy_service(deployment, "hall-a")
                 elsewhere = deployment.add("pages", "hall-b")
                 await deployment.settle()
                 stream = await send(entry, "/write/1", "asked")
@@ -120,14 +120,14 @@
 
         return run_in_memory(main)
 
-    def test_asked_again_after_a_move_each_attempt_runs_once(self):
+    def test_each_attempt_runs_once_after_a_move_to_another_node(self):
         for after in (0.1, 0.5):
-            self.assertEqual((200, ["asked", "again"]), self.moved(after))
+            self.assertEqual((200, ["asked", "again"]), self.send_elsewhere(after))
 
-    def test_link_that_is_lost_while_it_runs_repeats_nothing(self):
+    def test_lost_link_during_a_request_causes_no_retry(self):
         async def main():
             async with a_deployment(WRITE) as deployment:
-                entry, host = await a_service(deployment, "hall-b")
+                entry, host = await deploy_service(deployment, "hall-b")
                 answers = []
 
                 async def ask():
@@ -137,9 +137,9 @@
                     nursery.start_soon(ask)
                     await trio.sleep(0.1)
                     link = next(iter(entry.node._links))
-                    link._serving.end(BrokenStream("silent"))
+                    link._connection.end(BrokenStream("silent"))
                 await trio.sleep(1.0)
                 return answers[0].status, runs(host)
 
-        # Neither an answer nor a word that it has not run: in doubt.
+        # Unknown outcome: neither a response nor a statement that it did not run.
         self.assertEqual((502, ["asked"]), run_in_memory(main))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_stream.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_stream.py
@@ -1,4 +1,4 @@
-"""A connection that this end has closed."""
+"""TCP connections: use after close, keepalive and acknowledgement timeouts."""
 
 import socket
 from unittest import mock
@@ -20,13 +20,13 @@
 
 
 class TestClosedStream(TestCase):
-    def test_every_use_after_the_close_says_so(self):
+    def test_every_use_after_close_raises(self):
         async def main():
             ends = socket.socketpair(socket.AF_UNIX)
-            streams = [Stream(_like_tcp(end)) for end in ends]
+            streams = [Stream(_TcpLikeSocket(end)) for end in ends]
             for stream in streams:
                 stream.close()
-            said = []
+            messages = []
             for use in (
                 streams[0].receive,
                 lambda: streams[0].send(b"x"),
@@ -35,14 +35,14 @@
                 try:
                     await use()
                 except BrokenStream as exc:
-                    said.append(str(exc))
-            return said
+                    messages.append(str(exc))
+            return messages
 
-        said = trio.run(main)
-        self.assertEqual(["closed by this end"] * 3, said)
+        messages = trio.run(main)
+        self.assertEqual(["closed by this end"] * 3, messages)
 
-    def test_refusal_that_ends_its_connection_is_no_fault(self):
-        # The connection's own task closes it before its next wait.
+    def test_response_that_closes_its_connection_logs_no_exception(self):
+        # The connection is closed by its own code before its next wait.
         async def main():
             async with a_deployment(READ) as deployment:
                 host = deployment.add("certs")
@@ -63,26 +63,26 @@
 
 
 class TestSilentStream(TestCase):
-    def test_end_by_the_systems_timeout_is_told_from_a_reset(self):
+    def test_kernel_timeout_is_distinguished_from_a_reset(self):
         async def main():
-            told = []
+            is_silent = []
             for error in (TimeoutError(110, "timed out"), ConnectionResetError()):
                 near, far = socket.socketpair(socket.AF_UNIX)
-                sock = _like_tcp(near)
+                sock = _TcpLikeSocket(near)
                 stream = Stream(sock)
                 far.send(b"x")
                 with mock.patch.object(sock, "recv", side_effect=error):
                     try:
                         await stream.receive()
                     except BrokenStream as exc:
-                        told.append(isinstance(exc, SilentStream))
+                        is_silent.append(isinstance(exc, SilentStream))
                 stream.close()
                 far.close()
-            return told
+            return is_silent
 
         self.assertEqual([True, False], trio.run(main))
 
-    def test_connection_to_a_backend_server_is_probed_and_given_up(self):
+    def test_connection_to_a_backend_server_has_keepalive_and_user_timeout(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 host = deployment.add("certs")
@@ -96,13 +96,13 @@
                 )
                 return [sock.getsockopt(socket.IPPROTO_TCP, name) for name in options]
 
-        set_to = run_on_loopback(main)
-        expected = [1_000, IDLE_PROBES.idle_s, IDLE_PROBES.unanswered]
-        self.assertEqual(expected, set_to)
+        actual = run_on_loopback(main)
+        expected = [1_000, IDLE_PROBES.idle_s, IDLE_PROBES.max_unanswered]
+        self.assertEqual(expected, actual)
 
 
-class _like_tcp:  # noqa: N801
-    """A socket that takes the options of TCP and ignores them."""
+class _TcpLikeSocket:
+    """Unix socket that accepts and ignores TCP options."""
 
     def __init__(self, sock):
         self._sock = sock
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/deployment.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/deployment.py
@@ -18,10 +18,10 @@
 from fuchsiagap.core.workspaces.model import Workspace
 from fuchsiagap_node.core.mesh.http_names import HeaderNames
 from fuchsiagap_node.core.mesh.http_response import Response, ResponseReader
+from fuchsiagap_node.core.mesh.malformed_input import Unreadable
 from fuchsiagap_node.core.mesh.node import Node
 from fuchsiagap_node.core.mesh.settings import Addresses, Bounds, MeshSettings
 from fuchsiagap_node.core.mesh.stream import BrokenStream, dial
-from fuchsiagap_node.core.mesh.unreadable import Unreadable
 from fuchsiagap_standins.mesh.backend_server import BackendServer
 from fuchsiagap_standins.mesh.memory_store import MemoryStore, SharedState
 
