--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/frames.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/frames.py
@@ -46,11 +46,11 @@
 
 # Index of the protocol version among the fields of a `Hello`; it is the last one.
 _PROTOCOL_INDEX = 6
-_HELLO, _STATUS, _CALL, _CANCEL, _PING, _PONG, _CONFIG_WANTED, _CONFIG = range(8)
+_HELLO, _STATUS, _CALL, _CANCEL, _PING, _PONG, _CONFIG_QUERY, _ENCODED_CONFIG = range(8)
 _CRASH, _HELD = 8, 9
 _ANSWERED, _NOT_RUN, _MAY_HAVE_RUN = range(10, 13)
 _CLEARED = 13
-_AGE_WANTED, _AGE, _TOKENS_WANTED, _TOKENS_GRANTED = range(14, 18)
+_STALENESS_QUERY, _STALENESS_REPLY, _TOKEN_REQUEST, _TOKEN_GRANT = range(14, 18)
 
 
 class BadFrame(Exception):
@@ -118,28 +118,28 @@
                 m.protocol,
             ]
         case ConfigWanted():
-            return [_CONFIG_WANTED]
+            return [_CONFIG_QUERY]
         case ConfigText(epoch, revision, text):
-            return [_CONFIG, epoch, revision, text]
+            return [_ENCODED_CONFIG, epoch, revision, text]
         case Crash(incarnation, service, age, fingerprints):
             return [_CRASH, incarnation, service, age, b"".join(sorted(fingerprints))]
         case Held(fingerprint, service, crashes, age):
             return [_HELD, fingerprint, service, crashes, age]
         case Cleared(fingerprints):
             return [_CLEARED, b"".join(fingerprints)]
-        case AgeWanted(question):
-            return [_AGE_WANTED, question]
-        case Age(question, version, age):
-            return [_AGE, question, version, age]
-        case TokensWanted(question, workspace, tokens):
-            return [_TOKENS_WANTED, question, workspace, tokens]
-        case TokensGranted(question, workspace, tokens, wait, is_owner):
-            return [_TOKENS_GRANTED, question, workspace, tokens, wait, is_owner]
+        case AgeWanted(query_id):
+            return [_STALENESS_QUERY, query_id]
+        case Age(query_id, version, age):
+            return [_STALENESS_REPLY, query_id, version, age]
+        case TokensWanted(query_id, workspace, tokens):
+            return [_TOKEN_REQUEST, query_id, workspace, tokens]
+        case TokensGranted(query_id, workspace, tokens, wait, is_owner):
+            return [_TOKEN_GRANT, query_id, workspace, tokens, wait, is_owner]
 
 
 def _encode_reply(reply: Reply) -> list[object]:
-    call_id, outcome, load, offered, below = reply
-    common = [call_id, load, round(offered * _OFFERED_SCALE), *below]
+    call_id, outcome, load, offered, downstream = reply
+    common = [call_id, load, round(offered * _OFFERED_SCALE), *downstream]
     match outcome:
         case Answered(status, reason, headers, body):
             return [_ANSWERED, *common, status, reason, headers, body]
@@ -194,8 +194,8 @@
         ):
             raise ValueError(f"number of a reply out of range: {rest[1:5]}")
         offered_slots = offered / _OFFERED_SCALE  # type: ignore[operator]
-        below = Below(fullness, calls, failed)  # type: ignore[arg-type]
-        return Reply(call_id, call_outcome, load, offered_slots, below)  # type: ignore[arg-type]
+        downstream = Below(fullness, calls, failed)  # type: ignore[arg-type]
+        return Reply(call_id, call_outcome, load, offered_slots, downstream)  # type: ignore[arg-type]
     message = cast("Message", _MESSAGE_CLASSES[kind](*rest))
     if isinstance(message, Status):
         _check_status(message)
@@ -328,15 +328,15 @@
     _CANCEL: (_INT,),
     _PING: (),
     _PONG: (),
-    _CONFIG_WANTED: (),
-    _CONFIG: (_INT, _INT, _BYTES),
+    _CONFIG_QUERY: (),
+    _ENCODED_CONFIG: (_INT, _INT, _BYTES),
     _CRASH: (_STR, _STR, _NUMBER, _BYTES),
     _HELD: (_BYTES, _STR, _INT, _NUMBER),
     _CLEARED: (_BYTES,),
-    _AGE_WANTED: (_INT,),
-    _AGE: (_INT, _INT, _NUMBER),
-    _TOKENS_WANTED: (_INT, _STR, _INT),
-    _TOKENS_GRANTED: (_INT, _STR, _INT, _NUMBER, _BOOL),
+    _STALENESS_QUERY: (_INT,),
+    _STALENESS_REPLY: (_INT, _INT, _NUMBER),
+    _TOKEN_REQUEST: (_INT, _STR, _INT),
+    _TOKEN_GRANT: (_INT, _STR, _INT, _NUMBER, _BOOL),
     _ANSWERED: (*_REPLY_PREFIX, _INT, *3 * (_BYTES,)),
     _NOT_RUN: (*_REPLY_PREFIX, _STR, _BOOL),
     _MAY_HAVE_RUN: (*_REPLY_PREFIX, _STR),
@@ -350,12 +350,12 @@
     _CANCEL: Cancel,
     _PING: Ping,
     _PONG: Pong,
-    _CONFIG_WANTED: ConfigWanted,
-    _CONFIG: ConfigText,
-    _AGE_WANTED: AgeWanted,
-    _AGE: Age,
-    _TOKENS_WANTED: TokensWanted,
-    _TOKENS_GRANTED: TokensGranted,
+    _CONFIG_QUERY: ConfigWanted,
+    _ENCODED_CONFIG: ConfigText,
+    _STALENESS_QUERY: AgeWanted,
+    _STALENESS_REPLY: Age,
+    _TOKEN_REQUEST: TokensWanted,
+    _TOKEN_GRANT: TokensGranted,
 }
 _CRASH_REPORT_KINDS = frozenset({_CRASH, _HELD, _CLEARED})
 _OUTCOME_CLASSES = {_ANSWERED: Answered, _NOT_RUN: NotRun, _MAY_HAVE_RUN: MayHaveRun}
