--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/entry.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/entry.py
@@ -1,4 +1,4 @@
-"""Entry of a request into the mesh: routing, admission and hand-over to placement."""
+"""Entry of a request into the mesh: routing, authentication, admission and placement."""
 
 from __future__ import annotations
 
@@ -178,11 +178,11 @@
             done(Final(502))
             return None
 
-    def refuse_over_quota(self, keyed: KeyedRequest, answer: QuotaAnswer) -> Final:
+    def refuse_over_quota(self, keyed: KeyedRequest, decision: QuotaAnswer) -> Final:
         """Return the response to a request whose workspace has no quota token."""
         route = keyed.route.name
-        cause = answer.verdict.value
-        refusal = quota_refusal(answer)
+        cause = decision.verdict.value
+        refusal = quota_refusal(decision)
         assert refusal is not None
         self._event_log.counts["quota_refused", cause] += 1
         self._event_log.count_outcome(route, str(refusal.status), 0.0)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/http_client.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/http_client.py
@@ -69,14 +69,14 @@
         stream = await self._connect()
         is_reusable = False
         try:
-            answer = await self._exchange(stream, method, target, body)
-            is_reusable = answer.keep_alive and self._idle is None
+            response = await self._exchange(stream, method, target, body)
+            is_reusable = response.keep_alive and self._idle is None
         finally:
             if is_reusable:
                 self._idle = stream
             else:
                 stream.close()
-        return answer
+        return response
 
     async def _connect(self) -> Stream:
         """Return the idle connection if it is reusable, or a new one."""
@@ -101,9 +101,9 @@
         reader = ResponseReader(self._names)
         while True:
             data = await stream.receive()
-            answers = reader.feed(data) if data else reader.end()
-            if answers:
-                return answers[0]
+            responses = reader.feed(data) if data else reader.end()
+            if responses:
+                return responses[0]
             if not data:
                 raise BadResponse("connection closed before a response")
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_outbound_links.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_outbound_links.py
@@ -69,8 +69,8 @@
                     for caller in callers
                 ]
 
-        for places in run_in_memory(main):
-            self.assertLessEqual({"hall-a", "hall-b"}, places)
+        for data_centres in run_in_memory(main):
+            self.assertLessEqual({"hall-a", "hall-b"}, data_centres)
 
     def test_unreachable_nodes_are_replaced(self):
         async def main():
@@ -98,8 +98,10 @@
                 deployment.add("bookings")
                 near, *_ = [deployment.add("certs") for _ in range(15)]
                 await deployment.settle()
-                beside = [node for node in linked(near) if node.startswith("certs")]
-                return near.node.door.repeats.n_doors(), len(beside)
+                linked_replicas = [
+                    node for node in linked(near) if node.startswith("certs")
+                ]
+                return near.node.door.repeats.n_doors(), len(linked_replicas)
 
         n_doors, n_linked = run_in_memory(main)
         self.assertEqual(15, n_doors)
