--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_conns.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_conns.py
@@ -1,4 +1,4 @@
-"""The connections to the backend server."""
+"""Connection pool to the backend server."""
 
 from __future__ import annotations
 
@@ -15,229 +15,232 @@
     from collections.abc import Callable
 
     from fuchsiagap.core.clock import Clock, Milliseconds
-    from fuchsiagap_node.core.mesh.job import Job
+    from fuchsiagap_node.core.mesh.event_log import EventLog
+    from fuchsiagap_node.core.mesh.pending_call import PendingCall
     from fuchsiagap_node.core.mesh.poller import Poller
     from fuchsiagap_node.core.mesh.settings import MeshSettings
-    from fuchsiagap_node.core.mesh.telling import Teller
 
-# Milliseconds that must be left for a call to be worth handing over.
-LEAST_LEFT_MS = 1.0
+# Milliseconds that have to be left until its deadline for a call to be sent.
+MIN_TIME_LEFT_MS = 1.0
 
 
 class BackendConns:
-    """Hands calls to the server and says what became of them.
+    """Sends calls to the server and reports their outcomes.
 
     Parameters
     ----------
     cfg : MeshSettings
-        Settings.
+        Settings of the node.
     clock : Clock
         Time in milliseconds.
-    teller : Teller
-        Logs.
+    event_log : EventLog
+        Event log.
     settle : callable
-        Called with each call that has ended, and its outcome.
+        Called with each call that has ended and its outcome.
     poller : Poller
-        Watches the connections.
+        Reads the connections.
 
     Attributes
     ----------
     on_outcome : callable
-        Called with what the server said, or that it broke off, before `settle` is.
+        Called with each outcome of a call that was sent, before `settle` is.
     on_unreachable : callable
-        Called with why the server accepted no connection.
-    is_doubted : callable
-        Returns whether a call ended unanswered and no other was answered since.
+        Called with the error when the server accepted no connection.
+    is_suspected : callable
+        Returns whether the server may have crashed: a call ended without an answer and
+        none has been answered since.
     """
 
     def __init__(
         self,
         cfg: MeshSettings,
         clock: Clock,
-        teller: Teller,
-        settle: Callable[[Job, Outcome], None],
+        event_log: EventLog,
+        settle: Callable[[PendingCall, Outcome], None],
         poller: Poller,
     ) -> None:
         self._poller = poller
         self._all: set[BackendConn] = set()
         self._cfg = cfg
         self._clock = clock
-        self._tell = teller
+        self._event_log = event_log
         self._settle = settle
         self._idle = IdleConns()
-        self._carried: dict[BackendConn, Job] = {}
+        self._by_conn: dict[BackendConn, PendingCall] = {}
         self._nursery: trio.Nursery | None = None
         self.on_outcome: Callable[[Outcome], None] = _ignore
         self.on_unreachable: Callable[[BrokenStream], None] = _ignore
-        self.is_doubted: Callable[[], bool] = bool
+        self.is_suspected: Callable[[], bool] = bool
 
     def adopt(self, cfg: MeshSettings) -> None:
-        """Go on under changed settings."""
+        """Adopt changed settings."""
         self._cfg = cfg
 
     @property
     def is_running(self) -> bool:
-        """Whether calls can be handed over."""
+        """Whether calls can be dispatched."""
         return self._nursery is not None
 
     async def run(self) -> None:
-        """Hold the tasks of the connections until cancelled."""
+        """Run the tasks of the connections until cancelled."""
         async with trio.open_nursery() as self._nursery:
             try:
                 await trio.sleep_forever()
             finally:
-                # Calls that end with the node give their places to none: a nursery
-                # that is closed takes no tasks.
+                # Calls that end with the node free their slots, but no waiting call may
+                # be dispatched then: a closed nursery accepts no tasks.
                 self._nursery = None
                 for conn in list(self._all):
                     conn.close()
 
-    def dispatch(self, job: Job) -> None:
+    def dispatch(self, pending: PendingCall) -> None:
         """Send a call on an idle connection, or on a new one."""
         assert self._nursery is not None
         now = self._clock.now()
-        conn = self._idle.take(job.call.idempotent, now)
+        conn = self._idle.take(pending.call.idempotent, now)
         while conn is not None:
-            self._carry(conn, job)
-            if conn.send(job.call, job.deadline - now):
-                self._push_rest(conn)
+            self._assign(conn, pending)
+            if conn.send(pending.call, pending.deadline - now):
+                self._schedule_send_rest(conn)
                 return
-            conn = self._idle.take(job.call.idempotent, now)
+            conn = self._idle.take(pending.call.idempotent, now)
         conn = BackendConn(self._cfg, self._clock)
-        self._carry(conn, job)
-        self._nursery.start_soon(self._begin, conn, job)
-
-    def release(self, job: Job) -> None:
-        """Forget which connection carries a call."""
-        if job.conn is not None:
-            del self._carried[job.conn]
-            job.conn = None
-
-    def break_off(self, job: Job) -> None:
-        """Close the connection of a call, which tells the server to drop it."""
-        conn = job.conn
+        self._assign(conn, pending)
+        self._nursery.start_soon(self._open_and_send, conn, pending)
+
+    def release(self, pending: PendingCall) -> None:
+        """Dissociate a call from its connection."""
+        if pending.conn is not None:
+            del self._by_conn[pending.conn]
+            pending.conn = None
+
+    def abort(self, pending: PendingCall) -> None:
+        """Close the connection of a call, which makes the server drop it."""
+        conn = pending.conn
         if conn is not None:
             conn.call = None
             conn.close()
 
-    def close_older(self, silent: BackendConn) -> None:
-        """Close the idle connections that share the fate of one that fell silent."""
-        closed = self._idle.close_older(silent, self._used_since(silent))
-        self._tell.event("backend-silent", closed=closed)
+    def close_stale(self, silent: BackendConn) -> None:
+        """Close idle connections last used before one that stopped responding."""
+        closed = self._idle.close_stale(silent, self._last_used_at(silent))
+        self._event_log.event("backend-silent", closed=closed)
 
-    def give_up_unused(self, late: BackendConn) -> None:
-        """Close idle connections that are no better than one without an answer."""
-        self._idle.close_older(late, self._used_since(late))
+    def close_unused(self, late: BackendConn) -> None:
+        """Close idle connections last used before one whose answer is overdue."""
+        self._idle.close_stale(late, self._last_used_at(late))
 
-    def close_outlived(self, now: Milliseconds) -> None:
-        """Close the connections that the server may close at any moment."""
-        self._idle.close_outlived(now)
+    def close_expired(self, now: Milliseconds) -> None:
+        """Close idle connections that the server may close at any moment."""
+        self._idle.close_expired(now)
 
     def close_idle(self) -> None:
-        """Close all that carry no call: the server at their other end is no more."""
+        """Close all idle connections, as their server is gone."""
         self._idle.close_all()
 
-    def _used_since(self, conn: BackendConn) -> Milliseconds:
-        job = self._carried.get(conn)
-        return conn.idle_since if job is None else job.started
+    def _last_used_at(self, conn: BackendConn) -> Milliseconds:
+        pending = self._by_conn.get(conn)
+        return conn.idle_since if pending is None else pending.started
 
-    def _carry(self, conn: BackendConn, job: Job) -> None:
-        """Note which connection carries a call; one that broke carries none."""
-        self.release(job)
-        job.conn = conn
-        self._carried[conn] = job
+    def _assign(self, conn: BackendConn, pending: PendingCall) -> None:
+        """Associate a call with a connection, in place of one that had broken."""
+        self.release(pending)
+        pending.conn = conn
+        self._by_conn[conn] = pending
 
-    def _push_rest(self, conn: BackendConn) -> None:
+    def _schedule_send_rest(self, conn: BackendConn) -> None:
         if conn.has_unsent and self._nursery is not None:
-            self._nursery.start_soon(conn.push)
+            self._nursery.start_soon(conn.send_rest)
 
-    async def _begin(self, conn: BackendConn, job: Job) -> None:
-        """Open a connection and send its first call; then it is read by functions."""
+    async def _open_and_send(self, conn: BackendConn, pending: PendingCall) -> None:
+        """Open a connection, send its first call and register it with the poller."""
         self._all.add(conn)
         try:
-            if await self._open(conn, job):
-                conn.listen(self._poller, self._take_read)
+            if await self._open(conn, pending):
+                conn.read_answers(self._poller, self._handle_read)
                 return
         except BrokenStream:
-            # Closed by this end while it was opened.
+            # Closed from this side while it was being opened.
             pass
         except Exception as exc:
-            self._fail(conn, exc)
-        self._forget(conn)
+            self._handle_fault(conn, exc)
+        self._remove(conn)
 
-    def _fail(self, conn: BackendConn, exc: Exception) -> None:
-        """End a connection on which an exception came that nobody expected."""
-        self._tell.fault("backend-connection", exc)
+    def _handle_fault(self, conn: BackendConn, exc: Exception) -> None:
+        """Close a connection after an unexpected exception, and settle its call."""
+        self._event_log.log_exception("backend-connection", exc)
         conn.close()
-        why = f"fault of the node: {type(exc).__name__}"
-        self._take_outcome(conn, MayHaveRun(why))
+        reason = f"internal error of the node: {type(exc).__name__}"
+        self._handle_outcome(conn, MayHaveRun(reason))
 
-    def _forget(self, conn: BackendConn) -> None:
-        """Forget a connection that has ended."""
+    def _remove(self, conn: BackendConn) -> None:
+        """Remove a connection that has ended."""
         if conn not in self._all:
             return
         self._all.discard(conn)
         conn.close()
         self._idle.forget(conn)
-        self._check_server()
+        self._check_server_up()
 
-    async def _open(self, conn: BackendConn, job: Job) -> bool:
-        """Open a connection and send its first call; False if that failed."""
+    async def _open(self, conn: BackendConn, pending: PendingCall) -> bool:
+        """Open a connection and send its first call; return whether both succeeded."""
         try:
             await conn.open()
         except BrokenStream as exc:
-            if job.conn is conn:
+            if pending.conn is conn:
                 self.on_unreachable(exc)
-                self._settle(job, NotRun(f"no connection: {exc}"))
+                self._settle(pending, NotRun(f"no connection: {exc}"))
             return False
-        if job.conn is not conn or conn.closed:
+        if pending.conn is not conn or conn.closed:
             return False
-        left = job.deadline - self._clock.now()
-        if left < LEAST_LEFT_MS:
-            self._settle(job, NotRun(EXPIRED))
+        left = pending.deadline - self._clock.now()
+        if left < MIN_TIME_LEFT_MS:
+            self._settle(pending, NotRun(EXPIRED))
             return False
-        if not conn.send(job.call, left):
-            self._settle(job, NotRun("closed at once", offered=True))
+        if not conn.send(pending.call, left):
+            self._settle(
+                pending, NotRun("connection closed before the call", offered=True)
+            )
             return False
-        self._push_rest(conn)
+        self._schedule_send_rest(conn)
         return True
 
-    def _take_read(self, conn: BackendConn, outcome: Outcome | None) -> None:
-        """Take what came on a connection."""
+    def _handle_read(self, conn: BackendConn, outcome: Outcome | None) -> None:
+        """Handle a read on a connection, or its end."""
         try:
             if conn.silent:
-                self.close_older(conn)
+                self.close_stale(conn)
             if outcome is not None:
-                self._take_outcome(conn, outcome)
+                self._handle_outcome(conn, outcome)
         except Exception as exc:
-            self._fail(conn, exc)
+            self._handle_fault(conn, exc)
         if conn.closed:
-            self._forget(conn)
+            self._remove(conn)
 
-    def _take_outcome(self, conn: BackendConn, outcome: Outcome) -> None:
-        """Settle the call of a connection, and keep the connection if it is whole."""
+    def _handle_outcome(self, conn: BackendConn, outcome: Outcome) -> None:
+        """Settle the call of a connection, and keep the connection if it is open."""
         conn.call = None
-        job = self._carried.get(conn)
+        pending = self._by_conn.get(conn)
         self.on_outcome(outcome)
         if not conn.closed:
             self._idle.keep(conn)
-        if job is not None:
-            self._settle(job, outcome)
+        if pending is not None:
+            self._settle(pending, outcome)
 
-    def _check_server(self) -> None:
-        """Dial a server that has closed all connections: a crash is known at once."""
-        is_open = bool(self._carried) or len(self._idle) > 0
-        if self.is_doubted() and not is_open and self._nursery is not None:
-            self._nursery.start_soon(self._dial_to_check)
+    def _check_server_up(self) -> None:
+        """Probe a suspected server that has no open connection, to detect a crash."""
+        is_open = bool(self._by_conn) or len(self._idle) > 0
+        if self.is_suspected() and not is_open and self._nursery is not None:
+            self._nursery.start_soon(self._probe_server)
 
-    async def _dial_to_check(self) -> None:
-        """Open a connection; keep it for the next call if the server takes it."""
+    async def _probe_server(self) -> None:
+        """Open a connection, and keep it for the next call if the server accepts it."""
         conn = BackendConn(self._cfg, self._clock)
         self._all.add(conn)
         try:
             await conn.open()
             if not conn.closed:
-                conn.listen(self._poller, self._take_read)
+                conn.read_answers(self._poller, self._handle_read)
         except BrokenStream as exc:
             self.on_unreachable(exc)
             self._all.discard(conn)
@@ -251,4 +254,4 @@
 
 
 def _ignore(_: object) -> None:
-    """Do nothing."""
+    """Ignore an outcome or an error."""
--- /dev/null
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_queue.py
@@ -0,0 +1,451 @@
+"""Queue of calls to the backend server on this host; all its calls pass through it."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from fuchsiagap.core.backend_queue.health import ServerHealth
+from fuchsiagap.core.backend_queue.incarnation import BackendState, IncarnationTracker
+from fuchsiagap.core.backend_queue.offered_load import OfferedLoad
+from fuchsiagap.core.backend_queue.queue_timeouts import QueueTimeouts
+from fuchsiagap.core.backend_queue.rank_stats import RankStats
+from fuchsiagap.core.backend_queue.ranked_queue import RankedQueue
+from fuchsiagap_node.core.mesh.backend_conns import MIN_TIME_LEFT_MS, BackendConns
+from fuchsiagap_node.core.mesh.crash_reports import CrashReports
+from fuchsiagap_node.core.mesh.outcome import (
+    CANCELLED,
+    EXPIRED,
+    LEAVING,
+    NO_BACKEND,
+    NO_BUDGET,
+    OTHER_INCARNATION,
+    QUARANTINED,
+    QUEUE_FULL,
+    Answered,
+    MayHaveRun,
+    NotRun,
+    Outcome,
+)
+from fuchsiagap_node.core.mesh.queue_retry_budget import QueueRetryBudget
+from fuchsiagap_node.core.mesh.server_crashes import ServerCrashes
+
+if TYPE_CHECKING:
+    import random
+    from collections.abc import Callable
+
+    from fuchsiagap.core.backend_queue.incarnation import BackendReport
+    from fuchsiagap.core.clock import Clock, Milliseconds
+    from fuchsiagap_node.core.mesh.event_log import EventLog
+    from fuchsiagap_node.core.mesh.pending_call import PendingCall
+    from fuchsiagap_node.core.mesh.poller import Poller
+    from fuchsiagap_node.core.mesh.settings import MeshSettings
+    from fuchsiagap_node.core.mesh.stream import BrokenStream
+
+# Weight of one request in the moving average of the service time, which spans about the
+# last 50 requests.
+_SERVICE_MS_WEIGHT = 0.02
+# Weight of one answer in the long-term average by which servers are compared. It spans
+# about the last 200 answers, since service times of different routes differ by a factor
+# of forty. The average is unknown until it has the minimum number of samples.
+_LONG_TERM_WEIGHT = 0.005
+_MIN_LONG_TERM_SAMPLES = 50
+# Milliseconds past the deadline of a call for which the server's answer is still
+# awaited, since the server may be sending its own time-out response.
+_ANSWER_GRACE_MS = 80.0
+
+
+class BackendQueue:
+    """Admits calls to the backend server in order of rank, one for each free slot.
+
+    Parameters
+    ----------
+    cfg : MeshSettings
+        Settings of the node.
+    clock : Clock
+        Time in milliseconds.
+    event_log : EventLog
+        Event log and counters.
+    rng : random.Random
+        Rounds this node's share of the retry budget.
+    poller : Poller
+        Reads the connections to the server.
+
+    Attributes
+    ----------
+    retry_budget : QueueRetryBudget
+        Retry budget of this queue, which admits or denies retries.
+    leaving : bool
+        Whether this node is shutting down and accepts no new calls.
+    rank_stats : RankStats
+        Arrivals and starts of each rank.
+    changed : callable
+        Called when the server's status has changed and has to be published at once.
+    reports : CrashReports
+        Quarantine of requests that crash servers.
+    """
+
+    def __init__(
+        self,
+        cfg: MeshSettings,
+        clock: Clock,
+        event_log: EventLog,
+        rng: random.Random,
+        poller: Poller,
+    ) -> None:
+        self._cfg = cfg
+        self.reports = CrashReports(cfg.quarantine, cfg.service, clock, rng, event_log)
+        self.retry_budget = QueueRetryBudget(cfg.budget, clock, event_log, rng)
+        self._clock = clock
+        self._event_log = event_log
+        self._queue: RankedQueue[PendingCall] = RankedQueue(1)
+        self._offered = OfferedLoad()
+        self.rank_stats = RankStats()
+        self._queue_timeouts = QueueTimeouts()
+        self._incarnation = IncarnationTracker()
+        self._conns = BackendConns(cfg, clock, event_log, self._settle, poller)
+        self._at_server: dict[PendingCall, None] = {}
+        self._by_id: dict[str, PendingCall] = {}
+        self._notified_instance = ""
+        self._health = ServerHealth(clock.now())
+        self._crashes = ServerCrashes(clock, event_log, self._running_fingerprints)
+        self._crashes.on_crash = self.reports.report_crash
+        self._conns.on_outcome = self._crashes.record_answer
+        self._conns.on_unreachable = self._handle_unreachable
+        self._conns.is_suspected = lambda: self._crashes.is_suspected
+        self._warm_up_ends_at = 0.0
+        self._long_term_service_ms = 0.0
+        self._n_long_term_samples = 0
+        self.leaving = False
+        self.changed: Callable[[], None] = _nothing
+
+    def adopt(self, cfg: MeshSettings) -> None:
+        """Adopt changed settings."""
+        self._cfg = cfg
+        self._conns.adopt(cfg)
+        self.retry_budget.adopt(cfg.budget)
+
+    @property
+    def load(self) -> int:
+        """Number of requests that run or wait."""
+        return self._queue.load
+
+    @property
+    def limit(self) -> int:
+        """Concurrency limit of the backend server, in slots."""
+        return self._queue.limit
+
+    @property
+    def running(self) -> int:
+        """Number of requests that run at the backend server."""
+        return self._queue.running
+
+    @property
+    def service_ms(self) -> Milliseconds:
+        """Moving average of the service time in milliseconds; 0 if not known."""
+        return self._queue.service_ms
+
+    @property
+    def long_term_service_ms(self) -> Milliseconds:
+        """Long-term average service time in milliseconds; 0 if not known.
+
+        Requests that this server failed do not count.
+        """
+        return (
+            self._long_term_service_ms
+            if self._n_long_term_samples >= _MIN_LONG_TERM_SAMPLES
+            else 0.0
+        )
+
+    def parent_of(self, request_id: str) -> PendingCall | None:
+        """Return the running request on whose behalf a nested call is made, if any.
+
+        A backend server derives the identifier of a nested call from the request that
+        it runs: that request's identifier, a dot, and a suffix. An identifier that is
+        not derived from a request running here does not belong to a nested call.
+        """
+        return self._by_id.get(request_id.rpartition(".")[0])
+
+    def failing(self) -> float:
+        """Return the share of recent requests that were refused or failed."""
+        return self._health.failing(self._clock.now())
+
+    @property
+    def heartbeat_age(self) -> Milliseconds:
+        """Milliseconds since the server's last heartbeat, or since the node started."""
+        return self._health.heartbeat_age(self._clock.now())
+
+    def offered(self) -> float:
+        """Return the offered load, as the number of slots that it would occupy.
+
+        The load is scaled up while nested calls time out in the queue.
+        """
+        queue = self._queue
+        if not queue.service_ms:
+            return queue.load
+        slots = self._offered.places(self._clock.now(), queue.service_ms, queue.waiting)
+        return slots * self._queue_timeouts.load_factor(self._clock.now())
+
+    def is_warming(self) -> bool:
+        """Whether the backend server is in its warm-up."""
+        return self._clock.now() < self._warm_up_ends_at
+
+    def instance(self) -> str:
+        """Return the incarnation that accepts requests now; empty if none does."""
+        report = self._incarnation.report
+        if report is None or report.state is not BackendState.READY or self.leaving:
+            return ""
+        heartbeat = self._cfg.bounds.heartbeat
+        usable = self._health.is_usable(self._clock.now(), heartbeat)
+        return report.instance if usable else ""
+
+    def known_instance(self) -> str:
+        """Return the last reported incarnation, whatever its state; empty if none."""
+        report = self._incarnation.report
+        return "" if report is None else report.instance
+
+    def handle_report(self, report: BackendReport) -> None:
+        """Apply a status report of the backend server, unless it is outdated."""
+        old = self._incarnation.report
+        if not self._incarnation.update(report):
+            self._event_log.event("report-ignored", instance=report.instance)
+            return
+        self._apply_state(report)
+        same = old is not None and old.is_same_start(report)
+        if same and old is not None and old.state is report.state:
+            return
+        self._crashes.record_report(report, same)
+        if not same:
+            self._reset_for_incarnation(old, report)
+        self._event_log.event(
+            "backend-changed",
+            instance=report.instance,
+            born=report.born,
+            state=report.state.value,
+            sequence=report.sequence,
+            places=report.slots,
+        )
+        if report.state is not BackendState.READY:
+            self.reject_waiting(LEAVING)
+        self.changed()
+
+    def _reset_for_incarnation(
+        self, old: BackendReport | None, report: BackendReport
+    ) -> None:
+        """Reset what was learned of the earlier incarnation."""
+        self._health.forget_failures()
+        self._n_long_term_samples = 0
+        if old is None or old.instance != report.instance:
+            return
+        # The server restarted under the same identifier. Calls in flight end with their
+        # connections and may have run; the new incarnation may already hold some of
+        # them. No further call may use a connection to the earlier incarnation.
+        self._conns.close_idle()
+
+    def _apply_state(self, report: BackendReport) -> None:
+        """Apply the slots, warm-up and heartbeat of a report."""
+        now = self._clock.now()
+        self._health.record_heartbeat(now)
+        if report.state is not BackendState.GONE:
+            self._queue.limit = max(report.slots, 1)
+            self._warm_up_ends_at = now + report.warm_up
+
+    def _revert_incarnation(self, instance: str) -> None:
+        """Revert to the previous incarnation if the server denies the current one.
+
+        A delayed heartbeat of an earlier incarnation can replace the one that runs.
+        """
+        if not self._incarnation.refute(instance):
+            return
+        report = self._incarnation.report
+        assert report is not None
+        self._crashes.revert(report)
+        self._apply_state(report)
+        self._health.forget_failures()
+        self._event_log.event(
+            "backend-refuted",
+            instance=instance,
+            instead=report.instance,
+            state=report.state.value,
+            sequence=report.sequence,
+        )
+        self.reject_waiting(LEAVING)
+        self.changed()
+
+    def reject_waiting(self, reason: str) -> None:
+        """Reject all waiting calls; running calls are left to finish."""
+        for waiting in self._queue.clear():
+            waiting.job.reply(NotRun(reason))
+
+    async def run(self) -> None:
+        """Run the tasks of the connections until cancelled."""
+        await self._conns.run()
+
+    def tick(self) -> None:
+        """Expire overdue calls and detect that the server has become usable or not."""
+        now = self._clock.now()
+        self._expire(now)
+        if not self._health.is_alive(now, self._cfg.bounds.heartbeat):
+            self._crashes.record_heartbeat_timeout()
+        usable = self.instance()
+        if usable != self._notified_instance:
+            self._notified_instance = usable
+            self.changed()
+
+    def submit(self, pending: PendingCall) -> None:
+        """Start, queue or refuse a call; its `reply` is called now or later."""
+        call = pending.call
+        instance = self.instance()
+        if not instance or instance != call.instance:
+            pending.reply(NotRun(LEAVING if self.known_instance() else NO_BACKEND))
+            return
+        if not self.retry_budget.admits(call, self.failing()):
+            pending.reply(NotRun(NO_BUDGET))
+            return
+        now = self._clock.now()
+        self._offered.record_arrival(now)
+        self.rank_stats.record_arrival(call.rank, now)
+        if call.is_nested:
+            self._queue_timeouts.record_arrival(call.rank, now)
+        if self._queue.has_free_slot():
+            self._start(pending)
+            return
+        if self._queue.is_full() and not self._make_room(call.rank):
+            self._event_log.event("queue-full", request=call.request_id, load=self.load)
+            pending.reply(NotRun(QUEUE_FULL))
+            return
+        pending.waiting = self._queue.push(
+            pending, call.rank, pending.deadline, pending.due, now, call.is_nested
+        )
+
+    def _make_room(self, rank: int) -> bool:
+        worst = self._queue.evict_for(rank)
+        if worst is None:
+            return False
+        worst.job.reply(NotRun(QUEUE_FULL))
+        return True
+
+    def cancel(self, pending: PendingCall) -> None:
+        """Drop a call that its sender has abandoned.
+
+        A running call that is not idempotent is left to finish.
+        """
+        if pending.waiting is not None and self._queue.drop(pending.waiting):
+            self._record_queue_timeout(pending)
+            pending.reply(NotRun(CANCELLED))
+        elif pending.conn is not None and pending.call.idempotent:
+            self._abort(pending, MayHaveRun(CANCELLED))
+
+    def _abort(self, pending: PendingCall, outcome: MayHaveRun) -> None:
+        """Abort a running call; closing its connection tells the server to drop it."""
+        if pending not in self._at_server:
+            # The reply to another call has already ended this one, as when a caller
+            # that disconnects cancels all its calls.
+            return
+        self._conns.abort(pending)
+        self._settle(pending, outcome)
+
+    def _start(self, pending: PendingCall) -> None:
+        """Assign a slot to a call and send it on an idle or a new connection."""
+        now = self._clock.now()
+        if pending.deadline - now < MIN_TIME_LEFT_MS:
+            pending.reply(NotRun(EXPIRED))
+            return
+        if not self._conns.is_running:
+            pending.reply(NotRun(NO_BACKEND))
+            return
+        # Checked here as well as at the entry node, which may not have been told of the
+        # quarantine yet.
+        if not self.reports.may_run(pending.call.fingerprint):
+            pending.reply(NotRun(QUARANTINED))
+            return
+        self._queue.running += 1
+        self.rank_stats.record_start(pending.call.rank, now)
+        self._at_server[pending] = None
+        self._by_id[pending.call.request_id] = pending
+        pending.started = now
+        self._conns.dispatch(pending)
+
+    def _settle(self, pending: PendingCall, outcome: Outcome) -> None:
+        """Reply to a call that held a slot, and start the next waiting call."""
+        self._conns.release(pending)
+        self._queue.running -= 1
+        del self._at_server[pending]
+        if self._by_id.get(pending.call.request_id) is pending:
+            del self._by_id[pending.call.request_id]
+        self._record_outcome(pending, outcome)
+        if isinstance(outcome, MayHaveRun):
+            self._crashes.record_unanswered(pending)
+        if isinstance(outcome, NotRun) and outcome.reason == OTHER_INCARNATION:
+            self._revert_incarnation(pending.call.instance)
+        pending.reply(outcome)
+        while (waiting := self._queue.pop(self._clock.now())) is not None:
+            if self.instance() == waiting.job.call.instance:
+                self._start(waiting.job)
+            else:
+                waiting.job.reply(NotRun(LEAVING))
+
+    def _record_queue_timeout(self, pending: PendingCall) -> None:
+        """Count a nested call that got no slot before its deadline or cancellation."""
+        if pending.call.is_nested:
+            self._queue_timeouts.record_timeout(pending.call.rank, self._clock.now())
+
+    def _expire(self, now: Milliseconds) -> None:
+        """Expire calls past their deadline, and close connections idle for too long."""
+        for waiting in self._queue.expired(now):
+            self._record_queue_timeout(waiting.job)
+            waiting.job.reply(NotRun(EXPIRED))
+        late = [p for p in self._at_server if now >= p.deadline + _ANSWER_GRACE_MS]
+        for pending in late:
+            if pending.conn is not None:
+                # The connection may be dead. Idle connections that were last used
+                # before this call began are as doubtful, and are closed.
+                self._conns.close_unused(pending.conn)
+            self._abort(pending, MayHaveRun(EXPIRED))
+        self._conns.close_expired(now)
+
+    def _handle_unreachable(self, cause: BrokenStream) -> None:
+        """Record that the server accepted no connection, and publish its status."""
+        self._health.record_unreachable(self._clock.now())
+        self._event_log.event("backend-unreachable", cause=str(cause))
+        self._crashes.record_unreachable(cause)
+        self.changed()
+
+    def _running_fingerprints(self) -> frozenset[bytes]:
+        """Return the fingerprints of the requests that the server runs now."""
+        return frozenset(
+            pending.call.fingerprint
+            for pending in self._at_server
+            if pending.conn is not None and pending.conn.call is not None
+        )
+
+    def _record_outcome(self, pending: PendingCall, outcome: Outcome) -> None:
+        """Update service times and health of the server from an outcome."""
+        queue = self._queue
+        now = self._clock.now()
+        match outcome:
+            case Answered(status):
+                self._health.record_answer(now)
+                self.reports.record_answer(pending.call.fingerprint)
+                if status < 500:
+                    self.retry_budget.record_answered(pending.call.route, pending.calls)
+                failed = status >= 500 and not pending.failed_in_nested_call()
+            case NotRun(_, offered):
+                if not offered:
+                    return
+                failed = True
+            case MayHaveRun(reason):
+                if reason == CANCELLED:
+                    return
+                failed = reason != EXPIRED or not pending.failed_in_nested_call()
+        took = now - pending.started
+        weight = _SERVICE_MS_WEIGHT if queue.service_ms else 1.0
+        queue.service_ms += (took - queue.service_ms) * weight
+        if not failed:
+            self._n_long_term_samples += 1
+            weight = max(_LONG_TERM_WEIGHT, 1.0 / self._n_long_term_samples)
+            self._long_term_service_ms += (took - self._long_term_service_ms) * weight
+        self._health.record_outcome(failed, now)
+
+
+def _nothing() -> None:
+    """Ignore a change of the server's status."""
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_requests.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_requests.py
@@ -1,4 +1,4 @@
-"""Requests of a node for the configuration: reads, watches and probes."""
+"""Requests to the store for the configuration: reads, watches and probes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from fuchsiagap.core.clock import MS_PER_S
 from fuchsiagap_node.core.mesh.hedging import hedge
-from fuchsiagap_node.core.mesh.store import Probed, StoreFailed
+from fuchsiagap_node.core.mesh.store import ProbeReply, StoreFailed
 from fuchsiagap_node.core.mesh.store_probe import StoreProbe
 
 if TYPE_CHECKING:
@@ -19,31 +19,31 @@
     from fuchsiagap.core.clock import Clock, Milliseconds
     from fuchsiagap.core.freshness.store_timeouts import StoreTimeouts
     from fuchsiagap.core.freshness.store_view import Cursor, StoreView
-    from fuchsiagap_node.core.mesh.hedging import FirstAnswer
+    from fuchsiagap_node.core.mesh.event_log import EventLog
+    from fuchsiagap_node.core.mesh.hedging import FirstResponse
     from fuchsiagap_node.core.mesh.store import ConfigResult, ProbeResult, Store
-    from fuchsiagap_node.core.mesh.telling import Teller
     from fuchsiagap_node.core.mesh.watcher_role import WatcherRole
 
-# Milliseconds that one watch waits; each is one priced call. Probes tell meanwhile
-# whether the store answers.
+# Milliseconds that one watch waits. Each watch is one billed call; probes check
+# meanwhile whether the store still answers.
 _WATCH_MS = 25_000.0
-# Growth of the delay between hedged requests, of those that are not first.
-_GROWTH_OTHERS = 2.0
-# Share of the bound of revocations that a watch waits.
+# Factor by which the hedging delay grows per request, on nodes of lower watcher rank.
+_OTHERS_BACKOFF_FACTOR = 2.0
+# Length of a watch as a share of the revocation bound, where there is one.
 _WATCH_SHARE = 0.15
 
 
-class Request(Enum):
-    """What the store is asked, as its calls are counted."""
+class StoreRequest(Enum):
+    """Kinds of requests to the store; the values label the counter of calls."""
 
     READ = "config-read"
-    READ_OLDER = "config-read-older"
+    READ_STALE = "config-read-older"
     WATCH = "config-watch"
     PROBE = "probe"
 
 
 class _Cause(Enum):
-    """Why the store is asked for the configuration."""
+    """Reasons for requests to the store; the values label the counter of calls."""
 
     START = "start"
     WATCH = "watch"
@@ -52,7 +52,7 @@
 
 
 class ConfigRequests:
-    """Asks the store for the configuration, and notices when it does not answer.
+    """Requests the configuration from the store, and detects when it is unresponsive.
 
     Parameters
     ----------
@@ -61,34 +61,34 @@
     node : str
         This node.
     view : StoreView
-        What is known of the store.
+        Known state of the store: epoch, cursor, version.
     role : WatcherRole
-        Whether this node is to watch.
+        Decides whether this node is to watch.
     timeouts : StoreTimeouts
-        Waits for the store.
-    revocation : float or None
-        Bound of revocations in milliseconds; None for none.
+        Timeouts of requests to the store.
+    revocation_bound : float or None
+        Milliseconds within which a revoked key must be refused; None for no bound.
     clock : Clock
         Time in milliseconds.
     rng : random.Random
-        Spreads what nodes would do together.
-    teller : Teller
-        Logs and counters.
+        Spreads requests that nodes would otherwise send at the same moment.
+    event_log : EventLog
+        Receives events and counts of calls.
 
     Attributes
     ----------
     is_first_read : bool
-        Whether the store has not answered yet.
+        Whether the first read is still outstanding.
     answered_at : float
-        When the store last answered; at first, when this node started.
-    on_silence : callable
-        Told that the store does not answer.
-    on_answer : callable
-        Told that the store answers.
+        Time of the last answer of the store; initially the start of this node.
+    on_unresponsive : callable
+        Called when the store does not answer in time.
+    on_response : callable
+        Called when the store answers a probe.
     on_epoch : callable
-        Told that the view may have another epoch.
+        Called when the epoch in `view` may have changed.
     is_urgent : callable
-        Whether this node asks whoever else watches.
+        Returns whether this node has to ask the store although others watch it.
     """
 
     def __init__(
@@ -98,170 +98,201 @@
         view: StoreView,
         role: WatcherRole,
         timeouts: StoreTimeouts,
-        revocation: Milliseconds | None,
+        revocation_bound: Milliseconds | None,
         clock: Clock,
         rng: random.Random,
-        teller: Teller,
+        event_log: EventLog,
     ) -> None:
         self._store = store
         self._view = view
         self._role = role
-        self._probe = StoreProbe(store, node, timeouts, teller)
-        self._bound = revocation
+        self._probe = StoreProbe(store, node, timeouts, event_log)
+        self._revocation_bound = revocation_bound
         self._clock = clock
         self._rng = rng
-        self._tell = teller
+        self._event_log = event_log
         self._read_scope: trio.CancelScope | None = None
         self._watch_scope: trio.CancelScope | None = None
         self.is_first_read = True
         self.answered_at = clock.now()
-        self.on_silence: Callable[[], None] = _ignore
-        self.on_answer: Callable[[], None] = _ignore
+        self.on_unresponsive: Callable[[], None] = _ignore
+        self.on_response: Callable[[], None] = _ignore
         self.on_epoch: Callable[[], None] = _ignore
         self.is_urgent: Callable[[], bool] = _never
 
     @property
     def timeouts(self) -> StoreTimeouts:
-        """Waits for the store."""
+        """Timeouts of requests to the store."""
         return self._probe.timeouts
 
     @timeouts.setter
     def timeouts(self, timeouts: StoreTimeouts) -> None:
         self._probe.timeouts = timeouts
 
-    def end_first_read(self) -> None:
-        """Drop the first read, since another node has sent the configuration."""
+    def cancel_first_read(self) -> None:
+        """Cancel the first read once another node has sent the configuration."""
         if self.is_first_read and self._read_scope is not None:
             self._read_scope.cancel()
 
-    def doubt_watch(self, nursery: trio.Nursery) -> None:
-        """End a watch soon, unless it tells of a version which other nodes have."""
+    def cancel_watch_soon(self, nursery: trio.Nursery) -> None:
+        """Cancel the watch after the hedging delay, unless it ends before.
+
+        Another node has a version that the watch has not reported, so the store may
+        have dropped the watch.
+        """
         if self._watch_scope is not None:
-            nursery.start_soon(self._end_soon, self._watch_scope)
+            nursery.start_soon(self._cancel_after_hedge_delay, self._watch_scope)
 
-    async def _end_soon(self, scope: trio.CancelScope) -> None:
+    async def _cancel_after_hedge_delay(self, scope: trio.CancelScope) -> None:
         await trio.sleep(self.timeouts.hedge_delay / MS_PER_S)
         scope.cancel()
 
-    async def ask(self) -> tuple[Request, ConfigResult | Probed | None]:
-        """Read the configuration, or wait for the next one."""
+    async def fetch(self) -> tuple[StoreRequest, ConfigResult | ProbeReply | None]:
+        """Watch for the next configuration, or read it if there is no valid cursor.
+
+        A store that was unresponsive is probed first.
+
+        Returns
+        -------
+        StoreRequest
+            Kind of the request that was answered.
+        ConfigUpdate or HistoryCompacted or StoreFailed or ProbeReply or None
+            Its result; None if the first read was cancelled.
+        """
         store_age = self._clock.now() - self.answered_at
-        # A watch that a silent store drops would hide for long that it is back.
-        if self._role.is_lost or store_age > self.timeouts.probe_interval:
-            heard = await self._ask_probe()
-            if isinstance(heard.result, StoreFailed):
-                return Request.PROBE, heard.result
-            was_away = self._role.is_lost or heard.n_dropped > 0
-            self._note_answer(heard.result.epoch)
-            if was_away and await self._defer_to_others():
-                return Request.PROBE, heard.result
-            self._role.note_store_answer()
+        # An unresponsive store may drop a watch; its recovery would then go unnoticed
+        # until the watch times out. A probe detects it sooner.
+        if self._role.is_store_lost or store_age > self.timeouts.probe_interval:
+            response = await self._send_probe()
+            if isinstance(response.result, StoreFailed):
+                return StoreRequest.PROBE, response.result
+            was_unresponsive = self._role.is_store_lost or response.n_dropped > 0
+            self._handle_probe_reply(response.result.epoch)
+            if was_unresponsive and await self._defer_to_others():
+                return StoreRequest.PROBE, response.result
+            self._role.record_store_answer()
         while True:
             cursor = self._view.cursor
             if cursor is None or not self._view.can_watch(self._clock.now()):
                 return await self._read()
             result = await self._watch(cursor)
             if result is not None:
-                return Request.WATCH, result
-            self._tell.event(
+                return StoreRequest.WATCH, result
+            self._event_log.event(
                 "watch-restarted", what="configuration", base=cursor.revision
             )
 
     async def _defer_to_others(self) -> bool:
-        """Whether another node is to ask the store that answers again.
+        """Whether another node is to ask a store that answers again.
 
-        All notice at the same moment, and a node that has started meanwhile does not
-        know yet which of them is first.
+        All nodes notice the recovery at the same moment. A node that has just started
+        does not know its watcher rank yet, so it waits for a random part of the
+        hedging delay first.
         """
         if self.is_first_read:
             await trio.sleep(self._rng.random() * self.timeouts.hedge_delay / MS_PER_S)
         return self._role.defer_to_others()
 
-    async def _read(self) -> tuple[Request, ConfigResult | None]:
-        """Read the configuration; None if another node sent the first one meanwhile.
+    async def _read(self) -> tuple[StoreRequest, ConfigResult | None]:
+        """Read the configuration.
 
-        At its start a node takes one that may be seconds old, for a tenth of the price:
-        a newer one comes on the links, or with the first watch from this one on.
+        The result is None if another node sent the first configuration meanwhile. The
+        read at the start may return a configuration that is some seconds old, which
+        costs a tenth of a linearizable read: a newer version arrives on the links or
+        with the first watch.
         """
         if self._view.cursor is not None:
             cause = _Cause.TAKE_OVER
         else:
             cause = _Cause.START if self.is_first_read else _Cause.HISTORY_GONE
-        is_older = cause is _Cause.START and self._bound is None
-        request = Request.READ_OLDER if is_older else Request.READ
+        is_stale_read = cause is _Cause.START and self._revocation_bound is None
+        request = StoreRequest.READ_STALE if is_stale_read else StoreRequest.READ
 
-        async def ask() -> ConfigResult:
-            self._tell.store_call(request.value, cause.value)
-            return await self._store.read_config(recent=not is_older)
+        async def send_read() -> ConfigResult:
+            self._event_log.count_store_call(request.value, cause.value)
+            return await self._store.read_config(linearizable=not is_stale_read)
 
-        every = self.timeouts.hedge_delay
+        interval = self.timeouts.hedge_delay
         with trio.CancelScope() as self._read_scope:
-            heard = await hedge(ask, every, self.on_silence, self._growth)
-            return request, heard.result
+            response = await hedge(
+                send_read, interval, self.on_unresponsive, self._backoff_factor
+            )
+            return request, response.result
         return request, None
 
     async def _watch(self, cursor: Cursor) -> ConfigResult | None:
         """Wait for the next configuration as long as the store answers probes.
 
-        Returns None if the store may have dropped the watch, or has come back from a
-        copy.
+        Returns None if the store may have dropped the watch, or was restored from a
+        backup.
         """
         results: list[ConfigResult] = []
         async with trio.open_nursery() as nursery:
             self._watch_scope = nursery.cancel_scope
             nursery.start_soon(self._probe_until_lost, results, nursery.cancel_scope)
-            self._tell.store_call(Request.WATCH.value, _Cause.WATCH.value)
+            self._event_log.count_store_call(
+                StoreRequest.WATCH.value, _Cause.WATCH.value
+            )
             results.append(await self._store.watch_config(cursor, self._watch_ms()))
             nursery.cancel_scope.cancel()
         self._watch_scope = None
         return results[0] if results else None
 
     def _watch_ms(self) -> Milliseconds:
-        """Return how long a watch waits.
+        """Return the length of a watch in milliseconds.
 
-        Where revocations are bound, knowledge counts from the beginning of a watch.
+        Where there is a revocation bound, a watch confirms the configuration as of its
+        own beginning, so it must be short against the bound.
         """
-        return _WATCH_MS if self._bound is None else self._bound * _WATCH_SHARE
+        return (
+            _WATCH_MS
+            if self._revocation_bound is None
+            else self._revocation_bound * _WATCH_SHARE
+        )
 
     async def _probe_until_lost(
         self, results: list[ConfigResult], watch_scope: trio.CancelScope
     ) -> None:
-        """End a watch once the store is lost, may have dropped it, or has come back.
+        """Cancel the watch once the store is lost, has dropped it or was restored.
 
-        One change wakes all that watch; they do not probe at the same moments for that.
+        A change ends all watches at the same moment. The first wait is random, so that
+        the nodes do not probe at the same moments afterwards.
         """
         wait = self.timeouts.probe_interval * self._rng.random()
-        is_sound = True
-        while is_sound:
+        is_watch_valid = True
+        while is_watch_valid:
             await trio.sleep(wait / MS_PER_S)
             wait = self.timeouts.probe_interval
-            if not self._role.now().should_watch and not self.is_urgent():
+            if not self._role.current_rank().should_watch and not self.is_urgent():
                 continue
-            heard = await self._ask_probe()
-            if isinstance(heard.result, StoreFailed):
-                results.append(heard.result)
+            response = await self._send_probe()
+            if isinstance(response.result, StoreFailed):
+                results.append(response.result)
                 break
-            is_void = self._note_answer(heard.result.epoch)
-            self._role.note_store_answer()
-            is_sound = not is_void and not heard.n_dropped
+            is_cursor_invalid = self._handle_probe_reply(response.result.epoch)
+            self._role.record_store_answer()
+            is_watch_valid = not is_cursor_invalid and not response.n_dropped
         watch_scope.cancel()
 
-    async def _ask_probe(self) -> FirstAnswer[ProbeResult]:
-        return await self._probe.ask("liveness", self.on_silence, self._growth)
+    async def _send_probe(self) -> FirstResponse[ProbeResult]:
+        return await self._probe.send(
+            "liveness", self.on_unresponsive, self._backoff_factor
+        )
 
-    def _growth(self) -> float:
-        """Return how the delay between hedged requests grows.
+    def _backoff_factor(self) -> float:
+        """Return the factor by which the hedging delay grows per request.
 
-        The first nodes of the data centres notice a return for all.
+        The highest-ranked nodes of a data centre keep the delay constant, since they
+        detect the recovery of the store for all others.
         """
-        return 1.0 if self._role.is_first() else _GROWTH_OTHERS
+        return 1.0 if self._role.is_first() else _OTHERS_BACKOFF_FACTOR
 
-    def _note_answer(self, epoch: int) -> bool:
-        """Take in an answered probe; return whether the cursor is void by it."""
-        self.on_answer()
-        is_void = self._view.note_epoch(epoch, self._clock.now())
+    def _handle_probe_reply(self, epoch: int) -> bool:
+        """Record the epoch of a probe; return whether it invalidates the cursor."""
+        self.on_response()
+        is_cursor_invalid = self._view.note_epoch(epoch, self._clock.now())
         self.on_epoch()
-        return is_void
+        return is_cursor_invalid
 
 
 def _ignore() -> None:
@@ -269,5 +300,5 @@
 
 
 def _never() -> bool:
-    """Return that nothing is urgent."""
+    """Return False: no request is urgent."""
     return False
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_sync.py
@@ -1,4 +1,4 @@
-"""Keeps the configuration in force the newest, by the store and by other nodes."""
+"""Keeps the active configuration up to date from the store and from other nodes."""
 
 from __future__ import annotations
 
@@ -10,11 +10,16 @@
 from fuchsiagap.core.freshness.store_timeouts import timeouts_within
 from fuchsiagap.core.freshness.store_view import NO_EPOCH, Cursor, StoreView
 from fuchsiagap.core.watching.watcher_rank import UpdateSource
-from fuchsiagap_node.core.mesh.config_in_force import ConfigInForce
-from fuchsiagap_node.core.mesh.config_peers import ConfigPeers
-from fuchsiagap_node.core.mesh.config_requests import ConfigRequests, Request
+from fuchsiagap_node.core.mesh.active_config import ActiveConfig
+from fuchsiagap_node.core.mesh.config_requests import ConfigRequests, StoreRequest
+from fuchsiagap_node.core.mesh.peer_config_fetcher import PeerConfigFetcher
 from fuchsiagap_node.core.mesh.settings import Bounds
-from fuchsiagap_node.core.mesh.store import ConfigNews, HistoryGone, Probed, StoreFailed
+from fuchsiagap_node.core.mesh.store import (
+    ConfigUpdate,
+    HistoryCompacted,
+    ProbeReply,
+    StoreFailed,
+)
 from fuchsiagap_node.core.mesh.watcher_role import WatcherRole
 
 if TYPE_CHECKING:
@@ -22,28 +27,31 @@
     from collections.abc import Callable, Iterable
 
     from fuchsiagap.core.clock import Clock, Milliseconds
-    from fuchsiagap_node.core.mesh.messages import ConfigText
-    from fuchsiagap_node.core.mesh.sending import Member, SendingLink
+    from fuchsiagap_node.core.mesh.event_log import EventLog
+    from fuchsiagap_node.core.mesh.messages import EncodedConfig
+    from fuchsiagap_node.core.mesh.outbound_link import Member, OutboundLink
     from fuchsiagap_node.core.mesh.store import Store, StoredConfig
-    from fuchsiagap_node.core.mesh.telling import Teller
-
-# Milliseconds between two calls while the store fails, at first and at most, of those
-# that are not first in their data centre, and of all while one beside them watches.
-_RETRY_OTHERS_MS = 4_000.0
-_RETRY_MAX_MS = 8_000.0
-# Share of the bound of revocations for which a store that has come back from a copy
-# proves nothing, until what it lost is written again.
+
+# Milliseconds between two calls while the store fails, on nodes of lower watcher rank:
+# the step per failure, and the maximum. While another node of its data centre watches,
+# a node of any rank waits for the maximum.
+_OTHERS_RETRY_MS = 4_000.0
+_MAX_RETRY_MS = 8_000.0
+# Share of the revocation bound that must pass after the store was restored from a
+# backup before its answers confirm a version: until then, lost versions may not be
+# written again yet.
 _SETTLE_SHARE = 0.3
-# Shares of the bound of revocations: the age of a node's knowledge, drawn at random,
-# from which it asks the store by itself.
-_ASK_AT_SHARES = (0.45, 0.6)
-# Milliseconds between two updates of which nodes watch.
+# Staleness from which a node asks the store by itself, as a share of the revocation
+# bound. Drawn from this range, so that nodes that lose contact together do not ask
+# together.
+_ASK_STORE_AT_SHARES = (0.45, 0.6)
+# Milliseconds between two evaluations of whether this node watches.
 REFRESH_MS = 250.0
-_USUAL_BOUNDS = Bounds()
+_DEFAULT_BOUNDS = Bounds()
 
 
 class ConfigSync:
-    """Asks the store and other nodes for the configuration.
+    """Follows the configuration in the store, directly or through other nodes.
 
     Parameters
     ----------
@@ -51,48 +59,48 @@
         The platform's store.
     clock : Clock
         Time in milliseconds.
-    teller : Teller
-        Logs.
-    put_in_force : callable
-        Puts a configuration in force.
+    event_log : EventLog
+        Receives the events.
+    apply_config : callable
+        Called with each configuration that becomes active.
     own : Member
         This node.
     links : callable
         Returns the links to other nodes.
     rng : random.Random
-        Spreads whom of the others is asked, and when.
+        Chooses which node is asked, and spreads the times of requests.
     first_start : bool
         Whether the whole system starts for the first time.
     bounds : Bounds
-        Times within which changes and revocations have to be in force.
+        Times within which changes and revocations must take effect.
 
     Attributes
     ----------
-    in_force : ConfigInForce
-        The configuration in force.
+    active : ActiveConfig
+        The active configuration.
     changed : callable
-        Told that `update_source` or `epoch` has changed.
-    on_return : callable
-        Told that the store has come back from a copy, and may have lost what this node
-        wrote.
+        Called when `update_source` or `epoch` has changed.
+    on_store_restored : callable
+        Called when the store was restored from a backup, and may have lost what this
+        node wrote.
     """
 
     def __init__(
         self,
         store: Store,
         clock: Clock,
-        teller: Teller,
-        put_in_force: Callable[[StoredConfig], None],
+        event_log: EventLog,
+        apply_config: Callable[[StoredConfig], None],
         own: Member,
-        links: Callable[[], Iterable[SendingLink]],
+        links: Callable[[], Iterable[OutboundLink]],
         rng: random.Random,
         first_start: bool = False,
-        bounds: Bounds = _USUAL_BOUNDS,
+        bounds: Bounds = _DEFAULT_BOUNDS,
     ) -> None:
         self._store = store
-        self._bound = bounds.revocation
+        self._revocation_bound = bounds.revocation
         self._clock = clock
-        self._tell = teller
+        self._event_log = event_log
         self._rng = rng
         self._view = StoreView((bounds.revocation or 0.0) * _SETTLE_SHARE)
         self._role = WatcherRole(own, links, first_start, clock)
@@ -106,41 +114,40 @@
             bounds.revocation,
             clock,
             rng,
-            teller,
+            event_log,
         )
-        self._requests.on_silence = self._suspect_store
-        self._requests.on_answer = self._regain_store
+        self._requests.on_unresponsive = self._mark_store_unresponsive
+        self._requests.on_response = self._mark_store_available
         self._requests.on_epoch = self._announce_epoch
-        self._requests.is_urgent = self._is_too_old
-        self.in_force = ConfigInForce(clock, teller, put_in_force)
-        self._peers = ConfigPeers(
-            self.in_force,
+        self._requests.is_urgent = self._is_too_stale
+        self.active = ActiveConfig(clock, event_log, apply_config)
+        self._peer_fetcher = PeerConfigFetcher(
+            self.active,
             links,
             lambda: self.update_source is UpdateSource.STORE,
             rng,
-            teller,
+            event_log,
         )
-        # The highest epoch that this node or another one has told of.
+        # Highest epoch of the store that any node has reported.
         self._highest_epoch = NO_EPOCH
         self._requested_at: Milliseconds | None = None
-        # Those that have lost touch together do not ask together.
-        self._ask_at = rng.uniform(*_ASK_AT_SHARES)
+        self._ask_store_at_share = rng.uniform(*_ASK_STORE_AT_SHARES)
         self.changed: Callable[[], None] = _ignore
-        self.on_return: Callable[[], None] = _ignore
+        self.on_store_restored: Callable[[], None] = _ignore
 
     @property
     def update_source(self) -> UpdateSource:
-        """How this node hears of changes."""
+        """How this node learns of changes."""
         return self._role.update_source
 
     @property
     def epoch(self) -> int:
-        """Epoch of the store, as this node last heard from it; `NO_EPOCH` before."""
+        """Epoch in the last answer of the store to this node; `NO_EPOCH` before."""
         return self._view.epoch
 
     @property
     def revision(self) -> int:
-        """Revision of the store that this node watches from; 0 for none."""
+        """Revision of the store from which this node watches; 0 if there is none."""
         cursor = self._view.cursor
         return 0 if cursor is None else cursor.revision
 
@@ -152,192 +159,201 @@
 
     @property
     def request_age(self) -> Milliseconds:
-        """Milliseconds that the request under way waits for its answer; 0 for none."""
+        """Milliseconds since the pending store request was sent; 0 if there is none."""
         if self._requested_at is None:
             return 0.0
         return self._clock.now() - self._requested_at
 
     def adopt_bounds(self, bounds: Bounds) -> None:
-        """Follow a bound on changes that has been set anew."""
+        """Recompute the timeouts of store requests from `bounds.change`."""
         self._requests.timeouts = timeouts_within(bounds.change)
 
-    def serve_in(self, nursery: trio.Nursery) -> None:
-        """Let a nursery hold what asks other nodes."""
-        self._peers.nursery = nursery
+    def set_nursery(self, nursery: trio.Nursery) -> None:
+        """Set the nursery that runs requests to other nodes."""
+        self._peer_fetcher.nursery = nursery
 
-    def adopt_text(self, message: ConfigText, source: str) -> None:
+    def adopt_text(self, message: EncodedConfig, source: str) -> None:
         """Adopt a configuration that another node has sent."""
         cursor = Cursor(message.epoch, message.revision)
         stored = self._store.decode_config(cursor, message.text)
         if stored is None:
-            self._tell.event("config-unreadable", source=source)
+            self._event_log.event("config-unreadable", source=source)
             return
-        if not self.in_force.adopt(stored, source):
+        if not self.active.adopt(stored, source):
             return
         self._view.note_version(cursor, stored.config.version, self._clock.now())
-        self._requests.end_first_read()
-        if self._peers.nursery is not None:
-            self._requests.doubt_watch(self._peers.nursery)
+        self._requests.cancel_first_read()
+        if self._peer_fetcher.nursery is not None:
+            self._requests.cancel_watch_soon(self._peer_fetcher.nursery)
 
-    def handle_peer_status(self, link: SendingLink) -> None:
-        """Take in what another node has told of the configuration and the store."""
+    def handle_peer_status(self, link: OutboundLink) -> None:
+        """Process the version and the store epoch in the status of another node."""
         self._view.note_peer_epoch(link.epoch)
         self._observe_epoch(link.epoch)
-        self._peers.handle_status(link)
+        self._peer_fetcher.handle_status(link)
 
     def _observe_epoch(self, epoch: int) -> None:
-        """Take in an epoch of the store that this node or another one tells of."""
+        """Record a reported epoch; a higher one means that the store was restored."""
         if epoch <= self._highest_epoch:
             return
-        is_return = self._highest_epoch != NO_EPOCH
+        is_restored = self._highest_epoch != NO_EPOCH
         self._highest_epoch = epoch
-        if is_return:
-            self._tell.event("store-returned", epoch=epoch, own_epoch=self.epoch)
-            self.on_return()
+        if is_restored:
+            self._event_log.event("store-returned", epoch=epoch, own_epoch=self.epoch)
+            self.on_store_restored()
 
     def refresh(self) -> None:
-        """Update whether this node is to watch the store."""
-        self._role.refresh(self._is_too_old)
+        """Re-evaluate whether this node is to watch the store."""
+        self._role.refresh(self._is_too_stale)
 
-    def _is_too_old(self) -> bool:
-        """Whether the others have not told for long how old their knowledge is."""
-        if self._bound is None or not self._role.is_settled:
+    def _is_too_stale(self) -> bool:
+        """Whether the configuration is so stale that this node has to ask the store."""
+        if self._revocation_bound is None or not self._role.is_settled:
             return False
-        return self.in_force.knowledge_age > self._bound * self._ask_at
+        return self.active.staleness > self._revocation_bound * self._ask_store_at_share
 
     def _notify_changed(self) -> None:
         self.changed()
 
     async def run(self) -> None:
-        """Watch the store whenever this node is to, until cancelled."""
-        n_failed = n_gone = 0
+        """Watch the store whenever the watcher role requires it, until cancelled."""
+        n_failed = n_compacted = 0
         while True:
             if not self._requests.is_first_read or self._view.cursor is not None:
-                await self._role.wait(self._is_too_old)
+                await self._role.wait(self._is_too_stale)
             asked_at = self._requested_at = self._clock.now()
-            request, result = await self._requests.ask()
+            request, result = await self._requests.fetch()
             self._requested_at = None
             match result:
-                case ConfigNews():
+                case ConfigUpdate():
                     n_failed = 0
-                    if request is Request.WATCH:
-                        n_gone = 0
-                    self._handle_news(request, result, asked_at)
-                case Probed():
+                    if request is StoreRequest.WATCH:
+                        n_compacted = 0
+                    self._handle_update(request, result, asked_at)
+                case ProbeReply():
                     n_failed = 0
-                case HistoryGone():
-                    n_gone += 1
-                    self._lose_history()
-                    await trio.sleep(self._requests.timeouts.backoff(n_gone) / MS_PER_S)
+                case HistoryCompacted():
+                    n_compacted += 1
+                    self._drop_cursor()
+                    await trio.sleep(
+                        self._requests.timeouts.backoff(n_compacted) / MS_PER_S
+                    )
                 case StoreFailed(reason):
                     n_failed += 1
-                    self._lose_store(reason)
-                    # One that was silent has been waited for already.
-                    was_silent = (
+                    self._mark_store_lost(reason)
+                    # A request to an unresponsive store has waited while it was hedged.
+                    has_waited = (
                         self._clock.now() - asked_at
                         > self._requests.timeouts.hedge_delay
                     )
-                    await self._pause(n_failed, was_silent)
+                    await self._pause(n_failed, has_waited)
 
-    def _handle_news(
-        self, request: Request, news: ConfigNews, asked_at: Milliseconds
+    def _handle_update(
+        self, request: StoreRequest, update: ConfigUpdate, asked_at: Milliseconds
     ) -> None:
-        """Take in what the store has answered."""
-        self._regain_store()
+        """Process an answer: adopt its configuration, and confirm the active version.
+
+        The version is confirmed only if the answer proves that it is the newest.
+        """
+        self._mark_store_available()
         now = self._clock.now()
         self._requests.is_first_read = False
-        self._role.note_store_answer()
-        is_sound = self._note_place(request, news, now)
+        self._role.record_store_answer()
+        is_newest = self._record_cursor(request, update, now)
         self._announce_epoch()
-        if news.stored is not None:
-            self._check_order(news.stored, request)
-            self.in_force.adopt(news.stored, "store")
-        version = self.in_force.version
-        if is_sound and self._view.proves(version, asked_at):
-            self.in_force.confirm(version, asked_at)
-
-    def _regain_store(self) -> None:
-        """Note that the store answers."""
+        if update.stored is not None:
+            self._report_older_version(update.stored, request)
+            self.active.adopt(update.stored, "store")
+        version = self.active.version
+        if is_newest and self._view.proves(version, asked_at):
+            self.active.confirm(version, asked_at)
+
+    def _mark_store_available(self) -> None:
+        """Record that the store answers."""
         self._requests.answered_at = self._clock.now()
-        if self._role.is_lost:
-            self._tell.event("store-regained", what="configuration")
-        self._role.is_lost = False
+        if self._role.is_store_lost:
+            self._event_log.event("store-regained", what="configuration")
+        self._role.is_store_lost = False
 
-    def _note_place(
-        self, request: Request, news: ConfigNews, now: Milliseconds
+    def _record_cursor(
+        self, request: StoreRequest, update: ConfigUpdate, now: Milliseconds
     ) -> bool:
-        """Note where the store is; return whether this is its newest place."""
-        version = None if news.stored is None else news.stored.config.version
+        """Record the cursor of an answer; return whether it is the newest one."""
+        version = None if update.stored is None else update.stored.config.version
         match request:
-            case Request.WATCH:
-                return self._view.note_watch(news.cursor, version, now)
-            case Request.READ:
-                self._view.note_read(news.cursor, version or 0, now)
+            case StoreRequest.WATCH:
+                return self._view.note_watch(update.cursor, version, now)
+            case StoreRequest.READ:
+                self._view.note_read(update.cursor, version or 0, now)
                 return True
-            case Request.READ_OLDER:
-                self._view.note_older_read(news.cursor, version or 0, now)
+            case StoreRequest.READ_STALE:
+                self._view.note_older_read(update.cursor, version or 0, now)
         return False
 
     def _announce_epoch(self) -> None:
-        """Let others know of an epoch that this node has heard first."""
+        """Notify other nodes of an epoch that this node has learnt of first."""
         before = self._highest_epoch
         self._observe_epoch(self.epoch)
         if self._highest_epoch != before:
             self.changed()
 
-    def _check_order(self, stored: StoredConfig, request: Request) -> None:
-        """Tell of a store whose newest configuration is older than the one in force."""
-        is_older = stored.config.version < self.in_force.version
-        if is_older and request is not Request.READ_OLDER:
-            self._tell.event(
+    def _report_older_version(
+        self, stored: StoredConfig, request: StoreRequest
+    ) -> None:
+        """Log an event if the store holds an older version than the active one."""
+        is_older = stored.config.version < self.active.version
+        if is_older and request is not StoreRequest.READ_STALE:
+            self._event_log.event(
                 "store-behind",
                 version=stored.config.version,
-                in_force=self.in_force.version,
+                in_force=self.active.version,
                 epoch=stored.cursor.epoch,
                 revision=stored.cursor.revision,
             )
 
-    def _lose_history(self) -> None:
-        """Note that the changes since the cursor are gone."""
-        self._tell.event("history-gone", what="configuration", base=self.revision)
+    def _drop_cursor(self) -> None:
+        """Drop the cursor, since the store has compacted the history after it."""
+        self._event_log.event("history-gone", what="configuration", base=self.revision)
         self._view.drop_cursor()
 
-    def _lose_store(self, reason: str) -> None:
-        """Note that the store does not answer."""
-        if not self._role.is_lost:
-            self._tell.event("store-lost", what="configuration", cause=reason)
-        self._role.is_lost = True
+    def _mark_store_lost(self, reason: str) -> None:
+        """Record that the store does not answer, or failed a request."""
+        if not self._role.is_store_lost:
+            self._event_log.event("store-lost", what="configuration", cause=reason)
+        self._role.is_store_lost = True
         self._role.set_update_source(UpdateSource.NONE)
 
-    async def _pause(self, n_failed: int, was_silent: bool) -> None:
-        """Wait until the store that failed is to be asked again.
+    async def _pause(self, n_failed: int, has_waited: bool) -> None:
+        """Wait until a store that failed is to be asked again.
 
-        Whoever becomes first of its data centre meanwhile asks as soon as the first.
+        The wait is recomputed at intervals, so that a node that becomes the
+        highest-ranked one of its data centre meanwhile uses the wait of that rank.
         """
         started = self._clock.now()
         spread = self._rng.uniform(0.5, 1.0)
         while True:
-            wait = self._retry_after(n_failed, was_silent, spread)
+            wait = self._retry_after(n_failed, has_waited, spread)
             left = started + wait - self._clock.now()
             if left <= 0.0:
                 return
             await trio.sleep(min(left, REFRESH_MS) / MS_PER_S)
 
     def _retry_after(
-        self, n_failed: int, was_silent: bool, spread: float
+        self, n_failed: int, has_waited: bool, spread: float
     ) -> Milliseconds:
-        """Return how long to wait after some failures in a row.
+        """Return how long to wait after `n_failed` failures in a row.
 
-        A request to a silent store has been hedged already while it waited.
+        The highest-ranked nodes ask again at once if `has_waited`: the failed request
+        took longer than the hedging delay, so no further pause is needed.
         """
-        if self._role.now().others_watch:
-            return _RETRY_MAX_MS * spread
+        if self._role.current_rank().others_watch:
+            return _MAX_RETRY_MS * spread
         if self._role.is_first():
-            return 0.0 if was_silent else self._requests.timeouts.backoff(n_failed)
-        return min(_RETRY_OTHERS_MS * n_failed, _RETRY_MAX_MS) * spread
+            return 0.0 if has_waited else self._requests.timeouts.backoff(n_failed)
+        return min(_OTHERS_RETRY_MS * n_failed, _MAX_RETRY_MS) * spread
 
-    def _suspect_store(self) -> None:
-        self._lose_store("silent")
+    def _mark_store_unresponsive(self) -> None:
+        self._mark_store_lost("silent")
 
 
 def _ignore() -> None:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/entry.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/entry.py
@@ -1,11 +1,14 @@
-"""The entry: this node owns the requests that callers on its host send."""
+"""Entry of a request into the mesh: routing, authentication, admission and placement."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, Protocol
 
-from fuchsiagap_node.core.mesh.final import RETRY_AFTER_MS, Final
-from fuchsiagap_node.core.mesh.keyed_request import KeyedRequest
+from fuchsiagap_node.core.mesh.final_response import (
+    DEFAULT_RETRY_AFTER_MS,
+    FinalResponse,
+)
+from fuchsiagap_node.core.mesh.metered_request import MeteredRequest
 from fuchsiagap_node.core.mesh.over_quota import quota_refusal
 from fuchsiagap_node.core.mesh.placement import Placement
 
@@ -13,211 +16,222 @@
     from collections.abc import Callable
 
     from fuchsiagap.core.clock import Milliseconds
-    from fuchsiagap.core.pressure.evenly import CallerTurn
     from fuchsiagap.core.routes.model import Route
     from fuchsiagap.core.routes.table import RouteTable, ShareRotation
+    from fuchsiagap.core.shedding.fair_admission import CallerCredit
     from fuchsiagap.core.workspaces.model import Workspace
     from fuchsiagap_node.core.mesh.admission import Admission
+    from fuchsiagap_node.core.mesh.api_key_authenticator import ApiKeyAuthenticator
+    from fuchsiagap_node.core.mesh.event_log import EventLog
     from fuchsiagap_node.core.mesh.http_request import Request
-    from fuchsiagap_node.core.mesh.job import Job
-    from fuchsiagap_node.core.mesh.placement import OnFinal
-    from fuchsiagap_node.core.mesh.placing import Placing
-    from fuchsiagap_node.core.mesh.pressures import Pressures
-    from fuchsiagap_node.core.mesh.quotas import QuotaAnswer, Quotas
-    from fuchsiagap_node.core.mesh.telling import Teller
-    from fuchsiagap_node.core.mesh.workspace_check import WorkspaceCheck
+    from fuchsiagap_node.core.mesh.pending_call import PendingCall
+    from fuchsiagap_node.core.mesh.placement import OnFinalResponse
+    from fuchsiagap_node.core.mesh.placement_context import PlacementContext
+    from fuchsiagap_node.core.mesh.quotas import QuotaDecision, Quotas
+    from fuchsiagap_node.core.mesh.route_loads import RouteLoads
 
 
 class Cancellable(Protocol):
-    """A request in progress."""
+    """A request in progress that can be cancelled."""
 
     def cancel(self) -> None:
-        """Give it up: its caller has left."""
+        """Cancel the request because its caller disconnected."""
 
 
 class Entry:
-    """Finds the route of a request, refuses it or has it placed.
+    """Routes each request of a caller, then refuses it or starts its placement.
+
+    The node that takes a request from a caller owns it until it is answered.
 
     Parameters
     ----------
-    placing : Placing
-        Hands requests to backend servers.
-    pressures : Pressures
-        Told which calls the requests of a route make.
+    context : PlacementContext
+        Context of the placement of requests on backend servers.
+    route_loads : RouteLoads
+        Records which nested calls the requests of a route make.
     admission : Admission
-        What is refused at once.
+        Admission control of new requests.
     rotation : ShareRotation
-        Choice among the services of a route.
-    teller : Teller
-        Logs and counters.
-    check : WorkspaceCheck
-        Finds the workspace of a request.
+        Weighted choice among the services of a route.
+    event_log : EventLog
+        Event log and counters.
+    authenticator : ApiKeyAuthenticator
+        Authenticates the API key of a request and finds its workspace.
     quotas : Quotas
-        Requests that workspaces may make.
+        Request quotas of workspaces.
 
     Attributes
     ----------
     table : RouteTable or None
-        Routes in force; None until a configuration is known.
+        Active routes; None until a configuration is known.
     stopping : bool
-        Whether new requests are refused since the process is about to end.
+        Whether new requests are refused because the process is about to exit.
     parent_of : callable
-        Returns the request for which the backend server on this host makes a call.
+        Returns the running request of the backend server on this host that makes a
+        nested call, given the identifier of the call; None for a new request.
     """
 
     def __init__(
         self,
-        placing: Placing,
-        pressures: Pressures,
+        context: PlacementContext,
+        route_loads: RouteLoads,
         admission: Admission,
         rotation: ShareRotation,
-        teller: Teller,
-        check: WorkspaceCheck,
+        event_log: EventLog,
+        authenticator: ApiKeyAuthenticator,
         quotas: Quotas,
     ) -> None:
-        self._check = check
+        self._authenticator = authenticator
         self._quotas = quotas
-        self._placing = placing
-        self._pressures = pressures
+        self._context = context
+        self._route_loads = route_loads
         self._admission = admission
         self._rotation = rotation
-        self._tell = teller
+        self._event_log = event_log
         self.table: RouteTable | None = None
         self.stopping = False
-        self.parent_of: Callable[[str], Job | None] = _no_parent
+        self.parent_of: Callable[[str], PendingCall | None] = _no_parent
 
     def begin(
-        self, req: Request, done: OnFinal, turn: CallerTurn
+        self, req: Request, done: OnFinalResponse, turn: CallerCredit
     ) -> Cancellable | None:
-        """Refuse a request or begin to place it.
+        """Refuse a request or start its placement.
 
         Parameters
         ----------
         req : Request
             The request.
         done : callable
-            Told the final answer, once, now or later: the backend server's, or a
-            truthful word that there is none.
-        turn : CallerTurn
-            What its caller is owed.
+            Called once with the final response, before or after this method returns:
+            the response of the backend server, or an error that says whether the
+            request may have run.
+        turn : CallerCredit
+            Fair-admission credit of the caller's connection.
 
         Returns
         -------
         Cancellable or None
-            What is to be cancelled if the caller leaves; None if the answer is final
-            at once.
+            Handle to cancel the request if the caller disconnects; None if the final
+            response was already delivered.
         """
         table = self.table
         if table is None:
-            done(Final(503, retry_after=RETRY_AFTER_MS))
+            done(FinalResponse(503, retry_after=DEFAULT_RETRY_AFTER_MS))
             return None
         path = req.target.partition(b"?")[0].decode("latin-1")
         route = table.find(req.host, path)
         if route is None:
-            self._tell.event("no-route", request=req.request_id, host=req.host)
-            done(Final(404))
+            self._event_log.event("no-route", request=req.request_id, host=req.host)
+            done(FinalResponse(404))
             return None
         parent = self.parent_of(req.request_id)
         if parent is not None and (route.public or table.keys is None):
-            return self._place(req, route, parent, done)
-        caller = self._check.identify(req, route, table)
-        if isinstance(caller, Final):
+            return self._place_nested_call(req, route, parent, done)
+        caller = self._authenticator.authenticate(req, route, table)
+        if isinstance(caller, FinalResponse):
             done(caller)
             return None
         if caller is None:
             return self._admit(req, table.ranked(route, None), done, turn)
         ranked = table.ranked(route, caller.priority)
-        keyed = KeyedRequest(self, caller, req, ranked, done, turn)
-        return keyed if keyed.start(self._quotas) else None
+        metered = MeteredRequest(self, caller, req, ranked, done, turn)
+        return metered if metered.start(self._quotas) else None
 
     def _admit(
         self,
         req: Request,
         route: Route,
-        done: OnFinal,
-        turn: CallerTurn,
+        done: OnFinalResponse,
+        turn: CallerCredit,
         workspace: Workspace | None = None,
         waited: Milliseconds = 0.0,
     ) -> Placement | None:
-        """Refuse a new request for which there is no room, or begin to place it."""
+        """Apply admission control to a new request and start its placement."""
         service = self._rotation.pick(route)
         refusal = self._refusal(req, route, service, turn)
         if refusal is not None:
             done(refusal)
             return None
         placement = Placement(
-            self._placing, req, route, service, None, done, workspace, waited
+            self._context, req, route, service, None, done, workspace, waited
         )
         placement.start()
         return placement
 
-    def _place(
-        self, req: Request, route: Route, parent: Job, done: OnFinal
+    def _place_nested_call(
+        self, req: Request, route: Route, parent: PendingCall, done: OnFinalResponse
     ) -> Placement:
-        """Begin to place a call of the backend server."""
+        """Start the placement of a nested call of the local backend server."""
         service = self._rotation.pick(route)
-        self._pressures.note_call(parent.call.route, service, route.name)
-        placement = Placement(self._placing, req, route, service, parent, done)
+        self._route_loads.record_nested_call(parent.call.route, service, route.name)
+        placement = Placement(self._context, req, route, service, parent, done)
         placement.start()
         return placement
 
-    def within_quota(
-        self, keyed: KeyedRequest, done: OnFinal, waited: Milliseconds
+    def admit_within_quota(
+        self, metered: MeteredRequest, done: OnFinalResponse, waited: Milliseconds
     ) -> Placement | None:
-        """Go on with a request that has its token."""
+        """Continue with a request that has received its quota token."""
         try:
             return self._admit(
-                keyed.req, keyed.route, done, keyed.turn, keyed.workspace, waited
+                metered.req,
+                metered.route,
+                done,
+                metered.turn,
+                metered.workspace,
+                waited,
             )
         except Exception as exc:
-            self._tell.fault("entry", exc)
-            done(Final(502))
+            self._event_log.log_exception("entry", exc)
+            done(FinalResponse(502))
             return None
 
-    def over_quota(self, keyed: KeyedRequest, answer: QuotaAnswer) -> Final:
-        """Return what the caller gets whose workspace has no token."""
-        route = keyed.route.name
-        cause = answer.verdict.value
-        refusal = quota_refusal(answer)
+    def refuse_over_quota(
+        self, metered: MeteredRequest, decision: QuotaDecision
+    ) -> FinalResponse:
+        """Return the response to a request whose workspace has no quota token."""
+        route = metered.route.name
+        cause = decision.verdict.value
+        refusal = quota_refusal(decision)
         assert refusal is not None
-        self._tell.counts["quota_refused", cause] += 1
-        self._tell.answered(route, str(refusal.status), 0.0)
-        self._tell.event(
+        self._event_log.counts["quota_refused", cause] += 1
+        self._event_log.count_outcome(route, str(refusal.status), 0.0)
+        self._event_log.event(
             "quota-refused",
-            request=keyed.req.request_id,
+            request=metered.req.request_id,
             route=route,
-            workspace=keyed.workspace.name,
+            workspace=metered.workspace.name,
             cause=cause,
             retry_after=round(refusal.retry_after),
         )
         return refusal
 
     def now(self) -> Milliseconds:
-        """Return the time."""
-        return self._placing.clock.now()
+        """Return the current time."""
+        return self._context.clock.now()
 
     def _refusal(
-        self, req: Request, route: Route, service: str, turn: CallerTurn
-    ) -> Final | None:
-        """Return the refusal of a new request for which there is no room."""
+        self, req: Request, route: Route, service: str, turn: CallerCredit
+    ) -> FinalResponse | None:
+        """Return the refusal of a new request, or None if it is admitted."""
         if self.stopping:
-            return Final(503, retry_after=RETRY_AFTER_MS)
+            return FinalResponse(503, retry_after=DEFAULT_RETRY_AFTER_MS)
         share = self._admission.admitted_share(service, route)
         if self._admission.admits(route, share, turn):
             return None
-        self._placing.served.note_refused(route.name, self._placing.clock.now())
+        self._context.served.record_refused(route.name, self._context.clock.now())
         retry_after = self._admission.retry_after(route)
-        self._tell.answered(route.name, "refused", 0.0)
-        self._tell.counts["refused_at_entry", f"rank-{route.priority}"] += 1
-        self._tell.event(
+        self._event_log.count_outcome(route.name, "refused", 0.0)
+        self._event_log.counts["refused_at_entry", f"rank-{route.priority}"] += 1
+        self._event_log.event(
             "refused",
             request=req.request_id,
             route=route.name,
             share=round(share, 2),
             retry_after=round(retry_after),
         )
-        return Final(503, retry_after=retry_after)
+        return FinalResponse(503, retry_after=retry_after)
 
 
 def _no_parent(_: str) -> None:
-    """Return that a request is no call."""
+    """Treat every request as a new one."""
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/http_call.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/http_client.py
@@ -1,4 +1,4 @@
-"""HTTP calls beside the path, on a connection that is kept between two of them."""
+"""HTTP client for calls outside the request path, with one kept-alive connection."""
 
 from __future__ import annotations
 
@@ -7,23 +7,24 @@
 import trio
 
 from fuchsiagap.core.clock import MS_PER_S
-from fuchsiagap_node.core.mesh.http_answer import AnswerReader, BadAnswer
+from fuchsiagap_node.core.mesh.http_response import BadResponse, ResponseReader
 from fuchsiagap_node.core.mesh.stream import BrokenStream, Stream, dial
 
 if TYPE_CHECKING:
     from fuchsiagap.core.clock import Milliseconds
-    from fuchsiagap_node.core.mesh.http_answer import Answer
     from fuchsiagap_node.core.mesh.http_names import HeaderNames
+    from fuchsiagap_node.core.mesh.http_response import Response
 
-_DIAL_MS = 1_000.0
+# Milliseconds to open a connection.
+_CONNECT_TIMEOUT_MS = 1_000.0
 
 
 class CallFailed(Exception):
-    """No whole answer came; the call may have taken effect."""
+    """No complete response arrived; the call may have taken effect."""
 
 
-class HttpCaller:
-    """A client for one server; calls at the same time use connections of their own.
+class HttpClient:
+    """Client of one server; concurrent calls use separate connections.
 
     Parameters
     ----------
@@ -40,74 +41,74 @@
 
     async def call(
         self, method: str, target: str, body: bytes, wait: Milliseconds
-    ) -> Answer:
-        """Send a request and return its answer.
+    ) -> Response:
+        """Send a request and return its response.
 
         Parameters
         ----------
         method, target : str
-            Method and target.
+            Method and request target.
         body : bytes
-            JSON body, or nothing.
+            JSON body; may be empty.
         wait : float
-            Milliseconds until it is given up.
+            Timeout of the call in milliseconds.
 
         Raises
         ------
         CallFailed
-            Without a whole answer in time.
+            If no complete response arrives in time.
         """
         with trio.move_on_after(wait / MS_PER_S):
             try:
                 return await self._call(method, target, body)
-            except (BrokenStream, BadAnswer) as exc:
+            except (BrokenStream, BadResponse) as exc:
                 raise CallFailed(f"{method} {target}: {exc}") from exc
         raise CallFailed(f"{method} {target}: no answer within {wait:.0f} ms")
 
-    async def _call(self, method: str, target: str, body: bytes) -> Answer:
+    async def _call(self, method: str, target: str, body: bytes) -> Response:
         stream = await self._connect()
         is_reusable = False
         try:
-            answer = await self._exchange(stream, method, target, body)
-            is_reusable = answer.keep_alive and self._idle is None
+            response = await self._exchange(stream, method, target, body)
+            is_reusable = response.keep_alive and self._idle is None
         finally:
             if is_reusable:
                 self._idle = stream
             else:
                 stream.close()
-        return answer
+        return response
 
     async def _connect(self) -> Stream:
-        """Return a connection on which nothing is under way."""
+        """Return the idle connection if it is reusable, or a new one."""
         stream, self._idle = self._idle, None
-        if stream is not None and stream.is_quiet():
+        if stream is not None and stream.is_reusable():
             return stream
         if stream is not None:
             stream.close()
-        stream = await dial(self._address, _DIAL_MS)
-        stream.probe_when_silent()
+        stream = await dial(self._address, _CONNECT_TIMEOUT_MS)
+        stream.enable_keepalive()
         return stream
 
     async def _exchange(
         self, stream: Stream, method: str, target: str, body: bytes
-    ) -> Answer:
+    ) -> Response:
         lines = [f"{method} {target} HTTP/1.1", f"Host: {self._address}"]
         if body:
             lines.append("Content-Type: application/json")
         if body or method in ("POST", "PUT"):
             lines.append(f"Content-Length: {len(body)}")
         await stream.send("\r\n".join([*lines, "", ""]).encode() + body)
-        reader = AnswerReader(self._names)
+        reader = ResponseReader(self._names)
         while True:
             data = await stream.receive()
-            answers = reader.feed(data) if data else reader.end()
-            if answers:
-                return answers[0]
+            responses = reader.feed(data) if data else reader.end()
+            if responses:
+                return responses[0]
             if not data:
-                raise BadAnswer("the connection ended without an answer")
+                raise BadResponse("connection closed before a response")
 
     def close(self) -> None:
-        """Close the connection that is kept, if there is one."""
+        """Close the idle connection, if there is one."""
         if self._idle is not None:
             self._idle.close()
             self._idle = None
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/placement.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/placement.py
@@ -1,9 +1,8 @@
-"""The way of one request to one backend server after the other.
+"""Dispatch of one request to backend servers, with retries, until its final response.
 
-A placement has no task: whoever brings the reply to its call, a link or the door on
-this host, runs its next step. A task for each request, woken by an event for each
-reply, took 380 us of processor time a request over two nodes where this takes 277 us
-(`bench_path`, with the same change at the door).
+A placement has no task of its own: the link or local queue that delivers the reply to a
+call runs the next step. This takes 277 us of CPU time per request over two nodes,
+against 380 us with a task per request that each reply wakes.
 """
 
 from __future__ import annotations
@@ -11,7 +10,12 @@
 from typing import TYPE_CHECKING
 
 from fuchsiagap.core.quarantine.fingerprint import fingerprint
-from fuchsiagap_node.core.mesh.final import PROMISES, RETRY_AFTER_MS, Final
+from fuchsiagap_node.core.mesh.event_log import SAMPLE_ANSWERED
+from fuchsiagap_node.core.mesh.final_response import (
+    DEFAULT_RETRY_AFTER_MS,
+    NOT_RUN_STATUSES,
+    FinalResponse,
+)
 from fuchsiagap_node.core.mesh.messages import Call
 from fuchsiagap_node.core.mesh.outcome import (
     EXPIRED,
@@ -24,7 +28,6 @@
     NotRun,
     Outcome,
 )
-from fuchsiagap_node.core.mesh.telling import SAMPLE_ANSWERED
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -34,80 +37,82 @@
     from fuchsiagap.core.routes.model import Route
     from fuchsiagap.core.workspaces.model import Workspace
     from fuchsiagap_node.core.mesh.http_request import Request
-    from fuchsiagap_node.core.mesh.job import Job
-    from fuchsiagap_node.core.mesh.messages import Below
+    from fuchsiagap_node.core.mesh.messages import DownstreamSummary
     from fuchsiagap_node.core.mesh.peers import Peer
-    from fuchsiagap_node.core.mesh.placing import Placing
-
-    # Told the final answer, once.
-    OnFinal: TypeAlias = Callable[[Final], None]
-
-# Milliseconds past the caller's deadline for which an answer that is on its way is
-# still awaited.
-_LAST_WORD_MS = 120.0
-# Share of the latency objective for which a request may wait for a backend server
-# before it is refused; a later refusal is no help to its caller.
-_LOOK_SHARE = 0.2
-# Times that a request is sent to a door, at most. Where the servers of a service refuse
-# half of what they get, six tries answer 98 of 100 calls, and with them 88 of 100 trees
-# that need eight; two tries answer 75, and 10.
+    from fuchsiagap_node.core.mesh.pending_call import PendingCall
+    from fuchsiagap_node.core.mesh.placement_context import PlacementContext
+
+    # Called once with the final response.
+    OnFinalResponse: TypeAlias = Callable[[FinalResponse], None]
+
+# Milliseconds past the caller's deadline for which an answer in transit is still
+# awaited.
+_ANSWER_GRACE_MS = 120.0
+# Share of the latency objective for which a request may wait for a usable backend
+# server before it is refused. A later refusal would leave its caller no time to retry.
+_MAX_SEARCH_SHARE = 0.2
+# Maximum number of times that a request is sent to a backend queue. Where the servers
+# of a service refuse half of their requests, six tries answer 98 of 100 calls and 88 of
+# 100 call trees of eight calls; two tries answer 75 of 100 calls and 10 of 100 such
+# trees.
 _MAX_PLACEMENTS = 6
-# Doors that are asked to pay for a repeat, at most: where one cannot, others mostly
-# cannot either, and each asking is a message both ways.
-_MOST_DENIALS = 2
-# Reasons that tell of the way to the servers, not of them.
-_UNREACHED = frozenset({NO_BACKEND, LINK_LOST})
+# Maximum number of backend queues that are asked for retry budget. If one has none
+# left, the others mostly have none either, and each attempt costs a round trip.
+_MAX_BUDGET_DENIALS = 2
+# Reasons that concern the network path to the servers rather than the servers.
+_UNREACHED_REASONS = frozenset({NO_BACKEND, LINK_LOST})
 
 
 class Placement:
-    """One request until its final answer.
+    """Places one request at a backend server and retries it as needed.
 
     Parameters
     ----------
-    placing : Placing
-        What all requests of the node share.
+    context : PlacementContext
+        State shared by all placements of the node.
     req : Request
         The request.
     route : Route
         Its route.
     service : str
-        Service that is to answer it.
-    parent : Job or None
-        The request for which the backend server on this host makes it.
+        Service to which it is sent.
+    parent : PendingCall or None
+        Request of the backend server on this host that makes it as a nested call; None
+        if it comes from a caller.
     done : callable
-        Told the final answer, once, unless the request is cancelled.
+        Called once with the final response, unless the request is cancelled.
     workspace : Workspace or None, default=None
-        Whose request it is.
+        Workspace of the caller.
     waited : float, default=0
-        Milliseconds for which it has waited at this node.
+        Milliseconds for which it has already waited at this node.
 
     Attributes
     ----------
     wakes_at : float
-        Local time from which `wake` does something.
+        Local time in milliseconds at which `wake` is due.
     """
 
     __slots__ = (
         "_arrivals",
         "_call",
+        "_context",
         "_deadline",
         "_denials",
         "_done",
         "_due",
-        "_failed_below",
+        "_failed_in_nested_call",
         "_fingerprint",
         "_is_quarantined",
         "_last",
-        "_lot",
         "_may_have_run",
         "_offered_to",
-        "_parent",
-        "_parent_job",
+        "_parent_call",
         "_peer",
+        "_pending_parent",
         "_placements",
-        "_placing",
         "_req",
         "_route",
+        "_sampling_key",
         "_service",
         "_started",
         "_tried",
@@ -117,24 +122,24 @@
 
     def __init__(
         self,
-        placing: Placing,
+        context: PlacementContext,
         req: Request,
         route: Route,
         service: str,
-        parent: Job | None,
-        done: OnFinal,
+        parent: PendingCall | None,
+        done: OnFinalResponse,
         workspace: Workspace | None = None,
         waited: Milliseconds = 0.0,
     ) -> None:
         self._workspace = workspace
-        self._placing = placing
+        self._context = context
         self._req = req
         self._route = route
         self._service = service
-        self._parent = None if parent is None else parent.call
-        self._parent_job = parent
+        self._parent_call = None if parent is None else parent.call
+        self._pending_parent = parent
         self._done = done
-        self._started = placing.clock.now() - waited
+        self._started = context.clock.now() - waited
         wait = route.timeout if req.wait is None else min(route.timeout, req.wait)
         self._deadline = self._started + wait
         own_due = self._started + route.objective
@@ -142,12 +147,14 @@
         self._fingerprint = fingerprint(
             req.method, req.host, req.target, req.identity, req.body
         )
-        self._lot = placing.draw_lot() if parent is None else parent.call.lot
+        self._sampling_key = (
+            context.draw_sampling_key() if parent is None else parent.call.sampling_key
+        )
         self._arrivals = 0
         self._denials = 0
         self._placements = 0
         self._may_have_run = False
-        self._failed_below = False
+        self._failed_in_nested_call = False
         self._is_quarantined = False
         self._tried: list[str] = []
         self._offered_to: set[str] = set()
@@ -157,98 +164,99 @@
         self.wakes_at = float("inf")
 
     def start(self) -> None:
-        """Send the request to a first backend server."""
-        self._placing.in_progress[self] = None
-        if self._parent_job is not None:
-            self._parent_job.open_calls += 1
+        """Send the request to its first backend server."""
+        self._context.in_progress[self] = None
+        if self._pending_parent is not None:
+            self._pending_parent.open_calls += 1
         try:
             self._place()
         except Exception as exc:
-            self._fail(exc)
+            self._handle_fault(exc)
 
     def cancel(self) -> None:
-        """Give the request up: its caller has left."""
-        if self._placing.in_progress.pop(self, 0) is None:
-            self._tell_parent(failed=True)
-        self._withdraw()
+        """Cancel the request, as its caller has disconnected."""
+        # The value of each entry is None; 0 stands for no entry.
+        if self._context.in_progress.pop(self, 0) is None:
+            self._notify_parent(failed=True)
+        self._cancel_call()
 
     def _has_reached_a_server(self) -> bool:
-        """Whether the last word came from where a server is, or this host is cut off.
+        """Whether the last outcome came from a server's node, not the network path.
 
-        A host that reaches none fails whatever runs on it: its callers are to see that,
-        go elsewhere and refuse what comes to nothing.
+        A host without a path to a service fails the requests that need it. These
+        failures count as its own, so that its callers send requests elsewhere.
         """
         last = self._last
-        return isinstance(last, Answered) or last.reason not in _UNREACHED
+        return isinstance(last, Answered) or last.reason not in _UNREACHED_REASONS
 
-    def _tell_parent(self, failed: bool) -> None:
-        """Note at the request that makes this call how the call ended."""
-        parent = self._parent_job
+    def _notify_parent(self, failed: bool) -> None:
+        """Record at the request that made this call how the call ended."""
+        parent = self._pending_parent
         if parent is not None:
             parent.open_calls -= 1
             parent.call_failed |= failed
 
-    def _withdraw(self) -> None:
+    def _cancel_call(self) -> None:
         peer, call = self._peer, self._call
         self._peer = self._call = None
         if peer is not None and call is not None:
             peer.cancel(call.call_id)
 
     def wake(self) -> None:
-        """Give up an overdue reply, or look again for a backend server."""
+        """Expire an overdue call, or search again for a backend server."""
         try:
             if self._call is None:
                 self._place()
                 return
-            self._withdraw()
-            self._take_outcome(MayHaveRun(EXPIRED))
+            self._cancel_call()
+            self._handle_outcome(MayHaveRun(EXPIRED))
         except Exception as exc:
-            self._fail(exc)
+            self._handle_fault(exc)
 
-    def _fail(self, exc: Exception) -> None:
-        """Answer a request whose step ended by an exception nobody expected."""
-        self._placing.tell.fault("placement", exc)
-        self._finish(Final(502))
+    def _handle_fault(self, exc: Exception) -> None:
+        """Answer a request after an unexpected exception."""
+        self._context.event_log.log_exception("placement", exc)
+        self._finish(FinalResponse(502))
 
     def _place(self) -> None:
-        """Send the request to the next backend server, if there is one."""
-        placing = self._placing
-        if not placing.reports.may_be_sent(self._fingerprint):
-            self._give_up_quarantined()
+        """Send the request to the next backend server, or wait until one is usable."""
+        context = self._context
+        if not context.reports.may_be_sent(self._fingerprint):
+            self._refuse_quarantined()
             return
-        used_up = len(self._offered_to) >= self._route.max_attempts
-        only = self._offered_to if used_up else None
-        peer = placing.choose(self._service, self._route.name, self._tried, only)
+        is_out_of_attempts = len(self._offered_to) >= self._route.max_attempts
+        only = self._offered_to if is_out_of_attempts else None
+        peer = context.choose(self._service, self._route.name, self._tried, only)
         if peer is None:
-            patience = self._started + _LOOK_SHARE * self._route.objective
-            now = placing.clock.now()
-            if now >= min(self._deadline, patience):
-                self._give_up()
+            search_until = self._started + _MAX_SEARCH_SHARE * self._route.objective
+            now = context.clock.now()
+            if now >= min(self._deadline, search_until):
+                self._finish_unanswered()
             else:
                 self.wakes_at = now
             return
         self._placements += 1
         self._peer = peer
         self._call = call = self._new_call(peer)
-        self.wakes_at = self._deadline + _LAST_WORD_MS
-        peer.send(call, self._take_reply)
+        self.wakes_at = self._deadline + _ANSWER_GRACE_MS
+        peer.send(call, self._handle_reply)
 
     def _new_call(self, peer: Peer) -> Call:
-        placing, req, route = self._placing, self._req, self._route
-        parent = self._parent
+        context, req, route = self._context, self._req, self._route
+        parent = self._parent_call
         instance = peer.target.instance
-        now = placing.clock.now()
+        now = context.clock.now()
         head = b"%s %s HTTP/1.1\r\n%s%s%s%s: %s\r\n" % (
             req.method,
             req.target,
             req.headers,
-            placing.caller_line,
-            placing.workspace_line(self._workspace),
-            placing.target_name,
+            context.caller_line,
+            context.workspace_line(self._workspace),
+            context.target_name,
             instance.encode(),
         )
         return Call(
-            placing.next_id(),
+            context.next_id(),
             instance,
             head,
             req.body,
@@ -256,141 +264,143 @@
             round(self._due - now),
             route.priority if parent is None else parent.rank,
             parent is not None,
-            self._arrivals > 0 or (parent is not None and parent.repeated),
+            self._arrivals > 0 or (parent is not None and parent.in_retried_tree),
             self._arrivals > 0,
-            self._lot,
+            self._sampling_key,
             route.idempotent,
             req.request_id,
             route.name,
             self._fingerprint,
         )
 
-    def _take_reply(self, outcome: Outcome, below: Below) -> None:
-        """Take the outcome of the call; a fault here must not end the link's task."""
+    def _handle_reply(self, outcome: Outcome, below: DownstreamSummary) -> None:
+        """Handle the reply to the call; exceptions must not end the link's task."""
         call, peer = self._call, self._peer
         if call is None or peer is None:
             return
         self._peer = self._call = None
-        if self._parent_job is not None:
-            self._parent_job.calls += 1 + below.calls
-        self._failed_below = below.failed
+        if self._pending_parent is not None:
+            self._pending_parent.calls += 1 + below.calls
+        self._failed_in_nested_call = below.failed
         try:
             if isinstance(outcome, Answered):
                 route = self._route.name
-                self._placing.pressures.note_reply(self._service, route, below)
+                self._context.route_loads.record_reply(self._service, route, below)
                 sent = len(call.head) + len(call.body)
                 received = len(outcome.headers) + len(outcome.body)
-                self._placing.note_bytes(route, sent + received)
-                self._placing.reports.record_answer(self._fingerprint)
+                self._context.record_bytes(route, sent + received)
+                self._context.reports.record_answer(self._fingerprint)
             elif isinstance(outcome, MayHaveRun) and outcome.reason == LINK_LOST:
                 node = peer.target.node
-                self._placing.reports.record_lost_link(
+                self._context.reports.record_lost_link(
                     node, call.instance, self._fingerprint
                 )
             self._tried.append(call.instance)
             if not isinstance(outcome, NotRun) or outcome.offered:
                 self._offered_to.add(call.instance)
-            self._take_outcome(outcome)
+            self._handle_outcome(outcome)
         except Exception as exc:
-            self._fail(exc)
+            self._handle_fault(exc)
 
-    def _take_outcome(self, outcome: Outcome) -> None:
-        """Finish with an outcome, or go on to another backend server."""
+    def _handle_outcome(self, outcome: Outcome) -> None:
+        """Finish with an outcome, or retry at another backend server."""
         if isinstance(outcome, NotRun) and outcome.reason == NO_BUDGET:
-            self._take_denial(outcome)
+            self._handle_budget_denial(outcome)
             return
         if isinstance(outcome, NotRun) and outcome.reason == QUARANTINED:
-            self._give_up_quarantined()
+            self._refuse_quarantined()
             return
         self._last = outcome
-        if isinstance(outcome, Answered) and not self._wants_repeat(outcome):
-            self._answer(outcome)
+        if isinstance(outcome, Answered) and not self._should_retry_answer(outcome):
+            self._finish_answered(outcome)
             return
         is_arrival = not isinstance(outcome, NotRun) or outcome.offered
         self._arrivals += is_arrival
         if not isinstance(outcome, NotRun):
             self._may_have_run = True
-        if not self._may_repeat(outcome):
-            self._give_up()
+        if not self._can_retry(outcome):
+            self._finish_unanswered()
         else:
             self._place()
 
-    def _give_up_quarantined(self) -> None:
-        """Finish a request that no server may run.
+    def _refuse_quarantined(self) -> None:
+        """Refuse a request that is quarantined because it crashes servers.
 
-        What a try before led to is told as it was; the wait is how long others are kept
-        from servers too, so that a caller who heeds it crashes none.
+        If an earlier attempt may have run, its outcome is reported instead. The
+        retry-after time is the rest of the hold, so that a caller that respects it
+        crashes no further server.
         """
-        reports = self._placing.reports
+        reports = self._context.reports
         reports.record_refusal(self._fingerprint, self._req.request_id)
         self._is_quarantined = True
         if self._may_have_run:
-            self._give_up()
+            self._finish_unanswered()
             return
         self._last = NotRun(QUARANTINED)
         wait = reports.quarantine.retry_after(self._fingerprint)
-        self._finish(Final(503, retry_after=max(wait, RETRY_AFTER_MS)))
+        self._finish(FinalResponse(503, retry_after=max(wait, DEFAULT_RETRY_AFTER_MS)))
 
-    def _take_denial(self, outcome: NotRun) -> None:
-        """Ask another door for a repeat, or finish with what came before."""
+    def _handle_budget_denial(self, outcome: NotRun) -> None:
+        """Ask another backend queue for a retry, or finish with the last outcome."""
         self._denials += 1
-        if self._denials < _MOST_DENIALS and self._may_repeat(outcome):
+        if self._denials < _MAX_BUDGET_DENIALS and self._can_retry(outcome):
             self._place()
             return
-        self._placing.tell.event("no-retry-budget", request=self._req.request_id)
-        self._give_up()
+        self._context.event_log.event("no-retry-budget", request=self._req.request_id)
+        self._finish_unanswered()
 
-    def _wants_repeat(self, outcome: Answered) -> bool:
-        """Whether another backend server may do better than this answer.
+    def _should_retry_answer(self, outcome: Answered) -> bool:
+        """Whether another backend server may give a better answer than this one.
 
-        Not where the server failed with a call of its own: that was repeated where it
-        failed, as far as the budget goes, and each hop above would repeat the whole of
-        its tree, out of the same budgets.
+        A failure of a nested call is not retried: the call was already retried where it
+        failed, within the budget, and a retry at each hop above would repeat its whole
+        call tree out of the same budgets.
         """
-        if self._failed_below:
+        if self._failed_in_nested_call:
             return False
         return self._route.idempotent and outcome.status in (500, 502)
 
-    def _may_repeat(self, outcome: Outcome) -> bool:
-        """Whether the request may go to one more backend server."""
-        if self._placing.clock.now() >= self._deadline:
+    def _can_retry(self, outcome: Outcome) -> bool:
+        """Whether the request may be sent to a backend queue again."""
+        if self._context.clock.now() >= self._deadline:
             return False
         if self._placements >= _MAX_PLACEMENTS:
             return False
         if isinstance(outcome, NotRun):
-            # It may go once more to a server that refused it: that is no further one,
-            # and one that refuses at random, however empty, takes it the next time.
+            # It may be sent again to a server that refused it. That does not add to the
+            # servers that it was offered to, and a server that refuses at random, even
+            # when empty, may accept it the next time.
             return True
         if len(self._offered_to) >= self._route.max_attempts:
             return False
         return self._route.idempotent
 
-    def _answer(self, outcome: Answered) -> None:
+    def _finish_answered(self, outcome: Answered) -> None:
         """Finish with the backend server's answer."""
-        tell = self._placing.tell
-        tell.counts["answered", ""] += 1
-        n_answered = tell.counts["answered", ""]
-        is_told = self._arrivals > 0 or outcome.status >= 500
-        if is_told or n_answered % SAMPLE_ANSWERED == 0:
-            tell.event(
+        event_log = self._context.event_log
+        event_log.counts["answered", ""] += 1
+        n_answered = event_log.counts["answered", ""]
+        is_logged = self._arrivals > 0 or outcome.status >= 500
+        if is_logged or n_answered % SAMPLE_ANSWERED == 0:
+            event_log.event(
                 "answered",
                 request=self._req.request_id,
                 route=self._route.name,
                 status=outcome.status,
                 arrivals=self._arrivals + 1,
                 tried=self._tried,
-                below=self._failed_below,
-                took=self._took(),
+                below=self._failed_in_nested_call,
+                took=self._elapsed_ms(),
             )
-        if outcome.status in PROMISES:
-            self._finish(Final(502))
+        if outcome.status in NOT_RUN_STATUSES:
+            self._finish(FinalResponse(502))
         else:
-            self._finish(Final(*outcome))
+            self._finish(FinalResponse(*outcome))
 
-    def _give_up(self) -> None:
-        """Finish with the word that there is no answer."""
+    def _finish_unanswered(self) -> None:
+        """Finish without a usable answer."""
         last = self._last
-        self._placing.tell.event(
+        self._context.event_log.event(
             "given-up",
             request=self._req.request_id,
             route=self._route.name,
@@ -399,27 +409,27 @@
             arrivals=self._arrivals,
             placements=self._placements,
             tried=self._tried,
-            took=self._took(),
+            took=self._elapsed_ms(),
         )
         if isinstance(last, Answered):
-            self._finish(Final(*last))
+            self._finish(FinalResponse(*last))
         elif not self._may_have_run:
-            self._finish(Final(503, retry_after=RETRY_AFTER_MS))
+            self._finish(FinalResponse(503, retry_after=DEFAULT_RETRY_AFTER_MS))
         else:
             expired = isinstance(last, MayHaveRun) and last.reason == EXPIRED
-            self._finish(Final(504 if expired else 502))
+            self._finish(FinalResponse(504 if expired else 502))
 
-    def _finish(self, final: Final) -> None:
-        if self._placing.in_progress.pop(self, 0) == 0:
+    def _finish(self, final: FinalResponse) -> None:
+        if self._context.in_progress.pop(self, 0) == 0:
             return
-        failed = final.status >= 500 or final.status in PROMISES
-        self._tell_parent(failed and self._has_reached_a_server())
-        now = self._placing.clock.now()
-        if self._parent is None and not self._is_quarantined:
-            self._placing.served.note_end(self._route.name, final.status < 500, now)
+        failed = final.status >= 500 or final.status in NOT_RUN_STATUSES
+        self._notify_parent(failed and self._has_reached_a_server())
+        now = self._context.clock.now()
+        if self._parent_call is None and not self._is_quarantined:
+            self._context.served.record_end(self._route.name, final.status < 500, now)
         took = now - self._started
-        self._placing.tell.answered(self._route.name, str(final.status), took)
+        self._context.event_log.count_outcome(self._route.name, str(final.status), took)
         self._done(final)
 
-    def _took(self) -> Milliseconds:
-        return round(self._placing.clock.now() - self._started, 1)
+    def _elapsed_ms(self) -> Milliseconds:
+        return round(self._context.clock.now() - self._started, 1)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/quota_owners.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/quota_owners.py
@@ -1,4 +1,4 @@
-"""Which node owns a quota, by whom this node can reach."""
+"""Determines the owner of each quota from the nodes that are reachable."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
     from collections.abc import Callable, Sequence
 
     from fuchsiagap.core.clock import Clock, Milliseconds
-    from fuchsiagap_node.core.mesh.links import Links
-    from fuchsiagap_node.core.mesh.sending import Member
+    from fuchsiagap_node.core.mesh.outbound_link import Member
+    from fuchsiagap_node.core.mesh.outbound_links import OutboundLinks
 
-# Milliseconds that a node gets to be linked, or to answer, before the next one counts
-# as the owner.
-_REACH_MS = 500.0
-# Milliseconds of silence after which a node is asked whether it is there.
-_SILENT_MS = 300.0
-# Nodes of each data centre that are asked whether it is in reach.
-_ASKED_IN_EACH = 3
+# Milliseconds that a node is given to open its link or to answer, before the next
+# candidate counts as the owner.
+_REACH_TIMEOUT_MS = 500.0
+# Milliseconds without a message after which a node is pinged.
+_PING_AFTER_MS = 300.0
+# Nodes of each data centre that are checked to tell whether it is reachable.
+_PROBED_PER_DATA_CENTRE = 3
 
 
 class QuotaOwners:
-    """Finds the owner of each quota.
+    """Finds the owner of each quota: the first reachable one of its candidates.
 
     Parameters
     ----------
@@ -33,7 +33,7 @@
     links : callable
         Returns the links to other nodes.
     has_store : callable
-        Whether the store answers this node.
+        Returns whether the store answers this node.
     clock : Clock
         Time in milliseconds.
     """
@@ -41,7 +41,7 @@
     def __init__(
         self,
         own: Member,
-        links: Callable[[], Links],
+        links: Callable[[], OutboundLinks],
         has_store: Callable[[], bool],
         clock: Clock,
     ) -> None:
@@ -49,10 +49,10 @@
         self._links = links
         self._has_store = has_store
         self._clock = clock
-        self._orders: dict[str, tuple[str, ...]] = {}
-        self._orders_of = -1
-        # When a node that is not known to be there was first looked for.
-        self._looked_for: dict[str, Milliseconds] = {}
+        self._candidates: dict[str, tuple[str, ...]] = {}
+        self._candidates_version = -1
+        # When each node that is not known to be up was first checked.
+        self._unconfirmed_since: dict[str, Milliseconds] = {}
 
     @property
     def node(self) -> str:
@@ -60,62 +60,69 @@
         return self._own.node
 
     def owner(self, workspace: str) -> str | None:
-        """Return the owner of a workspace's quota; None where this node cannot tell.
+        """Return the owner of a workspace's quota; None if this node cannot tell.
 
-        One that is cut off by itself hears no node before it, as the last one would.
+        A node that is partitioned from all others reaches no candidate before itself
+        and would count as the owner. It must not take over the quota.
         """
-        order = self._order(workspace)
+        order = self._candidates_of(workspace)
         owner = owner_of(order, self._is_up)
         if owner != self._own.node:
             return owner
-        # A node that is new is so known to the one that owned the quota before.
-        self._links().link_to(next((n for n in order if n != owner), owner))
+        # The link makes this node known to the previous owner, if this node is new.
+        self._links().ensure_link(next((n for n in order if n != owner), owner))
         return owner if self.share() > 0.0 else None
 
     def is_first(self, workspace: str) -> bool:
-        """Whether this node owns a quota also where all others are up."""
-        return self._order(workspace)[0] == self._own.node
+        """Whether this node owns a quota even if all other nodes are up."""
+        return self._candidates_of(workspace)[0] == self._own.node
 
     def share(self) -> float:
-        """Return the part of each quota that this node may hand out."""
+        """Return the share of each quota that this node may grant, from 0 to 1."""
         own = self._own.data_centre
-        places = self._links().by_data_centre()
-        heard = {place for place, nodes in places.items() if self._hears(nodes)}
-        hears_own = own not in places or own in heard
-        return granted_share(own, places, heard, hears_own or self._has_store())
-
-    def _hears(self, nodes: Sequence[str]) -> bool:
-        """Whether one of the nodes of a data centre is up."""
-        return any(self._is_up(node) for node in nodes[:_ASKED_IN_EACH])
-
-    def _order(self, workspace: str) -> tuple[str, ...]:
+        by_data_centre = self._links().by_data_centre()
+        reachable = {
+            data_centre
+            for data_centre, nodes in by_data_centre.items()
+            if self._is_any_up(nodes)
+        }
+        reaches_own = own not in by_data_centre or own in reachable
+        return granted_share(
+            own, by_data_centre, reachable, reaches_own or self._has_store()
+        )
+
+    def _is_any_up(self, nodes: Sequence[str]) -> bool:
+        """Whether any of the first nodes of a data centre is up."""
+        return any(self._is_up(node) for node in nodes[:_PROBED_PER_DATA_CENTRE])
+
+    def _candidates_of(self, workspace: str) -> tuple[str, ...]:
         links = self._links()
-        if self._orders_of != links.n_changes:
-            self._orders = {}
-            self._orders_of = links.n_changes
-        order = self._orders.get(workspace)
+        if self._candidates_version != links.n_changes:
+            self._candidates = {}
+            self._candidates_version = links.n_changes
+        order = self._candidates.get(workspace)
         if order is None:
             order = candidates(workspace, (self._own.node, *links.known_nodes()))
-            self._orders[workspace] = order
+            self._candidates[workspace] = order
         return order
 
     def _is_up(self, node: str) -> bool:
-        """Whether a node can be reached, or has not had time to show that it can."""
+        """Whether a node is reachable, or its time to answer has not passed yet."""
         if node == self._own.node:
             return True
-        link = self._links().link_to(node)
+        link = self._links().ensure_link(node)
         now = self._clock.now()
         if link is None:
             return False
-        if link.is_open() and now - link.reached_at < _SILENT_MS:
-            self._looked_for.pop(node, None)
+        if link.is_open() and now - link.reached_at < _PING_AFTER_MS:
+            self._unconfirmed_since.pop(node, None)
             return True
-        since = self._looked_for.get(node)
+        since = self._unconfirmed_since.get(node)
         if since is None:
-            self._looked_for[node] = since = now
+            self._unconfirmed_since[node] = since = now
             link.post(Ping())
         elif link.is_open() and link.reached_at >= since:
-            # It has answered, and was silent since.
-            self._looked_for[node] = since = now
+            # It has answered since, and has been quiet again.
+            self._unconfirmed_since[node] = since = now
             link.post(Ping())
-        return now - since < _REACH_MS
+        return now - since < _REACH_TIMEOUT_MS
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/store.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/store.py
@@ -1,4 +1,4 @@
-"""What the node needs of the platform's store."""
+"""Interface to the platform's store, and the results of its operations."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
     from fuchsiagap.core.clock import Milliseconds
     from fuchsiagap.core.freshness.store_view import Cursor
     from fuchsiagap.core.routes.model import RouteConfig
-    from fuchsiagap_node.core.mesh.sending import Member
-    from fuchsiagap_node.core.mesh.unreadable import Unreadable
+    from fuchsiagap_node.core.mesh.malformed_input import MalformedInput
+    from fuchsiagap_node.core.mesh.outbound_link import Member
 
 
 @dataclass(frozen=True, slots=True)
 class StoreFailed:
-    """The store gave no usable answer; a change may still take effect later.
+    """The store gave no usable answer; a write may still take effect later.
 
     Parameters
     ----------
     reason : str
-        What went wrong.
+        Description of the failure.
     """
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class HistoryGone:
-    """The changes since the revision are no longer known; list instead."""
+class HistoryCompacted:
+    """The store has compacted the changes after the cursor; a new read is needed."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,11 +40,11 @@
     Parameters
     ----------
     cursor : Cursor
-        Where it stands in the history of the store.
+        Position in the history of the store.
     text : bytes
-        As the platform encodes it, for other nodes.
+        The configuration in the encoding of the platform, to send to other nodes.
     config : RouteConfig
-        What it says.
+        Decoded configuration.
     """
 
     cursor: Cursor
@@ -54,30 +54,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Members:
-    """Nodes that have announced themselves.
+    """Registered nodes.
 
     Parameters
     ----------
     present : mapping of str to Member
         Nodes by name.
-    broken : tuple of Unreadable
-        Entries that name no node: of another writer, or of another version.
+    malformed : tuple of MalformedInput
+        Entries that could not be read: from another writer or another version.
     """
 
     present: Mapping[str, Member]
-    broken: tuple[Unreadable, ...] = ()
+    malformed: tuple[MalformedInput, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
-    """What a probe showed.
+class ProbeReply:
+    """Answer to a probe.
 
     Parameters
     ----------
     epoch : int
-        Epoch of the store; `NO_EPOCH` if it told none.
+        Epoch of the store; `NO_EPOCH` if the answer has none.
     is_listed : bool
-        Whether the entry of the node that was asked for is there.
+        Whether the entry of the given node exists.
     """
 
     epoch: int
@@ -85,46 +85,60 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ConfigNews:
-    """What a look at the configuration gave.
+class ConfigUpdate:
+    """Result of a read or watch of the configuration.
 
     Parameters
     ----------
     cursor : Cursor
-        Where to watch from.
+        Position to watch from next.
     stored : StoredConfig or None
-        The configuration, if there is a new one.
+        The configuration; None if there is no new one.
     """
 
     cursor: Cursor
     stored: StoredConfig | None
 
 
-ConfigResult: TypeAlias = ConfigNews | HistoryGone | StoreFailed
+ConfigResult: TypeAlias = ConfigUpdate | HistoryCompacted | StoreFailed
 MembersResult: TypeAlias = Members | StoreFailed
-ProbeResult: TypeAlias = Probed | StoreFailed
+ProbeResult: TypeAlias = ProbeReply | StoreFailed
 
 
 class Store(Protocol):
-    """The platform's store, behind its own names and formats."""
+    """The platform's store; implementations translate its names and formats."""
 
-    async def read_config(self, recent: bool) -> ConfigResult:
-        """Return the configuration; as of seconds ago, for less, unless `recent`."""
+    async def read_config(self, linearizable: bool) -> ConfigResult:
+        """Read the configuration.
+
+        Parameters
+        ----------
+        linearizable : bool
+            Whether to read the newest version; otherwise the result may be some
+            seconds old, at a lower price.
+        """
 
     async def watch_config(self, cursor: Cursor, wait: Milliseconds) -> ConfigResult:
-        """Wait for a change of the configuration after a cursor."""
+        """Wait up to `wait` milliseconds for a change after the cursor."""
 
     async def probe(self, node: str) -> ProbeResult:
-        """Ask the cheapest question there is, for the entry of a node."""
+        """Check whether a node's entry exists, by the cheapest request of the store."""
 
     def decode_config(self, cursor: Cursor, text: bytes) -> StoredConfig | None:
-        """Return a configuration that another node sent; None if it is none."""
+        """Decode a configuration from another node; None if it is malformed."""
+
+    async def read_members(self, linearizable: bool) -> MembersResult:
+        """Read all registered nodes.
 
-    async def read_members(self, recent: bool) -> MembersResult:
-        """Return all nodes; as of a few seconds ago, for less, unless `recent`."""
+        Parameters
+        ----------
+        linearizable : bool
+            Whether to read the newest list; otherwise the result may be some
+            seconds old, at a lower price.
+        """
 
-    async def announce(self, member: Member) -> StoreFailed | None:
-        """Put this node among the others."""
+    async def register(self, member: Member) -> StoreFailed | None:
+        """Register this node."""
 
-    async def withdraw(self, node: str) -> StoreFailed | None:
-        """Take this node out."""
+    async def deregister(self, node: str) -> StoreFailed | None:
+        """Remove the entry of a node."""
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/store_probe.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/store_probe.py
@@ -1,4 +1,4 @@
-"""Probes whether the store answers, for a tenth of the price of another request."""
+"""Liveness probes of the store, at a tenth of the price of other requests."""
 
 from __future__ import annotations
 
@@ -14,72 +14,72 @@
     from collections.abc import Callable
 
     from fuchsiagap.core.freshness.store_timeouts import StoreTimeouts
-    from fuchsiagap_node.core.mesh.hedging import FirstAnswer
+    from fuchsiagap_node.core.mesh.event_log import EventLog
+    from fuchsiagap_node.core.mesh.hedging import FirstResponse
     from fuchsiagap_node.core.mesh.store import ProbeResult, Store
-    from fuchsiagap_node.core.mesh.telling import Teller
 
 
 class StoreProbe:
-    """Probes of one node.
+    """Sends the probes of one node.
 
     Parameters
     ----------
     store : Store
         The platform's store.
     node : str
-        This node, whose entry is asked for.
+        This node; the probe reads its entry.
     timeouts : StoreTimeouts
-        Waits for the store; may be set anew.
-    teller : Teller
-        Counters.
+        Timeouts of requests to the store; may be replaced.
+    event_log : EventLog
+        Counts the calls.
     """
 
     def __init__(
-        self, store: Store, node: str, timeouts: StoreTimeouts, teller: Teller
+        self, store: Store, node: str, timeouts: StoreTimeouts, event_log: EventLog
     ) -> None:
         self._store = store
         self._node = node
         self.timeouts = timeouts
-        self._tell = teller
+        self._event_log = event_log
 
-    async def ask(
+    async def send(
         self,
         cause: str,
-        on_silence: Callable[[], None],
-        growth: Callable[[], float],
-    ) -> FirstAnswer[ProbeResult]:
-        """Ask again and again while there is no answer; return the first.
+        on_unresponsive: Callable[[], None],
+        backoff_factor: Callable[[], float],
+    ) -> FirstResponse[ProbeResult]:
+        """Send a hedged probe; return the first answer.
 
         Parameters
         ----------
         cause : str
-            Why, for the counter of calls.
-        on_silence : callable
-            Told that a second request has no answer either.
-        growth : callable
-            Returns by what the time between two requests grows.
+            Reason for the probe; labels the counter of calls.
+        on_unresponsive : callable
+            Called when the second request is not answered either.
+        backoff_factor : callable
+            Returns the factor by which the interval between requests grows.
         """
 
-        async def ask_once() -> ProbeResult:
-            self._tell.store_call("probe", cause)
+        async def send_once() -> ProbeResult:
+            self._event_log.count_store_call("probe", cause)
             return await self._store.probe(self._node)
 
-        every = self.timeouts.hedge_delay
-        return await hedge(ask_once, every, on_silence, growth)
+        interval = self.timeouts.hedge_delay
+        return await hedge(send_once, interval, on_unresponsive, backoff_factor)
 
     async def find_entry(self, cause: str) -> bool:
-        """Wait until the store answers; return whether it has this node's entry."""
+        """Probe until the store answers; return whether this node's entry exists."""
         n_failed = 0
         while True:
-            probed = (await self.ask(cause, _ignore, _doubling)).result
+            probed = (await self.send(cause, _ignore, _doubling_factor)).result
             if not isinstance(probed, StoreFailed):
                 return probed.is_listed
             n_failed += 1
             await trio.sleep(self.timeouts.backoff(n_failed) / MS_PER_S)
 
 
-def _doubling() -> float:
-    """Return that the time between two requests doubles."""
+def _doubling_factor() -> float:
+    """Return the factor that doubles the interval between requests."""
     return 2.0
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/workspaces.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/workspaces.py
@@ -1,4 +1,4 @@
-"""Keys and quotas of workspaces at one node, put together."""
+"""Authentication and quotas of workspaces at one node."""
 
 from __future__ import annotations
 
@@ -6,12 +6,14 @@
 
 from fuchsiagap.core.watching.watcher_rank import UpdateSource
 from fuchsiagap.core.workspaces.grants import SWEEP_MS
-from fuchsiagap_node.core.mesh.knowledge_exchange import LOOK_MS as AGE_LOOK_MS
-from fuchsiagap_node.core.mesh.knowledge_exchange import KnowledgeExchange
+from fuchsiagap_node.core.mesh.api_key_authenticator import ApiKeyAuthenticator
 from fuchsiagap_node.core.mesh.quota_owners import QuotaOwners
-from fuchsiagap_node.core.mesh.quotas import LOOK_MS as QUOTA_LOOK_MS
+from fuchsiagap_node.core.mesh.quotas import PENDING_CHECK_MS as QUOTA_CHECK_MS
 from fuchsiagap_node.core.mesh.quotas import Quotas
-from fuchsiagap_node.core.mesh.workspace_check import WorkspaceCheck
+from fuchsiagap_node.core.mesh.staleness_exchange import (
+    REFRESH_INTERVAL_MS as STALENESS_REFRESH_MS,
+)
+from fuchsiagap_node.core.mesh.staleness_exchange import StalenessExchange
 
 if TYPE_CHECKING:
     import random
@@ -20,17 +22,17 @@
     from fuchsiagap.core.clock import Clock
     from fuchsiagap.core.routes.model import RouteConfig
     from fuchsiagap_node.core.mesh.config_sync import ConfigSync
-    from fuchsiagap_node.core.mesh.links import Links
-    from fuchsiagap_node.core.mesh.messages import TokensWanted
-    from fuchsiagap_node.core.mesh.sending import Member, SendingLink
+    from fuchsiagap_node.core.mesh.event_log import EventLog
+    from fuchsiagap_node.core.mesh.inbound_links import InboundLinks
+    from fuchsiagap_node.core.mesh.messages import TokenRequest
+    from fuchsiagap_node.core.mesh.outbound_link import Member, OutboundLink
+    from fuchsiagap_node.core.mesh.outbound_links import OutboundLinks
     from fuchsiagap_node.core.mesh.settings import MeshSettings
-    from fuchsiagap_node.core.mesh.taking import TakingLinks
-    from fuchsiagap_node.core.mesh.telling import Teller
     from fuchsiagap_node.core.mesh.ticker import Ticker
 
 
 class Workspaces:
-    """Whose requests are let in, and how many.
+    """Sets up API key authentication, staleness queries and quotas of a node.
 
     Parameters
     ----------
@@ -39,23 +41,23 @@
     own : Member
         This node.
     config : ConfigSync
-        The configuration in force.
+        Source of the active configuration.
     links : callable
         Returns the links to other nodes.
     clock : Clock
         Time in milliseconds.
     rng : random.Random
-        Chooses whom of the others to ask.
-    teller : Teller
-        Logs and counters.
+        Chooses which other nodes to query.
+    event_log : EventLog
+        Receives events and counts.
 
     Attributes
     ----------
-    knowledge : KnowledgeExchange
-        Age of what is known of keys.
+    staleness_exchange : StalenessExchange
+        Queries other nodes, and answers them, about the staleness of the keys.
     quotas : Quotas
-        Requests that workspaces may make.
-    check : WorkspaceCheck
+        Quotas of the workspaces.
+    authenticator : ApiKeyAuthenticator
         Finds the workspace of a request.
     """
 
@@ -64,50 +66,50 @@
         cfg: MeshSettings,
         own: Member,
         config: ConfigSync,
-        links: Callable[[], Links],
+        links: Callable[[], OutboundLinks],
         clock: Clock,
         rng: random.Random,
-        teller: Teller,
+        event_log: EventLog,
     ) -> None:
         self._links = links
-        self.knowledge = KnowledgeExchange(
+        self.staleness_exchange = StalenessExchange(
             config, links, cfg.bounds.revocation, clock, rng
         )
         owners = QuotaOwners(
             own, links, lambda: config.update_source is UpdateSource.STORE, clock
         )
-        self.quotas = Quotas(owners, self._post, cfg.first_start, clock, teller)
-        self.check = WorkspaceCheck(
-            self.knowledge.is_too_old,
-            lambda: config.in_force.knowledge_age,
+        self.quotas = Quotas(owners, self._post, cfg.first_start, clock, event_log)
+        self.authenticator = ApiKeyAuthenticator(
+            self.staleness_exchange.is_too_stale,
+            lambda: config.active.staleness,
             clock,
-            teller,
+            event_log,
         )
 
-    def _post(self, node: str, message: TokensWanted) -> bool:
-        link = self._links().link_to(node)
+    def _post(self, node: str, message: TokenRequest) -> bool:
+        link = self._links().ensure_link(node)
         if link is None or not link.is_open():
             return False
         link.post(message)
         return True
 
     def adopt(self, config: RouteConfig) -> None:
-        """Put the workspaces of a configuration in force."""
+        """Apply the workspaces of a new configuration."""
         self.quotas.adopt(config.workspaces or ())
 
-    def prepare_link(self, link: SendingLink) -> None:
-        """Take what another node answers on a link."""
-        link.on_age = self.knowledge.take_answer
-        link.on_tokens = self.quotas.take_answer
-        link.on_open = self.knowledge.ask_new
+    def prepare_link(self, link: OutboundLink) -> None:
+        """Register the handlers of replies that arrive on an outbound link."""
+        link.on_staleness = self.staleness_exchange.handle_reply
+        link.on_token_grant = self.quotas.handle_grant
+        link.on_open = self.staleness_exchange.query_new_link
 
-    def prepare_taking(self, taking: TakingLinks) -> None:
-        """Answer what other nodes ask on their links."""
-        taking.answer_age = self.knowledge.answer
-        taking.answer_tokens = self.quotas.answer
+    def prepare_inbound(self, inbound: InboundLinks) -> None:
+        """Register the handlers of queries that arrive on inbound links."""
+        inbound.answer_staleness = self.staleness_exchange.reply
+        inbound.grant_tokens = self.quotas.grant_tokens
 
     def schedule(self, ticker: Ticker) -> None:
-        """Do at intervals what is due."""
-        ticker.every(AGE_LOOK_MS, self.knowledge.look)
-        ticker.every(QUOTA_LOOK_MS, self.quotas.look)
-        ticker.every(SWEEP_MS, self.quotas.forget)
+        """Schedule the periodic tasks."""
+        ticker.every(STALENESS_REFRESH_MS, self.staleness_exchange.refresh)
+        ticker.every(QUOTA_CHECK_MS, self.quotas.process_pending)
+        ticker.every(SWEEP_MS, self.quotas.evict_idle)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/a_service.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/simulated_service.py
@@ -1,35 +1,35 @@
-"""A service as one entry sees it, some hops above, without any connection."""
+"""Simulated service, as seen by an entry node some hops away, without connections."""
 
 import random
 
 from fuchsiagap.core.clock import Clock
 from fuchsiagap.core.placement.choice import Target
-from fuchsiagap.core.pressure.evenly import CallerTurn
-from fuchsiagap.core.pressure.served import ServedShares
+from fuchsiagap.core.shedding.fair_admission import CallerCredit
+from fuchsiagap.core.shedding.served import ServedShares
 from fuchsiagap_node.core.mesh.admission import STEP_MS, Admission
-from fuchsiagap_node.core.mesh.messages import Below
+from fuchsiagap_node.core.mesh.event_log import EventLog
+from fuchsiagap_node.core.mesh.messages import DownstreamSummary
 from fuchsiagap_node.core.mesh.peers import Peers
-from fuchsiagap_node.core.mesh.pressures import Pressures
-from fuchsiagap_node.core.mesh.telling import Teller
+from fuchsiagap_node.core.mesh.route_loads import RouteLoads
 
 
-class _Door:
-    """A door that stands for its target alone."""
+class _StaticPeer:
+    """A peer that has a target and nothing else."""
 
     def __init__(self, target):
         self.target = target
 
 
-class AService:
-    """Servers of ten places each, and the entry of one node to their service.
+class SimulatedService:
+    """Servers of ten slots each, and the admission control of one entry node.
 
     Parameters
     ----------
     n_servers : int
-        Servers.
+        Number of servers of the service.
     hops : int
-        Services between the entry and this one, each with one idle server; 0 if
-        requests go to it directly.
+        Number of services between the entry node and this service, each with one idle
+        server; 0 if requests go to it directly.
 
     Attributes
     ----------
@@ -41,39 +41,45 @@
         self.now = 0.0
         clock = Clock(lambda: self.now, lambda: self.now)
         self.targets = [_target(n, "certs") for n in range(n_servers)]
-        self._chain = [Pressures(_peers(self.targets), clock)]
+        self._chain = [RouteLoads(_peers(self.targets), clock)]
         for hop in range(hops):
             between = [_target(hop, "between")]
-            self._chain.append(Pressures(_peers(between), clock))
+            self._chain.append(RouteLoads(_peers(between), clock))
         self.served = ServedShares()
         self.admission = Admission(
-            self._chain[-1], self.served, clock, random.Random(1), Teller("n", clock)
+            self._chain[-1], self.served, clock, random.Random(1), EventLog("n", clock)
         )
-        self._turn = CallerTurn()
+        self._credit = CallerCredit()
 
     def step(self, offered):
-        """Let a tenth of a second pass at a load of each server."""
+        """Advance by one step of admission control, with an offered load per server."""
         for target, load in zip(self.targets, offered, strict=True):
             target.offered = load
         self.now += STEP_MS
         called = "certs"
         for below, above in zip(self._chain[:-1], self._chain[1:], strict=True):
-            below.note_call("read", called, "read")
-            above.note_reply("between", "read", Below(below.below("read"), 1))
+            below.record_nested_call("read", called, "read")
+            above.record_reply(
+                "between",
+                "read",
+                DownstreamSummary(below.downstream_fullness("read"), 1),
+            )
             called = "between"
         self.admission.step()
 
-    def let_in(self, route, n_requests):
-        """Return how many of some requests are let in."""
+    def admit(self, route, n_requests):
+        """Return how many of `n_requests` requests are admitted."""
         service = "certs" if len(self._chain) == 1 else "between"
         share = self.admission.admitted_share(service, route)
-        turn = self._turn
-        admits = [self.admission.admits(route, share, turn) for _ in range(n_requests)]
+        credit = self._credit
+        admits = [
+            self.admission.admits(route, share, credit) for _ in range(n_requests)
+        ]
         for admitted in admits:
             if admitted:
-                self.served.note_end(route.name, True, self.now)
+                self.served.record_end(route.name, True, self.now)
             else:
-                self.served.note_refused(route.name, self.now)
+                self.served.record_refused(route.name, self.now)
         return sum(admits)
 
 
@@ -85,5 +91,5 @@
 def _peers(targets):
     peers = Peers()
     for target in targets:
-        peers.put(_Door(target))
+        peers.put(_StaticPeer(target))
     return peers
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_member_sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_member_sync.py
@@ -1,9 +1,9 @@
-"""Members from the store: who announces, who is known, who is forgotten."""
+"""Registration, discovery and removal of nodes through the store."""
 
 import trio
 from testtools import TestCase
 
-from fuchsiagap_node.core.mesh.sending import Member
+from fuchsiagap_node.core.mesh.outbound_link import Member
 from fuchsiagap_standins.mesh.deployment import a_deployment, a_route
 from fuchsiagap_standins.mesh.virtual import run_in_memory
 
@@ -11,7 +11,7 @@
 
 
 class TestMemberSync(TestCase):
-    def test_node_that_is_listed_already_writes_nothing(self):
+    def test_registered_node_writes_nothing_at_start(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 host = deployment.add("certs")
@@ -24,7 +24,7 @@
 
         self.assertEqual(0, run_in_memory(main))
 
-    def test_node_that_moved_is_announced_anew(self):
+    def test_node_with_new_address_registers_again(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 host = deployment.add("certs")
@@ -38,7 +38,7 @@
         cfg, member = run_in_memory(main)
         self.assertEqual(cfg.addresses.peers, member.address)
 
-    def test_node_that_somebody_removed_announces_itself_again(self):
+    def test_node_whose_entry_was_removed_registers_again(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 host = deployment.add("certs")
@@ -49,7 +49,7 @@
 
         self.assertTrue(run_in_memory(main))
 
-    def test_node_that_an_older_list_misses_stays_known(self):
+    def test_reachable_node_missing_in_stale_list_stays_known(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 near = deployment.add("bookings")
@@ -65,7 +65,7 @@
         answers = run_in_memory(main)
         self.assertEqual([200] * 6, [answer.status for answer in answers])
 
-    def test_node_that_is_gone_is_forgotten(self):
+    def test_unlisted_unreachable_node_is_forgotten(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 near = deployment.add("bookings")
@@ -74,11 +74,11 @@
                 far.scope.cancel()
                 deployment.state.members.pop("certs-1")
                 await trio.sleep(30.0)
-                return near.node.tell.counts["events", "node-gone"]
+                return near.node.event_log.counts["events", "node-gone"]
 
         self.assertEqual(1, run_in_memory(main))
 
-    def test_node_that_is_lost_for_good_is_removed_from_the_store(self):
+    def test_dead_node_is_removed_from_store(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 near = deployment.add("bookings")
@@ -88,7 +88,7 @@
                 await trio.sleep(40.0)
                 early = set(deployment.state.members)
                 await trio.sleep(60.0)
-                counts = near.node.tell.counts
+                counts = near.node.event_log.counts
                 return early, set(deployment.state.members), counts
 
         early, late, counts = run_in_memory(main)
@@ -96,7 +96,7 @@
         self.assertEqual({"bookings-0"}, late)
         self.assertEqual(1, counts["events", "node-gone"])
 
-    def test_data_centre_that_is_cut_off_is_not_removed(self):
+    def test_nodes_of_partitioned_data_centre_are_not_removed(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 deployment.add("bookings")
@@ -109,7 +109,7 @@
 
         self.assertEqual({"bookings-0", "certs-1", "certs-2"}, run_in_memory(main))
 
-    def test_node_that_came_back_is_not_removed_again(self):
+    def test_node_that_registered_again_is_not_removed_again(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 deployment.add("bookings")
@@ -117,8 +117,9 @@
                 await deployment.settle()
                 member = deployment.state.members["certs-1"]
                 far.scope.cancel()
-                # 60 s until it counts as lost, then a chance of 0.2 at each list: by
-                # 100 s one run in 18 has not removed it.
+                # It counts as dead after 60 s and is removed at the next list call:
+                # with fewer listed nodes than expected removers, each node that finds
+                # it dead removes it.
                 await trio.sleep(200.0)
                 removed = "certs-1" not in deployment.state.members
                 deployment.state.members["certs-1"] = member
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/deployment.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/deployment.py
@@ -12,16 +12,16 @@
 
 import trio
 
-from fuchsiagap.core.door.incarnation import BackendReport, BackendState
+from fuchsiagap.core.backend_queue.incarnation import BackendReport, BackendState
 from fuchsiagap.core.routes.model import CallerLimits, Route, RouteConfig, Share
 from fuchsiagap.core.workspaces.keys import key_digest
 from fuchsiagap.core.workspaces.model import Workspace
-from fuchsiagap_node.core.mesh.http_answer import Answer, AnswerReader
 from fuchsiagap_node.core.mesh.http_names import HeaderNames
+from fuchsiagap_node.core.mesh.http_response import Response, ResponseReader
+from fuchsiagap_node.core.mesh.malformed_input import MalformedInput
 from fuchsiagap_node.core.mesh.node import Node
 from fuchsiagap_node.core.mesh.settings import Addresses, Bounds, MeshSettings
 from fuchsiagap_node.core.mesh.stream import BrokenStream, dial
-from fuchsiagap_node.core.mesh.unreadable import Unreadable
 from fuchsiagap_standins.mesh.backend_server import BackendServer
 from fuchsiagap_standins.mesh.memory_store import MemoryStore, SharedState
 
@@ -29,7 +29,7 @@
     from collections.abc import AsyncIterator, Callable, Mapping, Sequence
 
     from fuchsiagap.core.clock import Clock, Milliseconds
-    from fuchsiagap.core.retries.shares import SharedBudget
+    from fuchsiagap.core.retries.backend_budget import ServiceRetryLimits
     from fuchsiagap_node.core.mesh.http_request import Request
     from fuchsiagap_node.core.mesh.stream import Stream
 
@@ -95,7 +95,7 @@
     def report(self, state: BackendState = BackendState.READY) -> None:
         """Let the backend server report to its node."""
         self.sequence += 1
-        self.node.door.take_report(
+        self.node.backend_queue.handle_report(
             BackendReport(
                 self.server.instance,
                 state,
@@ -120,7 +120,7 @@
         method: str = "GET",
         body: bytes = b"",
         headers: Mapping[str, str] | None = None,
-    ) -> Answer | None:
+    ) -> Response | None:
         """Send a request as a caller; None if the connection ends without an answer."""
         stream = await dial(self.node.cfg.addresses.callers, 500.0)
         data = request_bytes(path, request_id, wait, method, body, headers)
@@ -151,9 +151,9 @@
     return head.encode() + b"\r\n" + body
 
 
-async def read_answer(stream: Stream) -> Answer | None:
+async def read_answer(stream: Stream) -> Response | None:
     """Return the next answer on a connection; None if there is none."""
-    reader = AnswerReader(HeaderNames())
+    reader = ResponseReader(HeaderNames())
     try:
         while data := await stream.receive():
             if answers := reader.feed(data):
@@ -208,7 +208,7 @@
         self,
         service: str = "certs",
         data_centre: str = "hall-a",
-        budget: SharedBudget | None = None,
+        budget: ServiceRetryLimits | None = None,
         slots: int = 8,
         names: HeaderNames = _STANDARD_NAMES,
         clock: Clock | None = None,
@@ -256,7 +256,7 @@
         if self.expects_faults:
             return
         for host in self.hosts:
-            n_faults = host.node.tell.counts["events", "fault"]
+            n_faults = host.node.event_log.counts["events", "fault"]
             assert not n_faults, f"{host.node.cfg.node}: {n_faults} faults in its log"
 
     async def settle(self) -> None:
@@ -264,9 +264,9 @@
         await trio.sleep(3.0)
 
 
-def _no_reports(req: Request) -> Unreadable:
+def _no_reports(req: Request) -> MalformedInput:
     """Return that servers report in these deployments without a request."""
-    return Unreadable(req.target.decode("latin-1"), "no reports are taken here")
+    return MalformedInput(req.target.decode("latin-1"), "no reports are taken here")
 
 
 async def _run(host: Host) -> None:
@@ -285,10 +285,10 @@
 
 async def _report(host: Host) -> None:
     """Report once a second while the server is ready."""
-    door = host.node.door
+    backend_queue = host.node.backend_queue
     while True:
-        is_known = door.known_instance() == host.server.instance
-        if host.server.is_up and (door.instance() or not is_known):
+        is_known = backend_queue.known_instance() == host.server.instance
+        if host.server.is_up and (backend_queue.instance() or not is_known):
             host.report()
         await trio.sleep(1.0)
 
--- /dev/null
+++ b/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/health.py
@@ -0,0 +1,97 @@
+"""Health of one backend server: failure rate, liveness and reachability."""
+
+from __future__ import annotations
+
+import math
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from fuchsiagap.core.clock import Milliseconds
+
+# Weight of one request in the moving failure rate: about the last 30 requests count.
+_FAILURE_WEIGHT = 0.03
+# Time constant (to 1/e), in milliseconds, by which the failure rate of an unused server
+# decays, so that the server is tried again.
+_FAILURE_DECAY_MS = 4_000.0
+# Milliseconds for which a server that refused a connection gets no requests.
+_UNREACHABLE_MS = 400.0
+# Heartbeat intervals without a heartbeat after which a server that answers no requests
+# counts as dead.
+_MISSED_HEARTBEATS = 3.0
+# Milliseconds after an answer for which a server counts as alive without heartbeats.
+_ALIVE_AFTER_ANSWER_MS = 1_500.0
+
+
+class ServerHealth:
+    """Tracks the failure rate and the liveness of one backend server.
+
+    Parameters
+    ----------
+    now : float
+        Time of creation in milliseconds; it counts as a heartbeat.
+    """
+
+    def __init__(self, now: Milliseconds) -> None:
+        self._failing = 0.0
+        self._failing_at = now
+        self._unreachable_until = 0.0
+        self._heartbeat_at = now
+        self._answered_at = float("-inf")
+
+    def record_heartbeat(self, now: Milliseconds) -> None:
+        """Record a heartbeat, which also makes an unreachable server usable again."""
+        self._heartbeat_at = now
+        self._unreachable_until = 0.0
+
+    def record_answer(self, now: Milliseconds) -> None:
+        """Record that the server answered a request, whatever the status."""
+        self._answered_at = now
+
+    def record_unreachable(self, now: Milliseconds) -> None:
+        """Record that the server refused a connection."""
+        self._unreachable_until = now + _UNREACHABLE_MS
+
+    def record_outcome(self, failed: bool, now: Milliseconds) -> None:
+        """Add the outcome of a request to the failure rate."""
+        known = self.failing(now)
+        self._failing = known + (float(failed) - known) * _FAILURE_WEIGHT
+
+    def forget_failures(self) -> None:
+        """Reset the failure rate, as for a new incarnation."""
+        self._failing = 0.0
+
+    def failing(self, now: Milliseconds) -> float:
+        """Return the share of recent requests that were refused or failed."""
+        self._failing *= math.exp((self._failing_at - now) / _FAILURE_DECAY_MS)
+        self._failing_at = now
+        return self._failing
+
+    def heartbeat_age(self, now: Milliseconds) -> Milliseconds:
+        """Return the milliseconds since the last heartbeat, or since creation."""
+        return now - self._heartbeat_at
+
+    def is_usable(self, now: Milliseconds, heartbeat: Milliseconds) -> bool:
+        """Whether the server is alive and accepts connections.
+
+        Parameters
+        ----------
+        now : float
+            Time in milliseconds.
+        heartbeat : float
+            Heartbeat interval of the server in milliseconds.
+        """
+        return now >= self._unreachable_until and self.is_alive(now, heartbeat)
+
+    def is_alive(self, now: Milliseconds, heartbeat: Milliseconds) -> bool:
+        """Whether the server recently sent a heartbeat or answered a request.
+
+        Parameters
+        ----------
+        now : float
+            Time in milliseconds.
+        heartbeat : float
+            Heartbeat interval of the server in milliseconds.
+        """
+        if now - self._heartbeat_at < _MISSED_HEARTBEATS * heartbeat:
+            return True
+        return now - self._answered_at < _ALIVE_AFTER_ANSWER_MS
