--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/admission.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/admission.py
@@ -86,9 +86,9 @@
             was_admitting_all = controller.cut == 0.0
             fullness = self._route_loads.fullness(service, self._routes[kind])
             step = steps.get(kind)
-            max_cut = max_cut(step or 0, kinds, guaranteed)
+            max_cut_of_kind = max_cut(step or 0, kinds, guaranteed)
             controller.step(
-                fullness, min(elapsed, 5 * STEP_MS), max_cut_of_lowest, max_cut
+                fullness, min(elapsed, 5 * STEP_MS), max_cut_of_lowest, max_cut_of_kind
             )
             if step is None:
                 # Requested too rarely to be ranked among the kinds; all are admitted,
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/callers.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/callers.py
@@ -183,7 +183,7 @@
         return req._replace(wait=max(req.wait - self._suspension_ms, 0.0))
 
     def begin(
-        self, req: Request, done: OnFinalResponse, turn: CallerCredit
+        self, req: Request, done: OnFinalResponse, caller_credit: CallerCredit
     ) -> Cancellable | None:
         """Start handling a request; an unexpected exception is answered with 502."""
         req = self._deduct_suspension(req)
@@ -191,7 +191,7 @@
             done(FinalResponse(503, retry_after=DEFAULT_RETRY_AFTER_MS))
             return None
         try:
-            return self._entry.begin(req, done, turn)
+            return self._entry.begin(req, done, caller_credit)
         except Exception as exc:
             self._event_log.log_exception("entry", exc)
             done(FinalResponse(502))
@@ -228,7 +228,7 @@
         self._reader = listener.reader()
         self._last_received_at = listener.now()
         self._exchanges: deque[_Exchange] = deque()
-        self._turn = CallerCredit()
+        self._caller_credit = CallerCredit()
         self._unsent = b""
         self._is_paused = False
         self._ignores_input = False
@@ -308,7 +308,7 @@
             exchange.final = final
             self._flush()
 
-        exchange.placement = self._listener.begin(req, done, self._turn)
+        exchange.placement = self._listener.begin(req, done, self._caller_credit)
 
     def _add_exchange(self, req: Request | None) -> _Exchange:
         exchange = _Exchange(req)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/entry.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/entry.py
@@ -1,4 +1,4 @@
-"""Entry of a request into the mesh: routing, authentication, admission and placement."""
+"""Entry of a request: routing, authentication, admission control and placement."""
 
 from __future__ import annotations
 
@@ -93,7 +93,7 @@
         self.parent_of: Callable[[str], PendingCall | None] = _no_parent
 
     def begin(
-        self, req: Request, done: OnFinalResponse, turn: CallerCredit
+        self, req: Request, done: OnFinalResponse, caller_credit: CallerCredit
     ) -> Cancellable | None:
         """Refuse a request or start its placement.
 
@@ -105,7 +105,7 @@
             Called once with the final response, before or after this method returns:
             the response of the backend server, or an error that says whether the
             request may have run.
-        turn : CallerCredit
+        caller_credit : CallerCredit
             Fair-admission credit of the caller's connection.
 
         Returns
@@ -132,9 +132,9 @@
             done(caller)
             return None
         if caller is None:
-            return self._admit(req, table.ranked(route, None), done, turn)
+            return self._admit(req, table.ranked(route, None), done, caller_credit)
         ranked = table.ranked(route, caller.priority)
-        metered = MeteredRequest(self, caller, req, ranked, done, turn)
+        metered = MeteredRequest(self, caller, req, ranked, done, caller_credit)
         return metered if metered.start(self._quotas) else None
 
     def _admit(
@@ -142,13 +142,13 @@
         req: Request,
         route: Route,
         done: OnFinalResponse,
-        turn: CallerCredit,
+        caller_credit: CallerCredit,
         workspace: Workspace | None = None,
         waited: Milliseconds = 0.0,
     ) -> Placement | None:
         """Apply admission control to a new request and start its placement."""
         service = self._rotation.pick(route)
-        refusal = self._refusal(req, route, service, turn)
+        refusal = self._refusal(req, route, service, caller_credit)
         if refusal is not None:
             done(refusal)
             return None
@@ -177,7 +177,7 @@
                 metered.req,
                 metered.route,
                 done,
-                metered.turn,
+                metered.caller_credit,
                 metered.workspace,
                 waited,
             )
@@ -211,13 +211,13 @@
         return self._context.clock.now()
 
     def _refusal(
-        self, req: Request, route: Route, service: str, turn: CallerCredit
+        self, req: Request, route: Route, service: str, caller_credit: CallerCredit
     ) -> FinalResponse | None:
         """Return the refusal of a new request, or None if it is admitted."""
         if self.stopping:
             return FinalResponse(503, retry_after=DEFAULT_RETRY_AFTER_MS)
         share = self._admission.admitted_share(service, route)
-        if self._admission.admits(route, share, turn):
+        if self._admission.admits(route, share, caller_credit):
             return None
         self._context.served.record_refused(route.name, self._context.clock.now())
         retry_after = self._admission.retry_after(route)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/member_sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/member_sync.py
@@ -70,7 +70,7 @@
     own : Member
         This node.
     links : OutboundLinks
-        OutboundLinks to other nodes; receives the nodes that are discovered.
+        Outbound links to other nodes; receives the nodes that are discovered.
     store : Store
         The platform's store.
     cfg : MeshSettings
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/metered_request.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/metered_request.py
@@ -35,7 +35,7 @@
         Its route, with the priority of the workspace.
     done : callable
         Called once with the final response.
-    turn : CallerCredit
+    caller_credit : CallerCredit
         Fair admission credit of its caller.
     """
 
@@ -46,9 +46,9 @@
         "_placement",
         "_quotas",
         "_waiter",
+        "caller_credit",
         "req",
         "route",
-        "turn",
         "workspace",
     )
 
@@ -59,13 +59,13 @@
         req: Request,
         route: Route,
         done: OnFinalResponse,
-        turn: CallerCredit,
+        caller_credit: CallerCredit,
     ) -> None:
         self._entry = entry
         self.workspace = workspace
         self.req = req
         self.route = route
-        self.turn = turn
+        self.caller_credit = caller_credit
         self._done = done
         self._arrived_at = entry.now()
         self._quotas: Quotas | None = None
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/memory_store.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/memory_store.py
@@ -176,7 +176,7 @@
         return None if config is None else StoredConfig(cursor, text, config)
 
     async def read_members(self, linearizable: bool) -> MembersResult:
-        """Return all nodes, without those that older lists miss unless `linearizable`."""
+        """Return all nodes; unless `linearizable`, the list may be outdated."""
         await trio.lowlevel.checkpoint()
         if (failed := self._call(1.0 if linearizable else 0.1)) is not None:
             return failed
--- a/packages/fuchsiagap/src/fuchsiagap/core/retries/backend_budget.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/retries/backend_budget.py
@@ -74,8 +74,8 @@
         Priority rank of the request at the root of its call tree; 0 is the most
         important.
     sampling_key : int
-        Random number of its call tree, below `N_SAMPLING_KEYS`; trees with lower lots are
-        retried first.
+        Random number of its call tree, below `N_SAMPLING_KEYS`; trees with lower keys
+        are retried first.
     is_nested : bool
         Whether it is a nested call, so that its call tree needs other calls too.
     calls : float
