--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/callers.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/callers.py
@@ -37,7 +37,7 @@
 # connections costs less than a `move_on_after` for each read, which takes 14 us.
 IDLE_CHECK_INTERVAL_MS = 500.0
 # Milliseconds after a suspension in which a request that is read may have been waiting
-# in the socket for the whole suspension.
+# in the socket for the whole suspension, which is then deducted from its time limit.
 _SUSPENSION_BACKLOG_MS = 250.0
 _REASON_PHRASES = {
     400: b"Bad Request",
@@ -172,7 +172,7 @@
         return RequestReader(self._cfg.names, self.limits)
 
     def record_suspension(self, suspended: Milliseconds) -> None:
-        """Record a suspension of the host, during which requests may have queued up."""
+        """Record a suspension of the host, in ms; requests may have queued up in it."""
         self._suspension_ms = suspended
         self._backlog_until = self._clock.now() + _SUSPENSION_BACKLOG_MS
 
@@ -218,15 +218,16 @@
 class _Connection:
     """One connection of a caller.
 
-    The poller calls it when there is data to read. A response is sent by the code that
-    produces it, in the order of the requests.
+    The poller calls it when there is data to read. Responses are sent in the order of
+    their requests, each in the call that delivers it or, if an earlier one is pending,
+    right after that one.
     """
 
     def __init__(self, listener: CallerListener, stream: Stream) -> None:
         self.stream = stream
         self._listener = listener
         self._reader = listener.reader()
-        self._last_received_at = listener.now()
+        self._last_active_at = listener.now()
         self._exchanges: deque[_Exchange] = deque()
         self._caller_credit = CallerCredit()
         self._unsent = b""
@@ -242,11 +243,11 @@
             return False
         limits = self._listener.limits
         wait = limits.header_timeout if self._reader.in_message else limits.idle_timeout
-        return now - self._last_received_at > wait
+        return now - self._last_active_at > wait
 
     def on_data(self, data: bytes) -> None:
         """Process data from the caller; an exception closes the connection."""
-        self._last_received_at = self._listener.now()
+        self._last_active_at = self._listener.now()
         if self._ignores_input:
             return
         try:
@@ -360,7 +361,7 @@
         """Remove the exchange whose response was sent completely."""
         exchange = self._exchanges.popleft()
         self._listener.in_progress -= 1
-        self._last_received_at = self._listener.now()
+        self._last_active_at = self._listener.now()
         self._resume_reading()
         if exchange.closes_connection:
             self._ignores_input = True
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/entry.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/entry.py
@@ -41,7 +41,8 @@
 class Entry:
     """Routes each request of a caller, then refuses it or starts its placement.
 
-    The node that takes a request from a caller owns it until it is answered.
+    The node that receives a request from a caller is responsible for it until the final
+    response: it chooses the backend server, retries and responds.
 
     Parameters
     ----------
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/event_log.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/event_log.py
@@ -76,7 +76,8 @@
     Attributes
     ----------
     counts : Counter
-        Counters by metric name and labels.
+        Counters by metric name and labels; a second part without ``=`` is the value of
+        the label ``kind``.
     """
 
     def __init__(self, node: str, clock: Clock, descriptor: int = 1) -> None:
@@ -125,9 +126,9 @@
     def log_exception(self, where: str, exc: BaseException) -> None:
         """Write an event for an unexpected exception.
 
-        The first one of a kind is written with its trace. Of the others only one in a
-        hundred is written, because thousands of traces during overload cost more than
-        the fault itself.
+        The first one of each component and exception type is written with its
+        traceback. Of the others only one in a hundred is written, because writing
+        thousands of tracebacks during overload costs more than the fault itself.
 
         Parameters
         ----------
@@ -165,7 +166,7 @@
             malformed not in self._malformed_counts
             and len(self._malformed_counts) >= _MAX_MALFORMED_KINDS
         ):
-            malformed = MalformedInput("", "one of many")
+            malformed = MalformedInput("", "one of many distinct malformed inputs")
         self._malformed_counts[malformed] += 1
         seen = self._malformed_counts[malformed]
         if seen % _REPEAT_LOG_INTERVAL == 1:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/frames.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/frames.py
@@ -307,7 +307,8 @@
         raise ValueError(f"number of a status out of range: {status}")
 
 
-# Exclusive upper bound of all loads, times, versions and revisions that nodes exchange.
+# Exclusive upper bound of all loads, times, versions and revisions that nodes exchange,
+# far above any that occur.
 _MAX_NUMBER = 2**53
 _STR, _BYTES, _INT, _BOOL = (str,), (bytes,), (int,), (bool,)
 _NUMBER = (float, int)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/gauges.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/gauges.py
@@ -24,7 +24,7 @@
 
 
 def config_gauges(config: ConfigSync) -> Iterator[Gauge]:
-    """Yield the active version and the time since the store last answered."""
+    """Yield the configuration version, store position, their ages and update source."""
     yield Gauge("config_version", "", config.active.version)
     yield Gauge("store_epoch", "", config.epoch)
     yield Gauge("store_revision", "", config.revision)
@@ -79,7 +79,7 @@
 
 
 def admission_gauges(admission: Admission) -> Iterator[Gauge]:
-    """Yield the admitted share of the new requests of each route."""
-    for service, route, share in admission.shares():
-        labels = f'service="{service}",route="{route}"'
+    """Yield the admitted share of each service and kind of new requests."""
+    for service, kind, share in admission.shares():
+        labels = f'service="{service}",route="{kind}"'
         yield Gauge("admitted_share", labels, round(share, 3))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/http_response.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/http_response.py
@@ -66,7 +66,8 @@
     Attributes
     ----------
     in_message : bool
-        Whether a response has begun and is not complete.
+        Whether a response has begun and is not complete, or malformed data has followed
+        a complete one.
     """
 
     def __init__(self, names: HeaderNames) -> None:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/link.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/link.py
@@ -21,8 +21,9 @@
 
 # Milliseconds after which the kernel resets a link whose data is not acknowledged.
 _ACK_TIMEOUT_MS = 3_000.0
-# Compression of links between data centres: the fastest level, and a window of 4 KiB,
-# which holds about the last dozen request heads.
+# Compression of links between data centres with zlib: the fastest level, a window of
+# 4 KiB (2 to the power of 12), which holds about the last dozen request heads, and the
+# `memLevel` of zlib.
 _COMPRESSION_LEVEL = 1
 _WINDOW_BITS = 12
 _MEMORY_LEVEL = 5
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/node.py
@@ -23,7 +23,7 @@
 from fuchsiagap_node.core.mesh.callers import IDLE_CHECK_INTERVAL_MS, CallerListener
 from fuchsiagap_node.core.mesh.config_sync import REFRESH_MS as CONFIG_REFRESH_MS
 from fuchsiagap_node.core.mesh.config_sync import ConfigSync
-from fuchsiagap_node.core.mesh.crash_reports import FLUSH_MS as CLEARANCES_MS
+from fuchsiagap_node.core.mesh.crash_reports import FLUSH_MS as CRASH_REPORT_FLUSH_MS
 from fuchsiagap_node.core.mesh.entry import Entry
 from fuchsiagap_node.core.mesh.event_log import FLUSH_MS, EventLog
 from fuchsiagap_node.core.mesh.final_response import FinalResponse
@@ -92,7 +92,8 @@
 # a change of configuration has to take effect.
 _SETTINGS_CHECK_INTERVAL_MS = 1_000.0
 # Milliseconds after its start for which a node waits for another node to send the
-# quarantined requests before it uses its local backend server.
+# quarantined requests before it sends requests of its own callers to its local backend
+# server. Other nodes, which know the quarantined requests, use that server meanwhile.
 _SNAPSHOT_WAIT_MS = 1_000.0
 # Milliseconds before a background task that failed is restarted.
 _RESTART_DELAY_MS = 500.0
@@ -245,7 +246,7 @@
             (_UPDATE_LINKS_INTERVAL_MS, self._links.update_links),
             (CONFIG_REFRESH_MS, self._config.refresh),
             (IDLE_CHECK_INTERVAL_MS, self._callers.close_timed_out),
-            (CLEARANCES_MS, self.reports.flush),
+            (CRASH_REPORT_FLUSH_MS, self.reports.flush),
             (_SETTINGS_CHECK_INTERVAL_MS, self.check_settings),
         ):
             self._ticker.every(interval, do)
@@ -309,7 +310,8 @@
     def _send_status(self) -> None:
         status = self._local_status.now()
         if not self._snapshot_wait_over:
-            # Requests of callers on this host may be quarantined on all other nodes.
+            # The local backend server gets no requests of callers on this host yet,
+            # because these may be quarantined on all other nodes.
             self._snapshot_wait_over = self._clock.now() >= self._snapshot_deadline
             status = replace(status, instance="")
         self._local_peer.apply_status(status)
@@ -493,7 +495,7 @@
         self._members.adopt_bounds(self.cfg.bounds)
 
     def _close_backend_queue(self) -> None:
-        """Reject the requests in the backend queue, and send the new status."""
+        """Reject the requests that wait for the backend server, and send the status."""
         if not self.backend_queue.leaving:
             self.backend_queue.leaving = True
             self.backend_queue.reject_waiting(LEAVING)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/outbound_link.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/outbound_link.py
@@ -104,6 +104,8 @@
 
     Attributes
     ----------
+    member : Member
+        The node.
     target : Target
         State of the backend server of the node, as known to this node.
     version : int
@@ -309,10 +311,10 @@
                 self.on_config(config)
             case Crash() | HeldRequest() | Cleared() as report:
                 self.on_report(report, self.member.node)
-            case StalenessReply() as age:
-                self.on_staleness(age, self.member.node)
-            case TokenGrant() as tokens:
-                self.on_token_grant(tokens)
+            case StalenessReply() as staleness:
+                self.on_staleness(staleness, self.member.node)
+            case TokenGrant() as grant:
+                self.on_token_grant(grant)
             case Hello() as hello:
                 self._handle_hello(hello, link)
         if not self.target.usable and self.target.instance and self._link:
@@ -362,9 +364,9 @@
         unsent = link.unsent()
         pending, self._pending = self._pending, {}
         self.target.own_in_flight = 0
-        for call_id, reply in pending.items():
+        for call_id, on_reply in pending.items():
             lost = NotRun(LINK_LOST) if call_id in unsent else MayHaveRun(LINK_LOST)
-            reply(lost, _NO_DOWNSTREAM_INFO)
+            on_reply(lost, _NO_DOWNSTREAM_INFO)
 
 
 def _never_received() -> Milliseconds:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/outbound_links.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/outbound_links.py
@@ -27,10 +27,10 @@
 # with 10 and 6.
 LOCAL_LINKS = 8
 REMOTE_LINKS = 3
-# Number of nodes of the data centre, first by name, that every node there links to as
-# well. These watch the configuration, and a node without a link to any of them watches
-# it too. In a data centre of 320 nodes each of the two has that many inbound links, of
-# 12 to 22 KB each.
+# Number of nodes, the first ones by name in each data centre, that every other node
+# there links to in addition. These watch the configuration, and a node without a link
+# to any of them watches it too. In a data centre of 320 nodes each of the two has that
+# many inbound links, of 12 to 22 KB each.
 WATCHER_LINKS = 2
 # Number of new nodes up to which each gets a log event. More at the same time, as at a
 # start, share one event: otherwise 195 nodes that start together write 38,000 lines.
@@ -39,8 +39,8 @@
 # node would hold up to 2,400 links, most of them to services that no caller on its host
 # requests.
 _MAX_EAGER_SERVICES = 16
-# Milliseconds without data after which a node no longer counts towards these limits,
-# and the next one is linked in addition.
+# Milliseconds without data after which a node no longer counts towards `LOCAL_LINKS`,
+# `REMOTE_LINKS` and `WATCHER_LINKS`, and the next one is linked in addition.
 _UNREACHABLE_MS = 3_000.0
 # Milliseconds for which a link is kept after `ensure_link` requested it.
 _REQUESTED_LINK_TTL_MS = 60_000.0
@@ -142,7 +142,7 @@
         self.add_members([member])
 
     def add_members(self, members: Iterable[Member]) -> None:
-        """Add nodes, and link those that belong to the subset."""
+        """Add nodes, and link those of them that this node is to be linked to."""
         new_members = [m for m in members if self._is_new(m)]
         for member in new_members:
             self._drop_link(member.node)
@@ -173,7 +173,7 @@
         )
 
     def remove_unlisted(self, listed: Iterable[str], max_silence: float) -> None:
-        """Remove nodes that are not listed and were silent for a time.
+        """Remove unlisted nodes that are not linked or sent no data for some time.
 
         Parameters
         ----------
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/stream.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/stream.py
@@ -1,7 +1,7 @@
 """TCP connections of the request path.
 
-`Stream` is thinner than trio's own stream: a send tries the socket at once and waits
-only if the send buffer is full, which saves two checkpoints for each message.
+Unlike trio's own stream, `Stream` tries to send at once and waits only if the send
+buffer is full, which saves two checkpoints for each message.
 """
 
 from __future__ import annotations
@@ -53,6 +53,7 @@
 # An idle connection to a backend server is reset after 3 s of silence. Otherwise the
 # next call on it would wait for its timeout.
 IDLE_PROBES = KeepaliveProbes(1, 1, 2)
+# Errors of `accept` when file descriptors or socket buffers have run out.
 _OUT_OF_DESCRIPTORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS})
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_gauges.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_gauges.py
@@ -14,9 +14,9 @@
 
 async def metrics_of(host):
     """Return the metrics of a node by name and labels."""
-    caller = HttpClient(host.node.cfg.addresses.metrics, HeaderNames())
-    answer = await caller.call("GET", "/metrics", b"", 1_000.0)
-    caller.close()
+    client = HttpClient(host.node.cfg.addresses.metrics, HeaderNames())
+    answer = await client.call("GET", "/metrics", b"", 1_000.0)
+    client.close()
     lines = answer.body.decode().splitlines()
     return {name: float(value) for name, _, value in (x.rpartition(" ") for x in lines)}
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_http_client.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_http_client.py
@@ -47,48 +47,48 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(server.run)
             await trio.sleep(0.01)
-            caller = HttpClient(server.address, HeaderNames())
-            result = await main(caller)
+            client = HttpClient(server.address, HeaderNames())
+            result = await main(client)
             nursery.cancel_scope.cancel()
         return result, server.connections
 
     return run_in_memory(run)
 
 
-async def get(caller, delay_ms, wait_ms=1_000.0):
+async def get(client, delay_ms, wait_ms=1_000.0):
     """Return the body of the response, or the message of the error."""
     try:
-        return (await caller.call("GET", f"/{delay_ms}", b"", wait_ms)).body
+        return (await client.call("GET", f"/{delay_ms}", b"", wait_ms)).body
     except CallFailed as exc:
         return str(exc)
 
 
 class TestHttpClient(TestCase):
     def test_successive_calls_share_a_connection(self):
-        async def main(caller):
-            return [await get(caller, delay) for delay in (5, 0, 3)]
+        async def main(client):
+            return [await get(client, delay) for delay in (5, 0, 3)]
 
         self.assertEqual(([b"/5", b"/0", b"/3"], 1), run_with_server(main))
 
     def test_concurrent_calls_get_their_own_responses(self):
-        async def main(caller):
+        async def main(client):
             found = {}
 
             async def call(delay):
-                found[delay] = await get(caller, delay)
+                found[delay] = await get(client, delay)
 
             async with trio.open_nursery() as nursery:
                 for delay in (300, 10, 200):
                     nursery.start_soon(call, delay)
-            return found, await get(caller, 1)
+            return found, await get(client, 1)
 
         (found, last), connections = run_with_server(main)
         self.assertEqual({300: b"/300", 10: b"/10", 200: b"/200"}, found)
         self.assertEqual((b"/1", 3), (last, connections))
 
     def test_connection_of_a_timed_out_call_is_not_reused(self):
-        async def main(caller):
-            return await get(caller, 400, wait_ms=100.0), await get(caller, 0)
+        async def main(client):
+            return await get(client, 400, wait_ms=100.0), await get(client, 0)
 
         (first, second), connections = run_with_server(main)
         self.assertIn("no answer within 100 ms", first)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_outbound_links.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_outbound_links.py
@@ -105,8 +105,8 @@
                     linked_replicas
                 )
 
-        n_doors, n_linked = run_in_memory(main)
-        self.assertEqual(15, n_doors)
+        n_replicas, n_linked = run_in_memory(main)
+        self.assertEqual(15, n_replicas)
         # The nodes that watch the configuration may be among these or additional.
         most = LOCAL_LINKS + WATCHER_LINKS
         self.assertIn(n_linked, range(LOCAL_LINKS, most + 1))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_path.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_path.py
@@ -312,11 +312,11 @@
                     host.server.behave = functools.partial(behave, n)
                 await deployment.settle()
                 answers = [await caller.send("/read/1", f"r{n}") for n in range(200)]
-                n_well = sum(answer.status == 200 for answer in answers)
-                return n_well, max(len(where) for where in refused.values())
+                n_succeeded = sum(answer.status == 200 for answer in answers)
+                return n_succeeded, max(len(where) for where in refused.values())
 
-        n_well, n_servers = run_in_memory(main)
-        self.assertGreater(n_well, 0.9 * 200)
+        n_succeeded, n_servers = run_in_memory(main)
+        self.assertGreater(n_succeeded, 0.9 * 200)
         self.assertLessEqual(n_servers, 2)
 
     def test_nested_calls_are_distinguished_from_new_requests(self):
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_resets.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_resets.py
@@ -49,7 +49,11 @@
 
 class TestResets(TestCase):
     def reset_after(self, data_centre, path, after, method="POST", slots=8):
-        """Reset a caller some time after its request; return what ran."""
+        """Reset a caller `after` seconds after its request.
+
+        Returns the identifiers of the requests that ran, and the number of requests
+        still running 0.1 s after the reset.
+        """
 
         async def main():
             async with a_deployment(WRITE, READ) as deployment:
@@ -104,7 +108,11 @@
         self.assertEqual([], run_in_memory(main))
 
     def send_elsewhere(self, after):
-        """Reset a caller that then sends elsewhere; return its status and what ran."""
+        """Reset a caller `after` seconds after its request; it sends to another node.
+
+        Returns the status of the second attempt, and the identifiers of the requests
+        that ran.
+        """
 
         async def main():
             async with a_deployment(WRITE) as deployment:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_stream.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_stream.py
@@ -42,7 +42,7 @@
         self.assertEqual(["closed by this end"] * 3, messages)
 
     def test_response_that_closes_its_connection_logs_no_exception(self):
-        # The connection is closed by its own code before its next wait.
+        # After the response the node closes the connection before its next wait on it.
         async def main():
             async with a_deployment(READ) as deployment:
                 host = deployment.add("certs")
