--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/explain/test_explain.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/explain/test_explain.py
@@ -6,8 +6,8 @@
 from testtools import TestCase
 
 from fuchsiagap.core.quarantine.fingerprint import fingerprint
-from fuchsiagap.core.quarantine.quarantine import Held
-from fuchsiagap.core.retries.shares import SharedBudget
+from fuchsiagap.core.quarantine.quarantine import HeldRequest
+from fuchsiagap.core.retries.backend_budget import ServiceRetryLimits
 from fuchsiagap_ctl.exit_codes import ExitCode
 from fuchsiagap_ctl.explain.lines import read_lines
 from fuchsiagap_ctl.explain.story import tell
@@ -17,7 +17,7 @@
 from fuchsiagap_standins.mesh.virtual import run_on_loopback
 
 GUILTY = (b"GET", "api.example", b"/read/1", (), b"")
-NO_REPEATS = SharedBudget(0.0, 0.0, 10_000.0)
+NO_REPEATS = ServiceRetryLimits(0.0, 0.0, 10_000.0)
 
 
 def lines_of(behaviour, route, act):
@@ -30,7 +30,7 @@
             served.server.behave = lambda _: behaviour
             await deployment.settle()
             await act(caller, served)
-            buffers = (caller.node.tell, served.node.tell)
+            buffers = (caller.node.event_log, served.node.event_log)
             return [line.decode() for tell in buffers for line in tell.lines()]
 
     return run_on_loopback(main)
@@ -62,7 +62,7 @@
 
     def test_request_that_crashes_servers_is_told_apart(self):
         async def act(caller, served):
-            held = Held(fingerprint(*GUILTY), "certs", 4, 0.0)
+            held = HeldRequest(fingerprint(*GUILTY), "certs", 4, 0.0)
             caller.node.reports.handle(held, "certs-1")
             answer = await caller.send("/read/1", "r1")
             self.assertEqual(503, answer.status)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/dispatch.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/dispatch.py
@@ -79,7 +79,9 @@
     if parent is not None:
         outcome = await _run(state, head, body, parent.allowance)
         if outcome.load is not None:
-            state.gate.note_below(parent.head.route, head.service, outcome.load)
+            state.gate.record_downstream_load(
+                parent.head.route, head.service, outcome.load
+            )
         return _with_allowance(outcome, head.allowance)
     ledger = Allowance(head.allowance)
     outcome = await _run(state, head, body, ledger)
@@ -103,7 +105,7 @@
     repeat = head.idempotent and is_repeat(head.parent_id)
     if repeat and not ledger.take():
         return _cannot_pay(head)
-    state.budget.earn(head.service)
+    state.budget.record_call(head.service)
     outcome, unsure = await _attempts(state, head, body, instance, ledger, repeat)
     if unsure and isinstance(outcome, Refused):
         # True of the last attempt, but an earlier one may have run.
@@ -186,7 +188,7 @@
         return Denial.LEVEL
     route = state.book.route_for(head.service, head.method, head.target)
     ratio = route.retry_budget if route is not None else None
-    if not state.budget.spend(head.service, ratio):
+    if not state.budget.try_spend(head.service, ratio):
         return Denial.BUDGET
     ledger.take()
     return None
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/admission.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/admission.py
@@ -1,98 +1,104 @@
-"""What the entry refuses before any work is done for it."""
+"""Admission control at the entry node, by the load of the services on a route."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from fuchsiagap.core.pressure.evenly import EvenShares
-from fuchsiagap.core.pressure.kept import deepest_cut, kept_share, share_of
-from fuchsiagap.core.pressure.level import RefusalLevel
-from fuchsiagap.core.pressure.order import RefusalOrder
+from fuchsiagap.core.shedding.allocation import guaranteed_share, max_cut, share_of_step
+from fuchsiagap.core.shedding.controller import SheddingController
+from fuchsiagap.core.shedding.fair_admission import FairAdmission
+from fuchsiagap.core.shedding.order import SheddingOrder
 
 if TYPE_CHECKING:
     import random
     from collections.abc import Iterator
 
     from fuchsiagap.core.clock import Clock, Milliseconds
-    from fuchsiagap.core.pressure.evenly import CallerTurn
-    from fuchsiagap.core.pressure.served import ServedShares
     from fuchsiagap.core.routes.model import Route
-    from fuchsiagap_node.core.mesh.pressures import Pressures
-    from fuchsiagap_node.core.mesh.telling import Teller
+    from fuchsiagap.core.shedding.fair_admission import CallerCredit
+    from fuchsiagap.core.shedding.served import ServedShares
+    from fuchsiagap_node.core.mesh.event_log import EventLog
+    from fuchsiagap_node.core.mesh.route_loads import RouteLoads
 
-# Milliseconds between two steps of the levels: a few within one reaction time.
+# Milliseconds between two steps of the shedding controllers, a few of which fit into
+# the reaction time of a controller.
 STEP_MS = 100.0
-# Shares of a route's latency objective after which a refused caller may come back, at
-# least and at most: its answer counts from its first attempt, so one that is let in
-# then can still be in time. Spread, so that those refused together do not come
-# together.
+# Bounds of the retry-after time, as shares of a route's latency objective. The
+# objective counts from the caller's first attempt, so a request that is admitted when
+# it is retried can still meet it. The time is drawn at random between the bounds, so
+# that callers refused together do not come back together.
 _RETRY_AFTER_SHARES = (0.2, 0.4)
-# Milliseconds that a refused caller stays away at least.
-_LEAST_RETRY_AFTER_MS = 40.0
+# Lower bound of the retry-after time in milliseconds.
+_MIN_RETRY_AFTER_MS = 40.0
 
 
 class Admission:
-    """Refusal levels of the routes of requests that begin at this node.
+    """Decides which of the requests that enter at this node are admitted.
+
+    Keeps a shedding controller for each service and kind of request.
 
     Parameters
     ----------
-    pressures : Pressures
-        Fullness of the services that a route leads to.
+    route_loads : RouteLoads
+        Fullness of the services that a route's requests reach.
     served : ServedShares
-        What the callers of this node got.
+        Shares of the requests of this node's callers that succeeded, by route.
     clock : Clock
         Time in milliseconds.
     rng : random.Random
-        Spreads the first refusals of the nodes, and when callers come back.
-    teller : Teller
-        Logs.
+        Staggers the first refusals across nodes, and the retry-after times.
+    event_log : EventLog
+        Event log.
     """
 
     def __init__(
         self,
-        pressures: Pressures,
+        route_loads: RouteLoads,
         served: ServedShares,
         clock: Clock,
         rng: random.Random,
-        teller: Teller,
+        event_log: EventLog,
     ) -> None:
-        self._pressures = pressures
+        self._route_loads = route_loads
         self._served = served
         self._clock = clock
         self._rng = rng
-        self._tell = teller
-        self._levels: dict[tuple[str, str], RefusalLevel] = {}
-        self._order = RefusalOrder()
+        self._event_log = event_log
+        self._controllers: dict[tuple[str, str], SheddingController] = {}
+        self._order = SheddingOrder()
         self._stepped_at = clock.now()
-        self._even = EvenShares(rng)
+        self._fair_admission = FairAdmission(rng)
         self._shares: dict[tuple[str, str], float] = {}
-        # Names of routes by the kinds of their requests.
+        # Route names by kind of request.
         self._routes: dict[str, str] = {}
 
     def step(self) -> None:
-        """Let each level follow the fullness of its service."""
+        """Update each shedding controller from the fullness of its service."""
         now = self._clock.now()
         elapsed, self._stepped_at = now - self._stepped_at, now
         self._order.forget(now)
-        self._learn_calls()
-        steps = self._order.steps_from_worst()
+        self._update_call_counts()
+        steps = self._order.step_by_kind()
         kinds = self._order.loads(now)
-        kept = kept_share(self._served.whole(now))
-        worst = deepest_cut(0, kinds, kept)
-        for (service, kind), level in self._levels.items():
-            was_open = level.cut == 0.0
-            fullness = self._pressures.of(service, self._routes[kind])
+        guaranteed = guaranteed_share(self._served.overall_share(now))
+        worst = max_cut(0, kinds, guaranteed)
+        for (service, kind), controller in self._controllers.items():
+            was_open = controller.cut == 0.0
+            fullness = self._route_loads.fullness(service, self._routes[kind])
             step = steps.get(kind)
-            most = deepest_cut(step or 0, kinds, kept)
-            level.step(fullness, min(elapsed, 5 * STEP_MS), worst, most)
+            most = max_cut(step or 0, kinds, guaranteed)
+            controller.step(fullness, min(elapsed, 5 * STEP_MS), worst, most)
             if step is None:
-                # Asked for too seldom to have a place among the kinds, or to matter.
+                # Requested too rarely to be ranked among the kinds; all are admitted,
+                # which adds hardly any load.
                 self._shares[service, kind] = 1.0
             else:
-                room = level.room(is_worst=step == 0)
-                self._shares[service, kind] = share_of(step, room, kinds, kept)
-            if was_open != (level.cut == 0.0):
-                self._tell.event(
+                load_share = controller.load_share(is_worst=step == 0)
+                self._shares[service, kind] = share_of_step(
+                    step, load_share, kinds, guaranteed
+                )
+            if was_open != (controller.cut == 0.0):
+                self._event_log.event(
                     "admission-changed",
                     service=service,
                     route=kind,
@@ -100,52 +106,55 @@
                     refusing=was_open,
                 )
 
-    def _learn_calls(self) -> None:
-        """Take in what requests make, of a split route at whichever service is most."""
+    def _update_call_counts(self) -> None:
+        """Update the number of nested calls that one request of each kind makes.
+
+        Of a route that is split over several services, the largest number counts.
+        """
         most: dict[str, float] = {}
-        for service, kind in self._levels:
-            calls = self._pressures.calls(service, self._routes[kind])
+        for service, kind in self._controllers:
+            calls = self._route_loads.calls(service, self._routes[kind])
             most[kind] = max(most.get(kind, 0.0), calls)
         for kind, calls in most.items():
-            self._order.note_calls(kind, calls)
+            self._order.record_calls(kind, calls)
 
     def admitted_share(self, service: str, route: Route) -> float:
-        """Return the share of a route's requests that is let in now."""
-        asked = service, route.kind
-        if asked not in self._levels:
+        """Return the share of a route's requests that is admitted now."""
+        key = service, route.kind
+        if key not in self._controllers:
             self._routes[route.kind] = route.name
-            self._levels[asked] = RefusalLevel()
-            self._shares[asked] = 1.0
-        self._order.note_request(route, self._clock.now())
-        return self._shares[asked]
+            self._controllers[key] = SheddingController()
+            self._shares[key] = 1.0
+        self._order.record_request(route, self._clock.now())
+        return self._shares[key]
 
     def shares(self) -> Iterator[tuple[str, str, float]]:
-        """Yield service, kind and admitted share of what was asked for so far."""
+        """Yield service, kind and admitted share of each kind requested so far."""
         for (service, kind), share in sorted(self._shares.items()):
             yield service, kind, share
 
     def route_of(self, kind: str) -> str:
-        """Return the name of the route of a kind that was asked for."""
+        """Return the route name of a kind that has been requested."""
         return self._routes[kind]
 
-    def admits(self, route: Route, share: float, turn: CallerTurn) -> bool:
-        """Return whether one request is let in.
+    def admits(self, route: Route, share: float, credit: CallerCredit) -> bool:
+        """Return whether a request is admitted.
 
-        Whether a caller comes back after a refusal makes no difference: nothing in a
-        request tells so where callers differ in how long they wait.
+        First attempts and retries after a refusal are treated alike: callers differ in
+        how long they wait, so a request does not show whether it is a retry.
 
         Parameters
         ----------
         route : Route
-            Its route.
+            Route of the request.
         share : float
-            Admitted share of its rank.
-        turn : CallerTurn
-            What its caller is owed.
+            Admitted share of its kind, from `admitted_share`.
+        credit : CallerCredit
+            Admissions that its caller is owed, for fairness among callers.
         """
-        return self._even.admits(route.kind, share, turn)
+        return self._fair_admission.admits(route.kind, share, credit)
 
     def retry_after(self, route: Route) -> Milliseconds:
-        """Return when a refused caller may come back."""
+        """Return the milliseconds after which a refused caller may retry."""
         wait = route.objective * self._rng.uniform(*_RETRY_AFTER_SHARES)
-        return max(wait, _LEAST_RETRY_AFTER_MS)
+        return max(wait, _MIN_RETRY_AFTER_MS)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/callers.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/callers.py
@@ -8,9 +8,12 @@
 import trio
 
 from fuchsiagap.core.clock import MS_PER_S
-from fuchsiagap.core.pressure.evenly import CallerTurn
 from fuchsiagap.core.routes.model import CallerLimits
-from fuchsiagap_node.core.mesh.final import RETRY_AFTER_MS, Final
+from fuchsiagap.core.shedding.fair_admission import CallerCredit
+from fuchsiagap_node.core.mesh.final_response import (
+    DEFAULT_RETRY_AFTER_MS,
+    FinalResponse,
+)
 from fuchsiagap_node.core.mesh.http_request import BadRequest, RequestReader
 from fuchsiagap_node.core.mesh.stream import BrokenStream
 
@@ -19,12 +22,12 @@
 
     from fuchsiagap.core.clock import Clock, Milliseconds
     from fuchsiagap_node.core.mesh.entry import Cancellable, Entry
+    from fuchsiagap_node.core.mesh.event_log import EventLog
     from fuchsiagap_node.core.mesh.http_request import Request
-    from fuchsiagap_node.core.mesh.placement import OnFinal
+    from fuchsiagap_node.core.mesh.placement import OnFinalResponse
     from fuchsiagap_node.core.mesh.poller import Poller
     from fuchsiagap_node.core.mesh.settings import MeshSettings
     from fuchsiagap_node.core.mesh.stream import Stream
-    from fuchsiagap_node.core.mesh.telling import Teller
 
 # Requests of one connection that are worked on at the same time; those behind wait
 # unread, which holds the caller back instead of this node's memory.
@@ -49,7 +52,7 @@
 }
 
 
-def answer_bytes(final: Final, close: bool) -> bytes:
+def encode_response(final: FinalResponse, close: bool) -> bytes:
     """Return an answer as it goes to the caller."""
     parts = [b"HTTP/1.1 %d %s\r\n" % (final.status, final.reason or _reason(final))]
     if final.headers:
@@ -63,11 +66,11 @@
     return b"".join(parts)
 
 
-def _reason(final: Final) -> bytes:
+def _reason(final: FinalResponse) -> bytes:
     return _REASONS.get(final.status, b"Answer")
 
 
-class CallerEdge:
+class CallerListener:
     """Takes requests from callers and sends their answers back in order.
 
     Parameters
@@ -78,7 +81,7 @@
         Answers the requests.
     clock : Clock
         Time in milliseconds.
-    teller : Teller
+    event_log : EventLog
         Logs and counters.
     poller : Poller
         Watches the connections.
@@ -98,14 +101,14 @@
         cfg: MeshSettings,
         entry: Entry,
         clock: Clock,
-        teller: Teller,
+        event_log: EventLog,
         poller: Poller,
     ) -> None:
         self._poller = poller
         self._cfg = cfg
         self._entry = entry
         self._clock = clock
-        self._tell = teller
+        self._event_log = event_log
         self.limits = CallerLimits()
         self.closing = False
         self.in_progress = 0
@@ -118,15 +121,15 @@
         """Serve one connection until it ends."""
         conn = _Connection(self, stream)
         self._open[conn] = None
-        stream.read_with(self._poller, conn.take, conn.end)
+        stream.start_reading(self._poller, conn.take, conn.end)
 
     def forget(self, conn: _Connection) -> None:
         """Forget a connection that has ended."""
         self._open.pop(conn, None)
 
-    def fault(self, exc: Exception) -> None:
+    def log_exception(self, exc: Exception) -> None:
         """Take an exception of one connection that nobody expected."""
-        self._tell.fault("caller-connection", exc)
+        self._event_log.log_exception("caller-connection", exc)
 
     def now(self) -> Milliseconds:
         """Return the time."""
@@ -169,18 +172,18 @@
         return req._replace(wait=max(req.wait - self._suspended, 0.0))
 
     def begin(
-        self, req: Request, done: OnFinal, turn: CallerTurn
+        self, req: Request, done: OnFinalResponse, turn: CallerCredit
     ) -> Cancellable | None:
         """Begin to answer a request; a fault in it is answered, too."""
         req = self._age_unread(req)
         if req.wait is not None and req.wait <= 0.0:
-            done(Final(503, retry_after=RETRY_AFTER_MS))
+            done(FinalResponse(503, retry_after=DEFAULT_RETRY_AFTER_MS))
             return None
         try:
             return self._entry.begin(req, done, turn)
         except Exception as exc:
-            self._tell.fault("entry", exc)
-            done(Final(502))
+            self._event_log.log_exception("entry", exc)
+            done(FinalResponse(502))
             return None
 
     def send_later(self, work: Callable[[], Awaitable[None]]) -> None:
@@ -198,7 +201,7 @@
         self.is_head = req is not None and req.method == b"HEAD"
         self.closes = req is None or not req.keep_alive
         self.placement: Cancellable | None = None
-        self.final: Final | None = None
+        self.final: FinalResponse | None = None
 
 
 class _Connection:
@@ -208,26 +211,26 @@
     by whoever brings them (see `placement`).
     """
 
-    def __init__(self, edge: CallerEdge, stream: Stream) -> None:
+    def __init__(self, edge: CallerListener, stream: Stream) -> None:
         self.stream = stream
         self._edge = edge
         self._reader = edge.reader()
         self._heard_at = edge.now()
         self._open: deque[_Exchange] = deque()
-        self._turn = CallerTurn()
+        self._turn = CallerCredit()
         self._rest = b""
         self._is_paused = False
         self._ended = False
 
     def is_idle(self) -> bool:
-        return not self._open and not self._reader.midway
+        return not self._open and not self._reader.in_message
 
     def is_overdue(self, now: Milliseconds) -> bool:
         """Whether the caller has been silent for longer than the limits allow."""
         if self._open:
             return False
         limits = self._edge.limits
-        wait = limits.header_timeout if self._reader.midway else limits.idle_timeout
+        wait = limits.header_timeout if self._reader.in_message else limits.idle_timeout
         return now - self._heard_at > wait
 
     def take(self, data: bytes) -> None:
@@ -238,7 +241,7 @@
         try:
             self._take(data)
         except Exception as exc:
-            self._edge.fault(exc)
+            self._edge.log_exception(exc)
             self._leave()
 
     def end(self, _: BrokenStream) -> None:
@@ -255,7 +258,7 @@
         for req in requests:
             if not self._ended:
                 self._start(req)
-        if self._reader.wants_continue and self._reader.midway and not self._open:
+        if self._reader.wants_continue and self._reader.in_message and not self._open:
             # Not amid the answers to requests before it, which may be sent in parts.
             self._reader.wants_continue = False
             self._send_continue()
@@ -283,7 +286,7 @@
         exchange = self._queue(req)
         self._ended = exchange.closes
 
-        def done(final: Final) -> None:
+        def done(final: FinalResponse) -> None:
             exchange.final = final
             self._flush()
 
@@ -298,14 +301,14 @@
     def _reject(self, exc: BadRequest) -> None:
         """Answer what is no request, after the answers that are still to come."""
         self._ended = True
-        self._queue(None).final = Final(exc.status)
+        self._queue(None).final = FinalResponse(exc.status)
         self._flush()
 
     def _flush(self) -> None:
         """Send the answers whose turn it is."""
         while self._open and self._open[0].final is not None and not self._rest:
             exchange = self._open[0]
-            last = len(self._open) == 1 and not self._reader.midway
+            last = len(self._open) == 1 and not self._reader.in_message
             exchange.closes = exchange.closes or (self._edge.closing and last)
             try:
                 self._rest = self.stream.send_some(_bytes_of(exchange))
@@ -353,5 +356,5 @@
     """Return the answer of an exchange as it goes to the caller."""
     final = exchange.final
     assert final is not None
-    data = answer_bytes(final, exchange.closes)
+    data = encode_response(final, exchange.closes)
     return data[: len(data) - len(final.body)] if exchange.is_head else data
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/entry.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/entry.py
@@ -4,8 +4,11 @@
 
 from typing import TYPE_CHECKING, Protocol
 
-from fuchsiagap_node.core.mesh.final import RETRY_AFTER_MS, Final
-from fuchsiagap_node.core.mesh.keyed_request import KeyedRequest
+from fuchsiagap_node.core.mesh.final_response import (
+    DEFAULT_RETRY_AFTER_MS,
+    FinalResponse,
+)
+from fuchsiagap_node.core.mesh.metered_request import MeteredRequest
 from fuchsiagap_node.core.mesh.over_quota import quota_refusal
 from fuchsiagap_node.core.mesh.placement import Placement
 
@@ -13,19 +16,19 @@
     from collections.abc import Callable
 
     from fuchsiagap.core.clock import Milliseconds
-    from fuchsiagap.core.pressure.evenly import CallerTurn
     from fuchsiagap.core.routes.model import Route
     from fuchsiagap.core.routes.table import RouteTable, ShareRotation
+    from fuchsiagap.core.shedding.fair_admission import CallerCredit
     from fuchsiagap.core.workspaces.model import Workspace
     from fuchsiagap_node.core.mesh.admission import Admission
+    from fuchsiagap_node.core.mesh.api_key_authenticator import ApiKeyAuthenticator
+    from fuchsiagap_node.core.mesh.event_log import EventLog
     from fuchsiagap_node.core.mesh.http_request import Request
-    from fuchsiagap_node.core.mesh.job import Job
-    from fuchsiagap_node.core.mesh.placement import OnFinal
-    from fuchsiagap_node.core.mesh.placing import Placing
-    from fuchsiagap_node.core.mesh.pressures import Pressures
-    from fuchsiagap_node.core.mesh.quotas import QuotaAnswer, Quotas
-    from fuchsiagap_node.core.mesh.telling import Teller
-    from fuchsiagap_node.core.mesh.workspace_check import WorkspaceCheck
+    from fuchsiagap_node.core.mesh.pending_call import PendingCall
+    from fuchsiagap_node.core.mesh.placement import OnFinalResponse
+    from fuchsiagap_node.core.mesh.placement_context import PlacementContext
+    from fuchsiagap_node.core.mesh.quotas import QuotaDecision, Quotas
+    from fuchsiagap_node.core.mesh.route_loads import RouteLoads
 
 
 class Cancellable(Protocol):
@@ -40,17 +43,17 @@
 
     Parameters
     ----------
-    placing : Placing
+    context : PlacementContext
         Hands requests to backend servers.
-    pressures : Pressures
+    route_loads : RouteLoads
         Told which calls the requests of a route make.
     admission : Admission
         What is refused at once.
     rotation : ShareRotation
         Choice among the services of a route.
-    teller : Teller
+    event_log : EventLog
         Logs and counters.
-    check : WorkspaceCheck
+    authenticator : ApiKeyAuthenticator
         Finds the workspace of a request.
     quotas : Quotas
         Requests that workspaces may make.
@@ -67,27 +70,27 @@
 
     def __init__(
         self,
-        placing: Placing,
-        pressures: Pressures,
+        context: PlacementContext,
+        route_loads: RouteLoads,
         admission: Admission,
         rotation: ShareRotation,
-        teller: Teller,
-        check: WorkspaceCheck,
+        event_log: EventLog,
+        authenticator: ApiKeyAuthenticator,
         quotas: Quotas,
     ) -> None:
-        self._check = check
+        self._authenticator = authenticator
         self._quotas = quotas
-        self._placing = placing
-        self._pressures = pressures
+        self._context = context
+        self._route_loads = route_loads
         self._admission = admission
         self._rotation = rotation
-        self._tell = teller
+        self._event_log = event_log
         self.table: RouteTable | None = None
         self.stopping = False
-        self.parent_of: Callable[[str], Job | None] = _no_parent
+        self.parent_of: Callable[[str], PendingCall | None] = _no_parent
 
     def begin(
-        self, req: Request, done: OnFinal, turn: CallerTurn
+        self, req: Request, done: OnFinalResponse, turn: CallerCredit
     ) -> Cancellable | None:
         """Refuse a request or begin to place it.
 
@@ -98,7 +101,7 @@
         done : callable
             Told the final answer, once, now or later: the backend server's, or a
             truthful word that there is none.
-        turn : CallerTurn
+        turn : CallerCredit
             What its caller is owed.
 
         Returns
@@ -109,33 +112,33 @@
         """
         table = self.table
         if table is None:
-            done(Final(503, retry_after=RETRY_AFTER_MS))
+            done(FinalResponse(503, retry_after=DEFAULT_RETRY_AFTER_MS))
             return None
         path = req.target.partition(b"?")[0].decode("latin-1")
         route = table.find(req.host, path)
         if route is None:
-            self._tell.event("no-route", request=req.request_id, host=req.host)
-            done(Final(404))
+            self._event_log.event("no-route", request=req.request_id, host=req.host)
+            done(FinalResponse(404))
             return None
         parent = self.parent_of(req.request_id)
         if parent is not None and (route.public or table.keys is None):
             return self._place(req, route, parent, done)
-        caller = self._check.identify(req, route, table)
-        if isinstance(caller, Final):
+        caller = self._authenticator.authenticate(req, route, table)
+        if isinstance(caller, FinalResponse):
             done(caller)
             return None
         if caller is None:
             return self._admit(req, table.ranked(route, None), done, turn)
         ranked = table.ranked(route, caller.priority)
-        keyed = KeyedRequest(self, caller, req, ranked, done, turn)
-        return keyed if keyed.start(self._quotas) else None
+        metered = MeteredRequest(self, caller, req, ranked, done, turn)
+        return metered if metered.start(self._quotas) else None
 
     def _admit(
         self,
         req: Request,
         route: Route,
-        done: OnFinal,
-        turn: CallerTurn,
+        done: OnFinalResponse,
+        turn: CallerCredit,
         workspace: Workspace | None = None,
         waited: Milliseconds = 0.0,
     ) -> Placement | None:
@@ -146,47 +149,54 @@
             done(refusal)
             return None
         placement = Placement(
-            self._placing, req, route, service, None, done, workspace, waited
+            self._context, req, route, service, None, done, workspace, waited
         )
         placement.start()
         return placement
 
     def _place(
-        self, req: Request, route: Route, parent: Job, done: OnFinal
+        self, req: Request, route: Route, parent: PendingCall, done: OnFinalResponse
     ) -> Placement:
         """Begin to place a call of the backend server."""
         service = self._rotation.pick(route)
-        self._pressures.note_call(parent.call.route, service, route.name)
-        placement = Placement(self._placing, req, route, service, parent, done)
+        self._route_loads.record_nested_call(parent.call.route, service, route.name)
+        placement = Placement(self._context, req, route, service, parent, done)
         placement.start()
         return placement
 
-    def within_quota(
-        self, keyed: KeyedRequest, done: OnFinal, waited: Milliseconds
+    def admit_within_quota(
+        self, metered: MeteredRequest, done: OnFinalResponse, waited: Milliseconds
     ) -> Placement | None:
         """Go on with a request that has its token."""
         try:
             return self._admit(
-                keyed.req, keyed.route, done, keyed.turn, keyed.workspace, waited
+                metered.req,
+                metered.route,
+                done,
+                metered.turn,
+                metered.workspace,
+                waited,
             )
         except Exception as exc:
-            self._tell.fault("entry", exc)
-            done(Final(502))
+            self._event_log.log_exception("entry", exc)
+            done(FinalResponse(502))
             return None
 
-    def over_quota(self, keyed: KeyedRequest, answer: QuotaAnswer) -> Final:
+    def refuse_over_quota(
+        self, metered: MeteredRequest, answer: QuotaDecision
+    ) -> FinalResponse:
         """Return what the caller gets whose workspace has no token."""
-        route = keyed.route.name
+        route = metered.route.name
         cause = answer.verdict.value
         refusal = quota_refusal(answer)
         assert refusal is not None
-        self._tell.counts["quota_refused", cause] += 1
-        self._tell.answered(route, str(refusal.status), 0.0)
-        self._tell.event(
+        self._event_log.counts["quota_refused", cause] += 1
+        self._event_log.count_outcome(route, str(refusal.status), 0.0)
+        self._event_log.event(
             "quota-refused",
-            request=keyed.req.request_id,
+            request=metered.req.request_id,
             route=route,
-            workspace=keyed.workspace.name,
+            workspace=metered.workspace.name,
             cause=cause,
             retry_after=round(refusal.retry_after),
         )
@@ -194,29 +204,29 @@
 
     def now(self) -> Milliseconds:
         """Return the time."""
-        return self._placing.clock.now()
+        return self._context.clock.now()
 
     def _refusal(
-        self, req: Request, route: Route, service: str, turn: CallerTurn
-    ) -> Final | None:
+        self, req: Request, route: Route, service: str, turn: CallerCredit
+    ) -> FinalResponse | None:
         """Return the refusal of a new request for which there is no room."""
         if self.stopping:
-            return Final(503, retry_after=RETRY_AFTER_MS)
+            return FinalResponse(503, retry_after=DEFAULT_RETRY_AFTER_MS)
         share = self._admission.admitted_share(service, route)
         if self._admission.admits(route, share, turn):
             return None
-        self._placing.served.note_refused(route.name, self._placing.clock.now())
+        self._context.served.record_refused(route.name, self._context.clock.now())
         retry_after = self._admission.retry_after(route)
-        self._tell.answered(route.name, "refused", 0.0)
-        self._tell.counts["refused_at_entry", f"rank-{route.priority}"] += 1
-        self._tell.event(
+        self._event_log.count_outcome(route.name, "refused", 0.0)
+        self._event_log.counts["refused_at_entry", f"rank-{route.priority}"] += 1
+        self._event_log.event(
             "refused",
             request=req.request_id,
             route=route.name,
             share=round(share, 2),
             retry_after=round(retry_after),
         )
-        return Final(503, retry_after=retry_after)
+        return FinalResponse(503, retry_after=retry_after)
 
 
 def _no_parent(_: str) -> None:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/telling.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/event_log.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from fuchsiagap_node.core.mesh.unreadable import Unreadable
+from fuchsiagap_node.core.mesh.malformed_input import MalformedInput
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -59,7 +59,7 @@
         return f"fuchsiagap_{self.name}{{{self.labels}}} {self.value:g}"
 
 
-class Teller:
+class EventLog:
     """Writes one line for each decision and counts what happens often.
 
     Parameters
@@ -83,7 +83,7 @@
         self._latency: dict[str, list[int]] = {}
         self._latency_sum: Counter[str] = Counter()
         self._faults: Counter[tuple[str, str]] = Counter()
-        self._unreadable: Counter[Unreadable] = Counter()
+        self._unreadable: Counter[MalformedInput] = Counter()
 
     def event(self, kind: str, **fields: object) -> None:
         """Write a line.
@@ -115,7 +115,7 @@
         """Return the lines that are still to be written."""
         return tuple(self._lines)
 
-    def fault(self, where: str, exc: BaseException) -> None:
+    def log_exception(self, where: str, exc: BaseException) -> None:
         """Write a line for an exception that nothing else expected.
 
         Only the first of a kind gets its trace, and of the others one in a hundred a
@@ -133,14 +133,14 @@
         else:
             self.counts["events", "fault"] += 1
 
-    def unreadable(self, kind: str, word: Unreadable) -> None:
+    def unreadable(self, kind: str, word: MalformedInput) -> None:
         """Write a line for a word from outside that says nothing to be believed.
 
         Of equal ones the first gets a line and then one in a hundred: whoever writes
         them may go on for ever.
         """
         if word not in self._unreadable and len(self._unreadable) >= _MOST_UNREADABLE:
-            word = Unreadable("", "one of many")
+            word = MalformedInput("", "one of many")
         self._unreadable[word] += 1
         seen = self._unreadable[word]
         if seen % _REPEATED == 1:
@@ -148,11 +148,11 @@
         else:
             self.counts["events", kind] += 1
 
-    def store_call(self, kind: str, cause: str) -> None:
+    def count_store_call(self, kind: str, cause: str) -> None:
         """Count a call to the store by what it asks for and why."""
         self.counts["store_calls", f'kind="{kind}",cause="{cause}"'] += 1
 
-    def answered(self, route: str, outcome: str, latency: float) -> None:
+    def count_outcome(self, route: str, outcome: str, latency: float) -> None:
         """Count a request by route and outcome, and its latency in milliseconds."""
         self.counts["requests", f'route="{route}",outcome="{outcome}"'] += 1
         buckets = self._latency.get(route)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/gauges.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/gauges.py
@@ -6,15 +6,15 @@
 
 from fuchsiagap.core.placement.choice import service_fullness
 from fuchsiagap.core.watching.watcher_rank import UpdateSource
-from fuchsiagap_node.core.mesh.telling import Gauge
+from fuchsiagap_node.core.mesh.event_log import Gauge
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
     from fuchsiagap_node.core.mesh.admission import Admission
+    from fuchsiagap_node.core.mesh.backend_queue import BackendQueue
     from fuchsiagap_node.core.mesh.config_sync import ConfigSync
     from fuchsiagap_node.core.mesh.crash_reports import CrashReports
-    from fuchsiagap_node.core.mesh.door import Door
     from fuchsiagap_node.core.mesh.peers import Peers
     from fuchsiagap_node.core.mesh.quotas import Quotas
 
@@ -25,10 +25,10 @@
 
 def config_gauges(config: ConfigSync) -> Iterator[Gauge]:
     """Yield the version in force, and since when the store was not heard of."""
-    yield Gauge("config_version", "", config.in_force.version)
+    yield Gauge("config_version", "", config.active.version)
     yield Gauge("store_epoch", "", config.epoch)
     yield Gauge("store_revision", "", config.revision)
-    yield Gauge("config_adopted_age_ms", "", round(config.in_force.adopted_age))
+    yield Gauge("config_adopted_age_ms", "", round(config.active.adopted_age))
     yield Gauge("store_heard_age_ms", "", round(config.store_age))
     yield Gauge("store_request_age_ms", "", round(config.request_age))
     for source in UpdateSource:
@@ -37,14 +37,14 @@
         yield Gauge("config_update_source", labels, float(is_it))
 
 
-def door_gauges(door: Door) -> Iterator[Gauge]:
+def backend_gauges(backend_queue: BackendQueue) -> Iterator[Gauge]:
     """Yield what the node believes of its own backend server."""
-    yield Gauge("backend_ready", "", float(bool(door.instance())))
-    yield Gauge("backend_beat_age_ms", "", round(door.beat_age))
-    yield Gauge("backend_places", "", door.limit)
-    yield Gauge("backend_running", "", door.running)
-    yield Gauge("backend_waiting", "", door.load - door.running)
-    yield Gauge("backend_failing_share", "", round(door.failing(), 3))
+    yield Gauge("backend_ready", "", float(bool(backend_queue.instance())))
+    yield Gauge("backend_beat_age_ms", "", round(backend_queue.heartbeat_age))
+    yield Gauge("backend_places", "", backend_queue.limit)
+    yield Gauge("backend_running", "", backend_queue.running)
+    yield Gauge("backend_waiting", "", backend_queue.load - backend_queue.running)
+    yield Gauge("backend_failing_share", "", round(backend_queue.failing(), 3))
 
 
 def quarantine_gauges(reports: CrashReports) -> Iterator[Gauge]:
@@ -55,13 +55,13 @@
 
 def workspace_gauges(config: ConfigSync, quotas: Quotas) -> Iterator[Gauge]:
     """Yield the age of what is known of keys, and the workspaces asked for most."""
-    age = config.in_force.knowledge_age
+    age = config.active.staleness
     yield Gauge("knowledge_age_ms", "", round(age) if age < float("inf") else -1.0)
     yield Gauge("quotas_owned", "", quotas.grants.n_owned)
-    for name, rate in quotas.holdings.busiest(_MOST_WORKSPACES):
+    for name, rate in quotas.token_cache.busiest(_MOST_WORKSPACES):
         labels = f'workspace="{name}"'
         yield Gauge("workspace_requests_a_second", labels, round(rate, 1))
-        yield Gauge("workspace_tokens", labels, quotas.holdings.tokens(name))
+        yield Gauge("workspace_tokens", labels, quotas.token_cache.tokens(name))
         level = quotas.grants.level(name)
         if level is not None:
             yield Gauge("workspace_quota_left", labels, round(level, 1))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/hedging.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/hedging.py
@@ -1,4 +1,4 @@
-"""Hedged requests: sent again while without an answer, and the first one counts."""
+"""Hedged requests: sent again until one is answered; the first answer is used."""
 
 from __future__ import annotations
 
@@ -17,63 +17,63 @@
 Result = TypeVar("Result")
 
 
-class FirstAnswer(NamedTuple, Generic[Result]):
-    """The answer that came first.
+class FirstResponse(NamedTuple, Generic[Result]):
+    """The first answer to a hedged request.
 
     Parameters
     ----------
     result : object
-        The result.
+        Result of the request.
     n_dropped : int
-        Requests sent before the one that it answers.
+        Number of requests sent before the answered one; they count as dropped.
     """
 
     result: Result
     n_dropped: int
 
 
-def _no_growth() -> float:
-    """Return that the time stays the same."""
+def _constant_factor() -> float:
+    """Return the factor that keeps the interval constant."""
     return 1.0
 
 
 async def hedge(
-    ask: Callable[[], Awaitable[Result]],
-    every: Milliseconds,
-    on_silence: Callable[[], None],
-    growth: Callable[[], float] = _no_growth,
-) -> FirstAnswer[Result]:
-    """Return the first result of a request that is sent again and again.
+    send: Callable[[], Awaitable[Result]],
+    interval: Milliseconds,
+    on_unresponsive: Callable[[], None],
+    backoff_factor: Callable[[], float] = _constant_factor,
+) -> FirstResponse[Result]:
+    """Send a request repeatedly until one is answered; return the first result.
 
-    A store that answers slowly answers the first one, and one that has dropped what was
-    asked while it was silent answers the first that it gets afterwards.
+    Earlier requests stay open. So a slow store answers the first one, and a store that
+    dropped requests while it was unresponsive answers the first one it gets afterwards.
 
     Parameters
     ----------
-    ask : callable
-        Sends the request once; ends by itself.
-    every : float
-        Milliseconds between two requests.
-    on_silence : callable
-        Told that a second request has no answer either.
-    growth : callable, optional
-        Returns by what that time grows from one request to the next.
+    send : callable
+        Sends the request once and returns its result; must have its own timeout.
+    interval : float
+        Milliseconds between the first two requests.
+    on_unresponsive : callable
+        Called when the second request is not answered within its interval either.
+    backoff_factor : callable, optional
+        Returns the factor by which the interval grows from one request to the next.
     """
-    answers: list[FirstAnswer[Result]] = []
-    answered = trio.Event()
+    responses: list[FirstResponse[Result]] = []
+    is_answered = trio.Event()
 
-    async def ask_one(number: int) -> None:
-        answers.append(FirstAnswer(await ask(), number))
-        answered.set()
+    async def send_one(number: int) -> None:
+        responses.append(FirstResponse(await send(), number))
+        is_answered.set()
 
     async with trio.open_nursery() as nursery:
         for number in count():
             if number == 2:
-                on_silence()
-            nursery.start_soon(ask_one, number)
-            with trio.move_on_after(every * growth() ** number / MS_PER_S):
-                await answered.wait()
-            if answered.is_set():
+                on_unresponsive()
+            nursery.start_soon(send_one, number)
+            with trio.move_on_after(interval * backoff_factor() ** number / MS_PER_S):
+                await is_answered.wait()
+            if is_answered.is_set():
                 break
         nursery.cancel_scope.cancel()
-    return answers[0]
+    return responses[0]
--- /dev/null
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/inbound_links.py
@@ -0,0 +1,283 @@
+"""Receiving end of the links on which other nodes send calls to this one."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field, replace
+from typing import TYPE_CHECKING
+
+from fuchsiagap.core.quarantine.quarantine import Crash, HeldRequest
+from fuchsiagap_node.core.mesh.frames import BadFrame
+from fuchsiagap_node.core.mesh.link import FramedLink
+from fuchsiagap_node.core.mesh.messages import (
+    NO_CALLS,
+    Call,
+    Cancel,
+    Cleared,
+    ConfigQuery,
+    EncodedConfig,
+    Hello,
+    Ping,
+    Pong,
+    Reply,
+    StalenessQuery,
+    StalenessReply,
+    Status,
+    TokenGrant,
+    TokenRequest,
+)
+from fuchsiagap_node.core.mesh.pending_call import PendingCall
+from fuchsiagap_node.core.mesh.stream import BrokenStream
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterator
+
+    from fuchsiagap.core.clock import Clock, Milliseconds
+    from fuchsiagap_node.core.mesh.backend_queue import BackendQueue
+    from fuchsiagap_node.core.mesh.crash_reports import Post, Report
+    from fuchsiagap_node.core.mesh.event_log import EventLog
+    from fuchsiagap_node.core.mesh.messages import Message
+    from fuchsiagap_node.core.mesh.outcome import Outcome
+    from fuchsiagap_node.core.mesh.poller import Poller
+    from fuchsiagap_node.core.mesh.stream import Stream
+
+
+# Milliseconds for which the load last sent to a node is recent enough.
+_LOAD_FRESH_MS = 1_000.0
+
+
+@dataclass(slots=True, eq=False)
+class _Sender:
+    """A node that sends calls to this one on a link.
+
+    Parameters
+    ----------
+    pending_calls : dict of int to PendingCall
+        Its calls that have no reply yet, by call number.
+    last_status : Status or None
+        The last status sent to it.
+    load_sent_at : float
+        Local time in milliseconds at which it was last sent the load, in a reply or a
+        status.
+    node : str
+        Its name; empty until its greeting has arrived.
+    """
+
+    pending_calls: dict[int, PendingCall] = field(default_factory=dict)
+    last_status: Status | None = None
+    load_sent_at: Milliseconds = float("-inf")
+    node: str = ""
+
+
+class InboundLinks:
+    """Accepts links from other nodes and answers the messages on them.
+
+    Parameters
+    ----------
+    hello : Hello
+        Greeting of this node.
+    backend_queue : BackendQueue
+        Queue to which calls are submitted.
+    status : callable
+        Returns the current status of the backend server.
+    clock : Clock
+        Time in milliseconds.
+    event_log : EventLog
+        Event log and counters.
+    poller : Poller
+        Reads the connections.
+
+    Attributes
+    ----------
+    on_hello : callable
+        Called with the greeting of each node that opens a link.
+    config_text : callable
+        Returns the adopted configuration, or None.
+    downstream_fullness : callable
+        Returns the fullness of the services that a route's requests call.
+    on_report : callable
+        Called with another node's report of requests that crash servers, and with the
+        name of that node.
+    send_snapshot : callable
+        Sends a newly linked node the quarantine state that it needs before it sends.
+    answer_staleness : callable
+        Returns the age of this node's knowledge of the configuration, or None.
+    grant_tokens : callable
+        Returns the tokens that this node grants from a quota that it owns.
+    """
+
+    def __init__(
+        self,
+        hello: Hello,
+        backend_queue: BackendQueue,
+        status: Callable[[], Status],
+        clock: Clock,
+        event_log: EventLog,
+        poller: Poller,
+    ) -> None:
+        self._poller = poller
+        self._hello = hello
+        self._backend_queue = backend_queue
+        self._status = status
+        self._clock = clock
+        self._event_log = event_log
+        self._links: dict[FramedLink, _Sender] = {}
+        self._by_node: dict[str, FramedLink] = {}
+        self.on_hello: Callable[[Hello], None] = _ignore
+        self.config_text: Callable[[], EncodedConfig | None] = _no_config
+        self.downstream_fullness: Callable[[str], float] = _no_calls
+        self.on_report: Callable[[Report, str], None] = _ignore_report
+        self.send_snapshot: Callable[[Post], None] = _ignore
+        self.answer_staleness: Callable[[StalenessQuery], StalenessReply | None] = (
+            _no_staleness
+        )
+        self.grant_tokens: Callable[[TokenRequest], TokenGrant] = _no_tokens
+
+    def posts(self) -> Iterator[tuple[str, Post]]:
+        """Yield the name and the send function of each node with an open link."""
+        for link, sender in self._links.items():
+            if link.hello_sent and sender.node:
+                yield sender.node, link.post
+
+    def last_received_at(self, node: str) -> Milliseconds:
+        """Return when a node last sent something on its link; -inf if there is none."""
+        link = self._by_node.get(node)
+        return float("-inf") if link is None else link.last_received_at
+
+    def close_all(self) -> None:
+        """Close every link; nodes that still need one reconnect."""
+        for link in list(self._links):
+            link.close()
+
+    async def serve(self, stream: Stream) -> None:
+        """Serve one link until it ends."""
+        link = FramedLink(stream, self._clock)
+        sender = self._links[link] = _Sender()
+        pending_calls = sender.pending_calls
+
+        def handle(message: Message) -> None:
+            self._handle_message(link, sender, message)
+
+        try:
+            await link.serve(self._poller, handle)
+        except (BrokenStream, BadFrame) as exc:
+            self._event_log.event(
+                "link-ended", cause=str(exc), calls=len(pending_calls)
+            )
+        except Exception as exc:
+            self._event_log.log_exception("taking-link", exc)
+        finally:
+            del self._links[link]
+            if self._by_node.get(sender.node) is link:
+                del self._by_node[sender.node]
+            for pending in list(pending_calls.values()):
+                self._backend_queue.cancel(pending)
+            link.close()
+
+    def _handle_message(
+        self, link: FramedLink, sender: _Sender, message: Message
+    ) -> None:
+        match message:
+            case Call() as call:
+                self._handle_call(link, sender, call)
+            case Cancel(call_id):
+                pending = sender.pending_calls.pop(call_id, None)
+                if pending is not None:
+                    self._backend_queue.cancel(pending)
+            case Ping():
+                link.post(Pong())
+            case Hello() as hello:
+                self._greet(link, sender, hello)
+            case Crash() | HeldRequest() | Cleared() as report:
+                self.on_report(report, sender.node)
+            case StalenessQuery() as question:
+                age = self.answer_staleness(question)
+                if age is not None:
+                    link.post(age)
+            case TokenRequest() as question:
+                link.post(self.grant_tokens(question))
+            case ConfigQuery():
+                text = self.config_text()
+                if text is not None:
+                    link.post(text)
+
+    def _greet(self, link: FramedLink, sender: _Sender, hello: Hello) -> None:
+        """Answer the greeting of a node."""
+        link.post_hello(self._hello, hello.compressed)
+        sender.node = hello.node
+        self._by_node[hello.node] = link
+        # Precedes the status, after which the other node may begin to send calls.
+        self.send_snapshot(link.post)
+        self._post_status(link, sender, self._status())
+        self.on_hello(hello)
+
+    def _handle_call(self, link: FramedLink, sender: _Sender, call: Call) -> None:
+        pending_calls = sender.pending_calls
+
+        def reply(outcome: Outcome) -> None:
+            if pending_calls.pop(call.call_id, None) is not None:
+                below = pending.summarize_nested_calls(
+                    self.downstream_fullness(call.route)
+                )
+                sender.load_sent_at = self._clock.now()
+                load, offered = self._backend_queue.load, self._backend_queue.offered()
+                link.post(Reply(call.call_id, outcome, load, offered, below))
+
+        pending = PendingCall.of(call, self._clock.now(), reply)
+        pending_calls[call.call_id] = pending
+        self._backend_queue.submit(pending)
+
+    def send_status(self) -> None:
+        """Send the backend server's status to the senders whose copy is outdated.
+
+        A change of the load alone is not sent to a sender that had a reply or a status
+        recently, since replies carry the load. Otherwise, at four statuses a second on
+        each of 80 links, the statuses cost more than the calls of a node.
+        """
+        status = self._status()
+        now = self._clock.now()
+        for link, sender in self._links.items():
+            if not link.hello_sent or sender.last_status == status:
+                continue
+            has_recent_load = now - sender.load_sent_at < _LOAD_FRESH_MS
+            if not (
+                has_recent_load and _differs_in_load_only(sender.last_status, status)
+            ):
+                self._post_status(link, sender, status)
+
+    def _post_status(self, link: FramedLink, sender: _Sender, status: Status) -> None:
+        link.post(status)
+        sender.last_status = status
+        sender.load_sent_at = self._clock.now()
+
+
+def _differs_in_load_only(last_status: Status | None, status: Status) -> bool:
+    """Whether a status differs from the last one sent in nothing but the load."""
+    if last_status is None:
+        return False
+    return replace(last_status, load=status.load, offered=status.offered) == status
+
+
+def _ignore(_: object) -> None:
+    """Ignore a message."""
+
+
+def _ignore_report(_: Report, __: str) -> None:
+    """Ignore a report."""
+
+
+def _no_config() -> None:
+    """Return no configuration."""
+
+
+def _no_staleness(_: StalenessQuery) -> None:
+    """Return that the age is not known."""
+
+
+def _no_tokens(question: TokenRequest) -> TokenGrant:
+    """Return that this node owns no quota."""
+    return TokenGrant(question.query_id, question.workspace, 0, 0.0, is_owner=False)
+
+
+def _no_calls(_: str) -> float:
+    """Return that the requests of a route make no calls."""
+    return NO_CALLS
--- /dev/null
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/local_peer.py
@@ -0,0 +1,89 @@
+"""Dispatch of requests that enter at this node to the backend server on its host."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from fuchsiagap.core.placement.choice import Target
+from fuchsiagap_node.core.mesh.pending_call import PendingCall
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from fuchsiagap.core.clock import Clock
+    from fuchsiagap_node.core.mesh.backend_queue import BackendQueue
+    from fuchsiagap_node.core.mesh.messages import Call, Status
+    from fuchsiagap_node.core.mesh.outcome import Outcome
+    from fuchsiagap_node.core.mesh.peers import OnReply
+
+
+class LocalPeer:
+    """Peer that reaches the local backend queue directly instead of over a link.
+
+    Parameters
+    ----------
+    node, service : str
+        Name of this node, and the service of its backend server.
+    backend_queue : BackendQueue
+        Queue to which calls are submitted.
+    clock : Clock
+        Time in milliseconds.
+    downstream_fullness : callable
+        Returns the fullness of the services that a route's requests call.
+
+    Attributes
+    ----------
+    target : Target
+        The local backend server, as a candidate for placement.
+    """
+
+    def __init__(
+        self,
+        node: str,
+        service: str,
+        backend_queue: BackendQueue,
+        clock: Clock,
+        downstream_fullness: Callable[[str], float],
+    ) -> None:
+        self.target = Target(node, "", service, local=True, usable=False)
+        self._backend_queue = backend_queue
+        self._clock = clock
+        self._downstream_fullness = downstream_fullness
+        self._pending_calls: dict[int, PendingCall] = {}
+
+    def send(self, call: Call, reply: OnReply) -> None:
+        """Submit a call; `reply` is called once with its outcome."""
+
+        def done(outcome: Outcome) -> None:
+            if self._pending_calls.pop(call.call_id, None) is not None:
+                self.target.others = self._backend_queue.load
+                self.target.offered = self._backend_queue.offered()
+                reply(
+                    outcome,
+                    pending.summarize_nested_calls(
+                        self._downstream_fullness(call.route)
+                    ),
+                )
+
+        pending = PendingCall.of(call, self._clock.now(), done)
+        self._pending_calls[call.call_id] = pending
+        self._backend_queue.submit(pending)
+        self.target.others = self._backend_queue.load
+
+    def cancel(self, call_id: int) -> None:
+        """Cancel a call."""
+        pending = self._pending_calls.pop(call_id, None)
+        if pending is not None:
+            self._backend_queue.cancel(pending)
+
+    def apply_status(self, status: Status) -> None:
+        """Update the target from the status of the local server."""
+        target = self.target
+        target.instance = status.instance
+        target.usable = bool(status.instance)
+        target.limit = status.limit
+        target.others = status.load
+        target.offered = self._backend_queue.offered()
+        target.failing = status.failing
+        target.warming = status.warming
+        target.service_ms = status.service_ms
--- /dev/null
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/local_status.py
@@ -0,0 +1,67 @@
+"""Status of the local backend server that is sent to other nodes."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from fuchsiagap_node.core.mesh.messages import Status
+
+if TYPE_CHECKING:
+    from fuchsiagap_node.core.mesh.backend_queue import BackendQueue
+    from fuchsiagap_node.core.mesh.config_sync import ConfigSync
+
+# Steps of a server's load, from empty to full, that a status distinguishes.
+_STEPS = 4
+# Relative change of the service time from which on a new value is sent. The average of
+# some hundred widely differing times fluctuates by a tenth.
+_MIN_SERVICE_MS_CHANGE = 0.15
+
+
+class LocalStatus:
+    """Builds the status of this node.
+
+    Parameters
+    ----------
+    backend_queue : BackendQueue
+        Queue of the backend server.
+    config : ConfigSync
+        The configuration in force.
+    """
+
+    def __init__(self, backend_queue: BackendQueue, config: ConfigSync) -> None:
+        self._backend_queue = backend_queue
+        self._config = config
+        self._service_ms = 0.0
+
+    def now(self) -> Status:
+        """Return the status as it is now."""
+        backend_queue = self._backend_queue
+        return Status(
+            backend_queue.instance(),
+            backend_queue.limit,
+            _round_down(backend_queue.load, backend_queue.limit),
+            _round_down(round(backend_queue.offered()), backend_queue.limit),
+            round(backend_queue.failing(), 1),
+            backend_queue.is_warming(),
+            self._config.active.version,
+            self._config.update_source,
+            self._reported_service_ms(),
+            self._config.epoch,
+        )
+
+    def _reported_service_ms(self) -> int:
+        """Return the service time to send, which ignores small fluctuations."""
+        now_ms = self._backend_queue.long_term_service_ms
+        if abs(now_ms - self._service_ms) > _MIN_SERVICE_MS_CHANGE * self._service_ms:
+            self._service_ms = now_ms
+        return round(self._service_ms)
+
+
+def _round_down(load: int, limit: int) -> int:
+    """Round a load down to a step, so that small changes cause no new status.
+
+    Replies carry the exact load; a status is for senders that had no reply recently. At
+    one status each tick, idle links would carry little else.
+    """
+    step = max(limit // _STEPS, 1)
+    return load // step * step
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/sending.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/outbound_link.py
@@ -10,21 +10,21 @@
 from fuchsiagap.core.clock import MS_PER_S
 from fuchsiagap.core.freshness.store_view import NO_EPOCH
 from fuchsiagap.core.placement.choice import Target
-from fuchsiagap.core.quarantine.quarantine import Crash, Held
+from fuchsiagap.core.quarantine.quarantine import Crash, HeldRequest
 from fuchsiagap.core.watching.watcher_rank import UpdateSource
 from fuchsiagap_node.core.mesh.frames import BadFrame
 from fuchsiagap_node.core.mesh.link import FramedLink
 from fuchsiagap_node.core.mesh.messages import (
     NO_CALLS,
-    Age,
-    Below,
     Cleared,
-    ConfigText,
+    DownstreamSummary,
+    EncodedConfig,
     Hello,
     Ping,
     Reply,
+    StalenessReply,
     Status,
-    TokensGranted,
+    TokenGrant,
 )
 from fuchsiagap_node.core.mesh.outcome import LINK_LOST, MayHaveRun, NotRun
 from fuchsiagap_node.core.mesh.stream import BrokenStream, dial
@@ -34,14 +34,14 @@
 
     from fuchsiagap.core.clock import Clock, Milliseconds
     from fuchsiagap_node.core.mesh.crash_reports import Post, Report
+    from fuchsiagap_node.core.mesh.event_log import EventLog
     from fuchsiagap_node.core.mesh.messages import Call, Message
     from fuchsiagap_node.core.mesh.peers import OnReply
     from fuchsiagap_node.core.mesh.poller import Poller
     from fuchsiagap_node.core.mesh.stream import Stream
-    from fuchsiagap_node.core.mesh.telling import Teller
 
 # What a call led to whose reply does not come.
-_NOTHING_KNOWN = Below(NO_CALLS, 0)
+_NOTHING_KNOWN = DownstreamSummary(NO_CALLS, 0)
 # Milliseconds to open a link; ten round trips between regions and room for a busy host.
 _DIAL_MS = 1_000.0
 # Milliseconds between two attempts to reach a node, doubled up to the second figure.
@@ -81,7 +81,7 @@
     service: str
 
 
-class SendingLink:
+class OutboundLink:
     """A door on another host.
 
     Parameters
@@ -94,7 +94,7 @@
         Whether the node stands in this node's data centre.
     clock : Clock
         Time in milliseconds.
-    teller : Teller
+    event_log : EventLog
         Logs and counters.
     poller : Poller
         Watches the connection.
@@ -115,9 +115,9 @@
         Told that the node's status changed.
     on_report : callable
         Told what the node reports of requests that crash servers.
-    on_age : callable
+    on_staleness : callable
         Told how old the node's knowledge of the configuration is.
-    on_tokens : callable
+    on_token_grant : callable
         Told what the node grants of a quota that it owns.
     on_open : callable
         Told that the link can be used.
@@ -133,14 +133,14 @@
         hello: Hello,
         local: bool,
         clock: Clock,
-        teller: Teller,
+        event_log: EventLog,
         poller: Poller,
     ) -> None:
         self._poller = poller
         self.member = member
         self._hello = hello
         self._clock = clock
-        self._tell = teller
+        self._event_log = event_log
         self._link: FramedLink | None = None
         self._serving: FramedLink | None = None
         self._pending: dict[int, OnReply] = {}
@@ -154,12 +154,12 @@
         self._reached_at = clock.now()
         self._busy_since = clock.now()
         self._is_closed_here = False
-        self.on_config: Callable[[ConfigText], None] = _ignore
-        self.on_status: Callable[[SendingLink], None] = _ignore
+        self.on_config: Callable[[EncodedConfig], None] = _ignore
+        self.on_status: Callable[[OutboundLink], None] = _ignore
         self.on_report: Callable[[Report, str], None] = _ignore_both
-        self.on_age: Callable[[Age, str], None] = _ignore_both
-        self.on_tokens: Callable[[TokensGranted], None] = _ignore
-        self.on_open: Callable[[SendingLink], None] = _ignore
+        self.on_staleness: Callable[[StalenessReply, str], None] = _ignore_both
+        self.on_token_grant: Callable[[TokenGrant], None] = _ignore
+        self.on_open: Callable[[OutboundLink], None] = _ignore
         self.heard_elsewhere: Callable[[], Milliseconds] = _never
         self.send_snapshot: Callable[[Post], None] = _ignore
         self.scope = trio.CancelScope()
@@ -167,7 +167,7 @@
     @property
     def reached_at(self) -> Milliseconds:
         """When the node was last reached; at first, when it became known."""
-        here = self._reached_at if self._link is None else self._link.heard_at
+        here = self._reached_at if self._link is None else self._link.last_received_at
         return max(here, self.heard_elsewhere())
 
     def is_up(self) -> bool:
@@ -178,7 +178,7 @@
         """Whether the node is linked."""
         return self._link is not None
 
-    def is_heard(self) -> bool:
+    def is_responsive(self) -> bool:
         """Whether the node is linked and was heard of, also without a server."""
         link = self._link
         return link is not None and (
@@ -196,14 +196,14 @@
             return
         if not self._pending:
             self._busy_since = self._clock.now()
-        self.target.mine += 1
+        self.target.own_in_flight += 1
         self._pending[call.call_id] = reply
         self._link.post(call, call.call_id)
 
     def cancel(self, call_id: int) -> None:
         """Say that a call is no longer wanted."""
         if self._pending.pop(call_id, None) is not None:
-            self.target.mine -= 1
+            self.target.own_in_flight -= 1
             if self._link is not None:
                 self._link.withdraw(call_id)
 
@@ -229,9 +229,11 @@
                     stream = await dial(self.member.address, _DIAL_MS)
                     await self._serve(stream)
                 except (BrokenStream, BadFrame) as exc:
-                    self._tell.event("link-failed", to=self.member.node, cause=str(exc))
+                    self._event_log.event(
+                        "link-failed", to=self.member.node, cause=str(exc)
+                    )
                 except Exception as exc:
-                    self._tell.fault("sending-link", exc)
+                    self._event_log.log_exception("sending-link", exc)
                 if self._is_closed_here:
                     self._is_closed_here = False
                     continue
@@ -242,7 +244,7 @@
 
     async def _serve(self, stream: Stream) -> None:
         link = FramedLink(stream, self._clock)
-        link.post_hello(self._hello, packed=not self.target.local)
+        link.post_hello(self._hello, compressed=not self.target.local)
 
         def take(message: Message) -> None:
             self._take_message(link, message)
@@ -251,28 +253,30 @@
         try:
             await link.serve(self._poller, take)
         except (BrokenStream, BadFrame) as exc:
-            self._tell.event("link-down", to=self.member.node, cause=str(exc))
+            self._event_log.event("link-down", to=self.member.node, cause=str(exc))
         finally:
             self._serving = None
             self._lose(link)
             link.close()
 
-    def look(self) -> None:
+    def tick(self) -> None:
         """Ping a silent node, suspect it, and give the link up."""
         if self._serving is None:
             return
         link = self._serving
         busy = bool(self._pending)
         # Whether this very connection works counts from when a call waits on it.
-        here = max(link.heard_at, self._busy_since)
+        here = max(link.last_received_at, self._busy_since)
         silent = self._clock.now() - (here if busy else self.reached_at)
         if silent >= (_LOST_MS if busy else _IDLE_LOST_MS):
-            self._tell.event("link-silent", to=self.member.node, silent=silent)
+            self._event_log.event("link-silent", to=self.member.node, silent=silent)
             link.end(BrokenStream("silent"))
             return
         if silent >= (_SUSPECT_MS if busy else _IDLE_SUSPECT_MS) and self.target.usable:
             self.target.usable = False
-            self._tell.event("node-suspected", node=self.member.node, silent=silent)
+            self._event_log.event(
+                "node-suspected", node=self.member.node, silent=silent
+            )
         if silent >= (LOOK_MS if busy else self._idle_ping) * 0.9:
             link.post(Ping())
 
@@ -282,14 +286,14 @@
                 self._take_reply(reply)
             case Status() as status:
                 self._take_status(status)
-            case ConfigText() as config:
+            case EncodedConfig() as config:
                 self.on_config(config)
-            case Crash() | Held() | Cleared() as report:
+            case Crash() | HeldRequest() | Cleared() as report:
                 self.on_report(report, self.member.node)
-            case Age() as age:
-                self.on_age(age, self.member.node)
-            case TokensGranted() as tokens:
-                self.on_tokens(tokens)
+            case StalenessReply() as age:
+                self.on_staleness(age, self.member.node)
+            case TokenGrant() as tokens:
+                self.on_token_grant(tokens)
             case Hello() as hello:
                 self._check(hello, link)
         if not self.target.usable and self.target.instance and self._link:
@@ -302,24 +306,24 @@
         self._link = link
         self.send_snapshot(link.post)
         self.on_open(self)
-        self._tell.event("link-up", to=hello.node, incarnation=hello.incarnation)
+        self._event_log.event("link-up", to=hello.node, incarnation=hello.incarnation)
 
     def _take_reply(self, reply: Reply) -> None:
-        self.target.others = max(reply.load - self.target.mine, 0)
+        self.target.others = max(reply.load - self.target.own_in_flight, 0)
         self.target.offered = reply.offered
         on_outcome = self._pending.pop(reply.call_id, None)
         if on_outcome is None:
-            self._tell.counts["late_replies", ""] += 1
+            self._event_log.counts["late_replies", ""] += 1
             return
-        self.target.mine -= 1
-        on_outcome(reply.outcome, reply.below)
+        self.target.own_in_flight -= 1
+        on_outcome(reply.outcome, reply.downstream)
 
     def _take_status(self, status: Status) -> None:
         target = self.target
         target.instance = status.instance
         target.usable = bool(status.instance)
         target.limit = status.limit
-        target.others = max(status.load - target.mine, 0)
+        target.others = max(status.load - target.own_in_flight, 0)
         target.offered = status.offered
         target.failing = status.failing
         target.warming = status.warming
@@ -332,13 +336,13 @@
     def _lose(self, link: FramedLink) -> None:
         """Give back the calls of a link that has ended."""
         if self._link is not None:
-            self._reached_at = link.heard_at
+            self._reached_at = link.last_received_at
         self._link = None
         self.target.usable = False
         self.target.instance = ""
         unsent = link.unsent()
         pending, self._pending = self._pending, {}
-        self.target.mine = 0
+        self.target.own_in_flight = 0
         for call_id, reply in pending.items():
             lost = NotRun(LINK_LOST) if call_id in unsent else MayHaveRun(LINK_LOST)
             reply(lost, _NOTHING_KNOWN)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/over_quota.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/over_quota.py
@@ -1,22 +1,25 @@
-"""What a caller gets whose workspace has no request left for now."""
+"""Response to a caller whose workspace has exceeded its quota."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from fuchsiagap_node.core.mesh.final import RETRY_AFTER_MS, Final
+from fuchsiagap_node.core.mesh.final_response import (
+    DEFAULT_RETRY_AFTER_MS,
+    FinalResponse,
+)
 from fuchsiagap_node.core.mesh.quotas import Verdict
 
 if TYPE_CHECKING:
-    from fuchsiagap_node.core.mesh.quotas import QuotaAnswer
+    from fuchsiagap_node.core.mesh.quotas import QuotaDecision
 
 
-def quota_refusal(answer: QuotaAnswer) -> Final | None:
-    """Return the refusal that an answer leads to; None for a request that goes on."""
-    match answer.verdict:
+def quota_refusal(decision: QuotaDecision) -> FinalResponse | None:
+    """Return the refusal for a quota decision; None if the request is admitted."""
+    match decision.verdict:
         case Verdict.WITHIN:
             return None
         case Verdict.OVER:
-            return Final(429, retry_after=answer.retry_after)
+            return FinalResponse(429, retry_after=decision.retry_after)
         case Verdict.UNKNOWN:
-            return Final(503, retry_after=RETRY_AFTER_MS)
+            return FinalResponse(503, retry_after=DEFAULT_RETRY_AFTER_MS)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/poller.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/poller.py
@@ -1,13 +1,13 @@
-"""Calls a function for each connection that has something to read.
+"""Calls a callback for each connection that is readable, without a task per connection.
 
-A task for each connection costs a turn of trio's loop a message: 119 us of processor
-time in a process that echoes a hundred messages a second among 23 others, where a bare
-`epoll` loop takes 11. So the connections of the path are watched on trio's own epoll
-instance, and the functions are called in the midst of its wait; the loop has its turn
-only when a task is to run or a deadline has come.
+With a task per connection, each message costs a pass of trio's event loop: 119 us of
+CPU time in a process that echoes a hundred messages a second among 23 others, against
+11 us with a bare `epoll` loop. Connections are therefore registered with trio's own
+epoll instance, and their callbacks run inside its wait. The event loop continues only
+when a task becomes runnable or a deadline has passed.
 
-This rests on names of trio that it makes no promise for (`EpollIOManager`, and the
-`runq` of its runner), so its version is pinned and `EpollPoller` is their only user.
+This depends on private names of trio (`EpollIOManager`, and `runq` of its runner), so
+trio's version is pinned and `EpollPoller` is the only user of these names.
 """
 
 from __future__ import annotations
@@ -24,191 +24,193 @@
     from collections.abc import Callable, Iterable
 
 
-# Events of one wait, beside those that trio's own tasks wait for.
-_MOST_AT_ONCE = 64
-# Stands for functions that were called in a wait: trio takes one without any event for
-# idle, and a virtual clock then jumps.
-_CALLED = (-1, 0)
+# Maximum number of events from one wait, in addition to those of trio's own tasks.
+_MAX_EVENTS_PER_WAIT = 64
+# Placeholder event for callbacks that ran in a wait. Trio takes a wait without events
+# for an idle one, in which a virtual clock would jump.
+_CALLBACKS_RAN = (-1, 0)
 
 
 class Poller(Protocol):
-    """Watches the connections of one node.
+    """Waits for I/O on the connections of one node.
 
     Attributes
     ----------
-    before_calls : callable
-        Called after each wait, before any function of a connection is.
+    before_callbacks : callable
+        Called after each wait, before the callbacks of connections.
     on_fault : callable
-        Told of an exception of a connection that nobody expected.
+        Called with each unexpected exception of a connection.
     """
 
-    before_calls: Callable[[], None]
+    before_callbacks: Callable[[], None]
     on_fault: Callable[[Exception], None]
 
     def add(self, sock: Any, on_readable: Callable[[], None]) -> None:
-        """Call a function whenever a socket has something to read."""
+        """Call `on_readable` whenever a socket is readable."""
 
     def remove(self, sock: Any) -> None:
-        """Watch a socket no longer; whoever waits to write to it goes on."""
+        """Stop watching a socket, and wake a task that waits to write to it."""
 
     async def wait_writable(self, sock: Any) -> None:
-        """Wait until a socket takes bytes, or is removed."""
+        """Wait until a socket is writable or has been removed."""
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Watch sockets until cancelled."""
 
 
 class EpollPoller:
-    """Watches sockets by ``epoll``, level-triggered, amid trio's wait for events.
+    """Watches sockets with level-triggered ``epoll``, inside trio's wait for events.
 
-    Functions that are called must not raise: that would end the loop.
+    Callbacks must not raise, as an exception would end the event loop.
 
     Attributes
     ----------
-    before_calls : callable
-        Called after each wait, before any function of a connection is.
+    before_callbacks : callable
+        Called after each wait, before the callbacks of connections.
     on_fault : callable
-        Told of an exception of a connection that nobody expected.
+        Called with each unexpected exception of a connection.
     """
 
     def __init__(self) -> None:
         self._epoll: select.epoll | None = None
         self._on_readable: dict[int, Callable[[], None]] = {}
         self._on_writable: dict[int, trio.Event] = {}
-        self.before_calls: Callable[[], None] = _nothing
+        self.before_callbacks: Callable[[], None] = _nothing
         self.on_fault: Callable[[Exception], None] = _ignore
 
     def add(self, sock: socket.socket, on_readable: Callable[[], None]) -> None:
-        """Call a function whenever a socket has something to read."""
-        number = sock.fileno()
-        self._on_readable[number] = on_readable
-        self._register(number)
+        """Call `on_readable` whenever a socket is readable."""
+        fd = sock.fileno()
+        self._on_readable[fd] = on_readable
+        self._register(fd)
 
     def remove(self, sock: socket.socket) -> None:
-        """Watch a socket no longer; whoever waits to write to it goes on."""
-        number = sock.fileno()
-        if not self._is_watched(number):
+        """Stop watching a socket, and wake a task that waits to write to it."""
+        fd = sock.fileno()
+        if not self._is_watched(fd):
             return
-        self._on_readable.pop(number, None)
-        waiting = self._on_writable.pop(number, None)
+        self._on_readable.pop(fd, None)
+        waiting = self._on_writable.pop(fd, None)
         if waiting is not None:
             waiting.set()
         if self._epoll is not None:
-            self._epoll.unregister(number)
+            self._epoll.unregister(fd)
 
     async def wait_writable(self, sock: socket.socket) -> None:
-        """Wait until a socket takes bytes, or is removed."""
-        number = sock.fileno()
-        waiting = self._on_writable[number] = trio.Event()
-        self._register(number)
+        """Wait until a socket is writable or has been removed."""
+        fd = sock.fileno()
+        waiting = self._on_writable[fd] = trio.Event()
+        self._register(fd)
         await waiting.wait()
 
     async def run(self) -> None:
-        """Watch until cancelled."""
-        manager = _path_manager()
+        """Watch sockets until cancelled."""
+        manager = _install_manager()
         self._epoll = manager._epoll
-        for number in {*self._on_readable, *self._on_writable}:
-            self._register(number)
+        for fd in {*self._on_readable, *self._on_writable}:
+            self._register(fd)
         manager.pollers.append(self)
         try:
             await trio.sleep_forever()
         finally:
             manager.pollers.remove(self)
-            for number in {*self._on_readable, *self._on_writable}:
-                self._epoll.unregister(number)
+            for fd in {*self._on_readable, *self._on_writable}:
+                self._epoll.unregister(fd)
             self._epoll = None
 
-    def call(self, number: int, flags: int) -> bool:
-        """Call what waits for a socket; False if it is none of those watched."""
-        if not self._is_watched(number):
+    def dispatch(self, fd: int, flags: int) -> bool:
+        """Handle an event of a socket; return False if the socket is not watched."""
+        if not self._is_watched(fd):
             return False
         if flags & ~select.EPOLLIN:
-            waiting = self._on_writable.pop(number, None)
+            waiting = self._on_writable.pop(fd, None)
             if waiting is not None:
                 waiting.set()
-                self._register(number)
+                self._register(fd)
         if flags & ~select.EPOLLOUT:
-            on_readable = self._on_readable.get(number)
+            on_readable = self._on_readable.get(fd)
             if on_readable is not None:
                 on_readable()
         return True
 
-    def _is_watched(self, number: int) -> bool:
-        return number in self._on_readable or number in self._on_writable
+    def _is_watched(self, fd: int) -> bool:
+        return fd in self._on_readable or fd in self._on_writable
 
-    def _register(self, number: int) -> None:
-        """Tell the system what is waited for on a socket."""
+    def _register(self, fd: int) -> None:
+        """Register the events that a socket is watched for with the kernel."""
         if self._epoll is None:
             return
         flags = 0
-        if number in self._on_readable:
+        if fd in self._on_readable:
             flags |= select.EPOLLIN
-        if number in self._on_writable:
+        if fd in self._on_writable:
             flags |= select.EPOLLOUT
         if not flags:
-            # The system tells of a broken connection whatever is waited for.
-            self._epoll.unregister(number)
+            # Unregistered, as epoll reports broken connections even with no flags set.
+            self._epoll.unregister(fd)
             return
         try:
-            # A socket on which trio has waited is known to the system still.
-            self._epoll.modify(number, flags)
+            # A socket on which trio has waited is still registered.
+            self._epoll.modify(fd, flags)
         except FileNotFoundError:
-            self._epoll.register(number, flags)
+            self._epoll.register(fd, flags)
 
 
-class _PathIOManager(_io_epoll.EpollIOManager):
-    """Trio's own manager, with the calls of pollers amid its wait.
+class _PollerIOManager(_io_epoll.EpollIOManager):
+    """Trio's I/O manager, extended to run the callbacks of pollers inside its wait.
 
     Parameters
     ----------
-    usual : EpollIOManager
-        The manager that it stands in for, whose state it shares.
+    original : EpollIOManager
+        The manager that it replaces, whose state it shares.
     runner : Runner
-        Trio's loop.
+        Runner of trio's event loop.
 
     Attributes
     ----------
     pollers : list of EpollPoller
-        What is called; one for each node of the process.
+        Pollers to which events are dispatched, one for each node of the process.
     """
 
-    def __init__(self, usual: _io_epoll.EpollIOManager, runner: _run.Runner) -> None:
-        self._epoll = usual._epoll
-        self._registered = usual._registered
-        self._force_wakeup = usual._force_wakeup
-        self._force_wakeup_fd = usual._force_wakeup_fd
+    def __init__(self, original: _io_epoll.EpollIOManager, runner: _run.Runner) -> None:
+        self._epoll = original._epoll
+        self._registered = original._registered
+        self._force_wakeup = original._force_wakeup
+        self._force_wakeup_fd = original._force_wakeup_fd
         self._runner = runner
         self.pollers: list[EpollPoller] = []
 
     def get_events(self, timeout: float) -> list[tuple[int, int]]:
-        """Wait for events of trio's own tasks, and call functions meanwhile."""
+        """Wait for events of trio's own tasks, and run callbacks meanwhile."""
         until = time.monotonic() + timeout
         was_idle = True
         while True:
-            events = self._epoll.poll(timeout, len(self._registered) + _MOST_AT_ONCE)
+            events = self._epoll.poll(
+                timeout, len(self._registered) + _MAX_EVENTS_PER_WAIT
+            )
             for poller in self.pollers:
-                poller.before_calls()
-            others = [event for event in events if not self._call(*event)]
+                poller.before_callbacks()
+            others = [event for event in events if not self._dispatch(*event)]
             was_idle = was_idle and not events
             timeout = until - time.monotonic()
             if others or self._runner.runq or timeout <= 0.0:
-                return others if others or was_idle else [_CALLED]
+                return others if others or was_idle else [_CALLBACKS_RAN]
 
     def process_events(self, events: Iterable[tuple[int, int]]) -> None:
         """Wake the tasks that wait for events."""
-        super().process_events([event for event in events if event != _CALLED])
+        super().process_events([event for event in events if event != _CALLBACKS_RAN])
 
-    def _call(self, number: int, flags: int) -> bool:
-        """Call what waits for a socket; False if that is one of trio's tasks."""
-        return any(poller.call(number, flags) for poller in self.pollers)
+    def _dispatch(self, fd: int, flags: int) -> bool:
+        """Dispatch an event to the pollers; return False if it belongs to trio."""
+        return any(poller.dispatch(fd, flags) for poller in self.pollers)
 
 
-def _path_manager() -> _PathIOManager:
-    """Return the manager of the running loop, put in place once a loop."""
+def _install_manager() -> _PollerIOManager:
+    """Return the manager of the running event loop; install it on first use."""
     runner = _run.GLOBAL_RUN_CONTEXT.runner
     manager = runner.io_manager
-    if not isinstance(manager, _PathIOManager):
-        manager = runner.io_manager = _PathIOManager(manager, runner)
+    if not isinstance(manager, _PollerIOManager):
+        manager = runner.io_manager = _PollerIOManager(manager, runner)
     return manager
 
 
@@ -218,8 +220,8 @@
 
 
 def _nothing() -> None:
-    """Do nothing."""
+    """Ignore the end of a wait."""
 
 
 def _ignore(_: Exception) -> None:
-    """Do nothing."""
+    """Ignore an exception."""
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/server_crashes.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/server_crashes.py
@@ -1,124 +1,150 @@
-"""How the node beside a backend server notices that it has crashed."""
+"""Detection of crashes of the backend server on this host."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from fuchsiagap.core.door.incarnation import BackendState
-from fuchsiagap.core.quarantine.crash_watch import CrashWatch
+from fuchsiagap.core.backend_queue.incarnation import BackendState
+from fuchsiagap.core.quarantine.crash_tracker import CrashTracker
 from fuchsiagap_node.core.mesh.outcome import OTHER_INCARNATION, Answered, NotRun
 from fuchsiagap_node.core.mesh.stream import RefusedStream, SilentStream
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from fuchsiagap.core.backend_queue.incarnation import BackendReport
     from fuchsiagap.core.clock import Clock
-    from fuchsiagap.core.door.incarnation import BackendReport
-    from fuchsiagap_node.core.mesh.job import Job
+    from fuchsiagap_node.core.mesh.event_log import EventLog
     from fuchsiagap_node.core.mesh.outcome import Outcome
+    from fuchsiagap_node.core.mesh.pending_call import PendingCall
     from fuchsiagap_node.core.mesh.stream import BrokenStream
-    from fuchsiagap_node.core.mesh.telling import Teller
 
-# Requests that a line about a crash names, at most.
-_MOST_NAMED = 8
+# Requests that the log event of a crash names, at most.
+_MAX_FINGERPRINTS_LOGGED = 8
 
 
 class ServerCrashes:
-    """Distinguishes crashes of the own server from planned ends, and what it ran.
+    """Distinguishes crashes of the server from planned stops, and reports crashes.
 
     Parameters
     ----------
     clock : Clock
         Time in milliseconds.
-    teller : Teller
-        Logs.
-    at_work : callable
+    event_log : EventLog
+        Event log.
+    running_fingerprints : callable
         Returns the fingerprints of the requests that the server runs now.
 
     Attributes
     ----------
     on_crash : callable
-        Called with the incarnation that crashed and the fingerprints that it ran.
+        Called with the incarnation that crashed and the fingerprints of the requests
+        that it ran.
     """
 
     def __init__(
-        self, clock: Clock, teller: Teller, at_work: Callable[[], frozenset[bytes]]
+        self,
+        clock: Clock,
+        event_log: EventLog,
+        running_fingerprints: Callable[[], frozenset[bytes]],
     ) -> None:
         self._clock = clock
-        self._tell = teller
-        self._at_work = at_work
-        self._watch = CrashWatch()
+        self._event_log = event_log
+        self._running_fingerprints = running_fingerprints
+        self._crash_tracker = CrashTracker()
         self._is_ready = False
         self.on_crash: Callable[[str, frozenset[bytes]], None] = _ignore
 
     @property
-    def is_doubted(self) -> bool:
-        """Whether a request ended without an answer and no other had one since."""
-        return self._watch.has_unanswered
+    def is_suspected(self) -> bool:
+        """Whether a request ended without an answer and none was answered since."""
+        return self._crash_tracker.has_unanswered
 
     def record_report(self, report: BackendReport, is_same_start: bool) -> None:
-        """Record which incarnation is believed in now, and its state."""
+        """Record the current incarnation and its state.
+
+        Parameters
+        ----------
+        report : BackendReport
+            Last report of the server.
+        is_same_start : bool
+            Whether the report before it was of the same incarnation.
+        """
         if not is_same_start:
-            self._crashed("another incarnation")
+            self._record_crash("another incarnation")
             self._start(report)
         self._is_ready = report.state is BackendState.READY
 
     def revert(self, report: BackendReport) -> None:
-        """Go by an earlier one again: the other may never have been here."""
+        """Revert to an earlier incarnation, whose successor was reported by mistake."""
         self._start(report)
         self._is_ready = report.state is BackendState.READY
 
     def _start(self, report: BackendReport) -> None:
         start = f"{report.instance} {report.born or ''}".rstrip()
-        self._watch.start_incarnation(start, self._clock.now())
+        self._crash_tracker.start_incarnation(start, self._clock.now())
 
     def record_answer(self, outcome: Outcome) -> None:
-        """Record what the server said; another incarnation speaks for itself."""
+        """Record an answer or refusal of the server.
+
+        A refusal by another incarnation is no sign of life of the current one.
+        """
         if isinstance(outcome, NotRun) and outcome.reason == OTHER_INCARNATION:
             return
         if isinstance(outcome, NotRun | Answered):
-            self._watch.record_answer(self._clock.now())
+            self._crash_tracker.record_answer(self._clock.now())
 
-    def record_unanswered(self, job: Job) -> None:
-        """Record that a call got no answer."""
-        one = job.call.fingerprint
-        crashed = self._watch.record_unanswered(one, job.started, self._clock.now())
+    def record_unanswered(self, pending: PendingCall) -> None:
+        """Record that a call ended without an answer."""
+        fingerprint = pending.call.fingerprint
+        crashed = self._crash_tracker.record_unanswered(
+            fingerprint, pending.started, self._clock.now()
+        )
         if crashed:
-            self._report_crash(crashed, "found out later", frozenset({one}))
+            self._report_crash(
+                crashed, "unanswered after an earlier crash", frozenset({fingerprint})
+            )
 
     def record_unreachable(self, cause: BrokenStream) -> None:
         """Record that the server accepted no connection."""
         is_gone = isinstance(cause, RefusedStream | SilentStream)
-        if is_gone and self.is_doubted:
-            self._crashed("no connection")
+        if is_gone and self.is_suspected:
+            self._record_crash("no connection")
 
     def record_heartbeat_timeout(self) -> None:
-        """Record that neither heartbeats nor answers have come for too long."""
-        self._crashed("no heartbeat")
+        """Record that neither heartbeats nor answers came within the time-out."""
+        self._record_crash("no heartbeat")
 
-    def _crashed(self, evidence: str) -> None:
-        """Report a crash, unless the server was leaving or ran nothing.
+    def _record_crash(self, evidence: str) -> None:
+        """Report a crash, unless the server was draining or ran no requests.
 
-        What breaks at a server that drains or has left is its planned end.
+        Connections that break while a server drains or after it left are part of a
+        planned stop.
         """
-        if not self._is_ready or self._watch.has_crashed:
+        if not self._is_ready or self._crash_tracker.has_crashed:
             return
-        at_work = self._watch.record_crash(self._at_work())
-        if at_work:
-            self._report_crash(self._watch.incarnation, evidence, at_work)
+        running_fingerprints = self._crash_tracker.record_crash(
+            self._running_fingerprints()
+        )
+        if running_fingerprints:
+            self._report_crash(
+                self._crash_tracker.incarnation, evidence, running_fingerprints
+            )
 
     def _report_crash(
-        self, incarnation: str, evidence: str, at_work: frozenset[bytes]
+        self, incarnation: str, evidence: str, running_fingerprints: frozenset[bytes]
     ) -> None:
-        self._tell.event(
+        self._event_log.event(
             "backend-crashed",
             incarnation=incarnation,
             evidence=evidence,
-            requests=len(at_work),
-            fingerprints=[f.hex() for f in sorted(at_work)[:_MOST_NAMED]],
+            requests=len(running_fingerprints),
+            fingerprints=[
+                f.hex() for f in sorted(running_fingerprints)[:_MAX_FINGERPRINTS_LOGGED]
+            ],
         )
-        self.on_crash(incarnation, at_work)
+        self.on_crash(incarnation, running_fingerprints)
 
 
 def _ignore(_: str, __: frozenset[bytes]) -> None:
-    """Do nothing."""
+    """Ignore a crash."""
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/watcher_role.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/watcher_role.py
@@ -1,4 +1,4 @@
-"""Whether this node is to watch the store for changes of the configuration."""
+"""Decides whether this node watches the store for changes of the configuration."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
     from collections.abc import Callable, Iterable
 
     from fuchsiagap.core.clock import Clock, Milliseconds
-    from fuchsiagap_node.core.mesh.sending import Member, SendingLink
+    from fuchsiagap_node.core.mesh.outbound_link import Member, OutboundLink
 
-# Nodes that watch in each data centre: one where nodes of two others are in reach,
-# whose watchers hear of the same changes, else two.
+# Nodes that watch in each data centre: one if nodes of two other data centres are
+# reachable, since their watchers see the same changes; otherwise two.
 _WATCHERS = 1
-_WATCHERS_ALONE = 2
-_ENOUGH_ELSEWHERE = 2
-# Milliseconds after its start for which a node does not watch, until it has links to
-# those that may do it: where all nodes start for the first time, they have to find each
-# other before.
+_WATCHERS_ISOLATED = 2
+_REMOTE_DATA_CENTRES_NEEDED = 2
+# Milliseconds after its start for which a node does not watch, until it is linked to
+# the nodes that may do so. It takes longer when the whole system starts for the first
+# time, since the nodes have to discover each other first.
 _SETTLE_MS = 1_500.0
 _SETTLE_FIRST_START_MS = 6_000.0
 
 
 class WatcherRole:
-    """The rank of this node among those that may watch.
+    """Ranks this node among the nodes of its data centre that may watch.
 
     Parameters
     ----------
@@ -48,17 +48,17 @@
     Attributes
     ----------
     update_source : UpdateSource
-        How this node hears of changes.
-    is_lost : bool
+        How this node learns of changes.
+    is_store_lost : bool
         Whether the store did not answer the last request.
     changed : callable
-        Told that `update_source` has changed.
+        Called when `update_source` has changed.
     """
 
     def __init__(
         self,
         own: Member,
-        links: Callable[[], Iterable[SendingLink]],
+        links: Callable[[], Iterable[OutboundLink]],
         first_start: bool,
         clock: Clock,
     ) -> None:
@@ -67,80 +67,89 @@
         self._clock = clock
         settle = _SETTLE_FIRST_START_MS if first_start else _SETTLE_MS
         self._settled_at = clock.now() + settle
-        self._due_since: Milliseconds | None = None
+        self._should_watch_since: Milliseconds | None = None
         self._may_ask = trio.Event()
         self.update_source = UpdateSource.PEERS
-        self.is_lost = False
+        self.is_store_lost = False
         self.changed: Callable[[], None] = _ignore
 
     @property
     def is_settled(self) -> bool:
-        """Whether the node has had time to link others."""
+        """Whether the node has had time to link to other nodes."""
         return self._clock.now() >= self._settled_at
 
-    def now(self) -> WatcherRank:
-        """Return the rank as the links show it now."""
-        near = (
+    def current_rank(self) -> WatcherRank:
+        """Return the rank of this node, by the nodes that it can reach now."""
+        neighbours = (
             Neighbour(link.member.node, link.update_source)
             for link in self._links()
-            if link.target.local and link.is_heard()
+            if link.target.local and link.is_responsive()
         )
-        return rank_of(self._own.node, near, self.n_watchers())
+        return rank_of(self._own.node, neighbours, self.n_watchers())
 
     def n_watchers(self) -> int:
         """Return how many nodes are to watch in each data centre."""
         own = self._own.data_centre
         data_centres = {
-            link.member.data_centre for link in self._links() if link.is_heard()
+            link.member.data_centre for link in self._links() if link.is_responsive()
         }
-        enough = len(data_centres - {own}) >= _ENOUGH_ELSEWHERE
-        return _WATCHERS if enough else _WATCHERS_ALONE
+        has_enough_remote = len(data_centres - {own}) >= _REMOTE_DATA_CENTRES_NEEDED
+        return _WATCHERS if has_enough_remote else _WATCHERS_ISOLATED
 
     def is_first(self) -> bool:
-        """Whether this node would watch where all hear of changes."""
-        return self.now().is_first(self.n_watchers())
+        """Whether this node would watch if all nodes learnt of changes."""
+        return self.current_rank().is_first(self.n_watchers())
 
     async def wait(self, is_urgent: Callable[[], bool]) -> None:
-        """Wait until this node is to watch, or cannot wait for others."""
+        """Wait until this node is to watch, or must ask the store without delay."""
         self._may_ask = trio.Event()
         self.refresh(is_urgent)
         await self._may_ask.wait()
 
     def refresh(self, is_urgent: Callable[[], bool]) -> None:
-        """Update whether this node is to watch the store."""
-        rank = self.now()
+        """Re-evaluate whether this node is to watch the store.
+
+        Parameters
+        ----------
+        is_urgent : callable
+            Returns whether this node must ask the store whatever its rank.
+        """
+        rank = self.current_rank()
         if is_urgent():
             self._may_ask.set()
         if not rank.should_watch:
-            self._due_since = None
+            self._should_watch_since = None
             self.set_update_source(UpdateSource.PEERS)
             return
         now = self._clock.now()
-        if self._due_since is None:
-            self._due_since = now
+        if self._should_watch_since is None:
+            self._should_watch_since = now
         n_watchers = self.n_watchers()
-        due_at = self._due_since + rank.takeover_delay(n_watchers)
+        due_at = self._should_watch_since + rank.takeover_delay(n_watchers)
         if now < max(due_at, self._settled_at):
             return
-        if self.is_lost and rank.others_watch and not rank.is_first(n_watchers):
+        if self.is_store_lost and rank.others_watch and not rank.is_first(n_watchers):
             return
         self._may_ask.set()
 
-    def note_store_answer(self) -> None:
-        """Take in that the store has answered this node, which may be to watch."""
-        if self.now().should_watch:
+    def record_store_answer(self) -> None:
+        """Record an answer of the store, which updates a node that is to watch."""
+        if self.current_rank().should_watch:
             self.set_update_source(UpdateSource.STORE)
 
     def defer_to_others(self) -> bool:
-        """Whether one before this node is to ask the store that answers again."""
-        if self.is_first() and self.now().should_watch:
+        """Return whether a higher-ranked node is to ask a store that answers again.
+
+        If so, this node stops counting as a watcher.
+        """
+        if self.is_first() and self.current_rank().should_watch:
             return False
-        self._due_since = None
+        self._should_watch_since = None
         self.set_update_source(UpdateSource.PEERS)
         return True
 
     def set_update_source(self, update_source: UpdateSource) -> None:
-        """Take in how this node hears of changes."""
+        """Set how this node learns of changes, and notify if that is new."""
         if self.update_source is not update_source:
             self.update_source = update_source
             self.changed()
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_frames.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_frames.py
@@ -7,21 +7,21 @@
 import cbor2
 from testtools import TestCase
 
-from fuchsiagap.core.quarantine.quarantine import Crash, Held
+from fuchsiagap.core.quarantine.quarantine import Crash, HeldRequest
 from fuchsiagap_node.core.mesh.frames import BadFrame, decode, encode
 from fuchsiagap_node.core.mesh.messages import (
     NO_CALLS,
-    Age,
-    Below,
     Call,
     Cancel,
     Cleared,
-    ConfigText,
-    ConfigWanted,
+    ConfigQuery,
+    DownstreamSummary,
+    EncodedConfig,
     Hello,
     Ping,
     Pong,
     Reply,
+    StalenessReply,
     Status,
 )
 from fuchsiagap_node.core.mesh.outcome import Answered, MayHaveRun, NotRun
@@ -34,17 +34,17 @@
     Hello("n-1", "x", "127.0.0.1:1", "hall-a", "certs"),
     STATUS,
     Call(1, "i", b"h", b"b", 9.5, -3, 0, *FLAGS, "r", "read", b"f" * 16),
-    Reply(1, Answered(200, b"OK", b"", b"body"), 2, 0.5, Below(0.7, 3)),
-    Reply(2, NotRun("leaving", True), 0, 0.0, Below(NO_CALLS, 0)),
-    Reply(3, MayHaveRun("link lost"), 0, 0.0, Below(NO_CALLS, 0)),
+    Reply(1, Answered(200, b"OK", b"", b"body"), 2, 0.5, DownstreamSummary(0.7, 3)),
+    Reply(2, NotRun("leaving", True), 0, 0.0, DownstreamSummary(NO_CALLS, 0)),
+    Reply(3, MayHaveRun("link lost"), 0, 0.0, DownstreamSummary(NO_CALLS, 0)),
     Cancel(4),
     Ping(),
     Pong(),
-    ConfigWanted(),
-    ConfigText(2, 3, b"{}"),
-    Age(5, 7, 12.5),
+    ConfigQuery(),
+    EncodedConfig(2, 3, b"{}"),
+    StalenessReply(5, 7, 12.5),
     Crash("i-1 17", "certs", 12.5, frozenset({b"a" * 16, b"b" * 16})),
-    Held(b"a" * 16, "certs", 3, 0.0),
+    HeldRequest(b"a" * 16, "certs", 3, 0.0),
     Cleared((b"a" * 16, b"b" * 16)),
 )
 # Mutated frames; 100,000 by hand: `FUZZ_RUNS=100000`.
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_path.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_path.py
@@ -6,8 +6,8 @@
 import trio
 from testtools import TestCase
 
-from fuchsiagap.core.door.incarnation import BackendState
-from fuchsiagap.core.retries.shares import SharedBudget
+from fuchsiagap.core.backend_queue.incarnation import BackendState
+from fuchsiagap.core.retries.backend_budget import ServiceRetryLimits
 from fuchsiagap_node.core.mesh.stream import dial
 from fuchsiagap_standins.mesh.backend_server import Behaviour, Manner
 from fuchsiagap_standins.mesh.deployment import (
@@ -20,7 +20,7 @@
 
 READ = a_route("read")
 WRITE = a_route("write", idempotent=False)
-AMPLE = SharedBudget(1.0, 100.0, 10_000.0)
+AMPLE = ServiceRetryLimits(1.0, 100.0, 10_000.0)
 
 
 class TestPath(TestCase):
@@ -144,7 +144,7 @@
     def test_repeats_stop_with_the_budget(self):
         async def main():
             async with a_deployment(READ) as deployment:
-                budget = SharedBudget(0.0, 0.0, 10_000.0)
+                budget = ServiceRetryLimits(0.0, 0.0, 10_000.0)
                 hosts = [deployment.add("certs", budget=budget) for _ in range(2)]
                 for host in hosts:
                     host.server.behave = lambda _: Behaviour(Manner.CUT)
@@ -223,7 +223,7 @@
                     await trio.sleep(0.1)
                     stream.close()
                 await trio.sleep(0.3)
-                return served.server.cancelled, served.node.door.running
+                return served.server.cancelled, served.node.backend_queue.running
 
         cancelled, running = run_in_memory(main)
         self.assertEqual(["r1"], cancelled)
@@ -296,7 +296,7 @@
         # that fails: trees of eight calls come through only if each call does.
         async def main():
             async with a_deployment(a_route("read", max_attempts=2)) as deployment:
-                budget = SharedBudget(5.0, 1_000.0, 10_000.0)
+                budget = ServiceRetryLimits(5.0, 1_000.0, 10_000.0)
                 caller = deployment.add("bookings")
                 hosts = [deployment.add("certs", budget=budget) for _ in range(3)]
                 refused = {}
@@ -328,11 +328,11 @@
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(host.send, "/read/1", "r1")
                     await trio.sleep(0.05)
-                    door = host.node.door
+                    backend_queue = host.node.backend_queue
                     found = (
-                        door.parent_of("r1.a"),
-                        door.parent_of("r2.a"),
-                        door.parent_of("r1"),
+                        backend_queue.parent_of("r1.a"),
+                        backend_queue.parent_of("r2.a"),
+                        backend_queue.parent_of("r1"),
                     )
                 return found
 
@@ -347,15 +347,15 @@
                 deployment.expects_faults = True
                 host = deployment.add("certs")
                 await deployment.settle()
-                placing = host.node._placing
-                choose = placing.choose
+                context = host.node._placement_context
+                choose = context.choose
 
                 def fail(*_):
                     raise KeyError("planted")
 
-                placing.choose = fail
+                context.choose = fail
                 at_once = await host.send("/read/1", "r1")
-                placing.choose = lambda *_: None
+                context.choose = lambda *_: None
                 async with trio.open_nursery() as nursery:
                     answers = []
 
@@ -364,10 +364,10 @@
 
                     nursery.start_soon(later)
                     await trio.sleep(0.02)
-                    placing.choose = fail
-                placing.choose = choose
+                    context.choose = fail
+                context.choose = choose
                 after = await host.send("/read/3", "r3")
-                return at_once, answers[0], after, placing.in_progress
+                return at_once, answers[0], after, context.in_progress
 
         at_once, later, after, in_progress = run_in_memory(main)
         statuses = [answer.status for answer in (at_once, later, after)]
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/admitted.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/admitted.py
@@ -1,4 +1,4 @@
-"""What a gate says of a call: that it passed, or why not."""
+"""The decision on one call: admitted, or which admission level rejects it."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from fuchsiagap.core.admission.position import level_at, position_of
 
 if TYPE_CHECKING:
-    from fuchsiagap.core.admission.below import LevelsBelow
+    from fuchsiagap.core.admission.downstream import DownstreamLevels
     from fuchsiagap.core.admission.level import AdmissionLevel
     from fuchsiagap.core.calls.head import CallHead
     from fuchsiagap.core.clock import Milliseconds
 
-# Details of refusals, for people.
-OWN_LEVEL = "the admission level of this instance is below the call's"
-LEVEL_BELOW = "the admission level of a service that the call needs is below its own"
+# Human-readable details of refusals.
+OWN_LEVEL = "the admission level of this instance does not admit the call"
+DOWNSTREAM_LEVEL = "the admission level of a downstream service does not admit the call"
 QUEUE_FULL = "the queue of this instance is full of calls at least as important"
 
 
@@ -28,11 +28,11 @@
     head : CallHead
         Head of the call.
     started_at : float
-        When it passed the gate.
+        Time of admission in milliseconds.
     waited : float
-        Milliseconds it waited before.
+        Milliseconds the call spent in the queue.
     in_flight : int
-        Calls in progress then, itself included.
+        Calls in progress at admission, including this one.
     """
 
     head: CallHead
@@ -41,36 +41,40 @@
     in_flight: int
 
 
-def what_shuts_out(
-    head: CallHead, level: AdmissionLevel, below: LevelsBelow
+def find_rejecting_level(
+    head: CallHead, level: AdmissionLevel, downstream: DownstreamLevels
 ) -> str | None:
-    """Return which level shuts a call out.
+    """Return which level rejects a call.
 
     Parameters
     ----------
     head : CallHead
         Head of the call.
     level : AdmissionLevel
-        The gate's own level.
-    below : LevelsBelow
-        Levels of the services below.
+        Level of this gate.
+    downstream : DownstreamLevels
+        Levels of the downstream services.
 
     Returns
     -------
     str or None
-        `OWN_LEVEL` or `LEVEL_BELOW`; None if the call may enter.
+        `OWN_LEVEL` or `DOWNSTREAM_LEVEL`; None if the call is admitted.
     """
     wanted = position_of(head.priority, head.cohort)
-    # A chain that was let in further up has work behind it: it is judged by the
-    # levels of that time, but never goes before a more important call.
+    # Refusing a call of a chain that was admitted upstream wastes the work already done
+    # for the chain, so such a call is judged by the highest recent level. But it must
+    # not run before more important calls, so its priority has to be within the current
+    # level.
     in_chain = head.depth > 1
     own = level.position
     if wanted > own:
-        is_late_in_chain = in_chain and wanted <= level.loose_position
+        is_late_in_chain = in_chain and wanted <= level.chain_position
         if not is_late_in_chain or head.priority > level_at(own)[0]:
             return OWN_LEVEL
     if in_chain:
-        return LEVEL_BELOW if wanted > below.loose_position(head.route) else None
-    if wanted > below.position(head.route) and not below.may_probe(head):
-        return LEVEL_BELOW
+        return (
+            DOWNSTREAM_LEVEL if wanted > downstream.chain_position(head.route) else None
+        )
+    if wanted > downstream.position(head.route) and not downstream.may_probe(head):
+        return DOWNSTREAM_LEVEL
     return None
