--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/entry.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/entry.py
@@ -138,7 +138,7 @@
     if refused.reason is Reason.TICKET_BURNT:
         return refused
     route = state.book.route_for(req.service, req.method, req.target)
-    if route is None and state.book.standing.complete:
+    if route is None and state.book.sync_status.complete:
         return refused
     if route is not None and route.idempotent:
         return refused
@@ -327,7 +327,7 @@
 
 
 def _no_route(state: NodeState, req: CallRequest) -> Refused:
-    if not state.book.standing.complete:
+    if not state.book.sync_status.complete:
         detail = f"node {state.node} has just started and has no settings yet"
         return Refused(
             Reason.STARTING, retry_after=_STARTING_RETRY_AFTER_MS, detail=detail
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/config.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/config.py
@@ -12,8 +12,12 @@
 from fuchsiagap.core.retries.budget import RetrySettings
 from fuchsiagap.core.routing.instance import RoutingSettings
 from fuchsiagap.core.settings.faults import Fault
-from fuchsiagap.core.settings.ini import Entry, IniText, Section, read_ini
-from fuchsiagap.core.settings.keys import read_entries, unknown, with_defaults
+from fuchsiagap.core.settings.ini import Entry, ParsedIni, Section, read_ini
+from fuchsiagap.core.settings.schema import (
+    describe_unknown_name,
+    read_entries,
+    with_defaults,
+)
 from fuchsiagap.core.telemetry.telemetry import TelemetrySettings
 from fuchsiagap.core.tickets.settings import TicketSettings
 from fuchsiagap_node.core.config_keys import NODE_TABLES
@@ -249,7 +253,9 @@
     sections = {section.name: section for section in ini.sections}
     for section in ini.sections:
         if section.name not in NODE_TABLES:
-            expected = unknown(section.name, list(NODE_TABLES), "a section of these")
+            expected = describe_unknown_name(
+                section.name, list(NODE_TABLES), "a section of these"
+            )
             faults.append(Fault(path, section.name, "", "", expected, section.line))
     found: dict[str, dict[str, Any]] = {}
     for name, table in NODE_TABLES.items():
@@ -273,12 +279,12 @@
     )
 
 
-def apply_overrides(ini: IniText, overrides: Sequence[str]) -> IniText:
+def apply_overrides(ini: ParsedIni, overrides: Sequence[str]) -> ParsedIni:
     """Return an INI text with entries replaced or added.
 
     Parameters
     ----------
-    ini : IniText
+    ini : ParsedIni
         The text as read.
     overrides : sequence of str
         ``SECTION.KEY=VALUE`` items; a later one wins over an earlier one. An
@@ -286,7 +292,7 @@
 
     Returns
     -------
-    IniText
+    ParsedIni
         With a fault for each item of another form.
     """
     entries = {
@@ -307,7 +313,7 @@
         Section(name, lines.get(name, 0), tuple(held.values()))
         for name, held in entries.items()
     )
-    return IniText(sections, tuple(faults))
+    return ParsedIni(sections, tuple(faults))
 
 
 def _clashes(path: str, found: dict[str, dict[str, Any]]) -> list[Fault]:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/config_keys.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/config_keys.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from fuchsiagap.core.settings import values
-from fuchsiagap.core.settings.keys import Key, SectionTable
+from fuchsiagap.core.settings.schema import Key, SectionSchema
 
-NODE_TABLE = SectionTable(
+NODE_TABLE = SectionSchema(
     "[node]",
     "Who this node is.",
     (
@@ -26,7 +26,7 @@
     ),
 )
 
-LISTEN_TABLE = SectionTable(
+LISTEN_TABLE = SectionSchema(
     "[listen]",
     "Where the node listens, by IP number. Port 0 takes a free one.",
     (
@@ -41,7 +41,7 @@
     ),
 )
 
-BACKEND_TABLE = SectionTable(
+BACKEND_TABLE = SectionSchema(
     "[backend]",
     "The backend server on the same host.",
     (
@@ -63,7 +63,7 @@
     ),
 )
 
-PLATFORM_TABLE = SectionTable(
+PLATFORM_TABLE = SectionSchema(
     "[platform]",
     "The platform's object API.",
     (
@@ -85,7 +85,7 @@
     ),
 )
 
-PEERS_TABLE = SectionTable(
+PEERS_TABLE = SectionSchema(
     "[peers]",
     "Other nodes.",
     (
@@ -99,7 +99,7 @@
     ),
 )
 
-LIMITS_TABLE = SectionTable(
+LIMITS_TABLE = SectionSchema(
     "[limits]",
     "What callers and other nodes may hold. Beyond a limit a call is refused, with"
     " the limit's name.",
@@ -143,7 +143,7 @@
     ),
 )
 
-ADMIN_TABLE = SectionTable(
+ADMIN_TABLE = SectionSchema(
     "[admin]",
     "The operators' API.",
     (
@@ -157,7 +157,7 @@
     ),
 )
 
-TELEMETRY_TABLE = SectionTable(
+TELEMETRY_TABLE = SectionSchema(
     "[telemetry]",
     "What the node keeps of its own past, in memory.",
     (
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/digest.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/digest.py
@@ -180,7 +180,9 @@
     if found is None:
         return False
     for stored, members in found.values():
-        if members and all(state.membership.is_gone(member) for member in members):
+        if members and all(
+            state.membership.is_incarnation_gone(member) for member in members
+        ):
             await state.platform.delete(stored.path, stored.version)
     return True
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/stopping.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/stopping.py
@@ -56,15 +56,15 @@
     state.telemetry.ring.record(EventKind.DRAIN_STARTED, reason=reason)
     state.leaving = True
     state.gate.refuse_waiting(Reason.LEAVING)
-    await _tell(state, membership.describe_self(MemberState.LEAVING))
+    await _tell(state, membership.announce_state(MemberState.LEAVING))
     # Before the requests end, since holders of tickets could start new ones for long.
     successor = await _hand_over_tickets(state)
     if successor:
         incarnation = state.tickets.own.incarnation
-        await _tell(state, membership.describe_hand_over(successor, incarnation))
+        await _tell(state, membership.announce_hand_over(successor, incarnation))
     await _until_idle(state)
-    await _tell(state, membership.describe_self(MemberState.LEFT))
-    await sleep_ms(membership.cfg.drain_linger)
+    await _tell(state, membership.announce_state(MemberState.LEFT))
+    await sleep_ms(membership.cfg.drain_relay_time)
     # What came meanwhile, such as a question about a ticket, has its answer too.
     await _until_idle(state)
     state.telemetry.ring.record(EventKind.DRAIN_FINISHED, successor=successor)
@@ -75,7 +75,7 @@
     msg = Leaving(word)
     await state.peers.notify_linked(msg)
     linked = set(state.peers.linked())
-    with trio.move_on_after(state.membership.cfg.drain_notice / MS_PER_S):
+    with trio.move_on_after(state.membership.cfg.drain_notice_timeout / MS_PER_S):
         async with trio.open_nursery() as nursery:
             for member in neighbours.receivers(state.membership):
                 if member.address not in linked:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_settings.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_settings.py
@@ -15,7 +15,7 @@
 from fuchsiagap.core.settings.record import (
     CHANGE_ID_EXPECTED,
     is_change_id,
-    read_stored,
+    parse_stored_text,
 )
 from fuchsiagap_node.core.edges.admin_reply import (
     UNAUTHORIZED,
@@ -116,13 +116,13 @@
         }
         for invalid in book.rejected()
     ]
-    standing = book.standing
+    sync_status = book.sync_status
     return {
         "teams": teams,
         "refused": refused,
-        "complete": standing.complete,
-        "watching": standing.watching,
-        "platform_up": standing.platform_up,
+        "complete": sync_status.complete,
+        "watching": sync_status.watching,
+        "platform_up": sync_status.platform_up,
         "counts": asdict(book.counts),
     }
 
@@ -174,14 +174,14 @@
         "team": text.team,
         "version": text.version,
         "deleted": text.deleted,
-        "text": "" if text.deleted else read_stored(text.text).body,
+        "text": "" if text.deleted else parse_stored_text(text.text).body,
     }
 
 
 def _history(text: TeamText) -> dict[str, Any]:
     changes = []
     version = text.version
-    for record in read_stored(text.text).records:
+    for record in parse_stored_text(text.text).records:
         changes.append({"version": version, **asdict(record)})
         version = record.replaced
     return {"team": text.team, "version": text.version, "changes": changes}
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_status.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_status.py
@@ -38,7 +38,7 @@
         "limits": asdict(state.cfg.limits),
         "calls": _calls(state),
         "settings": settings_overview(state),
-        "platform": {"up": state.book.standing.platform_up},
+        "platform": {"up": state.book.sync_status.platform_up},
         "unreachable_data_centres": sorted(state.membership.unreachable),
         "member_counts": _member_counts(state),
     }
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/heartbeat.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/heartbeat.py
@@ -42,7 +42,7 @@
     async def on_heartbeat(peer: str, msg: Heartbeat) -> None:
         membership.merge(msg.updates, peer)
         same = msg.hash == membership.hash
-        membership.contacts.note(peer, same, state.clock.now())
+        membership.contacts.record_contact(peer, same, state.clock.now())
         membership.clear_suspicion(peer)
         doubts = neighbours.doubts_about(membership, peer)
         if doubts:
@@ -117,7 +117,7 @@
             return
         self.version = membership.version
         self.members = neighbours.predecessors(membership)
-        heard = membership.contacts.heard
+        heard = membership.contacts.last_heard
         for node in heard.keys() - {member.node for member in self.members}:
             del heard[node]
         overdue = now - _longest_silence(membership.cfg)
@@ -131,7 +131,7 @@
             silence = membership.contacts.silence(member.node, now)
             due = min(due, now - silence + _longest_silence(membership.cfg))
         # A suspicion that comes in meanwhile lasts longer than the longest pause.
-        longest = membership.cfg.suspicion / 3
+        longest = membership.cfg.suspicion_timeout / 3
         return min(max(due - now, _SHORTEST_PAUSE_MS), longest)
 
     def silent(self, membership: Membership, now: Milliseconds) -> list[Member]:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/joining.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/joining.py
@@ -31,8 +31,8 @@
         Whether another node has this one's record. It may serve in any case.
     """
     membership = state.membership
-    with trio.move_on_after(membership.cfg.join_limit / MS_PER_S):
-        while not membership.settled:
+    with trio.move_on_after(membership.cfg.join_timeout / MS_PER_S):
+        while not membership.joined:
             await sleep_ms(_POLL_MS)
-        await sleep_ms(membership.cfg.join_spread)
-    return membership.settled
+        await sleep_ms(membership.cfg.join_propagation_delay)
+    return membership.joined
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/probe.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/probe.py
@@ -74,7 +74,7 @@
     membership.merge(reply.updates, target)
     membership.clear_suspicion(target)
     same = reply.hash == membership.hash
-    membership.contacts.note(target, same, state.clock.now())
+    membership.contacts.record_contact(target, same, state.clock.now())
     return reply
 
 
@@ -98,7 +98,7 @@
     reached = await _first_reply(state, member, timeout)
     if reached:
         # Others hear from it: only the link between the two may be cut.
-        state.membership.contacts.heard[member.node] = state.clock.now()
+        state.membership.contacts.last_heard[member.node] = state.clock.now()
     elif not stalled(state, started, timeout):
         state.membership.suspect(member.node, member.incarnation)
     return reached
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/reach.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/reach.py
@@ -41,7 +41,7 @@
             turn += count
             for name in sorted(due | state.membership.unreachable):
                 nursery.start_soon(_probe_data_centre, state, name)
-            interval = cfg.cross_interval
+            interval = cfg.cross_probe_interval
             await sleep_ms(interval * state.rng.uniform(1 - _JITTER, 1 + _JITTER))
 
 
@@ -50,7 +50,9 @@
     membership = state.membership
     cfg = membership.cfg
     started = state.clock.now()
-    members = neighbours.in_data_centre(membership, data_centre, 1 + cfg.cross_attempts)
+    members = neighbours.in_data_centre(
+        membership, data_centre, 1 + cfg.cross_probe_attempts
+    )
     reached = await _any_replies(state, members[:1])
     reached = reached or await _any_replies(state, members[1:])
     if not reached and stalled(state, started, 2 * cfg.probe_timeout):
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/sync.py
@@ -73,10 +73,10 @@
         if reply is None:
             return False
         # A joining node learns only what its neighbours know already.
-        membership.merge(reply.members, reply.node, spread=membership.settled)
+        membership.merge(reply.members, reply.node, spread=membership.joined)
         await _send_newer(state, address, reply)
         if len(reply.buckets) >= reply.n_differing:
-            membership.settled = True
+            membership.joined = True
             return True
     return False
 
@@ -137,7 +137,7 @@
     differing = map(membership.get, membership.contacts.take_mismatches())
     found = [member.address for member in differing if member is not None]
     found += _dead_to_try(state)
-    if not membership.settled or _alone(state):
+    if not membership.joined or _alone(state):
         found += state.cfg.peers.first
         found += [m.address for m in membership.members() if not m.gone]
     state.rng.shuffle(found)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/entry.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/entry.py
@@ -17,7 +17,7 @@
 
     from fuchsiagap.core.clock import Milliseconds
     from fuchsiagap.core.routes.model import Route
-    from fuchsiagap.core.routes.table import RouteTable, ShareRotation
+    from fuchsiagap.core.routes.table import RouteTable, WeightedRoundRobin
     from fuchsiagap.core.shedding.fair_admission import CallerCredit
     from fuchsiagap.core.workspaces.model import Workspace
     from fuchsiagap_node.core.mesh.admission import Admission
@@ -49,7 +49,7 @@
         Told which calls the requests of a route make.
     admission : Admission
         What is refused at once.
-    rotation : ShareRotation
+    rotation : WeightedRoundRobin
         Choice among the services of a route.
     event_log : EventLog
         Logs and counters.
@@ -73,7 +73,7 @@
         context: PlacementContext,
         route_loads: RouteLoads,
         admission: Admission,
-        rotation: ShareRotation,
+        rotation: WeightedRoundRobin,
         event_log: EventLog,
         authenticator: ApiKeyAuthenticator,
         quotas: Quotas,
@@ -128,8 +128,10 @@
             done(caller)
             return None
         if caller is None:
-            return self._admit(req, table.ranked(route, None), done, turn)
-        ranked = table.ranked(route, caller.priority)
+            return self._admit(
+                req, table.apply_workspace_priority(route, None), done, turn
+            )
+        ranked = table.apply_workspace_priority(route, caller.priority)
         metered = MeteredRequest(self, caller, req, ranked, done, turn)
         return metered if metered.start(self._quotas) else None
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/node.py
@@ -15,7 +15,7 @@
 
 from fuchsiagap.core.backend_queue.incarnation import BackendReport, BackendState
 from fuchsiagap.core.clock import MS_PER_S, trio_clock
-from fuchsiagap.core.routes.table import RouteTable, ShareRotation
+from fuchsiagap.core.routes.table import RouteTable, WeightedRoundRobin
 from fuchsiagap_node.core.mesh import poller
 from fuchsiagap_node.core.mesh.admission import STEP_MS, Admission
 from fuchsiagap_node.core.mesh.auxiliary_http import serve_auxiliary
@@ -149,7 +149,7 @@
         self._admission = Admission(
             self._route_loads, self._placement_context.served, clock, rng, event_log
         )
-        self._rotation = ShareRotation()
+        self._rotation = WeightedRoundRobin()
         own = Member(
             cfg.node,
             secrets.token_hex(6),
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/spread.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/spread.py
@@ -29,7 +29,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from fuchsiagap.core.settings.book import Vector
+    from fuchsiagap.core.settings.book import VersionVector
     from fuchsiagap.core.settings.model import TeamText
     from fuchsiagap_node.core.state import NodeState
 
@@ -51,7 +51,7 @@
         book = state.book
         same = msg.fingerprint == book.fingerprint
         versions = () if same else book.vector()
-        return SettingsVector(same, versions, book.standing.complete)
+        return SettingsVector(same, versions, book.sync_status.complete)
 
     async def on_news(peer: str, msg: SettingsNews) -> None:
         member = state.membership.get(peer)
@@ -104,14 +104,14 @@
 
 async def pass_news_on(state: NodeState) -> None:
     """Tell the neighbours of what was adopted, until cancelled."""
-    standing = state.book.standing
+    sync_status = state.book.sync_status
     async with trio.open_nursery() as nursery:
         while True:
-            while not standing.news:
-                await standing.changed.wait()
+            while not sync_status.unannounced:
+                await sync_status.changed.wait()
             await sleep_ms(FLUSH_DELAY)
-            news = SettingsNews(tuple(sorted(standing.news.items())))
-            standing.news.clear()
+            news = SettingsNews(tuple(sorted(sync_status.unannounced.items())))
+            sync_status.unannounced.clear()
             for member in neighbours.receivers(state.membership):
                 nursery.start_soon(_tell, state, member.address, news)
 
@@ -159,14 +159,14 @@
 
 def set_complete(state: NodeState) -> None:
     """Note that this node has had all that the platform held at some moment."""
-    standing = state.book.standing
-    if not standing.complete:
-        standing.complete = True
-        standing.notify()
+    sync_status = state.book.sync_status
+    if not sync_status.complete:
+        sync_status.complete = True
+        sync_status.notify()
 
 
 async def _even_out(
-    state: NodeState, address: str, source: str, theirs: Vector
+    state: NodeState, address: str, source: str, theirs: VersionVector
 ) -> None:
     known = dict(theirs)
     lacking = tuple(
@@ -179,26 +179,28 @@
     await _fetch(state, address, source, theirs)
 
 
-async def _fetch(state: NodeState, address: str, source: str, versions: Vector) -> None:
+async def _fetch(
+    state: NodeState, address: str, source: str, versions: VersionVector
+) -> None:
     """Fetch those of the versions that are newer than all seen.
 
     While another node is asked for them, wait; if that fails, ask this one.
     """
-    standing = state.book.standing
+    sync_status = state.book.sync_status
     with trio.move_on_after(2 * PEER_TIMEOUT / MS_PER_S):
         while lacking := _lacking(state, versions):
             free = {
                 team: version
                 for team, version in lacking.items()
-                if version > standing.fetching.get(team, 0)
+                if version > sync_status.fetching.get(team, 0)
             }
             if free:
                 await _fetch_now(state, address, source, free)
                 return
-            await standing.changed.wait()
+            await sync_status.changed.wait()
 
 
-def _lacking(state: NodeState, versions: Vector) -> dict[str, int]:
+def _lacking(state: NodeState, versions: VersionVector) -> dict[str, int]:
     seen = dict(state.book.seen())
     return {team: v for team, v in versions if v > seen.get(team, 0)}
 
@@ -206,17 +208,17 @@
 async def _fetch_now(
     state: NodeState, address: str, source: str, wanted: dict[str, int]
 ) -> None:
-    standing = state.book.standing
+    sync_status = state.book.sync_status
     seen = dict(state.book.seen())
-    standing.fetching.update(wanted)
+    sync_status.fetching.update(wanted)
     try:
         with trio.move_on_after(PEER_TIMEOUT / MS_PER_S):
             await _query(state, address, source, {t: seen.get(t, 0) for t in wanted})
     finally:
         for team, version in wanted.items():
-            if standing.fetching.get(team) == version:
-                del standing.fetching[team]
-        standing.notify()
+            if sync_status.fetching.get(team) == version:
+                del sync_status.fetching[team]
+        sync_status.notify()
 
 
 async def _query(
@@ -278,9 +280,9 @@
     )
     telemetry.metrics.count(Counter.SETTINGS_ADOPTED, adopted.team)
     telemetry.metrics.gauge(Gauge.SETTINGS_VERSION, adopted.version, adopted.team)
-    standing = state.book.standing
-    standing.news[adopted.team] = adopted.version
-    standing.notify()
+    sync_status = state.book.sync_status
+    sync_status.unannounced[adopted.team] = adopted.version
+    sync_status.notify()
     settings = state.book.team(adopted.team)
     if settings is not None and adopted.team == state.cfg.backend.team:
         state.gate.adopt(replace(state.cfg.gate, weight=settings.weight))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/watch.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/watch.py
@@ -13,8 +13,8 @@
 import trio
 
 from fuchsiagap.core.clock import MS_PER_S, Milliseconds, sleep_ms
-from fuchsiagap.core.settings.model import SETTINGS_PREFIX, TeamText, team_of
-from fuchsiagap.core.settings.record import read_stored
+from fuchsiagap.core.settings.model import SETTINGS_PREFIX, TeamText, team_from_path
+from fuchsiagap.core.settings.record import parse_stored_text
 from fuchsiagap.core.telemetry.events import EventKind
 from fuchsiagap.core.telemetry.metrics import Counter, Gauge
 from fuchsiagap_node.core.ports import PlatformUnavailable, StoredObject
@@ -48,15 +48,15 @@
     """Register who replies to a node that cannot watch."""
 
     async def on_watch_for_me(_peer: str, _msg: WatchForMe) -> WatchReply:
-        standing = state.book.standing
-        standing.deputy_until = state.clock.now() + DEPUTY_TERM
-        standing.notify()
+        sync_status = state.book.sync_status
+        sync_status.proxy_watch_until = state.clock.now() + DEPUTY_TERM
+        sync_status.notify()
         with trio.move_on_after(DEPUTY_PATIENCE / MS_PER_S):
-            while not standing.watching:
-                await standing.changed.wait()
-        if not standing.watching:
-            standing.deputy_until = float("-inf")
-        return WatchReply(standing.watching)
+            while not sync_status.watching:
+                await sync_status.changed.wait()
+        if not sync_status.watching:
+            sync_status.proxy_watch_until = float("-inf")
+        return WatchReply(sync_status.watching)
 
     state.handlers.on_ask(WatchForMe, on_watch_for_me)
 
@@ -71,13 +71,13 @@
         validation refuses.
     """
     text = stored.value.decode("utf-8", "surrogateescape")
-    deleted = stored.deleted or read_stored(text).deleted
-    return TeamText(team_of(stored.path), stored.version, text, deleted)
+    deleted = stored.deleted or parse_stored_text(text).deleted
+    return TeamText(team_from_path(stored.path), stored.version, text, deleted)
 
 
 def take_objects(state: NodeState, objects: tuple[StoredObject, ...]) -> None:
     """Offer objects of the platform to the book."""
-    texts = [text_of(stored) for stored in objects if team_of(stored.path)]
+    texts = [text_of(stored) for stored in objects if team_from_path(stored.path)]
     spread.take(state, texts, SOURCE)
 
 
@@ -96,13 +96,13 @@
     Not before the node has settings: when all nodes start at once, each takes itself
     for the only one at first.
     """
-    while not state.book.standing.complete:
-        await state.book.standing.changed.wait()
+    while not state.book.sync_status.complete:
+        await state.book.sync_status.changed.wait()
     retry = RETRY_LEAST
     while True:
         if not _is_needed(state):
             # Whoever asks for the platform's state should ask those that know it.
-            state.book.standing.platform_up = None
+            state.book.sync_status.platform_up = None
             await _until_changed(state, ROLE_INTERVAL)
             continue
         worked = True
@@ -119,8 +119,8 @@
     """While this node ought to watch and cannot, have another do it."""
     deputy: Member | None = None
     while True:
-        standing = state.book.standing
-        failed = standing.platform_up is False and not standing.watching
+        sync_status = state.book.sync_status
+        failed = sync_status.platform_up is False and not sync_status.watching
         if not failed or state.node not in relays(state):
             deputy = None
             await sleep_ms(ROLE_INTERVAL)
@@ -139,14 +139,14 @@
     A node that knows of others asks these first. If they have none either, those that
     are to hold the watch read the platform, and the others only much later.
     """
-    standing = state.book.standing
+    sync_status = state.book.sync_status
     patience = BOOTSTRAP_PATIENCE * state.rng.uniform(1.0, 2.0)
     started = state.clock.now()
-    while not standing.complete:
+    while not sync_status.complete:
         contact = spread.random_contact(state)
         if contact is not None:
             await spread.compare(state, *contact)
-        if standing.complete:
+        if sync_status.complete:
             return
         is_relay = state.node in relays(state)
         limit = patience if is_relay else OTHERS_PATIENCE * patience
@@ -162,9 +162,9 @@
     cursor = await _read_all(state)
     if cursor is None:
         return False
-    standing = state.book.standing
-    standing.watching = True
-    standing.notify()
+    sync_status = state.book.sync_status
+    sync_status.watching = True
+    sync_status.notify()
     try:
         # A generator, which has to be closed here and now when this is cancelled.
         watch = state.platform.watch(SETTINGS_PREFIX, cursor)
@@ -175,7 +175,7 @@
                     return True
                 take_objects(state, (change,))
     finally:
-        standing.watching = False
+        sync_status.watching = False
     return True
 
 
@@ -196,17 +196,17 @@
     metrics = state.telemetry.metrics
     if not is_up:
         metrics.count(Counter.PLATFORM_FAILURES, "settings")
-    standing = state.book.standing
-    if standing.platform_up is is_up:
+    sync_status = state.book.sync_status
+    if sync_status.platform_up is is_up:
         return
-    standing.platform_up = is_up
+    sync_status.platform_up = is_up
     metrics.gauge(Gauge.PLATFORM_UP, float(is_up))
     kind = EventKind.PLATFORM_UP if is_up else EventKind.PLATFORM_DOWN
     state.telemetry.ring.record(kind)
 
 
 def _is_needed(state: NodeState) -> bool:
-    if state.clock.now() < state.book.standing.deputy_until:
+    if state.clock.now() < state.book.sync_status.proxy_watch_until:
         return True
     return state.node in relays(state)
 
@@ -219,7 +219,7 @@
 
 async def _until_changed(state: NodeState, limit: Milliseconds) -> None:
     with trio.move_on_after(limit / MS_PER_S):
-        await state.book.standing.changed.wait()
+        await state.book.sync_status.changed.wait()
 
 
 def _random_deputy(state: NodeState) -> Member | None:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/write.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/write.py
@@ -20,11 +20,11 @@
     Action,
     ChangeRecord,
     StoredText,
-    read_stored,
+    format_stored_text,
+    parse_stored_text,
     text_digest,
-    write_stored,
 )
-from fuchsiagap.core.settings.tokens import holder_of, is_token
+from fuchsiagap.core.settings.tokens import find_token_name, matches_digest
 from fuchsiagap.core.telemetry.events import EventKind
 from fuchsiagap.core.telemetry.metrics import Counter
 from fuchsiagap_node.core.ports import (
@@ -164,18 +164,18 @@
     if is_operators(state, token):
         return OPERATORS
     settings = state.book.team(team)
-    return holder_of(settings.token_digests, token) if settings else None
+    return find_token_name(settings.token_digests, token) if settings else None
 
 
 def is_operators(state: NodeState, token: str) -> bool:
     """Whether a token is the one that may create teams and drain the node."""
     digest = state.cfg.admin.token_digest
-    return bool(digest) and is_token(digest, token)
+    return bool(digest) and matches_digest(digest, token)
 
 
 def _forbidden_here(state: NodeState, change: _Change) -> Forbidden | None:
     """Refuse most strangers without a call to the platform."""
-    if not state.book.standing.complete:
+    if not state.book.sync_status.complete:
         return None
     if holder_here(state, change.team, change.token) is not None:
         return None
@@ -224,7 +224,7 @@
         replaced=current.version,
         digest=text_digest(change.body),
     )
-    value = write_stored(record, stored.records, change.body).encode()
+    value = format_stored_text(record, stored.records, change.body).encode()
     result = await _put_settled(state, change, path, value, current.version)
     if isinstance(result, Accepted):
         state.telemetry.ring.record(
@@ -298,7 +298,7 @@
 
 
 def _read(current: StoredObject) -> StoredText:
-    return read_stored(watch.text_of(current).text)
+    return parse_stored_text(watch.text_of(current).text)
 
 
 def _holder_there(
@@ -312,7 +312,7 @@
     settings = parse_team(change.team, stored.body)
     if isinstance(settings, SettingsFaults):
         return None
-    return holder_of(settings.token_digests, change.token)
+    return find_token_name(settings.token_digests, change.token)
 
 
 def _is_expected(change: _Change, current: StoredObject, stored: StoredText) -> bool:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/messages_settings.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/messages_settings.py
@@ -9,12 +9,12 @@
 from fuchsiagap_node.core.wire.codec import message
 
 if TYPE_CHECKING:
-    from fuchsiagap.core.settings.book import Vector
+    from fuchsiagap.core.settings.book import VersionVector
 
 _Vector: TypeAlias = tuple[tuple[str, int], ...]
 
 
-@message(50, Vector=_Vector)
+@message(50, VersionVector=_Vector)
 @dataclass(frozen=True, slots=True)
 class SettingsNews:
     """Versions that the sender has adopted; a notice.
@@ -25,10 +25,10 @@
         Team and version.
     """
 
-    versions: Vector
+    versions: VersionVector
 
 
-@message(51, Vector=_Vector)
+@message(51, VersionVector=_Vector)
 @dataclass(frozen=True, slots=True)
 class SettingsQuery:
     """Ask for the texts of some teams; the reply is `SettingsTexts`.
@@ -39,7 +39,7 @@
         Each team, with the version the sender knows; only newer texts are wanted.
     """
 
-    known: Vector
+    known: VersionVector
 
 
 @message(52, TeamText=TeamText)
@@ -73,7 +73,7 @@
     fingerprint: int
 
 
-@message(54, Vector=_Vector)
+@message(54, VersionVector=_Vector)
 @dataclass(frozen=True, slots=True)
 class SettingsVector:
     """The versions in force at the sender.
@@ -89,7 +89,7 @@
     """
 
     same: bool
-    versions: Vector
+    versions: VersionVector
     complete: bool
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_admin.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_admin.py
@@ -60,7 +60,7 @@
         async def run() -> None:
             async with open_settings_fleet(seed=1) as fleet:
                 state = fleet.add("certs-1")
-                await fleet.until(lambda: state.book.standing.complete)
+                await fleet.until(lambda: state.book.sync_status.complete)
                 ask = Client(state)
                 if prepared:
                     body = {"text": TEXT, "expected_version": 0, "change_id": "first"}
@@ -234,7 +234,7 @@
             status, held = await ask("GET", TEAM, token=TOKEN)
             self.assertEqual((200, TEXT), (status, held["text"]))
             self.assertEqual(before, state.book.vector())
-            await fleet.until(lambda: state.book.standing.platform_up is False)
+            await fleet.until(lambda: state.book.sync_status.platform_up is False)
             status, shown = await ask("GET", "/v1/status")
             self.assertEqual((200, False), (status, shown["platform"]["up"]))
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/gossip/test_failures.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/gossip/test_failures.py
@@ -57,8 +57,8 @@
         async def main():
             cfg = MembershipSettings(
                 heartbeat_interval=5_000.0,
-                suspicion=9_000.0,
-                cross_interval=10_000.0,
+                suspicion_timeout=9_000.0,
+                cross_probe_interval=10_000.0,
                 sync_interval=10_000.0,
             )
             async with open_fleet(seed=2, cfg=cfg) as fleet:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/settings/test_random.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/settings/test_random.py
@@ -9,7 +9,7 @@
 import trio
 from testtools import TestCase
 
-from fuchsiagap.core.settings.record import read_stored
+from fuchsiagap.core.settings.record import parse_stored_text
 from fuchsiagap.core.telemetry.metrics import Counter
 from fuchsiagap_node.core.settings.write import (
     Accepted,
@@ -55,7 +55,7 @@
             result = apply(path, value, expected_version, deleted)
             version = getattr(result, "version", None)
             if path == PATH and version is not None:
-                newest = read_stored(value.decode()).records[0]
+                newest = parse_stored_text(value.decode()).records[0]
                 self.versions.setdefault(newest.change_id, []).append(version)
             return result
 
@@ -163,7 +163,7 @@
         return {type(result) for result in results.values()}
 
     def complete(self, fleet: SettingsFleet) -> bool:
-        return all(s.book.standing.complete for s in fleet.nodes.values())
+        return all(s.book.sync_status.complete for s in fleet.nodes.values())
 
     def check_results(self, results: dict[str, WriteResult], applied: Applied) -> None:
         for change_id, versions in applied.versions.items():
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/settings/test_sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/settings/test_sync.py
@@ -85,7 +85,7 @@
         n_nodes = len(fleet.nodes)
         await fleet.until(
             lambda: all(
-                s.book.standing.complete and len(s.membership.members()) == n_nodes
+                s.book.sync_status.complete and len(s.membership.members()) == n_nodes
                 for s in fleet.nodes.values()
             )
         )
@@ -111,7 +111,7 @@
             await self.ready(fleet)
             await trio.sleep(5)
             for hall in HALLS:
-                n = sum(s.book.standing.watching for s in fleet.of(hall))
+                n = sum(s.book.sync_status.watching for s in fleet.of(hall))
                 self.assertEqual(watch.N_RELAYS, n)
             before = fleet.store.counts
             await trio.sleep(30)
@@ -126,20 +126,22 @@
         async def main(fleet: SettingsFleet) -> None:
             states = start(fleet, 4)
             await self.ready(fleet)
-            watching = {s.node for s in states if s.book.standing.watching}
+            watching = {s.node for s in states if s.book.sync_status.watching}
             fleet.store.set_cut_off(watching)
             await trio.sleep(0.1)
             # Others may have taken over already, but none that is cut off watches.
-            now = {s.node for s in states if s.book.standing.watching}
+            now = {s.node for s in states if s.book.sync_status.watching}
             self.assertEqual(set(), watching & now)
             version = await write_past_us(fleet, a_text(2))
             await fleet.until(lambda: fleet.in_force(TEAM, version), IN_FORCE_MS)
             # They go back to their own watch, and their deputies stop.
             fleet.store.set_cut_off(set())
             await trio.sleep(15)
-            now = {s.node for s in states if s.book.standing.watching}
+            now = {s.node for s in states if s.book.sync_status.watching}
             self.assertEqual(watching, now)
-            know = {s.node for s in states if s.book.standing.platform_up is not None}
+            know = {
+                s.node for s in states if s.book.sync_status.platform_up is not None
+            }
             self.assertEqual(watching, know)
 
         self.run_fleet(3, main)
@@ -148,7 +150,7 @@
         async def main(fleet: SettingsFleet) -> None:
             states = start(fleet, 4)
             await self.ready(fleet)
-            for name in [s.node for s in states if s.book.standing.watching]:
+            for name in [s.node for s in states if s.book.sync_status.watching]:
                 fleet.crash(name)
             await trio.sleep(4)
             version = await write_past_us(fleet, a_text(2))
@@ -164,7 +166,7 @@
             await fleet.until(lambda: fleet.in_force(TEAM, version))
             fleet.store.set_faults(DOWN)
             new = fleet.add("certs-a9", "hall-a", ["certs-b1:7000"])
-            await fleet.until(lambda: new.book.standing.complete, IN_FORCE_MS)
+            await fleet.until(lambda: new.book.sync_status.complete, IN_FORCE_MS)
             self.assertEqual(3, priority_at(new))
 
         self.run_fleet(5, main)
@@ -173,7 +175,7 @@
         async def main(fleet: SettingsFleet) -> None:
             await write_past_us(fleet, a_text(6))
             node = fleet.add("certs-a0", "hall-a", ["certs-gone:7000"])
-            await fleet.until(lambda: node.book.standing.complete, IN_FORCE_MS)
+            await fleet.until(lambda: node.book.sync_status.complete, IN_FORCE_MS)
             self.assertEqual(6, priority_at(node))
 
         self.run_fleet(6, main)
@@ -307,7 +309,7 @@
             spread.take(node, [TeamText(TEAM, version, "")], "certs-liar")
             held = node.book.text(TEAM)
             assert held is not None
-            node.book._held[TEAM].text = TeamText(TEAM, version - 1, held.text)
+            node.book._entries[TEAM].text = TeamText(TEAM, version - 1, held.text)
             spread._check_invariants(node, held, held)
             violations = node.telemetry.metrics.counted(
                 Counter.VIOLATIONS, Invariant.VERSION_WENT_BACK
@@ -327,7 +329,7 @@
                 await fleet.store.put(PATH, text, None)
             await trio.sleep(5)
             self.assertTrue(fleet.in_force(TEAM, good))
-            watching = [s for s in states if s.book.standing.watching]
+            watching = [s for s in states if s.book.sync_status.watching]
             for state in watching:
                 [rejected] = state.book.rejected()
                 self.assertEqual(good + 3, rejected.version)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/settings/test_write.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/settings/test_write.py
@@ -7,7 +7,7 @@
 from testtools import TestCase
 
 from fuchsiagap.core.settings.parse import MAX_LINES, MAX_TEXT_BYTES
-from fuchsiagap.core.settings.record import MAX_RECORDS, read_stored
+from fuchsiagap.core.settings.record import MAX_RECORDS, parse_stored_text
 from fuchsiagap.core.settings.tokens import digest_of
 from fuchsiagap_node.core.ports import Missing, StoredObject
 from fuchsiagap_node.core.settings.write import (
@@ -52,7 +52,7 @@
 
 async def changes(fleet: SettingsFleet) -> list[str]:
     """Return the ids of the changes that took effect, oldest first."""
-    records = read_stored((await stored(fleet)).value.decode()).records
+    records = parse_stored_text((await stored(fleet)).value.decode()).records
     return [record.change_id for record in reversed(records)]
 
 
@@ -91,7 +91,7 @@
             second = self.accepted(await put(node, 2, first.version, token=TOKEN))
             held = await stored(fleet)
             self.assertEqual(second.version, held.version)
-            text = read_stored(held.value.decode())
+            text = parse_stored_text(held.value.decode())
             self.assertEqual(a_text(2), text.body)
             self.assertEqual(
                 [("change-2", "ops", first.version), ("change-1", "operators", 0)],
@@ -120,7 +120,7 @@
             kinds = Counter(type(result) for result in results)
             self.assertEqual({Accepted: 1, Conflict: 2}, kinds)
             [winner] = [r for r in results if isinstance(r, Accepted)]
-            held = read_stored((await stored(fleet)).value.decode())
+            held = parse_stored_text((await stored(fleet)).value.decode())
             for lost in results:
                 if isinstance(lost, Conflict):
                     self.assertEqual((winner.version, "ops"), (lost.version, lost.by))
@@ -167,7 +167,7 @@
     ) -> None:
         async def main(fleet: SettingsFleet, node: NodeState) -> None:
             other = fleet.add("certs-2", first=["certs-1:7000"])
-            await fleet.until(lambda: other.book.standing.complete)
+            await fleet.until(lambda: other.book.sync_status.complete)
             fleet.store.set_faults(PlatformFaults(lose_answers=1.0))
             result = await put(node, 3, 0)
             self.assertEqual("change-3", getattr(result, "change_id", None), result)
@@ -339,14 +339,14 @@
         async def main(fleet: SettingsFleet, node: NodeState) -> None:
             for i in range(MAX_RECORDS + 3):
                 self.accepted(await put(node, i % 10, None, f"c{i}"))
-            held = read_stored((await stored(fleet)).value.decode())
+            held = parse_stored_text((await stored(fleet)).value.decode())
             self.assertEqual(MAX_RECORDS, len(held.records))
             forged = (await stored(fleet)).value.decode()
             result = await put_settings(
                 node, TEAM, forged, None, "forger", OPERATORS_TOKEN
             )
             self.accepted(result)
-            after = read_stored((await stored(fleet)).value.decode())
+            after = parse_stored_text((await stored(fleet)).value.decode())
             self.assertEqual("forger", after.records[0].change_id)
             self.assertEqual(forged, after.body)
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/test_settings_page.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/test_settings_page.py
@@ -8,14 +8,14 @@
 
 from fuchsiagap.core.settings.model import TeamSettings
 from fuchsiagap.core.settings.parse import parse_team
-from fuchsiagap.core.settings.table import TEAM_TABLES
+from fuchsiagap.core.settings.team_schema import TEAM_SCHEMAS
 from fuchsiagap.core.settings.values import BadValue
 from fuchsiagap_node.core.config_keys import NODE_TABLES
 
 if TYPE_CHECKING:
     from types import ModuleType
 
-    from fuchsiagap.core.settings.keys import SectionTable
+    from fuchsiagap.core.settings.schema import SectionSchema
 
 ROOT = Path(__file__).resolve().parents[5]
 
@@ -29,8 +29,8 @@
     return module
 
 
-def _tables() -> list[SectionTable]:
-    return [*TEAM_TABLES, *NODE_TABLES.values()]
+def _tables() -> list[SectionSchema]:
+    return [*TEAM_SCHEMAS, *NODE_TABLES.values()]
 
 
 class SettingsPageTest(TestCase):
@@ -47,5 +47,5 @@
         for table in _tables():
             for key in table.keys:
                 if key.default is not None:
-                    value = key.kind.read(key.default)
+                    value = key.value_type.read(key.default)
                     self.assertNotIsInstance(value, BadValue, f"{table.title} {key}")
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/breaks.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/breaks.py
@@ -117,9 +117,9 @@
     """A node asks for any text and takes it over, also one older than its own."""
 
     def adopt(self: SettingsBook, text: Any) -> Any:
-        held = self._held.get(text.team)
+        held = self._entries.get(text.team)
         if held is not None and held.text.version > text.version:
-            del self._held[text.team]
+            del self._entries[text.team]
         return original(self, text)
 
     original = _patch(stack, SettingsBook, "adopt", adopt)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/checks.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/checks.py
@@ -8,7 +8,7 @@
 
 from fuchsiagap.core.calls.outcome import Answered, Refused
 from fuchsiagap.core.membership.member import MemberState
-from fuchsiagap.core.settings.record import read_stored
+from fuchsiagap.core.settings.record import parse_stored_text
 from fuchsiagap.core.telemetry.events import EventKind
 from fuchsiagap_standins.answers import ROOT_PLACE
 from fuchsiagap_standins.bench.faults.plan import FaultKind
@@ -173,7 +173,7 @@
 def _check_settings(findings: Findings, fleet: Fleet, changes: Changes) -> None:
     stands: set[str] = set()
     for team, values in fleet.written.items():
-        texts = {v: read_stored(value.decode()) for v, value in values.items()}
+        texts = {v: parse_stored_text(value.decode()) for v, value in values.items()}
         stands |= {text.records[0].change_id for text in texts.values() if text.records}
         overwritten = [f"{team}: {fault}" for fault in _overwritten(texts)]
         findings.judge(REVERTED_SETTINGS, overwritten, len(texts))
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/run.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/run.py
@@ -13,8 +13,8 @@
 from fuchsiagap.core.settings.record import (
     Action,
     ChangeRecord,
+    format_stored_text,
     text_digest,
-    write_stored,
 )
 from fuchsiagap_standins.bench.faults.breaks import planted
 from fuchsiagap_standins.bench.faults.callers import run_library_callers
@@ -144,7 +144,7 @@
     text = team_text(0)
     at = "2026-01-01T00:00:00Z"
     record = ChangeRecord("first", Action.PUT, "operators", at, 0, text_digest(text))
-    fleet.write(settings_path(TEAM), write_stored(record, (), text).encode())
+    fleet.write(settings_path(TEAM), format_stored_text(record, (), text).encode())
 
 
 async def _rest(fleet: Fleet) -> dict[str, list[str]]:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/fleet.py
@@ -156,7 +156,7 @@
 async def _spread(fleet: Fleet, rng: random.Random) -> Milliseconds:
     node = fleet.nodes[rng.choice(sorted(fleet.nodes))]
     await trio.sleep(rng.random())
-    word = node.membership.describe_self(MemberState.ALIVE)
+    word = node.membership.announce_state(MemberState.ALIVE)
 
     def everywhere() -> bool:
         views = (other.membership for other in fleet.nodes.values())
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/settings.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/settings.py
@@ -176,7 +176,9 @@
 async def _spread(n_nodes: int, n_routes: int, seed: int) -> SpreadCosts:
     async with open_settings_fleet(seed) as fleet:
         states = _start(fleet, n_nodes)
-        await fleet.until(lambda: all(state.book.standing.complete for state in states))
+        await fleet.until(
+            lambda: all(state.book.sync_status.complete for state in states)
+        )
         await trio.sleep(_SETTLE_S)
         idle = _usage(fleet)
         await trio.sleep(_SETTLE_S)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/graphs/loader.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/graphs/loader.py
@@ -11,14 +11,14 @@
 from fuchsiagap.core.settings import values
 from fuchsiagap.core.settings.faults import Fault, SettingsFaults
 from fuchsiagap.core.settings.ini import Section, read_ini
-from fuchsiagap.core.settings.keys import (
+from fuchsiagap.core.settings.pattern import MATCH
+from fuchsiagap.core.settings.schema import (
     Key,
-    SectionTable,
+    SectionSchema,
     read_entries,
     with_defaults,
 )
-from fuchsiagap.core.settings.pattern import MATCH
-from fuchsiagap.core.settings.values import BAD_VALUE, BadValue, Kind
+from fuchsiagap.core.settings.values import BAD_VALUE, BadValue, ValueType
 from fuchsiagap_standins.graphs.model import Graph, GraphRoute, GraphService
 from fuchsiagap_standins.graphs.sizes import call_names, depth
 
@@ -65,14 +65,16 @@
     return BAD_VALUE if isinstance(weight, BadValue) else text
 
 
-_NAMES = Kind("names separated by commas, none twice", _read_names)
-_CALLS = Kind("SERVICE/ROUTE, & between calls at once, commas between", _read_calls)
-_WEIGHT = Kind("goodput, recovery or a number from 0 to 1", _read_weight)
+_NAMES = ValueType("names separated by commas, none twice", _read_names)
+_CALLS = ValueType(
+    "SERVICE/ROUTE, & between calls at once, commas between", _read_calls
+)
+_WEIGHT = ValueType("goodput, recovery or a number from 0 to 1", _read_weight)
 _DELAY = values.duration(0, 10_000)
 _TIME = values.duration(0, 600_000)
 _SIZE = values.integer(1, 100_000)
 
-_GRAPH_TABLE = SectionTable(
+_GRAPH_TABLE = SectionSchema(
     "[graph]",
     "What holds for the whole graph.",
     (
@@ -86,7 +88,7 @@
         Key("deep service", values.PLAIN_NAME, None, "The one to slow down."),
     ),
 )
-_SERVICE_TABLE = SectionTable(
+_SERVICE_TABLE = SectionSchema(
     "[SERVICE]",
     "One service and its size.",
     (
@@ -95,7 +97,7 @@
         Key("connections", _SIZE, None, "Connections of one backend server."),
     ),
 )
-_ROUTE_TABLE = SectionTable(
+_ROUTE_TABLE = SectionSchema(
     "[SERVICE/ROUTE]",
     "One kind of call.",
     (
@@ -188,7 +190,7 @@
 
 
 def _values(
-    path: str, table: SectionTable, section: Section, faults: list[Fault]
+    path: str, table: SectionSchema, section: Section, faults: list[Fault]
 ) -> dict[str, Any]:
     given = read_entries(path, table, section, faults)
     return with_defaults(path, table, section, given, faults)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/deployment.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/deployment.py
@@ -13,7 +13,7 @@
 import trio
 
 from fuchsiagap.core.backend_queue.incarnation import BackendReport, BackendState
-from fuchsiagap.core.routes.model import CallerLimits, Route, RouteConfig, Share
+from fuchsiagap.core.routes.model import CallerLimits, Route, RouteConfig, ServiceShare
 from fuchsiagap.core.workspaces.keys import key_digest
 from fuchsiagap.core.workspaces.model import Workspace
 from fuchsiagap_node.core.mesh.http_names import HeaderNames
@@ -62,7 +62,7 @@
         "name": name,
         "host": "api.example",
         "prefix": f"/{name}/",
-        "shares": (Share(service),),
+        "shares": (ServiceShare(service),),
         "idempotent": True,
         "timeout": 1_000.0,
         "objective": 500.0,
--- a/packages/fuchsiagap/src/fuchsiagap/core/membership/buckets.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/membership/buckets.py
@@ -17,7 +17,7 @@
 N_BUCKETS = 256
 
 
-class Buckets:
+class BucketHashes:
     """The hash of each bucket of live members.
 
     Dead and left members lie in their bucket too but count for nothing in its hash,
@@ -31,11 +31,11 @@
 
     def replace(self, known: Member | None, member: Member | None) -> None:
         """Take over the change of one member; None is no member."""
-        word = member or known
-        assert word is not None
-        number = bucket_of(word.node)
+        existing = member or known
+        assert existing is not None
+        number = bucket_of(existing.node)
         nodes = self._nodes[number]
-        before = nodes.pop(word.node, 0)
+        before = nodes.pop(existing.node, 0)
         after = 0
         if member is not None:
             after = 0 if member.gone else fingerprint(member)
--- a/packages/fuchsiagap/src/fuchsiagap/core/membership/contacts.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/membership/contacts.py
@@ -10,12 +10,12 @@
 if TYPE_CHECKING:
     from fuchsiagap.core.clock import Milliseconds
 
-QUIET_MS = 1_000.0
+STABLE_VIEW_MS = 1_000.0
 MISMATCHES_TO_SYNC = 4
 
 
 @dataclass(slots=True)
-class Contacts:
+class PeerContacts:
     """Signs of life, and nodes whose view differs.
 
     Parameters
@@ -30,12 +30,12 @@
         Set when views should be synced.
     """
 
-    heard: dict[str, Milliseconds] = field(default_factory=dict)
+    last_heard: dict[str, Milliseconds] = field(default_factory=dict)
     mismatches: dict[str, int] = field(default_factory=dict)
     last_change: Milliseconds = 0.0
     sync_due: trio.Event = field(default_factory=trio.Event)
 
-    def note(self, node: str, same_view: bool, now: Milliseconds) -> None:
+    def record_contact(self, node: str, same_view: bool, now: Milliseconds) -> None:
         """Note a sign of life of a node and how its view compares.
 
         Changes on their way make views differ for a moment. So a sync is due only
@@ -50,23 +50,23 @@
         now : float
             The time in milliseconds.
         """
-        self.heard[node] = now
+        self.last_heard[node] = now
         if same_view:
             self.mismatches.pop(node, None)
             return
         self.mismatches[node] = self.mismatches.get(node, 0) + 1
-        quiet = now - self.last_change > QUIET_MS
+        quiet = now - self.last_change > STABLE_VIEW_MS
         if quiet or self.mismatches[node] >= MISMATCHES_TO_SYNC:
             self.sync_due.set()
 
     def silence(self, node: str, now: Milliseconds) -> Milliseconds:
         """Return how long a node was silent; it begins with the first look."""
-        return now - self.heard.setdefault(node, now)
+        return now - self.last_heard.setdefault(node, now)
 
     def postpone(self, duration: Milliseconds) -> None:
         """Count a pause of this process as no silence of the others."""
-        for node in self.heard:
-            self.heard[node] += duration
+        for node in self.last_heard:
+            self.last_heard[node] += duration
 
     def take_mismatches(self) -> tuple[str, ...]:
         """Return the nodes to sync with, if it is due, and begin to count anew."""
@@ -79,5 +79,5 @@
 
     def forget(self, node: str) -> None:
         """Drop what is known of a node that is gone or no neighbour any more."""
-        self.heard.pop(node, None)
+        self.last_heard.pop(node, None)
         self.mismatches.pop(node, None)
--- a/packages/fuchsiagap/src/fuchsiagap/core/membership/hand_overs.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/membership/hand_overs.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class HandOvers:
+class TicketHandOvers:
     """The hand-overs a node heard of, the latest ones.
 
     Parameters
@@ -27,17 +27,17 @@
     """
 
     max_remembered: int
-    _words: OrderedDict[tuple[str, int], Member] = field(default_factory=OrderedDict)
+    _updates: OrderedDict[tuple[str, int], Member] = field(default_factory=OrderedDict)
 
-    def note(self, word: Member) -> None:
+    def record(self, update: Member) -> None:
         """Note the hand-over that a word tells of, if it does."""
-        if not word.successor:
+        if not update.successor:
             return
-        key = (word.node, word.handed_incarnation)
-        if key not in self._words:
-            self._words[key] = word
-            if len(self._words) > self.max_remembered:
-                self._words.popitem(last=False)
+        key = (update.node, update.handed_incarnation)
+        if key not in self._updates:
+            self._updates[key] = update
+            if len(self._updates) > self.max_remembered:
+                self._updates.popitem(last=False)
 
     def holder(self, node: str, incarnation: int, members: Mapping[str, Member]) -> str:
         """Return the node that holds the tickets of a life; empty if none.
@@ -51,15 +51,15 @@
         members : mapping
             The members by name.
         """
-        word = self._words.get((node, incarnation))
-        if word is None:
+        update = self._updates.get((node, incarnation))
+        if update is None:
             return ""
         for _ in range(_MAX_STEPS):
-            holder = members.get(word.successor)
+            holder = members.get(update.successor)
             if holder is None or not holder.successor:
                 break
-            same_life = holder.incarnation <= word.successor_incarnation
+            same_life = holder.incarnation <= update.successor_incarnation
             if same_life and holder.state is not MemberState.LEFT:
                 break
-            word = holder
-        return word.successor
+            update = holder
+        return update.successor
--- a/packages/fuchsiagap/src/fuchsiagap/core/membership/member.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/membership/member.py
@@ -96,7 +96,7 @@
         return self.incarnation, left, self.refutation, _RANKS[self.state]
 
 
-def supersedes(word: Member, known: Member) -> bool:
+def supersedes(update: Member, known: Member) -> bool:
     """Whether a word about a node is newer than what is known of it.
 
     Parameters
@@ -111,10 +111,10 @@
         processes under one name) are ordered by their content, so that all views
         keep the same one.
     """
-    ours, theirs = word.precedence, known.precedence
+    ours, theirs = update.precedence, known.precedence
     if ours != theirs:
         return ours > theirs
-    return word != known and _content(word) > _content(known)
+    return update != known and _content(update) > _content(known)
 
 
 def fingerprint(member: Member) -> int:
--- a/packages/fuchsiagap/src/fuchsiagap/core/membership/rings.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/membership/rings.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-_Spot = tuple[int, str]
+_RingEntry = tuple[int, str]
 
 
 @dataclass(slots=True)
@@ -30,30 +30,30 @@
     """
 
     n_rings: int
-    _spots: dict[str, list[list[_Spot]]] = field(default_factory=dict)
+    _rings: dict[str, list[list[_RingEntry]]] = field(default_factory=dict)
 
     def add(self, data_centre: str, node: str) -> None:
         """Put a node on the rings of its data centre."""
-        rings = self._spots.setdefault(data_centre, [[] for _ in range(self.n_rings)])
+        rings = self._rings.setdefault(data_centre, [[] for _ in range(self.n_rings)])
         for number, ring in enumerate(rings):
             insort(ring, (ring_position(f"{number}", node), node))
 
     def remove(self, data_centre: str, node: str) -> None:
         """Take a node off the rings of its data centre."""
-        rings = self._spots[data_centre]
+        rings = self._rings[data_centre]
         for number, ring in enumerate(rings):
             del ring[bisect_left(ring, (ring_position(f"{number}", node), node))]
         if not rings[0]:
-            del self._spots[data_centre]
+            del self._rings[data_centre]
 
     @property
     def data_centres(self) -> tuple[str, ...]:
         """The data centres that have a node on a ring, sorted."""
-        return tuple(sorted(self._spots))
+        return tuple(sorted(self._rings))
 
     def nodes(self, data_centre: str) -> tuple[str, ...]:
         """Return the nodes of a data centre, in the order of its first ring."""
-        rings = self._spots.get(data_centre)
+        rings = self._rings.get(data_centre)
         return tuple(node for _, node in rings[0]) if rings else ()
 
     def after(self, data_centre: str, ring: int, node: str) -> Iterator[str]:
@@ -75,13 +75,13 @@
         yield from self._walk(data_centre, ring, node, step=-1)
 
     def _walk(self, data_centre: str, ring: int, node: str, step: int) -> Iterator[str]:
-        rings = self._spots.get(data_centre)
+        rings = self._rings.get(data_centre)
         if not rings:
             return
-        spots = rings[ring]
-        start = bisect_left(spots, (ring_position(f"{ring}", node), node))
+        entries = rings[ring]
+        start = bisect_left(entries, (ring_position(f"{ring}", node), node))
         offset = 0 if step > 0 else -1
-        for i in range(len(spots)):
-            other = spots[(start + offset + step * i) % len(spots)][1]
+        for i in range(len(entries)):
+            other = entries[(start + offset + step * i) % len(entries)][1]
             if other != node:
                 yield other
--- a/packages/fuchsiagap/src/fuchsiagap/core/membership/settings.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/membership/settings.py
@@ -21,7 +21,7 @@
         Milliseconds by which a heartbeat may be late before its sender is probed.
     probe_timeout : float, default=250
         Milliseconds until a probe without reply has failed.
-    cross_interval : float, default=2000
+    cross_probe_interval : float, default=2000
         Milliseconds between two rounds of probes of other data centres.
     suspicion : float, default=800
         Milliseconds in which a suspected node may refute before it counts as dead.
@@ -31,7 +31,7 @@
         Other nodes that are asked to probe one that did not reply.
     n_cross_probes : int, default=2
         Other data centres probed in each round, in turn.
-    cross_attempts : int, default=3
+    cross_probe_attempts : int, default=3
         Further nodes of a data centre tried before it counts as unreachable.
     flush_delay : float, default=50
         Milliseconds for which changes are collected before they are passed on.
@@ -40,7 +40,7 @@
     sync_interval : float, default=1000
         Milliseconds between two looks for nodes with another view, among them
         ones that count as dead.
-    dead_kept : float, default=600_000
+    dead_retention : float, default=600_000
         Milliseconds for which a dead or left member is remembered in full.
     max_remembered : int, default=8192
         Dropped members whose last known life is still remembered.
@@ -53,13 +53,13 @@
         Nodes of each data centre that write its digest.
     announce_interval : float, default=60_000
         Milliseconds between two looks of a relay at the announcements.
-    join_limit : float, default=2000
+    join_timeout : float, default=2000
         Milliseconds a starting node waits at most until others know it.
-    join_spread : float, default=300
+    join_propagation_delay : float, default=300
         Milliseconds for its record to reach all others once one has it.
-    drain_notice : float, default=1500
+    drain_notice_timeout : float, default=1500
         Milliseconds a leaving node spends at most on telling others.
-    drain_linger : float, default=300
+    drain_relay_time : float, default=300
         Milliseconds a node that has left goes on passing calls on, while it becomes
         known who has its tickets.
     max_successors : int, default=3
@@ -69,23 +69,23 @@
     heartbeat_interval: Milliseconds = 900.0
     heartbeat_slack: Milliseconds = 150.0
     probe_timeout: Milliseconds = 250.0
-    cross_interval: Milliseconds = 2_000.0
-    suspicion: Milliseconds = 800.0
+    cross_probe_interval: Milliseconds = 2_000.0
+    suspicion_timeout: Milliseconds = 800.0
     n_rings: int = 3
     n_indirect: int = 2
     n_cross_probes: int = 2
-    cross_attempts: int = 3
+    cross_probe_attempts: int = 3
     flush_delay: Milliseconds = 50.0
     max_updates: int = 64
     sync_interval: Milliseconds = 1_000.0
-    dead_kept: Milliseconds = 600_000.0
+    dead_retention: Milliseconds = 600_000.0
     max_remembered: int = 8_192
     stall_slack: Milliseconds = 150.0
     digest_interval: Milliseconds = 10_000.0
     n_relays: int = 2
     announce_interval: Milliseconds = 60_000.0
-    join_limit: Milliseconds = 2_000.0
-    join_spread: Milliseconds = 300.0
-    drain_notice: Milliseconds = 1_500.0
-    drain_linger: Milliseconds = 300.0
+    join_timeout: Milliseconds = 2_000.0
+    join_propagation_delay: Milliseconds = 300.0
+    drain_notice_timeout: Milliseconds = 1_500.0
+    drain_relay_time: Milliseconds = 300.0
     max_successors: int = 3
--- a/packages/fuchsiagap/src/fuchsiagap/core/membership/table.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/membership/table.py
@@ -8,10 +8,10 @@
 from itertools import chain
 from typing import TYPE_CHECKING, Any
 
-from fuchsiagap.core.membership.buckets import Buckets
+from fuchsiagap.core.membership.buckets import BucketHashes
 from fuchsiagap.core.membership.changes import ChangeLog
-from fuchsiagap.core.membership.contacts import Contacts
-from fuchsiagap.core.membership.hand_overs import HandOvers
+from fuchsiagap.core.membership.contacts import PeerContacts
+from fuchsiagap.core.membership.hand_overs import TicketHandOvers
 from fuchsiagap.core.membership.member import Member, MemberState, supersedes
 from fuchsiagap.core.membership.rings import Rings
 from fuchsiagap.core.membership.usable import UsableInstances
@@ -58,7 +58,7 @@
         The live members on their rings.
     log : ChangeLog
         What changed, to be passed on.
-    contacts : Contacts
+    contacts : PeerContacts
         What was heard from others.
 
     See Also
@@ -74,23 +74,23 @@
         rng: random.Random,
     ) -> None:
         self.cfg = cfg
-        self.settled = False
+        self.joined = False
         self.superseded = False
         self.version = 0
         self.rings = Rings(cfg.n_rings)
         self.log = ChangeLog()
-        self.contacts = Contacts()
+        self.contacts = PeerContacts()
         self.name = self_member.node
         self._clock = clock
         self._rng = rng
         self._members: dict[str, Member] = {}
-        self._buckets = Buckets()
+        self._buckets = BucketHashes()
         self._deadlines: dict[str, Milliseconds] = {}
         self._dropped: OrderedDict[str, Precedence] = OrderedDict()
-        self._hand_overs = HandOvers(cfg.max_remembered)
+        self._hand_overs = TicketHandOvers(cfg.max_remembered)
         self._usable = UsableInstances()
         self._listeners: list[Callable[[Member | None, Member], None]] = []
-        self._keep(self_member)
+        self._store_member(self_member)
 
     @property
     def self_member(self) -> Member:
@@ -106,14 +106,14 @@
         """Return what is known of a node."""
         return self._members.get(node)
 
-    def is_gone(self, word: Member) -> bool:
+    def is_incarnation_gone(self, update: Member) -> bool:
         """Whether the life of a node that a word speaks of is over."""
-        known = self._members.get(word.node)
+        known = self._members.get(update.node)
         if known is None:
-            dropped = self._dropped.get(word.node)
-            return dropped is not None and dropped[0] >= word.incarnation
-        if known.incarnation != word.incarnation:
-            return known.incarnation > word.incarnation
+            dropped = self._dropped.get(update.node)
+            return dropped is not None and dropped[0] >= update.incarnation
+        if known.incarnation != update.incarnation:
+            return known.incarnation > update.incarnation
         return known.gone
 
     def members(self) -> tuple[Member, ...]:
@@ -154,16 +154,16 @@
         bool
             Whether the view changed.
         """
-        self._hand_overs.note(update)
+        self._hand_overs.record(update)
         if update.node == self.name:
-            return self._take_word_on_self(update)
+            return self._apply_update_about_self(update)
         known = self._members.get(update.node)
         if known is not None:
             if update is known or not supersedes(update, known):
                 return False
         elif update.precedence <= self._dropped.get(update.node, (-1, False, 0, 0)):
             return False
-        self._keep(update, source, spread)
+        self._store_member(update, source, spread)
         return True
 
     def merge(
@@ -172,7 +172,7 @@
         """Take several words; return how many changed the view."""
         return sum(self.apply(update, source, spread) for update in updates)
 
-    def describe_self(self, state: MemberState) -> Member:
+    def announce_state(self, state: MemberState) -> Member:
         """Say another state of this node.
 
         Parameters
@@ -185,9 +185,9 @@
         Member
             The new word, on its way to the others.
         """
-        return self._say(state=state)
+        return self._update_self(state=state)
 
-    def describe_hand_over(self, successor: str, incarnation: int) -> Member:
+    def announce_hand_over(self, successor: str, incarnation: int) -> Member:
         """Say who has this node's tickets now.
 
         Parameters
@@ -203,7 +203,7 @@
             The new word, on its way to the others.
         """
         holder = self._members.get(successor)
-        return self._say(
+        return self._update_self(
             successor=successor,
             successor_incarnation=0 if holder is None else holder.incarnation,
             handed_incarnation=incarnation,
@@ -232,9 +232,9 @@
         if known.incarnation != incarnation:
             return False
         if known.state is MemberState.ALIVE:
-            self._keep(replace(known, state=MemberState.SUSPECT))
+            self._store_member(replace(known, state=MemberState.SUSPECT))
             return True
-        deadline = self._clock.now() + self.cfg.suspicion
+        deadline = self._clock.now() + self.cfg.suspicion_timeout
         self._deadlines.setdefault(node, deadline)
         return False
 
@@ -253,7 +253,9 @@
             Nodes that died now.
         """
         now = self._clock.now()
-        for node in [n for n, ends in self._usable.graces.items() if ends <= now]:
+        for node in [
+            n for n, ends in self._usable.grace_deadlines.items() if ends <= now
+        ]:
             self._usable.end_grace(self._members[node])
         due = [node for node, deadline in self._deadlines.items() if deadline <= now]
         died = []
@@ -262,18 +264,18 @@
             if known.gone:
                 self._drop(known)
             else:
-                self._keep(replace(known, state=MemberState.DEAD))
+                self._store_member(replace(known, state=MemberState.DEAD))
                 died.append(node)
         return tuple(died)
 
     def next_deadline(self) -> Milliseconds:
         """Return when `expire` has something to do next; infinity if never."""
-        times = chain(self._deadlines.values(), self._usable.graces.values())
+        times = chain(self._deadlines.values(), self._usable.grace_deadlines.values())
         return min(times, default=math.inf)
 
     def postpone(self, duration: Milliseconds) -> None:
         """Give every suspect more time, after a pause of this process."""
-        for times in (self._deadlines, self._usable.graces):
+        for times in (self._deadlines, self._usable.grace_deadlines):
             for node in times:
                 times[node] += duration
         self.contacts.postpone(duration)
@@ -321,11 +323,11 @@
         nodes = self._buckets.nodes(number)
         return tuple(self._members[node] for node in nodes)
 
-    def _take_word_on_self(self, update: Member) -> bool:
+    def _apply_update_about_self(self, update: Member) -> bool:
         me = self.self_member
         if update.handed_incarnation > me.handed_incarnation:
             # An earlier life of this node: the new one tells who has its tickets.
-            me = self._say(
+            me = self._update_self(
                 successor=update.successor,
                 successor_incarnation=update.successor_incarnation,
                 handed_incarnation=update.handed_incarnation,
@@ -333,22 +335,24 @@
         if not supersedes(update, me):
             return False
         if update.incarnation == me.incarnation:
-            self._keep(replace(me, refutation=update.refutation + 1))
+            self._store_member(replace(me, refutation=update.refutation + 1))
             return True
-        if self.settled and not update.gone:
+        if self.joined and not update.gone:
             self.superseded = True
             return False
-        self._keep(replace(me, incarnation=update.incarnation + 1))
+        self._store_member(replace(me, incarnation=update.incarnation + 1))
         return True
 
-    def _say(self, **changes: Any) -> Member:
+    def _update_self(self, **changes: Any) -> Member:
         me = self.self_member
-        word = replace(me, refutation=me.refutation + 1, **changes)
-        self._hand_overs.note(word)
-        self._keep(word)
-        return word
+        update = replace(me, refutation=me.refutation + 1, **changes)
+        self._hand_overs.record(update)
+        self._store_member(update)
+        return update
 
-    def _keep(self, member: Member, source: str = "", spread: bool = True) -> None:
+    def _store_member(
+        self, member: Member, source: str = "", spread: bool = True
+    ) -> None:
         node = member.node
         now = self._clock.now()
         known = self._members.get(node)
@@ -358,7 +362,7 @@
         self._move_on_rings(known, member)
         self._buckets.replace(known, member)
         self._set_deadline(member)
-        self._usable.replace(known, member, now + self.cfg.suspicion)
+        self._usable.replace(known, member, now + self.cfg.suspicion_timeout)
         self.contacts.last_change = now
         if member.gone:
             self.contacts.forget(node)
@@ -378,9 +382,11 @@
 
     def _set_deadline(self, member: Member) -> None:
         if member.gone:
-            self._deadlines[member.node] = self._clock.now() + self.cfg.dead_kept
+            self._deadlines[member.node] = self._clock.now() + self.cfg.dead_retention
         elif member.state is MemberState.SUSPECT:
-            self._deadlines[member.node] = self._clock.now() + self.cfg.suspicion
+            self._deadlines[member.node] = (
+                self._clock.now() + self.cfg.suspicion_timeout
+            )
         else:
             self._deadlines.pop(member.node, None)
 
--- a/packages/fuchsiagap/src/fuchsiagap/core/membership/usable.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/membership/usable.py
@@ -19,7 +19,7 @@
 
     Attributes
     ----------
-    graces : dict
+    grace_deadlines : dict
         By node: until when one that was called dead without having been suspected
         here is still used, in milliseconds. The word may be of a node that was
         paused or cut off, so the member gets the time to refute it.
@@ -28,14 +28,14 @@
     """
 
     def __init__(self) -> None:
-        self.graces: dict[str, Milliseconds] = {}
+        self.grace_deadlines: dict[str, Milliseconds] = {}
         self.unreachable: frozenset[str] = frozenset()
-        self._found: dict[str, tuple[Instance, ...]] = {}
+        self._by_node: dict[str, tuple[Instance, ...]] = {}
         self._listeners: list[Callable[[], None]] = []
 
     def all(self) -> tuple[Instance, ...]:
         """Return the instances."""
-        return tuple(chain.from_iterable(self._found.values()))
+        return tuple(chain.from_iterable(self._by_node.values()))
 
     def on_change(self, listener: Callable[[], None]) -> None:
         """Call a listener whenever `all` returns something else."""
@@ -55,14 +55,14 @@
         """
         was_alive = known is not None and known.state is MemberState.ALIVE
         if was_alive and member.state is MemberState.DEAD:
-            self.graces[member.node] = grace_ends
+            self.grace_deadlines[member.node] = grace_ends
         else:
-            self.graces.pop(member.node, None)
+            self.grace_deadlines.pop(member.node, None)
         self._refresh(member)
 
     def end_grace(self, member: Member) -> None:
         """Use a dead member no more."""
-        if self.graces.pop(member.node, None) is not None:
+        if self.grace_deadlines.pop(member.node, None) is not None:
             self._refresh(member)
 
     def set_reachable(
@@ -79,17 +79,17 @@
 
     def _refresh(self, member: Member) -> None:
         found = self._instances_of(member)
-        if found == self._found.get(member.node, ()):
+        if found == self._by_node.get(member.node, ()):
             return
         if found:
-            self._found[member.node] = found
+            self._by_node[member.node] = found
         else:
-            del self._found[member.node]
+            del self._by_node[member.node]
         for listener in self._listeners:
             listener()
 
     def _instances_of(self, member: Member) -> tuple[Instance, ...]:
-        is_used = not member.gone or member.node in self.graces
+        is_used = not member.gone or member.node in self.grace_deadlines
         if not is_used or member.data_centre in self.unreachable:
             return ()
         return tuple(
--- a/packages/fuchsiagap/src/fuchsiagap/core/routes/model.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/routes/model.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Share:
+class ServiceShare:
     """A service's part of the requests of a route.
 
     Parameters
@@ -40,7 +40,7 @@
         Value of the ``Host`` header, in lower case.
     prefix : str
         Beginning of the path; starts and ends with a slash.
-    shares : tuple of Share
+    shares : tuple of ServiceShare
         Services that answer, with their parts.
     idempotent : bool
         Whether a request may run more than once.
@@ -56,13 +56,13 @@
         Whether its requests need no API key where workspaces are declared.
     workspace_priority : int or None, default=None
         Priority of the workspaces for whose requests it is ranked; see
-        `fuchsiagap.core.routes.ranks`.
+        `fuchsiagap.core.routes.workspace_priority`.
     """
 
     name: str
     host: str
     prefix: str
-    shares: tuple[Share, ...]
+    shares: tuple[ServiceShare, ...]
     idempotent: bool
     timeout: Milliseconds
     objective: Milliseconds
--- a/packages/fuchsiagap/src/fuchsiagap/core/routes/table.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/routes/table.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from fuchsiagap.core.routes.ranks import ranked
+from fuchsiagap.core.routes.workspace_priority import apply_workspace_priority
 from fuchsiagap.core.workspaces.keys import KeyTable
 
 if TYPE_CHECKING:
@@ -36,7 +36,7 @@
     def __init__(self, cfg: RouteConfig) -> None:
         self.cfg = cfg
         self._routes = {(route.host, route.prefix): route for route in cfg.routes}
-        self._ranked: dict[tuple[str, int | None], Route] = {}
+        self._prioritized: dict[tuple[str, int | None], Route] = {}
         self.keys = None if cfg.workspaces is None else KeyTable(cfg.workspaces)
 
     def find(self, host: str, path: str) -> Route | None:
@@ -60,14 +60,14 @@
             return self._find(host.rpartition(":")[0], path)
         return found
 
-    def ranked(self, route: Route, priority: int | None) -> Route:
+    def apply_workspace_priority(self, route: Route, priority: int | None) -> Route:
         """Return a route as it is for requests of a workspace of a priority."""
         if self.keys is None:
             return route
         asked = route.name, priority
-        found = self._ranked.get(asked)
+        found = self._prioritized.get(asked)
         if found is None:
-            found = self._ranked[asked] = ranked(route, priority)
+            found = self._prioritized[asked] = apply_workspace_priority(route, priority)
         return found
 
     def _find(self, host: str, path: str) -> Route | None:
@@ -79,7 +79,7 @@
         return None
 
 
-class ShareRotation:
+class WeightedRoundRobin:
     """Smooth weighted rotation among the services of each route.
 
     Any stretch of requests is within one request of the declared parts, which random
--- a/packages/fuchsiagap/src/fuchsiagap/core/routes/ranks.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/routes/workspace_priority.py
@@ -9,10 +9,10 @@
     from fuchsiagap.core.routes.model import Route
 
 # Priorities of routes that are told apart below one priority of a workspace.
-_ROUTE_PRIORITIES = 16
+_N_ROUTE_PRIORITIES = 16
 
 
-def ranked(route: Route, workspace_priority: int | None) -> Route:
+def apply_workspace_priority(route: Route, workspace_priority: int | None) -> Route:
     """Return a route as it is for the requests of a workspace.
 
     Requests are ranked by the priority of their workspace, and those of equal ones by
@@ -27,7 +27,7 @@
         Priority of the workspace.
     """
     first = route.priority if workspace_priority is None else workspace_priority
-    second = min(max(route.priority, 0), _ROUTE_PRIORITIES - 1)
+    second = min(max(route.priority, 0), _N_ROUTE_PRIORITIES - 1)
     return replace(
-        route, priority=first * _ROUTE_PRIORITIES + second, workspace_priority=first
+        route, priority=first * _N_ROUTE_PRIORITIES + second, workspace_priority=first
     )
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/book.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/book.py
@@ -14,15 +14,15 @@
 )
 from fuchsiagap.core.settings.parse import parse_team
 from fuchsiagap.core.settings.pattern import SAFE_METHODS
-from fuchsiagap.core.settings.record import read_stored
-from fuchsiagap.core.settings.standing import Standing
+from fuchsiagap.core.settings.record import parse_stored_text
+from fuchsiagap.core.settings.sync_status import SyncStatus
 
 if TYPE_CHECKING:
     from fuchsiagap.core.calls.head import ServiceName
     from fuchsiagap.core.settings.model import RouteSettings, TeamSettings, TeamText
 
-Vector: TypeAlias = tuple[tuple[str, int], ...]
-MAX_DEFAULTS = 256
+VersionVector: TypeAlias = tuple[tuple[str, int], ...]
+MAX_CACHED_DEFAULTS = 256
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,7 +80,7 @@
 
 
 @dataclass(slots=True)
-class _Held:
+class _TeamEntry:
     """The text in force of one team, with its settings unless it is deleted.
 
     `defaults` are routes already made for services that no section names, by name
@@ -122,16 +122,16 @@
     ----------
     counts : BookCounts
         What has been counted.
-    standing : Standing
+    sync_status : SyncStatus
         How current the book is.
     """
 
     def __init__(self) -> None:
-        self._held: dict[str, _Held] = {}
+        self._entries: dict[str, _TeamEntry] = {}
         self._rejected: dict[str, Invalid] = {}
         self._fingerprint = 0
         self.counts = BookCounts()
-        self.standing = Standing()
+        self.sync_status = SyncStatus()
 
     def adopt(self, text: TeamText) -> Adopted | Stale | Invalid:
         """Take a text over if its version is higher than the one in force.
@@ -146,20 +146,20 @@
         Adopted, Stale or Invalid
             What became of it.
         """
-        held = self._held.get(text.team)
+        held = self._entries.get(text.team)
         in_force = held.text.version if held else 0
         if text.version <= in_force:
             return self._stale(text, held, in_force)
         if text.deleted:
-            new = _Held(text, None, {})
+            new = _TeamEntry(text, None, {})
         else:
-            body = read_stored(text.text).body
+            body = parse_stored_text(text.text).body
             settings = parse_team(text.team, body, text.version)
             if isinstance(settings, SettingsFaults):
                 return self._reject(text, settings)
-            new = _Held(text, settings, compile_team(settings))
+            new = _TeamEntry(text, settings, compile_team(settings))
         self._fingerprint ^= _hash(text.team, in_force) ^ _hash(text.team, text.version)
-        self._held[text.team] = new
+        self._entries[text.team] = new
         rejected = self._rejected.get(text.team)
         if rejected is not None and rejected.version < text.version:
             del self._rejected[text.team]
@@ -186,7 +186,7 @@
             The most specific section's; else the service's default; else the
             team's. None if no settings of the team are in force.
         """
-        held = self._held.get(service.team)
+        held = self._entries.get(service.team)
         if held is None:
             return None
         matcher = held.services.get(service.name)
@@ -198,29 +198,31 @@
 
     def team(self, name: str) -> TeamSettings | None:
         """Return a team's settings in force; None if there are none."""
-        held = self._held.get(name)
+        held = self._entries.get(name)
         return held.settings if held else None
 
     def text(self, name: str) -> TeamText | None:
         """Return the text in force of a team, a tombstone included."""
-        held = self._held.get(name)
+        held = self._entries.get(name)
         return held.text if held else None
 
     def teams(self) -> tuple[str, ...]:
         """Return the names of the teams whose settings are in force."""
-        return tuple(sorted(name for name, held in self._held.items() if held.settings))
+        return tuple(
+            sorted(name for name, held in self._entries.items() if held.settings)
+        )
 
     def rejected(self) -> tuple[Invalid, ...]:
         """Return the newest text of each team that was found invalid."""
         return tuple(self._rejected[name] for name in sorted(self._rejected))
 
-    def vector(self) -> Vector:
+    def vector(self) -> VersionVector:
         """Return the version in force of each team, tombstones included."""
         return tuple(
-            sorted((name, held.text.version) for name, held in self._held.items())
+            sorted((name, held.text.version) for name, held in self._entries.items())
         )
 
-    def seen(self) -> Vector:
+    def seen(self) -> VersionVector:
         """Return the newest version looked at of each team, invalid ones included.
 
         What a process asks others for is what is newer than this, so that a text
@@ -236,7 +238,7 @@
         """Hash of `vector`: equal for equal vectors, in any process."""
         return self._fingerprint
 
-    def _stale(self, text: TeamText, held: _Held | None, in_force: int) -> Stale:
+    def _stale(self, text: TeamText, held: _TeamEntry | None, in_force: int) -> Stale:
         self.counts.stale += 1
         if held is not None and text.version == in_force and text != held.text:
             self.counts.split += 1
@@ -259,7 +261,7 @@
 
 
 def _default_route(
-    held: _Held, settings: TeamSettings, service: ServiceName, is_safe: bool
+    held: _TeamEntry, settings: TeamSettings, service: ServiceName, is_safe: bool
 ) -> RouteSettings:
     """Return the team's default for a service that no section names."""
     key = service.name, is_safe
@@ -268,6 +270,6 @@
         default = settings.default.safe if is_safe else settings.default.unsafe
         route = replace(default, route=service.name, service=service)
         # Callers may make up names.
-        if len(held.defaults) < MAX_DEFAULTS:
+        if len(held.defaults) < MAX_CACHED_DEFAULTS:
             held.defaults[key] = route
     return route
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/difference.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/difference.py
@@ -4,8 +4,8 @@
 
 import difflib
 
-MAX_LINES = 2000
-MAX_COMPARED = 5000
+MAX_OUTPUT_LINES = 2000
+MAX_INPUT_LINES = 5000
 
 
 def difference(old: str, new: str, old_name: str, new_name: str) -> str:
@@ -21,16 +21,16 @@
     Returns
     -------
     str
-        At most `MAX_LINES` lines; only a remark if a text has more than
-        `MAX_COMPARED` lines, since comparing takes long then.
+        At most `MAX_OUTPUT_LINES` lines; only a remark if a text has more than
+        `MAX_INPUT_LINES` lines, since comparing takes long then.
     """
-    if max(old.count("\n"), new.count("\n")) > MAX_COMPARED:
-        return f"not compared: a text has more than {MAX_COMPARED} lines"
+    if max(old.count("\n"), new.count("\n")) > MAX_INPUT_LINES:
+        return f"not compared: a text has more than {MAX_INPUT_LINES} lines"
     lines = difflib.unified_diff(
         old.splitlines(), new.splitlines(), old_name, new_name, lineterm=""
     )
     shown = list(lines)
-    if len(shown) > MAX_LINES:
-        left_out = len(shown) - MAX_LINES
-        shown = [*shown[:MAX_LINES], f"... {left_out} more lines"]
+    if len(shown) > MAX_OUTPUT_LINES:
+        left_out = len(shown) - MAX_OUTPUT_LINES
+        shown = [*shown[:MAX_OUTPUT_LINES], f"... {left_out} more lines"]
     return "\n".join(shown)
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/ini.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/ini.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class IniText:
+class ParsedIni:
     """What an INI text holds, and what is wrong with its form.
 
     Parameters
@@ -72,7 +72,7 @@
     faults: tuple[Fault, ...]
 
 
-def read_ini(path: str, text: str) -> IniText:
+def read_ini(path: str, text: str) -> ParsedIni:
     """Read an INI text.
 
     Parameters
@@ -84,11 +84,11 @@
 
     Returns
     -------
-    IniText
+    ParsedIni
         Sections and faults; what is faulty is left out of the sections.
     """
     lines = text.splitlines()
-    places, faults = _scan(path, lines)
+    line_numbers, faults = _scan(path, lines)
     parser = configparser.RawConfigParser(
         strict=False, default_section="", delimiters=("=", ":")
     )
@@ -96,22 +96,22 @@
         parser.read_string("\n".join(lines))
     except configparser.Error as exc:  # the scan left out what it knows of
         faults.append(Fault(path, "", "", str(exc), "an INI text"))
-        return IniText((), tuple(faults))
+        return ParsedIni((), tuple(faults))
     sections = []
     for name in parser.sections():
         entries = tuple(
-            Entry(key, value, places.get((name, key), 0))
+            Entry(key, value, line_numbers.get((name, key), 0))
             for key, value in parser.items(name)
         )
-        sections.append(Section(name, places.get((name, ""), 0), entries))
-    return IniText(tuple(sections), tuple(faults))
+        sections.append(Section(name, line_numbers.get((name, ""), 0), entries))
+    return ParsedIni(tuple(sections), tuple(faults))
 
 
 def _scan(
     path: str, lines: list[str]
 ) -> tuple[dict[tuple[str, str], int], list[Fault]]:
     """Find the line of each section and key; blank out lines that are neither."""
-    places: dict[tuple[str, str], int] = {}
+    line_numbers: dict[tuple[str, str], int] = {}
     faults: list[Fault] = []
     section: str | None = None
     in_value = False
@@ -145,8 +145,8 @@
             key = entry["key"].lower()
             place = (section, key)
         in_value = found is None
-        if place in places:
-            expected = f"only one; the other stands in line {places[place]}"
+        if place in line_numbers:
+            expected = f"only one; the other stands in line {line_numbers[place]}"
             faults.append(Fault(path, section, key, bare, expected, number))
-        places.setdefault(place, number)
-    return places, faults
+        line_numbers.setdefault(place, number)
+    return line_numbers, faults
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/matcher.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/matcher.py
@@ -7,9 +7,9 @@
 from urllib.parse import unquote
 
 from fuchsiagap.core.settings.pattern import (
-    ANY,
     ANY_METHOD,
     ANY_REST,
+    ANY_SEGMENT,
     SAFE_METHODS,
     covers_methods,
     make_match,
@@ -25,13 +25,13 @@
 
 
 @dataclass(slots=True)
-class _Trie:
+class _TrieNode:
     """One place in the paths of a service."""
 
-    here: RouteSettings | None = None
-    rest: RouteSettings | None = None
-    below: dict[str, _Trie] = field(default_factory=dict)
-    any_below: _Trie | None = None
+    exact: RouteSettings | None = None
+    suffix_wildcard: RouteSettings | None = None
+    children: dict[str, _TrieNode] = field(default_factory=dict)
+    wildcard_child: _TrieNode | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +48,7 @@
     """
 
     settings: ServiceSettings
-    tries: dict[str, _Trie]
+    tries: dict[str, _TrieNode]
 
 
 def compile_team(team: TeamSettings) -> dict[str, ServiceMatcher]:
@@ -64,11 +64,11 @@
     }
 
 
-def _compile(team: TeamSettings, routes: list[RouteSettings]) -> dict[str, _Trie]:
+def _compile(team: TeamSettings, routes: list[RouteSettings]) -> dict[str, _TrieNode]:
     methods = {ANY_METHOD, *SAFE_METHODS}
     for route in routes:
         methods.update(route.methods)
-    tries = {method: _Trie() for method in methods}
+    tries = {method: _TrieNode() for method in methods}
     for route in routes:
         for method in methods if ANY_METHOD in route.methods else route.methods:
             _insert(tries[method], _for_method(team, route, method))
@@ -92,7 +92,7 @@
     if "%" in path:
         segments = [unquote(segment) for segment in segments]
     trie = matcher.tries.get(method) or matcher.tries[ANY_METHOD]
-    found = _walk(trie, segments, 1)
+    found = _search(trie, segments, 1)
     if found is not None:
         return found
     settings = matcher.settings
@@ -101,46 +101,46 @@
 
 def _for_method(team: TeamSettings, route: RouteSettings, method: str) -> RouteSettings:
     is_safe = method in SAFE_METHODS
-    if route.route not in team.by_method or route.idempotent == is_safe:
+    if route.route not in team.idempotent_by_method or route.idempotent == is_safe:
         return route
     return replace(route, idempotent=is_safe)
 
 
-def _insert(trie: _Trie, route: RouteSettings) -> None:
+def _insert(trie: _TrieNode, route: RouteSettings) -> None:
     for segment in make_match(route.methods, route.pattern).segments:
         if segment == ANY_REST:
-            trie.rest = _narrower(trie.rest, route)
+            trie.suffix_wildcard = _more_specific(trie.suffix_wildcard, route)
             return
-        if segment == ANY:
-            trie.any_below = trie.any_below or _Trie()
-            trie = trie.any_below
+        if segment == ANY_SEGMENT:
+            trie.wildcard_child = trie.wildcard_child or _TrieNode()
+            trie = trie.wildcard_child
         else:
-            trie = trie.below.setdefault(segment, _Trie())
-    trie.here = _narrower(trie.here, route)
+            trie = trie.children.setdefault(segment, _TrieNode())
+    trie.exact = _more_specific(trie.exact, route)
 
 
-def _narrower(held: RouteSettings | None, new: RouteSettings) -> RouteSettings:
+def _more_specific(held: RouteSettings | None, new: RouteSettings) -> RouteSettings:
     """Of two routes of the same path, the one with the smaller set of methods."""
     if held is None:
         return new
     return new if covers_methods(held.methods, new.methods) else held
 
 
-def _walk(trie: _Trie, segments: list[str], index: int) -> RouteSettings | None:
+def _search(trie: _TrieNode, segments: list[str], index: int) -> RouteSettings | None:
     """Walk down, trying a literal segment before ``*``, and ``*`` before ``**``.
 
     Validation left no two overlapping patterns of which neither is more specific,
     so the first one found is the most specific one.
     """
     if index == len(segments):
-        return trie.here or trie.rest
-    below = trie.below.get(segments[index])
-    if below is not None:
-        found = _walk(below, segments, index + 1)
+        return trie.exact or trie.suffix_wildcard
+    child = trie.children.get(segments[index])
+    if child is not None:
+        found = _search(child, segments, index + 1)
         if found is not None:
             return found
-    if trie.any_below is not None:
-        found = _walk(trie.any_below, segments, index + 1)
+    if trie.wildcard_child is not None:
+        found = _search(trie.wildcard_child, segments, index + 1)
         if found is not None:
             return found
-    return trie.rest
+    return trie.suffix_wildcard
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/model.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/model.py
@@ -110,7 +110,7 @@
         0 weighs goodput only, 1 recovery time only.
     token_digests : tuple of TokenDigest
         Who may change the settings.
-    by_method : frozenset of str
+    idempotent_by_method : frozenset of str
         Routes that leave `idempotent` to the method.
     """
 
@@ -122,7 +122,7 @@
     default: ServiceSettings
     weight: float
     token_digests: tuple[TokenDigest, ...]
-    by_method: frozenset[str] = frozenset()
+    idempotent_by_method: frozenset[str] = frozenset()
 
 
 @dataclass(frozen=True, slots=True)
@@ -152,7 +152,7 @@
     return SETTINGS_PREFIX + team
 
 
-def team_of(path: str) -> str:
+def team_from_path(path: str) -> str:
     """Return the team whose settings stand at a path; empty if it is no such path."""
     if not path.startswith(SETTINGS_PREFIX):
         return ""
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/parse.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/parse.py
@@ -6,17 +6,22 @@
 from typing import TYPE_CHECKING, Any
 
 from fuchsiagap.core.calls.head import ServiceName
-from fuchsiagap.core.settings import table
+from fuchsiagap.core.settings import team_schema
 from fuchsiagap.core.settings.faults import Fault, SettingsFaults
 from fuchsiagap.core.settings.ini import Section, read_ini
-from fuchsiagap.core.settings.keys import SectionTable, read_entries, with_defaults
 from fuchsiagap.core.settings.model import (
     RouteSettings,
     ServiceSettings,
     TeamSettings,
     settings_path,
 )
-from fuchsiagap.core.settings.pattern import MATCH_ALL, SAFE_METHODS, Match, ambiguous
+from fuchsiagap.core.settings.pattern import (
+    MATCH_ALL,
+    SAFE_METHODS,
+    Match,
+    is_ambiguous,
+)
+from fuchsiagap.core.settings.schema import SectionSchema, read_entries, with_defaults
 from fuchsiagap.core.settings.values import NAME
 
 if TYPE_CHECKING:
@@ -33,13 +38,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Route:
+class _ParsedRoute:
     """A route section on its way to `RouteSettings`."""
 
     section: Section
     match: Match
     settings: RouteSettings
-    by_method: bool
+    idempotent_by_method: bool
 
 
 def parse_team(team: str, text: str, version: int = 0) -> TeamSettings | SettingsFaults:
@@ -66,22 +71,22 @@
     'certs/issue'
     """
     path = settings_path(team)
-    unreadable = _unreadable(path, team, text)
-    if unreadable is not None:
-        return SettingsFaults(path, (unreadable,))
+    text_fault = _find_text_fault(path, team, text)
+    if text_fault is not None:
+        return SettingsFaults(path, (text_fault,))
     ini = read_ini(path, text)
     faults = list(ini.faults)
     if len(ini.sections) > MAX_SECTIONS:
         expected = f"at most {MAX_SECTIONS} sections"
         faults.append(Fault(path, "", "", str(len(ini.sections)), expected))
         return SettingsFaults(path, tuple(faults))
-    settings = _build(path, team, text, version, ini.sections, faults)
+    settings = _build_settings(path, team, text, version, ini.sections, faults)
     if faults:
-        return SettingsFaults(path, _bounded(path, faults))
+        return SettingsFaults(path, _limit_faults(path, faults))
     return settings
 
 
-def _bounded(path: str, faults: list[Fault]) -> tuple[Fault, ...]:
+def _limit_faults(path: str, faults: list[Fault]) -> tuple[Fault, ...]:
     ordered = sorted(faults, key=lambda fault: fault.line)
     left_out = len(ordered) - MAX_FAULTS
     if left_out <= 0:
@@ -90,7 +95,7 @@
     return (*ordered[:MAX_FAULTS], rest)
 
 
-def _unreadable(path: str, team: str, text: str) -> Fault | None:
+def _find_text_fault(path: str, team: str, text: str) -> Fault | None:
     if not NAME.fullmatch(team):
         expected = "a team name of lower-case letters, digits and inner hyphens"
         return Fault(path, "", "", team, expected)
@@ -109,7 +114,7 @@
     return None
 
 
-def _build(
+def _build_settings(
     path: str,
     team: str,
     text: str,
@@ -118,19 +123,21 @@
     faults: list[Fault],
 ) -> TeamSettings:
     by_name = {section.name: section for section in sections}
-    top = by_name.get(table.TEAM_SECTION, Section(table.TEAM_SECTION, 0, ()))
-    team_given = read_entries(path, table.TEAM_TABLE, top, faults)
-    team_values = with_defaults(path, table.TEAM_TABLE, top, team_given, faults)
+    top = by_name.get(
+        team_schema.TEAM_SECTION, Section(team_schema.TEAM_SECTION, 0, ())
+    )
+    team_given = read_entries(path, team_schema.TEAM_SCHEMA, top, faults)
+    team_values = with_defaults(path, team_schema.TEAM_SCHEMA, top, team_given, faults)
     services: dict[str, dict[str, Any]] = {}
-    routes: list[_Route] = []
+    routes: list[_ParsedRoute] = []
     for section in sections:
-        if section.name == table.TEAM_SECTION:
+        if section.name == team_schema.TEAM_SECTION:
             continue
         name, slash, below = section.name.partition("/")
         if not NAME.fullmatch(name) or (slash and not NAME.fullmatch(below)):
             expected = "[team], [SERVICE] or [SERVICE/ROUTE], names in lower case"
             faults.append(Fault(path, section.name, "", "", expected, section.line))
-        elif name == table.TEAM_SECTION:
+        elif name == team_schema.TEAM_SECTION:
             expected = "another name: a service cannot be called team"
             faults.append(Fault(path, section.name, "", "", expected, section.line))
         else:
@@ -154,20 +161,22 @@
         default=_service(team, DEFAULT_SERVICE, default),
         weight=team_values["weight"],
         token_digests=team_values["tokens"],
-        by_method=frozenset(r.settings.route for r in routes if r.by_method),
+        idempotent_by_method=frozenset(
+            r.settings.route for r in routes if r.idempotent_by_method
+        ),
     )
 
 
-def _inherit(of: SectionTable, values: dict[str, Any]) -> dict[str, Any]:
+def _inherit(of: SectionSchema, values: dict[str, Any]) -> dict[str, Any]:
     return {key.field: values[key.field] for key in of.keys if key.inherited}
 
 
 def _service_values(
     path: str, section: Section, above: dict[str, Any], faults: list[Fault]
 ) -> dict[str, Any]:
-    given = read_entries(path, table.SERVICE_TABLE, section, faults)
-    given = _inherit(table.TEAM_TABLE, above) | given
-    return with_defaults(path, table.SERVICE_TABLE, section, given, faults)
+    given = read_entries(path, team_schema.SERVICE_SCHEMA, section, faults)
+    given = _inherit(team_schema.TEAM_SCHEMA, above) | given
+    return with_defaults(path, team_schema.SERVICE_SCHEMA, section, given, faults)
 
 
 def _route(
@@ -176,11 +185,11 @@
     section: Section,
     above: dict[str, Any],
     faults: list[Fault],
-) -> _Route | None:
+) -> _ParsedRoute | None:
     n_faults = len(faults)
-    given = read_entries(path, table.ROUTE_TABLE, section, faults)
-    given = _inherit(table.SERVICE_TABLE, above) | given
-    values = with_defaults(path, table.ROUTE_TABLE, section, given, faults)
+    given = read_entries(path, team_schema.ROUTE_SCHEMA, section, faults)
+    given = _inherit(team_schema.SERVICE_SCHEMA, above) | given
+    values = with_defaults(path, team_schema.ROUTE_SCHEMA, section, given, faults)
     if len(faults) > n_faults:
         return None
     name = section.name.partition("/")[0]
@@ -189,15 +198,15 @@
     settings = _route_settings(
         section.name, ServiceName(team, name), match, values, safe
     )
-    by_method = values["idempotent"] == table.BY_METHOD
-    return _Route(section, match, settings, by_method)
+    idempotent_by_method = values["idempotent"] == team_schema.BY_METHOD
+    return _ParsedRoute(section, match, settings, idempotent_by_method)
 
 
 def _route_settings(
     route: str, service: ServiceName, match: Match, values: dict[str, Any], safe: bool
 ) -> RouteSettings:
     idempotent = values["idempotent"]
-    if idempotent == table.BY_METHOD:
+    if idempotent == team_schema.BY_METHOD:
         idempotent = safe
     return RouteSettings(
         route=route,
@@ -221,9 +230,9 @@
     )
 
 
-def _ambiguities(path: str, routes: list[_Route]) -> list[Fault]:
+def _ambiguities(path: str, routes: list[_ParsedRoute]) -> list[Fault]:
     faults = []
-    by_service: dict[str, list[_Route]] = {}
+    by_service: dict[str, list[_ParsedRoute]] = {}
     for route in routes:
         by_service.setdefault(route.settings.service.name, []).append(route)
     for found in by_service.values():
@@ -235,21 +244,23 @@
             continue
         faults.extend(
             _ambiguity(path, route, other)
-            for other, route in _comparable(found)
-            if ambiguous(route.match, other.match)
+            for other, route in _overlap_candidates(found)
+            if is_ambiguous(route.match, other.match)
         )
     return faults
 
 
-def _comparable(routes: list[_Route]) -> Iterator[tuple[_Route, _Route]]:
+def _overlap_candidates(
+    routes: list[_ParsedRoute],
+) -> Iterator[tuple[_ParsedRoute, _ParsedRoute]]:
     """Yield the pairs of routes that may match the same call, in order of the text.
 
     Literal patterns match the same call only if they are equal, and most patterns
     are literal.
     """
-    literal: dict[tuple[str, ...], list[_Route]] = {}
-    wild: list[_Route] = []
-    before: list[_Route] = []
+    literal: dict[tuple[str, ...], list[_ParsedRoute]] = {}
+    wild: list[_ParsedRoute] = []
+    before: list[_ParsedRoute] = []
     for route in routes:
         if route.match.is_literal:
             same = literal.setdefault(route.match.segments, [])
@@ -263,7 +274,7 @@
         before.append(route)
 
 
-def _ambiguity(path: str, route: _Route, other: _Route) -> Fault:
+def _ambiguity(path: str, route: _ParsedRoute, other: _ParsedRoute) -> Fault:
     section = route.section
     methods = "|".join(route.match.methods)
     value = f"{methods} {route.match.pattern}"
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/pattern.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/pattern.py
@@ -8,9 +8,9 @@
 import re
 from dataclasses import dataclass
 
-from fuchsiagap.core.settings.values import BAD_VALUE, BadValue, Kind
+from fuchsiagap.core.settings.values import BAD_VALUE, BadValue, ValueType
 
-ANY = "*"
+ANY_SEGMENT = "*"
 ANY_REST = "**"
 ANY_METHOD = "*"
 SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
@@ -40,7 +40,7 @@
     @property
     def is_literal(self) -> bool:
         """Whether the pattern stands for one path only."""
-        return ANY not in self.segments and self.segments[-1] != ANY_REST
+        return ANY_SEGMENT not in self.segments and self.segments[-1] != ANY_REST
 
 
 def make_match(methods: tuple[str, ...], pattern: str) -> Match:
@@ -66,14 +66,14 @@
         return BAD_VALUE
     for index, segment in enumerate(segments):
         last = index == len(segments) - 1
-        if segment == ANY or (segment == ANY_REST and last):
+        if segment == ANY_SEGMENT or (segment == ANY_REST and last):
             continue
         if not _SEGMENT.fullmatch(segment):
             return BAD_VALUE
     return match
 
 
-MATCH = Kind(
+MATCH = ValueType(
     "methods and a path pattern, such as GET|HEAD /panels/* or * /**"
     " (* is one segment, a last ** any rest)",
     _read_match,
@@ -97,7 +97,7 @@
     for this, that in zip(one, other, strict=False):
         if ANY_REST in (this, that):
             return True
-        if this != that and this != ANY and that != ANY:
+        if this != that and this != ANY_SEGMENT and that != ANY_SEGMENT:
             return False
     longer, n_common = max(one, other, key=len), min(len(one), len(other))
     return longer[n_common:] in ((), (ANY_REST,))
@@ -108,14 +108,14 @@
     for this, that in zip(wide, narrow, strict=False):
         if this == ANY_REST:
             return True
-        if that == ANY_REST or this not in (ANY, that):
+        if that == ANY_REST or this not in (ANY_SEGMENT, that):
             return False
     if len(narrow) > len(wide):
         return False
     return wide[len(narrow) :] in ((), (ANY_REST,))
 
 
-def ambiguous(one: Match, other: Match) -> bool:
+def is_ambiguous(one: Match, other: Match) -> bool:
     """Whether a call could belong to either section with neither more specific.
 
     The more specific path wins; of equal paths, the smaller set of methods.
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/record.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/record.py
@@ -106,7 +106,7 @@
     return _CHANGE_ID.fullmatch(text) is not None
 
 
-def read_stored(text: str) -> StoredText:
+def parse_stored_text(text: str) -> StoredText:
     """Take the stored form apart.
 
     Parameters
@@ -142,7 +142,7 @@
     )
 
 
-def write_stored(
+def format_stored_text(
     record: ChangeRecord, earlier: tuple[ChangeRecord, ...], body: str
 ) -> str:
     """Return the stored form of a change.
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/keys.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/schema.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from fuchsiagap.core.settings.faults import Fault
-from fuchsiagap.core.settings.values import BadValue, Kind
+from fuchsiagap.core.settings.values import BadValue, ValueType
 
 if TYPE_CHECKING:
     from fuchsiagap.core.settings.ini import Entry, Section
@@ -24,7 +24,7 @@
     ----------
     name : str
         As written in the text.
-    kind : Kind
+    kind : ValueType
         What values it takes.
     default : str or None
         What holds if the key is not given, as one would write it; None if the
@@ -38,7 +38,7 @@
     """
 
     name: str
-    kind: Kind
+    value_type: ValueType
     default: str | None
     doc: str
     inherited: bool = False
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SectionTable:
+class SectionSchema:
     """The keys of one kind of section.
 
     Parameters
@@ -74,7 +74,7 @@
         return None
 
 
-def unknown(name: str, known: list[str], what: str) -> str:
+def describe_unknown_name(name: str, known: list[str], what: str) -> str:
     """Say what was expected in place of an unknown name, with the nearest one."""
     near = difflib.get_close_matches(name[:MAX_NAME], known, n=1)
     hint = f"; did you mean {near[0]!r}?" if near else ""
@@ -82,7 +82,7 @@
 
 
 def read_entries(
-    path: str, table: SectionTable, section: Section, faults: list[Fault]
+    path: str, schema: SectionSchema, section: Section, faults: list[Fault]
 ) -> dict[str, Any]:
     """Read the entries of a section; faults are added to `faults`.
 
@@ -90,7 +90,7 @@
     ----------
     path : str
         Where the text comes from.
-    table : SectionTable
+    schema : SectionSchema
         The keys the section may have.
     section : Section
         The section.
@@ -104,17 +104,17 @@
     """
     values: dict[str, Any] = {}
     for entry in section.entries:
-        key = table.key(entry.key)
+        key = schema.key(entry.key)
         if key is None:
-            names = [key.name for key in table.keys]
+            names = [key.name for key in schema.keys]
             expected = "a key of this section"
             if len(faults) < MAX_HINTS:
-                expected = unknown(entry.key, names, expected)
+                expected = describe_unknown_name(entry.key, names, expected)
             faults.append(_fault(path, section, entry, expected))
             continue
-        value = key.kind.read(entry.value)
+        value = key.value_type.read(entry.value)
         if isinstance(value, BadValue):
-            faults.append(_fault(path, section, entry, key.kind.expected))
+            faults.append(_fault(path, section, entry, key.value_type.expected))
         else:
             values[key.field] = value
     return values
@@ -122,7 +122,7 @@
 
 def with_defaults(
     path: str,
-    table: SectionTable,
+    schema: SectionSchema,
     section: Section,
     values: dict[str, Any],
     faults: list[Fault],
@@ -130,13 +130,13 @@
     """Return `values` completed by the table's defaults; a missing key is a fault."""
     given = {entry.key for entry in section.entries}
     whole = dict(values)
-    for key in table.keys:
+    for key in schema.keys:
         if key.field in whole:
             continue
         if key.default is not None:
-            whole[key.field] = key.kind.read(key.default)
+            whole[key.field] = key.value_type.read(key.default)
         elif key.name not in given:
-            expected = f"this key, which must be given: {key.kind.expected}"
+            expected = f"this key, which must be given: {key.value_type.expected}"
             faults.append(
                 Fault(path, section.name, key.name, "", expected, section.line)
             )
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/standing.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/sync_status.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Standing:
+class SyncStatus:
     """What a process knows of how current its settings are.
 
     Parameters
@@ -24,7 +24,7 @@
         Whether its own watch on the platform works now.
     platform_up : bool or None
         Whether the platform answered last time; None if it was not asked yet.
-    deputy_until : float
+    proxy_watch_until : float
         Until when it holds a watch for others that cannot.
     fetching : dict
         Versions being fetched from other processes, by team.
@@ -37,9 +37,9 @@
     complete: bool = False
     watching: bool = False
     platform_up: bool | None = None
-    deputy_until: Milliseconds = float("-inf")
+    proxy_watch_until: Milliseconds = float("-inf")
     fetching: dict[str, int] = field(default_factory=dict)
-    news: dict[str, int] = field(default_factory=dict)
+    unannounced: dict[str, int] = field(default_factory=dict)
     changed: trio.Event = field(default_factory=trio.Event)
 
     def notify(self) -> None:
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/table.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/team_schema.py
@@ -4,10 +4,10 @@
 
 from fuchsiagap.core.calls.head import LEAST_PRIORITY, MOST_PRIORITY
 from fuchsiagap.core.settings import values
-from fuchsiagap.core.settings.keys import Key, SectionTable
 from fuchsiagap.core.settings.model import TokenDigest
 from fuchsiagap.core.settings.pattern import MATCH, SAFE_METHODS
-from fuchsiagap.core.settings.values import BAD_VALUE, BadValue, Kind
+from fuchsiagap.core.settings.schema import Key, SectionSchema
+from fuchsiagap.core.settings.values import BAD_VALUE, BadValue, ValueType
 
 TEAM_SECTION = "team"
 BY_METHOD = "by method"
@@ -34,12 +34,12 @@
     return flag
 
 
-_TOKENS = Kind(
+_TOKENS = ValueType(
     "NAME DIGEST items, separated by commas or line ends, no name twice, each"
     " digest the SHA-256 of a token in 64 hexadecimal digits",
     _read_tokens,
 )
-_IDEMPOTENT = Kind(f"yes, no or {BY_METHOD!r}", _read_idempotent)
+_IDEMPOTENT = ValueType(f"yes, no or {BY_METHOD!r}", _read_idempotent)
 
 _INHERITED = (
     Key(
@@ -84,7 +84,7 @@
     ),
 )
 
-TEAM_TABLE = SectionTable(
+TEAM_SCHEMA = SectionSchema(
     "[team]",
     "What holds for the whole team. The inherited keys given here are the defaults"
     " of its services.",
@@ -107,14 +107,14 @@
     ),
 )
 
-SERVICE_TABLE = SectionTable(
+SERVICE_SCHEMA = SectionSchema(
     "[SERVICE]",
     "One service of the team. Its values hold for calls that no route section"
     " matches, and are the defaults of the service's routes.",
     _INHERITED,
 )
 
-ROUTE_TABLE = SectionTable(
+ROUTE_SCHEMA = SectionSchema(
     "[SERVICE/ROUTE]",
     "The calls of a service that `match` names. The more specific path wins, and of"
     " equal paths the smaller set of methods; where neither is more specific the"
@@ -131,4 +131,4 @@
     ),
 )
 
-TEAM_TABLES = (TEAM_TABLE, SERVICE_TABLE, ROUTE_TABLE)
+TEAM_SCHEMAS = (TEAM_SCHEMA, SERVICE_SCHEMA, ROUTE_SCHEMA)
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/tokens.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/tokens.py
@@ -17,12 +17,12 @@
     return hashlib.sha256(token.encode("utf-8", "surrogatepass")).hexdigest()
 
 
-def is_token(digest: str, token: str) -> bool:
+def matches_digest(digest: str, token: str) -> bool:
     """Whether a token has a digest, in a time that does not depend on either."""
     return hmac.compare_digest(digest_of(token), digest)
 
 
-def holder_of(digests: Iterable[TokenDigest], token: str) -> str | None:
+def find_token_name(digests: Iterable[TokenDigest], token: str) -> str | None:
     """Return the name of a token's holder.
 
     Parameters
@@ -39,6 +39,6 @@
     """
     holder = None
     for known in digests:
-        if is_token(known.digest, token):
+        if matches_digest(known.digest, token):
             holder = known.name
     return holder
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/values.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/values.py
@@ -16,8 +16,8 @@
 _SIZE = re.compile(r"(?P<number>[0-9]+)\s*(?P<unit>B|KB|MB)", re.IGNORECASE)
 _BYTES_PER = {"b": 1, "kb": 1024, "mb": 1024 * 1024}
 _DIGEST = re.compile(r"[0-9a-f]{64}")
-_WORDS = {"yes": True, "true": True, "on": True}
-_WORDS |= {"no": False, "false": False, "off": False}
+_FLAG_WORDS = {"yes": True, "true": True, "on": True}
+_FLAG_WORDS |= {"no": False, "false": False, "off": False}
 NAME = re.compile(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?")
 MAX_PORT = 65535
 
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class ValueType:
     """A kind of value.
 
     Parameters
@@ -46,7 +46,7 @@
     read: Callable[[str], Any]
 
 
-def integer(low: int, high: int) -> Kind:
+def integer(low: int, high: int) -> ValueType:
     """Return the kind of whole numbers from `low` to `high`."""
 
     def read(text: str) -> int | BadValue:
@@ -55,10 +55,10 @@
         number = int(text)
         return number if low <= number <= high else BAD_VALUE
 
-    return Kind(f"a whole number from {low} to {high}", read)
+    return ValueType(f"a whole number from {low} to {high}", read)
 
 
-def number(low: float, high: float, **words: float) -> Kind:
+def number(low: float, high: float, **words: float) -> ValueType:
     """Return the kind of numbers from `low` to `high`, or words for some of them."""
 
     def read(text: str) -> float | BadValue:
@@ -70,10 +70,10 @@
         return value if low <= value <= high else BAD_VALUE
 
     named = "".join(f", or {word} ({value:g})" for word, value in words.items())
-    return Kind(f"a number from {low:g} to {high:g}{named}", read)
+    return ValueType(f"a number from {low:g} to {high:g}{named}", read)
 
 
-def duration(low_ms: float, high_ms: float) -> Kind:
+def duration(low_ms: float, high_ms: float) -> ValueType:
     """Return the kind of durations in milliseconds, written ``250ms`` or ``2s``."""
 
     def read(text: str) -> float | BadValue:
@@ -89,10 +89,10 @@
         f"a time with its unit, such as 250ms or 2s, from {low_ms:g}ms to"
         f" {high_ms / MS_PER_S:g}s"
     )
-    return Kind(expected, read)
+    return ValueType(expected, read)
 
 
-def size(low: int, high: int) -> Kind:
+def size(low: int, high: int) -> ValueType:
     """Return the kind of sizes in bytes, written ``64MB``, ``16KB`` or ``512B``."""
 
     def read(text: str) -> int | BadValue:
@@ -105,18 +105,18 @@
     expected = (
         f"a size with its unit, such as 512B, 16KB or 64MB, from {low} to {high} bytes"
     )
-    return Kind(expected, read)
+    return ValueType(expected, read)
 
 
 def _read_flag(text: str) -> bool | BadValue:
-    return _WORDS.get(text.lower(), BAD_VALUE)
+    return _FLAG_WORDS.get(text.lower(), BAD_VALUE)
 
 
 def _read_name(text: str) -> str | BadValue:
     return text if NAME.fullmatch(text) else BAD_VALUE
 
 
-def address_of(text: str) -> str | BadValue:
+def parse_address(text: str) -> str | BadValue:
     """Return ``IP:PORT`` in its usual form, or `BAD_VALUE`."""
     host, _, port = text.rpartition(":")
     try:
@@ -133,7 +133,7 @@
 def _read_addresses(text: str) -> tuple[str, ...] | BadValue:
     found = []
     for item in split_list(text):
-        address = address_of(item)
+        address = parse_address(item)
         if isinstance(address, BadValue) or address in found:
             return BAD_VALUE
         found.append(address)
@@ -143,7 +143,7 @@
 def _read_url(text: str) -> str | BadValue:
     if not text.startswith("http://"):
         return BAD_VALUE
-    address = address_of(text.removeprefix("http://").removesuffix("/"))
+    address = parse_address(text.removeprefix("http://").removesuffix("/"))
     return BAD_VALUE if isinstance(address, BadValue) else f"http://{address}"
 
 
@@ -156,20 +156,20 @@
     return [item.strip() for item in re.split(r"[,\n]", text) if item.strip()]
 
 
-FLAG = Kind("yes or no", _read_flag)
-PLAIN_NAME = Kind(
+FLAG = ValueType("yes or no", _read_flag)
+PLAIN_NAME = ValueType(
     "a name of 1 to 63 lower-case letters, digits and inner hyphens", _read_name
 )
-ADDRESS = Kind("IP:PORT, such as 127.0.0.1:8080 or [::1]:8080", address_of)
-ADDRESSES = Kind("IP:PORT items, separated by commas, none twice", _read_addresses)
-URL = Kind("http://IP:PORT", _read_url)
-DIGEST = Kind("a SHA-256 digest of 64 hexadecimal digits", _read_digest)
+ADDRESS = ValueType("IP:PORT, such as 127.0.0.1:8080 or [::1]:8080", parse_address)
+ADDRESSES = ValueType("IP:PORT items, separated by commas, none twice", _read_addresses)
+URL = ValueType("http://IP:PORT", _read_url)
+DIGEST = ValueType("a SHA-256 digest of 64 hexadecimal digits", _read_digest)
 
 
-def optional(kind: Kind, missing: Any = None) -> Kind:
+def optional(kind: ValueType, missing: Any = None) -> ValueType:
     """Return the kind that also takes an empty value, read as `missing`."""
 
     def read(text: str) -> Any:
         return kind.read(text) if text else missing
 
-    return Kind(f"{kind.expected}, or nothing", read)
+    return ValueType(f"{kind.expected}, or nothing", read)
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/membership/test_contacts.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/membership/test_contacts.py
@@ -1,33 +1,37 @@
 from testtools import TestCase
 
-from fuchsiagap.core.membership.contacts import MISMATCHES_TO_SYNC, QUIET_MS, Contacts
+from fuchsiagap.core.membership.contacts import (
+    MISMATCHES_TO_SYNC,
+    STABLE_VIEW_MS,
+    PeerContacts,
+)
 
 
 class TestContacts(TestCase):
     def test_views_that_differ_while_nothing_changes_are_synced_at_once(self):
-        contacts = Contacts(last_change=0.0)
-        contacts.note("certs-2", same_view=False, now=QUIET_MS + 1)
+        contacts = PeerContacts(last_change=0.0)
+        contacts.record_contact("certs-2", same_view=False, now=STABLE_VIEW_MS + 1)
         self.assertEqual(("certs-2",), contacts.take_mismatches())
         self.assertFalse(contacts.sync_due.is_set())
 
     def test_views_that_differ_again_and_again_are_synced_amid_changes(self):
-        contacts = Contacts()
+        contacts = PeerContacts()
         for i in range(MISMATCHES_TO_SYNC):
             # Looked at in between, as by the task that syncs.
             self.assertEqual((), contacts.take_mismatches())
             contacts.last_change = 900.0 * i
-            contacts.note("certs-2", same_view=False, now=900.0 * i + 100)
+            contacts.record_contact("certs-2", same_view=False, now=900.0 * i + 100)
         self.assertEqual(("certs-2",), contacts.take_mismatches())
         self.assertEqual((), contacts.take_mismatches())
 
     def test_a_view_that_is_the_same_again_begins_anew(self):
-        contacts = Contacts()
+        contacts = PeerContacts()
         for same in (False, False, False, True, False):
-            contacts.note("certs-2", same_view=same, now=1.0)
+            contacts.record_contact("certs-2", same_view=same, now=1.0)
         self.assertEqual((), contacts.take_mismatches())
 
     def test_silence_begins_with_the_first_look(self):
-        contacts = Contacts()
+        contacts = PeerContacts()
         self.assertEqual(0.0, contacts.silence("certs-2", 5_000.0))
         self.assertEqual(700.0, contacts.silence("certs-2", 5_700.0))
         contacts.postpone(600.0)
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/membership/test_table.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/membership/test_table.py
@@ -39,7 +39,7 @@
     return Membership(cfg or MembershipSettings(), me, clock, random.Random(1))
 
 
-words = st.builds(
+member_updates = st.builds(
     a_member,
     node=st.sampled_from(["certs-2", "certs-3", "certs-4"]),
     incarnation=st.integers(1, 3),
@@ -49,12 +49,12 @@
 )
 
 
-def seen(view):
+def members_by_name(view):
     return {m.node: m for m in view.members()}
 
 
 class TestOrderOfWords(TestCase):
-    @given(st.lists(words, max_size=12), st.randoms(use_true_random=False))
+    @given(st.lists(member_updates, max_size=12), st.randoms(use_true_random=False))
     @settings(max_examples=150, deadline=None, derandomize=True)
     def test_order_and_repetition_make_no_difference(self, updates, shuffler):
         time = FakeTime()
@@ -63,16 +63,16 @@
         again = updates + updates[:4]
         shuffler.shuffle(again)
         other.merge(again)
-        self.assertEqual(seen(one), seen(other))
+        self.assertEqual(members_by_name(one), members_by_name(other))
         self.assertEqual(one.hash, other.hash)
         self.assertEqual(one.digest(), other.digest())
         # Whether a death was announced by a suspicion shows for a moment only.
-        time.now = one.cfg.suspicion
+        time.now = one.cfg.suspicion_timeout
         one.expire(), other.expire()
-        self.assertEqual(seen(one), seen(other))
+        self.assertEqual(members_by_name(one), members_by_name(other))
         self.assertEqual(set(one.instances()), set(other.instances()))
 
-    @given(st.lists(words, max_size=8), st.lists(words, max_size=8))
+    @given(st.lists(member_updates, max_size=8), st.lists(member_updates, max_size=8))
     @settings(max_examples=100, deadline=None, derandomize=True)
     def test_views_that_exchange_all_are_the_same(self, ours, theirs):
         one, other = a_view(), a_view()
@@ -81,12 +81,12 @@
         before = one.members()
         one.merge(other.members()[1:])
         other.merge(before[1:])
-        self.assertEqual(seen(one), seen(other))
+        self.assertEqual(members_by_name(one), members_by_name(other))
 
-    @given(words, words, words)
+    @given(member_updates, member_updates, member_updates)
     @settings(max_examples=200, deadline=None, derandomize=True)
     def test_words_on_one_node_are_totally_ordered(self, a, b, c):
-        a, b, c = (replace(word, node="certs-2") for word in (a, b, c))
+        a, b, c = (replace(update, node="certs-2") for update in (a, b, c))
         self.assertEqual(a != b, supersedes(a, b) or supersedes(b, a))
         self.assertFalse(supersedes(a, b) and supersedes(b, a))
         if supersedes(a, b) and supersedes(b, c):
@@ -111,8 +111,8 @@
 
     def test_a_leaving_node_refutes_its_death_and_stays_leaving(self):
         view = a_view()
-        word = view.describe_self(state=LEAVING)
-        view.apply(replace(word, state=DEAD))
+        update = view.announce_state(state=LEAVING)
+        view.apply(replace(update, state=DEAD))
         self.assertIs(view.self_member.state, LEAVING)
 
     def test_an_earlier_life_with_a_clock_ahead_is_outbid(self):
@@ -123,14 +123,14 @@
 
     def test_a_settled_node_yields_to_a_newer_life(self):
         view = a_view()
-        view.settled = True
+        view.joined = True
         view.apply(a_member("certs-1", incarnation=500, address="10.0.0.9:1"))
         self.assertTrue(view.superseded)
         self.assertEqual(view.self_member.incarnation, 10)
 
     def test_a_settled_node_outbids_a_life_that_is_over(self):
         view = a_view()
-        view.settled = True
+        view.joined = True
         view.apply(a_member("certs-1", incarnation=500, state=DEAD))
         self.assertFalse(view.superseded)
         self.assertEqual(view.self_member.incarnation, 501)
@@ -162,9 +162,9 @@
         self.view.apply(a_member())
         self.assertTrue(self.view.suspect("certs-2", 10))
         self.assertEqual(len(self.view.instances()), 2)
-        self.time.now = self.cfg.suspicion - 1
+        self.time.now = self.cfg.suspicion_timeout - 1
         self.assertEqual(self.view.expire(), ())
-        self.time.now = self.cfg.suspicion
+        self.time.now = self.cfg.suspicion_timeout
         self.assertEqual(self.view.expire(), ("certs-2",))
         self.assertEqual(len(self.view.instances()), 1)
 
@@ -172,7 +172,7 @@
         self.view.apply(a_member())
         self.view.suspect("certs-2", 10)
         self.view.apply(a_member(refutation=1))
-        self.time.now = self.cfg.suspicion * 2
+        self.time.now = self.cfg.suspicion_timeout * 2
         self.assertEqual(self.view.expire(), ())
 
     def test_a_pause_of_the_own_process_gives_suspects_more_time(self):
@@ -187,10 +187,10 @@
         self.assertFalse(self.view.suspect("certs-2", 10))
         self.assertIs(self.view.get("certs-2").state, LEAVING)
         self.view.clear_suspicion("certs-2")
-        self.time.now = self.cfg.suspicion
+        self.time.now = self.cfg.suspicion_timeout
         self.assertEqual(self.view.expire(), ())
         self.view.suspect("certs-2", 10)
-        self.time.now = 3 * self.cfg.suspicion
+        self.time.now = 3 * self.cfg.suspicion_timeout
         self.assertEqual(self.view.expire(), ("certs-2",))
 
     def test_leaving_is_marked_at_once(self):
@@ -203,7 +203,7 @@
         self.view.apply(a_member())
         self.view.apply(a_member(state=DEAD))
         self.assertEqual(len(self.view.instances()), 2)
-        self.time.now = self.cfg.suspicion
+        self.time.now = self.cfg.suspicion_timeout
         self.view.expire()
         self.assertEqual(len(self.view.instances()), 1)
         self.view.apply(a_member(refutation=1))
@@ -215,15 +215,15 @@
 
     def test_the_dead_are_dropped_and_old_words_do_not_bring_them_back(self):
         self.view.apply(a_member(refutation=3, state=DEAD))
-        self.time.now = self.cfg.dead_kept
+        self.time.now = self.cfg.dead_retention
         self.view.expire()
         self.assertIsNone(self.view.get("certs-2"))
         self.assertFalse(self.view.apply(a_member(refutation=3)))
-        self.assertTrue(self.view.is_gone(a_member(refutation=3)))
+        self.assertTrue(self.view.is_incarnation_gone(a_member(refutation=3)))
         self.assertTrue(self.view.apply(a_member(incarnation=11)))
 
     def test_memory_of_dropped_members_is_bounded(self):
-        cfg = MembershipSettings(max_remembered=5, dead_kept=1.0)
+        cfg = MembershipSettings(max_remembered=5, dead_retention=1.0)
         view = a_view(cfg, self.time)
         for i in range(20):
             view.apply(a_member(f"cycles-{i}", state=DEAD))
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/routes/test_table.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/routes/test_table.py
@@ -1,12 +1,12 @@
 from testtools import TestCase
 
-from fuchsiagap.core.routes.model import Route, RouteConfig, Share
-from fuchsiagap.core.routes.table import RouteTable, ShareRotation
+from fuchsiagap.core.routes.model import Route, RouteConfig, ServiceShare
+from fuchsiagap.core.routes.table import RouteTable, WeightedRoundRobin
 
 
 def a_route(name, prefix, *shares, host="api.example"):
     """Return a route of a host."""
-    shares = shares or (Share("certs"),)
+    shares = shares or (ServiceShare("certs"),)
     return Route(name, host, prefix, shares, True, 1_000.0, 500.0, 0, 2)
 
 
@@ -29,24 +29,32 @@
         self.assertEqual("one", table.find("API.example:8080", "/x").name)
 
 
-class TestShareRotation(TestCase):
+class TestWeightedRoundRobin(TestCase):
     def test_every_stretch_is_near_the_declared_parts(self):
-        route = a_route("split", "/", Share("certs", 90.0), Share("results", 10.0))
-        rotation = ShareRotation()
+        route = a_route(
+            "split", "/", ServiceShare("certs", 90.0), ServiceShare("results", 10.0)
+        )
+        rotation = WeightedRoundRobin()
         picks = [rotation.pick(route) for _ in range(200)]
         for start in range(0, 180, 7):
             stretch = picks[start : start + 20]
             self.assertIn(stretch.count("results"), (1, 2, 3))
 
     def test_weight_of_nothing_gets_nothing(self):
-        route = a_route("split", "/", Share("certs", 0.0), Share("results", 5.0))
-        rotation = ShareRotation()
+        route = a_route(
+            "split", "/", ServiceShare("certs", 0.0), ServiceShare("results", 5.0)
+        )
+        rotation = WeightedRoundRobin()
         self.assertEqual({"results"}, {rotation.pick(route) for _ in range(10)})
 
     def test_new_version_keeps_the_credit_of_services_that_stay(self):
-        old = a_route("split", "/", Share("certs", 1.0), Share("results", 1.0))
-        new = a_route("split", "/", Share("certs", 1.0), Share("bookings", 1.0))
-        rotation = ShareRotation()
+        old = a_route(
+            "split", "/", ServiceShare("certs", 1.0), ServiceShare("results", 1.0)
+        )
+        new = a_route(
+            "split", "/", ServiceShare("certs", 1.0), ServiceShare("bookings", 1.0)
+        )
+        rotation = WeightedRoundRobin()
         rotation.pick(old)
         rotation.adopt(RouteConfig(2, (new,)))
         picks = [rotation.pick(new) for _ in range(10)]
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/shedding/test_order.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/shedding/test_order.py
@@ -1,14 +1,22 @@
 from testtools import TestCase
 
-from fuchsiagap.core.routes.model import Route, Share
-from fuchsiagap.core.routes.ranks import ranked
+from fuchsiagap.core.routes.model import Route, ServiceShare
+from fuchsiagap.core.routes.workspace_priority import apply_workspace_priority
 from fuchsiagap.core.shedding.order import IDLE_KIND_MS, SheddingOrder
 
 
 def a_route(name, priority):
     """Return a route with the given name and priority."""
     return Route(
-        name, "api", f"/{name}/", (Share("s"),), True, 1_000.0, 500.0, priority, 1
+        name,
+        "api",
+        f"/{name}/",
+        (ServiceShare("s"),),
+        True,
+        1_000.0,
+        500.0,
+        priority,
+        1,
     )
 
 
@@ -50,7 +58,9 @@
 
     def test_one_route_with_two_workspace_priorities_is_two_kinds(self):
         order = SheddingOrder()
-        urgent, usual = (ranked(a_route("read", 1), p) for p in (0, 1))
+        urgent, usual = (
+            apply_workspace_priority(a_route("read", 1), p) for p in (0, 1)
+        )
         for number in range(200):
             order.record_request(urgent if number % 10 == 0 else usual, 10.0 * number)
         self.assertEqual([1, 0], steps(order, urgent.kind, usual.kind))
--- a/tools/settings_page.py
+++ b/tools/settings_page.py
@@ -6,11 +6,11 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from fuchsiagap.core.settings.table import TEAM_TABLES
+from fuchsiagap.core.settings.team_schema import TEAM_SCHEMAS
 from fuchsiagap_node.core.config_keys import NODE_TABLES
 
 if TYPE_CHECKING:
-    from fuchsiagap.core.settings.keys import Key, SectionTable
+    from fuchsiagap.core.settings.schema import Key, SectionSchema
 
 PAGE = Path(__file__).resolve().parent.parent / "docs" / "settings.md"
 HEAD = """\
@@ -64,13 +64,13 @@
 
 def render() -> str:
     parts = [HEAD, TEAM_HEAD]
-    parts += [_section(table) for table in TEAM_TABLES]
+    parts += [_section(table) for table in TEAM_SCHEMAS]
     parts.append(NODE_HEAD)
     parts += [_section(table) for table in NODE_TABLES.values()]
     return "".join(parts)
 
 
-def _section(table: SectionTable) -> str:
+def _section(table: SectionSchema) -> str:
     rows = "".join(_row(key) for key in table.keys)
     return (
         f"\n### `{table.title}`\n\n{table.doc}\n\n"
@@ -81,7 +81,7 @@
 def _row(key: Key) -> str:
     default = "must be given" if key.default is None else f"`{key.default or ' '}`"
     inherited = " Inherited." if key.inherited else ""
-    cells = (f"`{key.name}`", key.kind.expected, default, key.doc + inherited)
+    cells = (f"`{key.name}`", key.value_type.expected, default, key.doc + inherited)
     return "| " + " | ".join(cell.replace("|", "\\|") for cell in cells) + " |\n"
 
 
