--- a/packages/fuchsiagap/src/fuchsiagap/core/calls/__init__.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/calls/__init__.py
@@ -1,1 +1,1 @@
-"""The aggregate of one call: its head, its outcome, and its way through nodes."""
+"""Head and outcome of a call, as passed between nodes."""
--- a/packages/fuchsiagap/src/fuchsiagap/core/calls/head.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/calls/head.py
@@ -1,4 +1,4 @@
-"""What travels with a call from node to node."""
+"""Metadata of a call that is passed from node to node."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class ServiceName:
-    """The name of a service: the team that owns it, and its name there.
+    """Qualified name of a service.
 
     Parameters
     ----------
     team : str
-        The team (customer) whose settings rule the service.
+        Team (customer) that owns the service and whose settings apply to it.
     name : str
-        The name of the service within the team.
+        Name of the service within the team.
     """
 
     team: str
@@ -39,45 +39,48 @@
 
 @dataclass(frozen=True, slots=True)
 class CallHead:
-    """The head of one call.
+    """Metadata of one call.
 
-    The whole chain below one client request shares `root_id`, `priority`,
-    `cohort` and the deadline; the allowance is split among its calls.
+    All calls in the chain of one client request share `root_id`, `priority`,
+    `cohort` and the deadline. The allowance is divided among them.
 
     Parameters
     ----------
     call_id : str
-        Identifies this call (one attempt at one service) over all processes.
+        Identifier of this call (one attempt at one service), unique over all
+        processes.
     root_id : str
-        Identifies the client request the call belongs to.
+        Identifier of the client request that the call belongs to.
     parent_id : str
-        The call whose backend server made this call; empty for a root call.
+        Identifier of the call whose backend server made this call; empty for a root
+        call.
     service : ServiceName
-        The called service.
+        Called service.
     route : str
-        The section of the team's settings that rules the call, for example
+        Section of the team's settings that applies to the call, for example
         ``"certs/issue"``.
     method, target : str
-        HTTP method, and path with query as the backend server shall see it.
+        HTTP method, and path with query as sent to the backend server.
     headers : tuple of (str, str)
-        End-to-end HTTP headers, names in lower case.
+        End-to-end HTTP headers, with names in lower case.
     priority : int
-        0 is the most important, `LEAST_PRIORITY` the least.
+        Priority, from `MOST_PRIORITY` to `LEAST_PRIORITY`.
     cohort : int
-        0 to `N_COHORTS` - 1, drawn from `root_id`: the chain is refused whole.
+        Number from 0 to `N_COHORTS` - 1, derived from `root_id`. Load shedding
+        refuses whole cohorts, so that it refuses whole call chains.
     deadline : float
-        Milliseconds on the clock of the process that holds the head. On the
-        wire it is the remaining time.
+        Deadline in milliseconds on the clock of the process that holds the head. On
+        the wire it is the remaining time.
     allowance : int
-        Extra attempts that this call and all below it may still make.
+        Number of extra attempts that this call and the calls below it may still make.
     idempotent : bool
         Whether the call may run more than once.
     ticket : Ticket or None
-        The ticket of the root request, if the caller presented one.
+        Ticket of the root request, if the caller presented one.
     child_key : str
-        The key of a child call under its root; empty for a root call.
+        Key that identifies a nested call under its root; empty for a root call.
     depth : int
-        1 for a root call.
+        Depth in the call chain; 1 for a root call.
     """
 
     call_id: str
@@ -98,12 +101,12 @@
     depth: int = 1
 
     def with_allowance(self, allowance: int) -> CallHead:
-        """Return the same head with another allowance."""
+        """Return a copy of the head with another allowance."""
         return replace(self, allowance=allowance)
 
 
 def cohort_of(root_id: str) -> int:
-    """Return the cohort of a root request, the same on every node.
+    """Return the cohort of a root request, which is the same on every node.
 
     Parameters
     ----------
@@ -113,6 +116,6 @@
     Returns
     -------
     int
-        0 to `N_COHORTS` - 1.
+        Cohort, from 0 to `N_COHORTS` - 1.
     """
     return zlib.crc32(root_id.encode()) % N_COHORTS
--- a/packages/fuchsiagap/src/fuchsiagap/core/calls/outcome.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/calls/outcome.py
@@ -1,7 +1,7 @@
-"""What becomes of a call: `Answered`, `Refused` or `Unknown`.
+"""Outcome of a call: `Answered`, `Refused` or `Unknown`.
 
-`Refused` is a promise: the call was certainly not run. It may be made only where
-the call provably was not handed to a backend server.
+`Refused` guarantees that the call did not run. It is allowed only if the call was
+provably not handed to a backend server.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Reason(Enum):
-    """Why a call was refused, or why its outcome is unknown."""
+    """Reason for which a call was refused, or for which its outcome is unknown."""
 
     OVERLOAD = "overload"
     LEAVING = "leaving"
@@ -42,19 +42,19 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """The load of one instance for one route, sent back with each answer.
+    """Load of one instance for one route, returned with each answer.
 
     Parameters
     ----------
     level_priority, level_cohort : int
-        Calls are admitted if (priority, cohort) is at most this pair; the level
-        covers the services below the route too.
+        Admission level: calls are admitted if (priority, cohort) is at most this
+        pair. It takes the load of downstream services into account.
     in_flight : int
-        Calls the backend server works on.
+        Number of calls in progress at the backend server.
     limit : int
-        Concurrency limit now.
+        Current concurrency limit.
     queued : int
-        Calls waiting.
+        Number of queued calls.
     """
 
     level_priority: int
@@ -66,22 +66,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The backend server answered, and the answer is whole.
+    """The backend server answered, and the answer is complete.
 
     Parameters
     ----------
     status : int
-        HTTP status.
+        HTTP status code.
     headers : tuple of (str, str)
         End-to-end headers.
     body : bytes
-        The whole body.
+        Complete body.
     allowance : int
-        The unused part of the allowance, given back.
+        Unused part of the allowance, returned to the caller.
     load : LoadReport or None
         Load of the answering instance.
     repeated : bool
-        Whether this is the kept answer of an earlier run.
+        Whether this is the stored answer of an earlier run.
     """
 
     status: int
@@ -94,20 +94,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The call certainly did not run.
+    """The call did not run.
 
     Parameters
     ----------
     reason : Reason
-        Why.
+        Reason of the refusal.
     retry_after : float
-        Milliseconds after which the caller may come back.
+        Milliseconds after which the caller may retry.
     allowance : int
-        The unused part of the allowance, given back.
+        Unused part of the allowance, returned to the caller.
     load : LoadReport or None
         Load of the refusing instance.
     detail : str
-        What was wrong, what was expected and what to do, for people.
+        Message for people: what was wrong, what was expected and what to do.
     """
 
     reason: Reason
@@ -124,13 +124,13 @@
     Parameters
     ----------
     reason : Reason
-        Why nothing surer can be said.
+        Reason for which the outcome is unknown.
     allowance : int
-        The unused part of the allowance, given back.
+        Unused part of the allowance, returned to the caller.
     load : LoadReport or None
         Load of the instance, if it answered.
     detail : str
-        For people.
+        Message for people.
     """
 
     reason: Reason
--- a/packages/fuchsiagap/src/fuchsiagap/core/membership/__init__.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/membership/__init__.py
@@ -1,1 +1,1 @@
-"""The aggregate of membership: who is there, and in which state."""
+"""Cluster membership: the nodes and their states."""
--- a/packages/fuchsiagap/src/fuchsiagap/core/membership/buckets.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/membership/buckets.py
@@ -1,7 +1,7 @@
-"""Hashes of a view by bucket, kept up with each change.
+"""Hashes of a membership view by bucket, updated with each change.
 
-Two views compare one number; if it differs, the numbers of the buckets; and exchange
-the members of the buckets that differ only.
+Two nodes compare the hash of their whole views first. If it differs, they compare the
+hashes of the buckets, and exchange only the members of buckets that differ.
 """
 
 from __future__ import annotations
@@ -18,10 +18,15 @@
 
 
 class BucketHashes:
-    """The hash of each bucket of live members.
+    """Hash of each bucket of members.
 
-    Dead and left members lie in their bucket too but count for nothing in its hash,
-    since views drop them at different moments.
+    Dead and left members are listed in their bucket but not included in its hash, since
+    views drop them at different times.
+
+    Attributes
+    ----------
+    root : int
+        Hash of all live members.
     """
 
     def __init__(self) -> None:
@@ -30,7 +35,15 @@
         self._nodes: list[dict[str, int]] = [{} for _ in range(N_BUCKETS)]
 
     def replace(self, known: Member | None, member: Member | None) -> None:
-        """Take over the change of one member; None is no member."""
+        """Replace the record of a member.
+
+        Parameters
+        ----------
+        known : Member or None
+            Previous record; None if the member is new.
+        member : Member or None
+            New record; None if the member is dropped.
+        """
         existing = member or known
         assert existing is not None
         number = bucket_of(existing.node)
@@ -48,15 +61,15 @@
         return tuple(self._hashes)
 
     def differing(self, hashes: tuple[int, ...]) -> tuple[int, ...]:
-        """Return the numbers of the buckets whose hashes differ."""
+        """Return the numbers of the buckets whose hash differs from the given ones."""
         pairs = zip(self._hashes, hashes, strict=False)
         return tuple(i for i, (ours, theirs) in enumerate(pairs) if ours != theirs)
 
     def nodes(self, number: int) -> tuple[str, ...]:
-        """Return the nodes of a bucket."""
+        """Return the names of the nodes in a bucket."""
         return tuple(self._nodes[number])
 
 
 def bucket_of(node: str) -> int:
-    """Return the bucket of a node, the same in every process."""
+    """Return the bucket of a node, which is the same in every process."""
     return zlib.crc32(node.encode()) % N_BUCKETS
--- a/packages/fuchsiagap/src/fuchsiagap/core/membership/changes.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/membership/changes.py
@@ -1,26 +1,27 @@
-"""Which members changed since when: the source of the updates that are passed on."""
+"""Log of member changes, from which updates to other nodes are sent."""
 
 from __future__ import annotations
 
 from bisect import bisect_right
 from dataclasses import dataclass, field
 
+# The log is compacted when its length exceeds factor * members + floor.
 _COMPACT_FACTOR = 2
 _COMPACT_FLOOR = 64
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A member changed.
+    """One change of a member.
 
     Parameters
     ----------
     number : int
-        Counts the changes of this view, from 1.
+        Sequence number of the change in this view, from 1.
     node : str
-        The member.
+        Name of the changed member.
     source : str
-        The node the word came from; empty if it is this node's own finding.
+        Node that sent the update; empty if the change originated here.
     """
 
     number: int
@@ -30,10 +31,15 @@
 
 @dataclass(slots=True)
 class ChangeLog:
-    """The last change of each member, in order.
+    """Last change of each member, in order.
 
-    Its length is bounded by the number of members: a later change of a member takes
-    the place of the earlier one.
+    A later change of a member replaces the earlier one, so the length is bounded by the
+    number of members.
+
+    Parameters
+    ----------
+    last : int, default=0
+        Sequence number of the last change.
     """
 
     last: int = 0
@@ -41,7 +47,7 @@
     _last_of: dict[str, int] = field(default_factory=dict)
 
     def add(self, node: str, source: str) -> None:
-        """Note that a member changed."""
+        """Append a change of a member."""
         self.last += 1
         self._last_of[node] = self.last
         self._changes.append(Change(self.last, node, source))
@@ -49,11 +55,11 @@
             self._changes = [c for c in self._changes if self._is_last(c)]
 
     def forget(self, node: str) -> None:
-        """Drop a member that is no longer kept."""
+        """Remove a member that the view has dropped."""
         self._last_of.pop(node, None)
 
     def after(self, number: int) -> list[Change]:
-        """Return the changes after a number, the last one of each member."""
+        """Return the last change of each member changed after a sequence number."""
         start = bisect_right(self._changes, number, key=lambda c: c.number)
         return [c for c in self._changes[start:] if self._is_last(c)]
 
--- a/packages/fuchsiagap/src/fuchsiagap/core/membership/contacts.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/membership/contacts.py
@@ -1,4 +1,4 @@
-"""What this node heard from others: when, and how their views compared."""
+"""Last contact with other nodes, and detection of differing views."""
 
 from __future__ import annotations
 
@@ -10,24 +10,26 @@
 if TYPE_CHECKING:
     from fuchsiagap.core.clock import Milliseconds
 
+# A view without a change for this long, in milliseconds, is stable.
 STABLE_VIEW_MS = 1_000.0
+# Consecutive mismatches with a node after which a sync is due while the view changes.
 MISMATCHES_TO_SYNC = 4
 
 
 @dataclass(slots=True)
 class PeerContacts:
-    """Signs of life, and nodes whose view differs.
+    """Time of the last contact with each node, and nodes whose view differs.
 
     Parameters
     ----------
-    heard : dict
-        By node: when the last sign of life came, in milliseconds.
-    mismatches : dict
-        By node: how many times in a row its view had another hash.
+    last_heard : dict of str to float
+        Time in milliseconds of the last contact, by node.
+    mismatches : dict of str to int
+        Number of consecutive contacts in which the hash of the views differed, by node.
     last_change : float
-        When the own view last changed, in milliseconds.
+        Time in milliseconds of the last change of the local view.
     sync_due : trio.Event
-        Set when views should be synced.
+        Event set when views should be synced; replaced by `take_mismatches`.
     """
 
     last_heard: dict[str, Milliseconds] = field(default_factory=dict)
@@ -36,40 +38,40 @@
     sync_due: trio.Event = field(default_factory=trio.Event)
 
     def record_contact(self, node: str, same_view: bool, now: Milliseconds) -> None:
-        """Note a sign of life of a node and how its view compares.
+        """Record a contact with a node, and request a sync if the views differ.
 
-        Changes on their way make views differ for a moment. So a sync is due only
-        if the own view has been quiet, or if they differ again and again.
+        Updates in transit make views differ temporarily. So a sync is due only if the
+        local view is stable, or after `MISMATCHES_TO_SYNC` consecutive mismatches.
 
         Parameters
         ----------
         node : str
             The other node.
         same_view : bool
-            Whether the hash of its view is that of the own one.
+            Whether its view has the same hash as the local one.
         now : float
-            The time in milliseconds.
+            Current time in milliseconds.
         """
         self.last_heard[node] = now
         if same_view:
             self.mismatches.pop(node, None)
             return
         self.mismatches[node] = self.mismatches.get(node, 0) + 1
-        quiet = now - self.last_change > STABLE_VIEW_MS
-        if quiet or self.mismatches[node] >= MISMATCHES_TO_SYNC:
+        is_stable = now - self.last_change > STABLE_VIEW_MS
+        if is_stable or self.mismatches[node] >= MISMATCHES_TO_SYNC:
             self.sync_due.set()
 
     def silence(self, node: str, now: Milliseconds) -> Milliseconds:
-        """Return how long a node was silent; it begins with the first look."""
+        """Return the milliseconds since the last contact, or since the first query."""
         return now - self.last_heard.setdefault(node, now)
 
     def postpone(self, duration: Milliseconds) -> None:
-        """Count a pause of this process as no silence of the others."""
+        """Exclude a pause of this process from the silence of all nodes."""
         for node in self.last_heard:
             self.last_heard[node] += duration
 
     def take_mismatches(self) -> tuple[str, ...]:
-        """Return the nodes to sync with, if it is due, and begin to count anew."""
+        """Return the nodes to sync with, if a sync is due, and reset the counts."""
         if not self.sync_due.is_set():
             return ()
         due = tuple(self.mismatches)
@@ -78,6 +80,6 @@
         return due
 
     def forget(self, node: str) -> None:
-        """Drop what is known of a node that is gone or no neighbour any more."""
+        """Remove a node that is gone or no longer a neighbour."""
         self.last_heard.pop(node, None)
         self.mismatches.pop(node, None)
--- a/packages/fuchsiagap/src/fuchsiagap/core/membership/hand_overs.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/membership/hand_overs.py
@@ -1,4 +1,4 @@
-"""Who holds the tickets of lives that are over."""
+"""Lookup of the nodes that took over the tickets of ended incarnations."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
     from fuchsiagap.core.membership.member import Member
 
-_MAX_STEPS = 8
+_MAX_CHAIN_LENGTH = 8
 
 
 @dataclass(slots=True)
 class TicketHandOvers:
-    """The hand-overs a node heard of, the latest ones.
+    """Latest ticket hand-overs announced by members.
 
     Parameters
     ----------
     max_remembered : int
-        Most hand-overs kept.
+        Maximum number of hand-overs stored; the oldest are dropped.
     """
 
     max_remembered: int
     _updates: OrderedDict[tuple[str, int], Member] = field(default_factory=OrderedDict)
 
     def record(self, update: Member) -> None:
-        """Note the hand-over that a word tells of, if it does."""
+        """Store the hand-over that an update announces, if any."""
         if not update.successor:
             return
         key = (update.node, update.handed_incarnation)
@@ -40,26 +40,29 @@
                 self._updates.popitem(last=False)
 
     def holder(self, node: str, incarnation: int, members: Mapping[str, Member]) -> str:
-        """Return the node that holds the tickets of a life; empty if none.
+        """Return the node that holds the tickets of an incarnation; empty if none.
 
-        A successor that stopped has handed over what it had taken over, too.
+        A successor that stopped has in turn handed over the tickets that it took over.
+        So the chain of successors is followed.
 
         Parameters
         ----------
-        node, incarnation
-            The life that issued the tickets.
-        members : mapping
-            The members by name.
+        node : str
+            Node that issued the tickets.
+        incarnation : int
+            Incarnation of the node when it issued them.
+        members : mapping of str to Member
+            Members by name.
         """
         update = self._updates.get((node, incarnation))
         if update is None:
             return ""
-        for _ in range(_MAX_STEPS):
+        for _ in range(_MAX_CHAIN_LENGTH):
             holder = members.get(update.successor)
             if holder is None or not holder.successor:
                 break
-            same_life = holder.incarnation <= update.successor_incarnation
-            if same_life and holder.state is not MemberState.LEFT:
+            same_incarnation = holder.incarnation <= update.successor_incarnation
+            if same_incarnation and holder.state is not MemberState.LEFT:
                 break
             update = holder
         return update.successor
--- a/packages/fuchsiagap/src/fuchsiagap/core/membership/member.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/membership/member.py
@@ -1,7 +1,7 @@
-"""One member, and which of two words about it is the newer.
+"""Member records and their order.
 
-Words about one node are totally ordered, and a view keeps the greatest. So the order
-in which they come, and how often, makes no difference.
+The records of one node are totally ordered, and a view keeps the greatest. So neither
+the order in which updates arrive nor their repetition affects the result.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class MemberState(Enum):
-    """State of a member in a view."""
+    """State of a member."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -39,34 +39,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """What is known of one node.
+    """Record of one node.
 
     Parameters
     ----------
     node : str
         Name of the node.
     incarnation : int
-        The life of its process; a restarted node has a higher one.
+        Incarnation of the process; higher after each restart.
     address : str
-        ``IP:PORT`` at which it takes links from other nodes.
+        ``IP:PORT`` at which the node accepts links from other nodes.
     data_centre : str
-        Where it runs.
+        Data centre of the node.
     services : tuple of ServiceName
-        What its backend server serves.
+        Services of its backend server.
     state : MemberState
-        Its state; `LEAVING` and `LEFT` are its own word only.
+        State of the node. Only the node itself announces `LEAVING` and `LEFT`.
     refutation : int
-        Grows within an incarnation with each word of the node about itself, so that
-        it can refute what others said.
+        Number that the node increases with each announcement about itself within an
+        incarnation, so that it supersedes what other nodes announced.
     successor : str
-        Name of the node that holds the tickets of `handed_incarnation`; empty if
-        none does.
+        Name of the node that took over the tickets of `handed_incarnation`; empty if
+        none did.
     successor_incarnation : int
-        The successor's life at that time.
+        Incarnation of the successor when it took over the tickets.
     handed_incarnation : int
-        The life of the tickets that were handed over.
+        Incarnation of this node that issued the tickets.
     admin_address : str
-        ``IP:PORT`` for operators.
+        ``IP:PORT`` of the API for operators.
     """
 
     node: str
@@ -88,28 +88,28 @@
 
     @property
     def precedence(self) -> Precedence:
-        """Sort key of the words about one node; the greater is the newer.
+        """Sort key of the records of one node; newer records have greater keys.
 
-        Having left is final for an incarnation.
+        `LEFT` is final for an incarnation, whatever the refutation.
         """
         left = self.state is MemberState.LEFT
         return self.incarnation, left, self.refutation, _RANKS[self.state]
 
 
 def supersedes(update: Member, known: Member) -> bool:
-    """Whether a word about a node is newer than what is known of it.
+    """Return whether an update is newer than the known record of the same node.
 
     Parameters
     ----------
-    word, known : Member
-        Two words about the same node.
+    update, known : Member
+        Two records of the same node.
 
     Returns
     -------
     bool
-        False if they are equal. Words of equal precedence that differ (two
-        processes under one name) are ordered by their content, so that all views
-        keep the same one.
+        False if they are equal. Different records of equal precedence, which come
+        from two processes with one node name, are ordered by their content, so that
+        all views keep the same one.
     """
     ours, theirs = update.precedence, known.precedence
     if ours != theirs:
@@ -118,24 +118,24 @@
 
 
 def fingerprint(member: Member) -> int:
-    """Return a 64-bit hash of a member, the same in every process."""
+    """Return a 64-bit hash of a record, which is the same in every process."""
     text = repr((member.node, member.precedence, _content(member)))
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
 def ring_position(seed: str, node: str) -> int:
-    """Return where a node stands on a ring, the same in every process."""
+    """Return the position of a node on a ring, which is the same in every process."""
     data = blake2b(f"{seed}/{node}".encode(), digest_size=8).digest()
     position: int = struct.unpack(">Q", data)[0]
     return position
 
 
 def first_incarnation(clock: Clock, rng: random.Random) -> int:
-    """Return a first guess of a new process's incarnation.
+    """Return a preliminary incarnation for a new process.
 
-    The time of day may be wrong, so it is a guess only: the node raises it above
-    any earlier one that it hears of when it joins. The random bits keep two lives
-    started at the same reading apart.
+    It is derived from the wall clock, which may be wrong. So the node raises it above
+    any earlier incarnation that it learns of when it joins. The random bits distinguish
+    two processes that start at the same clock reading.
     """
     return (int(clock.wall()) << _RANDOM_BITS) | rng.getrandbits(_RANDOM_BITS)
 
--- a/packages/fuchsiagap/src/fuchsiagap/core/membership/rings.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/membership/rings.py
@@ -1,8 +1,8 @@
-"""Who probes whom: the members of each data centre on a few rings.
+"""Rings of members, which determine the nodes that monitor each other.
 
-Each ring of a data centre orders its nodes by another hash, so that all nodes agree
-on the order, each node has a few neighbours for long, and the neighbours on all rings
-together make a random graph of small diameter.
+Each ring of a data centre orders its nodes by a different hash. So all nodes agree on
+the order, each node keeps the same few neighbours, and the neighbours on all rings
+together form a random graph of small diameter.
 """
 
 from __future__ import annotations
@@ -21,25 +21,25 @@
 
 @dataclass(slots=True)
 class Rings:
-    """The rings of all data centres.
+    """Rings of all data centres.
 
     Parameters
     ----------
     n_rings : int
-        Rings of each data centre.
+        Number of rings of each data centre.
     """
 
     n_rings: int
     _rings: dict[str, list[list[_RingEntry]]] = field(default_factory=dict)
 
     def add(self, data_centre: str, node: str) -> None:
-        """Put a node on the rings of its data centre."""
+        """Add a node to the rings of its data centre."""
         rings = self._rings.setdefault(data_centre, [[] for _ in range(self.n_rings)])
         for number, ring in enumerate(rings):
             insort(ring, (ring_position(f"{number}", node), node))
 
     def remove(self, data_centre: str, node: str) -> None:
-        """Take a node off the rings of its data centre."""
+        """Remove a node from the rings of its data centre."""
         rings = self._rings[data_centre]
         for number, ring in enumerate(rings):
             del ring[bisect_left(ring, (ring_position(f"{number}", node), node))]
@@ -48,30 +48,30 @@
 
     @property
     def data_centres(self) -> tuple[str, ...]:
-        """The data centres that have a node on a ring, sorted."""
+        """Sorted names of the data centres with at least one node."""
         return tuple(sorted(self._rings))
 
     def nodes(self, data_centre: str) -> tuple[str, ...]:
-        """Return the nodes of a data centre, in the order of its first ring."""
+        """Return the nodes of a data centre in the order of its first ring."""
         rings = self._rings.get(data_centre)
         return tuple(node for _, node in rings[0]) if rings else ()
 
     def after(self, data_centre: str, ring: int, node: str) -> Iterator[str]:
-        """Yield the nodes that follow a node on a ring, once round.
+        """Yield the nodes that follow a node on a ring, in one full turn.
 
         Parameters
         ----------
         data_centre : str
-            Whose ring.
+            Data centre of the ring.
         ring : int
-            Number of the ring.
+            Index of the ring.
         node : str
-            Where to begin; need not be of that data centre, and is not yielded.
+            Node to start from, which is not yielded. It need not be in the data centre.
         """
         yield from self._walk(data_centre, ring, node, step=1)
 
     def before(self, data_centre: str, ring: int, node: str) -> Iterator[str]:
-        """Yield the nodes that go before a node on a ring, once round."""
+        """Yield the nodes that precede a node on a ring; see `after`."""
         yield from self._walk(data_centre, ring, node, step=-1)
 
     def _walk(self, data_centre: str, ring: int, node: str, step: int) -> Iterator[str]:
--- a/packages/fuchsiagap/src/fuchsiagap/core/membership/settings.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/membership/settings.py
@@ -1,4 +1,4 @@
-"""Settings of membership, liveness, digest and drain."""
+"""Settings of membership, failure detection, digest and drain."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipSettings:
-    """Settings of membership; the defaults notice a dead node within 3 s.
+    """Settings of membership; with the defaults a dead node is detected within 3 s.
 
     Parameters
     ----------
@@ -20,50 +20,54 @@
     heartbeat_slack : float, default=150
         Milliseconds by which a heartbeat may be late before its sender is probed.
     probe_timeout : float, default=250
-        Milliseconds until a probe without reply has failed.
+        Timeout in milliseconds of a probe.
     cross_probe_interval : float, default=2000
         Milliseconds between two rounds of probes of other data centres.
-    suspicion : float, default=800
-        Milliseconds in which a suspected node may refute before it counts as dead.
+    suspicion_timeout : float, default=800
+        Milliseconds in which a suspected node may refute before it is declared dead.
     n_rings : int, default=3
-        Rings of the own data centre, so the nodes that watch one node there.
+        Number of rings of each data centre, and so the number of nodes that monitor
+        one node.
     n_indirect : int, default=2
-        Other nodes that are asked to probe one that did not reply.
+        Number of nodes that are asked to probe a node that did not reply.
     n_cross_probes : int, default=2
-        Other data centres probed in each round, in turn.
+        Number of other data centres probed in each round, in rotation.
     cross_probe_attempts : int, default=3
-        Further nodes of a data centre tried before it counts as unreachable.
+        Number of further nodes of a data centre that are probed before it is
+        considered unreachable.
     flush_delay : float, default=50
-        Milliseconds for which changes are collected before they are passed on.
+        Milliseconds for which changes are batched before they are sent.
     max_updates : int, default=64
-        Members in one message, at most.
+        Maximum number of members in one message.
     sync_interval : float, default=1000
-        Milliseconds between two looks for nodes with another view, among them
-        ones that count as dead.
+        Milliseconds between two rounds that sync with nodes whose view differs, and
+        try nodes that are considered dead.
     dead_retention : float, default=600_000
-        Milliseconds for which a dead or left member is remembered in full.
+        Milliseconds for which the record of a dead or left member is kept.
     max_remembered : int, default=8192
-        Dropped members whose last known life is still remembered.
+        Maximum number of dropped members whose last incarnation is remembered, and of
+        stored ticket hand-overs.
     stall_slack : float, default=150
-        Milliseconds by which a timer may be late before this process takes itself
-        for paused, and draws no conclusion from what it missed.
+        Milliseconds by which a timer may be late. If one is later, this process was
+        paused, and timeouts that expired meanwhile are ignored.
     digest_interval : float, default=10_000
-        Milliseconds between two looks of a relay at its digest.
+        Milliseconds between two checks of the digest of a data centre by a relay.
     n_relays : int, default=2
-        Nodes of each data centre that write its digest.
+        Number of nodes of each data centre that write its digest.
     announce_interval : float, default=60_000
-        Milliseconds between two looks of a relay at the announcements.
+        Milliseconds between two checks of the announcements by a relay.
     join_timeout : float, default=2000
-        Milliseconds a starting node waits at most until others know it.
+        Maximum time in milliseconds that a starting node waits until others know it.
     join_propagation_delay : float, default=300
-        Milliseconds for its record to reach all others once one has it.
+        Milliseconds in which the record of a node reaches all others, once one of them
+        has it.
     drain_notice_timeout : float, default=1500
-        Milliseconds a leaving node spends at most on telling others.
+        Maximum time in milliseconds that a leaving node spends on notifying others.
     drain_relay_time : float, default=300
-        Milliseconds a node that has left goes on passing calls on, while it becomes
-        known who has its tickets.
+        Milliseconds for which a node that has left still relays calls, until other
+        nodes know which node holds its tickets.
     max_successors : int, default=3
-        Nodes to which a leaving one offers its tickets, one after another.
+        Maximum number of nodes to which a leaving node offers its tickets in turn.
     """
 
     heartbeat_interval: Milliseconds = 900.0
--- a/packages/fuchsiagap/src/fuchsiagap/core/membership/table.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/membership/table.py
@@ -1,4 +1,4 @@
-"""One node's view of all members."""
+"""View of all cluster members on one node."""
 
 from __future__ import annotations
 
@@ -27,43 +27,44 @@
 
 
 class Membership:
-    """The members as one node knows them.
+    """View of all members on one node.
 
-    A view keeps the newest word about each node, so views that got the same words
-    are the same, in whatever order and however often the words came.
+    A view keeps the newest record of each node. So views that received the same updates
+    are equal, whatever the order and the number of times they received them.
 
     Parameters
     ----------
     cfg : MembershipSettings
-        Settings.
+        Settings of membership.
     self_member : Member
-        This node.
+        Record of this node.
     clock : Clock
-        The one clock.
+        Clock of the process.
     rng : random.Random
-        Source of random choices.
+        Random number generator.
 
     Attributes
     ----------
-    settled : bool
-        Whether another node has taken this one's record. Until then an earlier life
-        that seems to be the newer one is one, whose clock was ahead.
+    joined : bool
+        Whether another node has received the record of this one. Before that, a record
+        of this node with a higher incarnation is from an earlier process whose clock
+        was ahead, and this node raises its own incarnation.
     superseded : bool
-        Whether a newer process took over this node's name.
+        Whether a newer process has the name of this node.
     name : str
         Name of this node.
     version : int
-        Grows with each change of the view.
+        Version of the view, which increases with each change.
     rings : Rings
-        The live members on their rings.
+        Rings of the live members.
     log : ChangeLog
-        What changed, to be passed on.
+        Changes to be sent to other nodes.
     contacts : PeerContacts
-        What was heard from others.
+        Last contacts with other nodes.
 
     See Also
     --------
-    fuchsiagap.core.membership.member.supersedes : which of two words is the newer.
+    fuchsiagap.core.membership.member.supersedes : Order of the records of one node.
     """
 
     def __init__(
@@ -94,20 +95,20 @@
 
     @property
     def self_member(self) -> Member:
-        """The node itself, as it describes itself."""
+        """Record of this node."""
         return self._members[self.name]
 
     @property
     def unreachable(self) -> frozenset[str]:
-        """Data centres of which no node replies."""
+        """Names of the data centres of which no node replies."""
         return self._usable.unreachable
 
     def get(self, node: str) -> Member | None:
-        """Return what is known of a node."""
+        """Return the record of a node; None if it is unknown."""
         return self._members.get(node)
 
     def is_incarnation_gone(self, update: Member) -> bool:
-        """Whether the life of a node that a word speaks of is over."""
+        """Return whether the incarnation in a record has ended or been replaced."""
         known = self._members.get(update.node)
         if known is None:
             dropped = self._dropped.get(update.node)
@@ -117,37 +118,38 @@
         return known.gone
 
     def members(self) -> tuple[Member, ...]:
-        """Return all members, dead and left ones included while they are kept."""
+        """Return all members, including dead and left ones that are still kept."""
         return tuple(self._members.values())
 
     def instances(self) -> tuple[Instance, ...]:
-        """Return the instances that may get calls; leaving ones are marked.
+        """Return the instances that may receive calls; leaving ones are marked.
 
-        Instances in data centres that cannot be reached are left out. Suspected
-        ones are in, since most suspicions are refuted, and so are for a moment those
-        called dead without having been suspected here.
+        Instances in unreachable data centres are excluded. Suspected ones are included,
+        since most suspicions are refuted. Those declared dead by another node without a
+        suspicion known here are included for a grace period.
         """
         return self._usable.all()
 
     def on_change(self, listener: Callable[[Member | None, Member], None]) -> None:
-        """Call a listener with the old and the new word of each changed member."""
+        """Register a listener for the old and the new record of each changed member."""
         self._listeners.append(listener)
 
     def on_instances(self, listener: Callable[[], None]) -> None:
-        """Call a listener whenever `instances` returns something else."""
+        """Register a listener that is called whenever `instances` changes."""
         self._usable.on_change(listener)
 
     def apply(self, update: Member, source: str = "", spread: bool = True) -> bool:
-        """Take a word about a node.
+        """Apply an update about a node.
 
         Parameters
         ----------
         update : Member
-            The word.
+            Record from another node or from the platform.
         source : str, default=""
-            The node it came from, which need not be told.
+            Node that sent the update, to which it is not sent back.
         spread : bool, default=True
-            Whether the neighbours are to be told; not if they surely know.
+            Whether to send the update on to the neighbours. Not needed if they are
+            certain to have it.
 
         Returns
         -------
@@ -169,38 +171,38 @@
     def merge(
         self, updates: Iterable[Member], source: str = "", spread: bool = True
     ) -> int:
-        """Take several words; return how many changed the view."""
+        """Apply several updates; return how many of them changed the view."""
         return sum(self.apply(update, source, spread) for update in updates)
 
     def announce_state(self, state: MemberState) -> Member:
-        """Say another state of this node.
+        """Announce a new state of this node.
 
         Parameters
         ----------
         state : MemberState
-            `LEAVING` or `LEFT`.
+            New state, such as `LEAVING` or `LEFT`.
 
         Returns
         -------
         Member
-            The new word, on its way to the others.
+            New record of this node, which is queued to be sent to other nodes.
         """
         return self._update_self(state=state)
 
     def announce_hand_over(self, successor: str, incarnation: int) -> Member:
-        """Say who has this node's tickets now.
+        """Announce which node has taken over the tickets of this node.
 
         Parameters
         ----------
         successor : str
-            The node that took them.
+            Node that took over the tickets.
         incarnation : int
-            The life of the tickets.
+            Incarnation that issued the tickets.
 
         Returns
         -------
         Member
-            The new word, on its way to the others.
+            New record of this node, which is queued to be sent to other nodes.
         """
         holder = self._members.get(successor)
         return self._update_self(
@@ -210,16 +212,16 @@
         )
 
     def suspect(self, node: str, incarnation: int) -> bool:
-        """Note that a node did not reply to probes.
+        """Mark a node as suspected, since it did not reply to probes.
 
-        A leaving node that does not reply is not suspected but dead in time.
+        A leaving node is not marked, but declared dead after the suspicion timeout.
 
         Parameters
         ----------
         node : str
-            The node.
+            Name of the node.
         incarnation : int
-            The life that did not reply; a newer one is not suspected.
+            Incarnation that did not reply. Any other incarnation is not suspected.
 
         Returns
         -------
@@ -239,18 +241,18 @@
         return False
 
     def clear_suspicion(self, node: str) -> None:
-        """Note that a leaving node that did not reply does so again."""
+        """Cancel the timeout of a leaving node that replies again."""
         known = self._members.get(node)
         if known is not None and known.state is MemberState.LEAVING:
             self._deadlines.pop(node, None)
 
     def expire(self) -> tuple[str, ...]:
-        """Let deadlines pass: suspects die, those dead for long are dropped.
+        """Apply expired timeouts: declare suspects dead, and drop old dead members.
 
         Returns
         -------
         tuple of str
-            Nodes that died now.
+            Nodes that are declared dead by this call.
         """
         now = self._clock.now()
         for node in [
@@ -269,19 +271,26 @@
         return tuple(died)
 
     def next_deadline(self) -> Milliseconds:
-        """Return when `expire` has something to do next; infinity if never."""
+        """Return the time in milliseconds of the next timeout; infinity if none."""
         times = chain(self._deadlines.values(), self._usable.grace_deadlines.values())
         return min(times, default=math.inf)
 
     def postpone(self, duration: Milliseconds) -> None:
-        """Give every suspect more time, after a pause of this process."""
+        """Extend all timeouts by a pause of this process, in milliseconds."""
         for times in (self._deadlines, self._usable.grace_deadlines):
             for node in times:
                 times[node] += duration
         self.contacts.postpone(duration)
 
     def set_reachable(self, data_centre: str, reachable: bool) -> bool:
-        """Note whether any node of a data centre replies.
+        """Set whether a data centre is reachable.
+
+        Parameters
+        ----------
+        data_centre : str
+            Name of the data centre.
+        reachable : bool
+            Whether any of its nodes replies.
 
         Returns
         -------
@@ -292,16 +301,16 @@
         return self._usable.set_reachable(data_centre, reachable, members)
 
     def successor_of(self, node: str, incarnation: int) -> str:
-        """Return the node that holds the tickets of a node's life; empty if none.
+        """Return the node that holds the tickets of an incarnation; empty if none.
 
-        A successor that stopped has handed over what it had taken over, too.
+        A successor that stopped has in turn handed over the tickets that it took over.
 
         Parameters
         ----------
         node : str
-            The node that issued the tickets.
+            Node that issued the tickets.
         incarnation : int
-            The life of the tickets.
+            Incarnation of the node when it issued them.
         """
         return self._hand_overs.holder(node, incarnation, self._members)
 
@@ -311,22 +320,22 @@
         return self._buckets.root
 
     def digest(self) -> tuple[int, ...]:
-        """Return the hash of each bucket of live members."""
+        """Return the hash of the live members in each bucket."""
         return self._buckets.hashes()
 
     def differing(self, digest: tuple[int, ...]) -> tuple[int, ...]:
-        """Return the buckets in which another view's digest differs."""
+        """Return the numbers of the buckets whose hash differs from a digest."""
         return self._buckets.differing(digest)
 
     def bucket(self, number: int) -> tuple[Member, ...]:
-        """Return the members of a bucket, dead and left ones included."""
+        """Return the members of a bucket, including dead and left ones."""
         nodes = self._buckets.nodes(number)
         return tuple(self._members[node] for node in nodes)
 
     def _apply_update_about_self(self, update: Member) -> bool:
         me = self.self_member
         if update.handed_incarnation > me.handed_incarnation:
-            # An earlier life of this node: the new one tells who has its tickets.
+            # A record of an earlier incarnation: keep announcing who has its tickets.
             me = self._update_self(
                 successor=update.successor,
                 successor_incarnation=update.successor_incarnation,
--- a/packages/fuchsiagap/src/fuchsiagap/core/membership/usable.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/membership/usable.py
@@ -1,4 +1,4 @@
-"""The instances that may get calls, kept up with each change of a member."""
+"""Instances that may receive calls, updated with each change of a member."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 
 class UsableInstances:
-    """The instances of a view that may get calls.
+    """Instances of a view that may receive calls.
 
     Attributes
     ----------
-    grace_deadlines : dict
-        By node: until when one that was called dead without having been suspected
-        here is still used, in milliseconds. The word may be of a node that was
-        paused or cut off, so the member gets the time to refute it.
+    grace_deadlines : dict of str to float
+        Time in milliseconds, by node, until which a member is still used after another
+        node declared it dead without a suspicion known here. That node may have been
+        paused or partitioned, so the member gets time to refute it.
     unreachable : frozenset of str
-        Data centres of which no node replies; their instances are left out.
+        Data centres of which no node replies; their instances are excluded.
     """
 
     def __init__(self) -> None:
@@ -34,24 +34,27 @@
         self._listeners: list[Callable[[], None]] = []
 
     def all(self) -> tuple[Instance, ...]:
-        """Return the instances."""
+        """Return all instances that may receive calls."""
         return tuple(chain.from_iterable(self._by_node.values()))
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Call a listener whenever `all` returns something else."""
+        """Register a listener that is called whenever the result of `all` changes."""
         self._listeners.append(listener)
 
     def replace(
         self, known: Member | None, member: Member, grace_ends: Milliseconds
     ) -> None:
-        """Take over the change of a member.
+        """Apply a change of a member.
 
         Parameters
         ----------
-        known, member : Member
-            The old and the new word.
+        known : Member or None
+            Previous record, if any.
+        member : Member
+            New record.
         grace_ends : float
-            Until when it is used if it was called dead without warning.
+            Time in milliseconds until which the member is still used if the change is
+            from alive to dead without a suspicion.
         """
         was_alive = known is not None and known.state is MemberState.ALIVE
         if was_alive and member.state is MemberState.DEAD:
@@ -61,14 +64,14 @@
         self._refresh(member)
 
     def end_grace(self, member: Member) -> None:
-        """Use a dead member no more."""
+        """Remove the instances of a dead member at the end of its grace period."""
         if self.grace_deadlines.pop(member.node, None) is not None:
             self._refresh(member)
 
     def set_reachable(
         self, data_centre: str, reachable: bool, members: Iterable[Member]
     ) -> bool:
-        """Note whether a data centre can be reached; return whether that is new."""
+        """Set whether a data centre is reachable; return whether that is a change."""
         if reachable == (data_centre not in self.unreachable):
             return False
         self.unreachable ^= {data_centre}
--- a/packages/fuchsiagap/src/fuchsiagap/core/routes/__init__.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/routes/__init__.py
@@ -1,1 +1,1 @@
-"""Routes of a whole deployment: which service answers a request, and under what."""
+"""Routes of a deployment: the service and the rules for each request."""
--- a/packages/fuchsiagap/src/fuchsiagap/core/routes/model.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/routes/model.py
@@ -1,4 +1,4 @@
-"""What an accepted configuration of a deployment says."""
+"""Data classes of the configuration of a deployment."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceShare:
-    """A service's part of the requests of a route.
+    """Weighted share of the requests of a route that one service receives.
 
     Parameters
     ----------
     service : str
-        Service that answers.
+        Name of the service.
     weight : float
-        Part, relative to the other shares of the route.
+        Weight, relative to the other shares of the route.
     """
 
     service: str
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Requests of one kind.
+    """Rules for the requests to one host with one path prefix.
 
     Parameters
     ----------
@@ -39,24 +39,25 @@
     host : str
         Value of the ``Host`` header, in lower case.
     prefix : str
-        Beginning of the path; starts and ends with a slash.
+        Path prefix; starts and ends with a slash.
     shares : tuple of ServiceShare
-        Services that answer, with their parts.
+        Services that receive the requests, with their weights.
     idempotent : bool
         Whether a request may run more than once.
     timeout : float
-        Milliseconds after which a caller gets a final answer at the latest.
+        Milliseconds within which a caller gets the final answer.
     objective : float
-        Milliseconds within which an answer is worth most.
+        Latency objective in milliseconds; a later answer is worth less.
     priority : int
-        Rank; 0 is refused last.
+        Priority; 0 is refused last.
     max_attempts : int
-        Backend servers that one request may be handed to.
+        Maximum number of attempts of one request, each at a backend server.
     public : bool, default=False
-        Whether its requests need no API key where workspaces are declared.
+        Whether requests need no API key even if workspaces are configured.
     workspace_priority : int or None, default=None
-        Priority of the workspaces for whose requests it is ranked; see
-        `fuchsiagap.core.routes.workspace_priority`.
+        Priority of the workspaces for which `priority` was computed; see
+        `fuchsiagap.core.routes.workspace_priority`. None if `priority` is that of the
+        route alone.
     """
 
     name: str
@@ -73,7 +74,7 @@
 
     @property
     def kind(self) -> str:
-        """Name of those of its requests that share a rank."""
+        """Name of the class of requests that have the priority of this route."""
         if self.workspace_priority is None:
             return self.name
         return f"{self.name} at {self.workspace_priority}"
@@ -81,16 +82,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A service as the operators declare it.
+    """Configuration of a service.
 
     Parameters
     ----------
     name : str
-        Name.
+        Name of the service.
     health_path : str
         Path of the health check of its backend servers.
     max_connections : int
-        Connections that one backend server accepts from all callers together.
+        Maximum number of connections to one backend server, over all callers.
     """
 
     name: str
@@ -100,14 +101,16 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller's connection may send.
+    """Limits of the connection of a caller.
 
     Parameters
     ----------
     header_bytes, body_bytes : int
-        Largest head and body of a request, in bytes.
-    header_timeout, idle_timeout : float
-        Milliseconds a head may take, and a connection may be idle.
+        Maximum sizes in bytes of the head and the body of a request.
+    header_timeout : float
+        Timeout in milliseconds for receiving the head of a request.
+    idle_timeout : float
+        Timeout in milliseconds of an idle connection.
     """
 
     header_bytes: int = 16_384
@@ -118,20 +121,20 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteConfig:
-    """One accepted version of a deployment's configuration.
+    """One validated version of the configuration of a deployment.
 
     Parameters
     ----------
     version : int
-        Version that the operators gave it.
+        Version assigned by the operators.
     routes : tuple of Route
-        Routes.
+        Routes of the deployment.
     services : mapping of str to Service
         Services by name.
     limits : CallerLimits
-        Limits of callers.
+        Limits of the connections of callers.
     workspaces : tuple of Workspace or None
-        Workspaces; None where callers need no API keys at all.
+        Workspaces of the callers; None if callers need no API keys.
     """
 
     version: int
--- a/packages/fuchsiagap/src/fuchsiagap/core/routes/table.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/routes/table.py
@@ -1,4 +1,4 @@
-"""Look-up of a request's route, and the choice among the services of a route."""
+"""Route lookup, and choice among the services of a route."""
 
 from __future__ import annotations
 
@@ -12,20 +12,22 @@
 
 
 class RouteTable:
-    """Routes of one version, ready for look-ups.
+    """Lookup table for the routes of one configuration.
 
-    A look-up walks the slashes of the path from the right, so its cost follows the
-    depth of the path and not the number of routes.
+    A lookup shortens the path slash by slash from the right, so its cost depends on the
+    depth of the path and not on the number of routes.
 
     Parameters
     ----------
     cfg : RouteConfig
-        Version in force.
+        Active configuration.
 
     Attributes
     ----------
+    cfg : RouteConfig
+        The configuration given.
     keys : KeyTable or None
-        API keys of callers; None where they need none.
+        API keys of callers; None if callers need none.
 
     Raises
     ------
@@ -40,14 +42,14 @@
         self.keys = None if cfg.workspaces is None else KeyTable(cfg.workspaces)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins the path.
+        """Return the route with the longest prefix that matches the path.
 
         Parameters
         ----------
         host : str
-            Value of the ``Host`` header, a port included or not.
+            Value of the ``Host`` header, with or without a port.
         path : str
-            Path of the request, without its query.
+            Path of the request, without the query.
 
         Returns
         -------
@@ -61,13 +63,21 @@
         return found
 
     def apply_workspace_priority(self, route: Route, priority: int | None) -> Route:
-        """Return a route as it is for requests of a workspace of a priority."""
+        """Return a route with the priority for requests of a workspace.
+
+        Parameters
+        ----------
+        route : Route
+            Route as configured.
+        priority : int or None
+            Priority of the workspace, if it has one.
+        """
         if self.keys is None:
             return route
-        asked = route.name, priority
-        found = self._prioritized.get(asked)
+        key = route.name, priority
+        found = self._prioritized.get(key)
         if found is None:
-            found = self._prioritized[asked] = apply_workspace_priority(route, priority)
+            found = self._prioritized[key] = apply_workspace_priority(route, priority)
         return found
 
     def _find(self, host: str, path: str) -> Route | None:
@@ -80,17 +90,17 @@
 
 
 class WeightedRoundRobin:
-    """Smooth weighted rotation among the services of each route.
+    """Smooth weighted round-robin among the services of each route.
 
-    Any stretch of requests is within one request of the declared parts, which random
-    choices miss by several in a hundred at a few hundred requests.
+    Any run of requests deviates from the configured weights by at most one request.
+    Random choices would deviate by several percent over a few hundred requests.
     """
 
     def __init__(self) -> None:
         self._credit: dict[str, dict[str, float]] = {}
 
     def pick(self, route: Route) -> str:
-        """Return the service that takes the next request of a route."""
+        """Return the service that receives the next request of a route."""
         if len(route.shares) == 1:
             return route.shares[0].service
         credit = self._credit.setdefault(route.name, {})
@@ -99,20 +109,22 @@
         best_credit = float("-inf")
         for share in route.shares:
             total += share.weight
-            mine = credit[share.service] = credit.get(share.service, 0.0) + share.weight
-            if mine > best_credit and share.weight > 0.0:
-                best, best_credit = share.service, mine
+            current = credit[share.service] = (
+                credit.get(share.service, 0.0) + share.weight
+            )
+            if current > best_credit and share.weight > 0.0:
+                best, best_credit = share.service, current
         credit[best] -= total
         return best
 
     def adopt(self, cfg: RouteConfig) -> None:
-        """Forget routes that a new version has changed or dropped."""
-        split = {route.name for route in cfg.routes if len(route.shares) > 1}
-        self._credit = {n: c for n, c in self._credit.items() if n in split}
+        """Drop the state of routes and services that a new configuration removes."""
+        weighted = {route.name for route in cfg.routes if len(route.shares) > 1}
+        self._credit = {n: c for n, c in self._credit.items() if n in weighted}
         for route in cfg.routes:
             if route.name in self._credit:
                 services = {share.service for share in route.shares}
-                kept = self._credit[route.name]
+                credit = self._credit[route.name]
                 self._credit[route.name] = {
-                    name: value for name, value in kept.items() if name in services
+                    name: value for name, value in credit.items() if name in services
                 }
--- a/packages/fuchsiagap/src/fuchsiagap/core/routes/workspace_priority.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/routes/workspace_priority.py
@@ -1,4 +1,4 @@
-"""Ranks of requests where workspaces have priorities beside those of routes."""
+"""Priority of requests from the priorities of the workspace and of the route."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 if TYPE_CHECKING:
     from fuchsiagap.core.routes.model import Route
 
-# Priorities of routes that are told apart below one priority of a workspace.
+# Number of route priorities that are distinct within one workspace priority.
 _N_ROUTE_PRIORITIES = 16
 
 
 def apply_workspace_priority(route: Route, workspace_priority: int | None) -> Route:
-    """Return a route as it is for the requests of a workspace.
+    """Return a copy of a route with the priority for requests of a workspace.
 
-    Requests are ranked by the priority of their workspace, and those of equal ones by
-    that of their route. Where a workspace has none, and for requests without one, the
-    priority of the route stands for it.
+    Requests are ordered by the priority of their workspace first, and by that of their
+    route second. If the workspace has no priority, or the request no workspace, the
+    priority of the route is used in its place.
 
     Parameters
     ----------
     route : Route
-        The route, as it is declared.
+        Route as configured.
     workspace_priority : int or None
         Priority of the workspace.
     """
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/__init__.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/__init__.py
@@ -1,1 +1,1 @@
-"""The aggregate of settings: one INI text per team, adopted by version only."""
+"""Settings of teams: one versioned INI text per team."""
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/book.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/book.py
@@ -1,4 +1,4 @@
-"""All teams' settings on one process, adopted by version only."""
+"""Settings of all teams in a process; only a higher version replaces a lower one."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Adopted:
-    """The text is in force from now on.
+    """The offered text was adopted.
 
     Parameters
     ----------
     team : str
         Name of the team.
     version : int
-        The version now in force.
+        Adopted version.
     """
 
     team: str
@@ -43,16 +43,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Stale:
-    """The text is no newer than the one in force, and was left.
+    """The offered text was ignored, since it is not newer than the active one.
 
     Parameters
     ----------
     team : str
         Name of the team.
     version : int
-        The version offered.
+        Offered version.
     in_force : int
-        The version in force.
+        Active version.
     """
 
     team: str
@@ -62,16 +62,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Invalid:
-    """The text is newer but not valid; the one in force stays.
+    """The offered text is newer but not valid; the active one is kept.
 
     Parameters
     ----------
     team : str
         Name of the team.
     version : int
-        The version offered.
+        Offered version.
     faults : SettingsFaults
-        What is wrong with it.
+        Errors found in the text.
     """
 
     team: str
@@ -81,10 +81,10 @@
 
 @dataclass(slots=True)
 class _TeamEntry:
-    """The text in force of one team, with its settings unless it is deleted.
+    """Active text of one team, with its settings unless they are deleted.
 
-    `defaults` are routes already made for services that no section names, by name
-    and whether the method is safe.
+    `defaults` caches the settings of services that no section names, by the name of
+    the service and whether the method is safe.
     """
 
     text: TeamText
@@ -95,15 +95,15 @@
 
 @dataclass(slots=True)
 class BookCounts:
-    """What the book has counted.
+    """Counts of the texts offered to a `SettingsBook`.
 
     Parameters
     ----------
     adopted, stale, invalid : int
-        Offers by what became of them.
+        Number of texts by result of the offer.
     split : int
-        Offers of the version in force with another text. The platform gives a
-        version once, so any at all is a violation.
+        Number of texts that differ from the active one but have its version. The
+        platform assigns each version once, so any count above 0 is a violation.
     """
 
     adopted: int = 0
@@ -113,17 +113,17 @@
 
 
 class SettingsBook:
-    """The settings of all teams on this process.
+    """Active settings of all teams in this process.
 
-    A team's version only grows, whatever order texts arrive in and whoever offers
-    them; a deletion is a version too. An invalid text is never in force.
+    The version of a team never decreases, whatever the order and the source of the
+    texts. A deletion is a version too. An invalid text is never adopted.
 
     Attributes
     ----------
     counts : BookCounts
-        What has been counted.
+        Counts of the offered texts.
     sync_status : SyncStatus
-        How current the book is.
+        State of the synchronization with the platform.
     """
 
     def __init__(self) -> None:
@@ -134,22 +134,22 @@
         self.sync_status = SyncStatus()
 
     def adopt(self, text: TeamText) -> Adopted | Stale | Invalid:
-        """Take a text over if its version is higher than the one in force.
+        """Adopt a text if it is valid and its version is higher than the active one.
 
         Parameters
         ----------
         text : TeamText
-            The text, from the platform or from a peer.
+            Text received from the platform or from another node.
 
         Returns
         -------
         Adopted, Stale or Invalid
-            What became of it.
+            Result of the offer.
         """
-        held = self._entries.get(text.team)
-        in_force = held.text.version if held else 0
+        entry = self._entries.get(text.team)
+        in_force = entry.text.version if entry else 0
         if text.version <= in_force:
-            return self._stale(text, held, in_force)
+            return self._stale(text, entry, in_force)
         if text.deleted:
             new = _TeamEntry(text, None, {})
         else:
@@ -169,64 +169,64 @@
     def route_for(
         self, service: ServiceName, method: str, target: str
     ) -> RouteSettings | None:
-        """Return the rules of a call.
+        """Return the settings that apply to a call.
 
         Parameters
         ----------
         service : ServiceName
-            The called service.
+            Called service.
         method : str
             HTTP method in upper case.
         target : str
-            Path with query, as the backend server will see it.
+            Path with query, as the backend server receives it.
 
         Returns
         -------
         RouteSettings or None
-            The most specific section's; else the service's default; else the
-            team's. None if no settings of the team are in force.
+            Settings of the most specific matching section, else the defaults of the
+            service, else those of the team. None if the team has no settings.
         """
-        held = self._entries.get(service.team)
-        if held is None:
+        entry = self._entries.get(service.team)
+        if entry is None:
             return None
-        matcher = held.services.get(service.name)
+        matcher = entry.services.get(service.name)
         if matcher is not None:
             return find_route(matcher, method, target)
-        if held.settings is None:
+        if entry.settings is None:
             return None
-        return _default_route(held, held.settings, service, method in SAFE_METHODS)
+        return _default_route(entry, entry.settings, service, method in SAFE_METHODS)
 
     def team(self, name: str) -> TeamSettings | None:
-        """Return a team's settings in force; None if there are none."""
-        held = self._entries.get(name)
-        return held.settings if held else None
+        """Return the active settings of a team; None if there are none."""
+        entry = self._entries.get(name)
+        return entry.settings if entry else None
 
     def text(self, name: str) -> TeamText | None:
-        """Return the text in force of a team, a tombstone included."""
-        held = self._entries.get(name)
-        return held.text if held else None
+        """Return the active text of a team, which may be a tombstone."""
+        entry = self._entries.get(name)
+        return entry.text if entry else None
 
     def teams(self) -> tuple[str, ...]:
-        """Return the names of the teams whose settings are in force."""
+        """Return the sorted names of the teams that have settings."""
         return tuple(
-            sorted(name for name, held in self._entries.items() if held.settings)
+            sorted(name for name, entry in self._entries.items() if entry.settings)
         )
 
     def rejected(self) -> tuple[Invalid, ...]:
-        """Return the newest text of each team that was found invalid."""
+        """Return the newest invalid text of each team, if newer than the active one."""
         return tuple(self._rejected[name] for name in sorted(self._rejected))
 
     def vector(self) -> VersionVector:
-        """Return the version in force of each team, tombstones included."""
+        """Return the active version of each team, including tombstones."""
         return tuple(
-            sorted((name, held.text.version) for name, held in self._entries.items())
+            sorted((name, entry.text.version) for name, entry in self._entries.items())
         )
 
     def seen(self) -> VersionVector:
-        """Return the newest version looked at of each team, invalid ones included.
+        """Return the newest version received of each team, including invalid ones.
 
-        What a process asks others for is what is newer than this, so that a text
-        it has rejected is not sent to it again and again.
+        A process requests only newer versions than these from other nodes, so a text
+        that it rejected is not sent to it repeatedly.
         """
         versions = dict(self.vector())
         for name, rejected in self._rejected.items():
@@ -235,19 +235,19 @@
 
     @property
     def fingerprint(self) -> int:
-        """Hash of `vector`: equal for equal vectors, in any process."""
+        """Hash of `vector`; equal vectors have the same hash in every process."""
         return self._fingerprint
 
-    def _stale(self, text: TeamText, held: _TeamEntry | None, in_force: int) -> Stale:
+    def _stale(self, text: TeamText, entry: _TeamEntry | None, in_force: int) -> Stale:
         self.counts.stale += 1
-        if held is not None and text.version == in_force and text != held.text:
+        if entry is not None and text.version == in_force and text != entry.text:
             self.counts.split += 1
         return Stale(text.team, text.version, in_force)
 
     def _reject(self, text: TeamText, faults: SettingsFaults) -> Invalid:
         invalid = Invalid(text.team, text.version, faults)
-        held = self._rejected.get(text.team)
-        if held is None or held.version < text.version:
+        previous = self._rejected.get(text.team)
+        if previous is None or previous.version < text.version:
             self._rejected[text.team] = invalid
             self.counts.invalid += 1
         return invalid
@@ -261,15 +261,15 @@
 
 
 def _default_route(
-    held: _TeamEntry, settings: TeamSettings, service: ServiceName, is_safe: bool
+    entry: _TeamEntry, settings: TeamSettings, service: ServiceName, is_safe: bool
 ) -> RouteSettings:
-    """Return the team's default for a service that no section names."""
+    """Return the defaults of the team for a service that no section names."""
     key = service.name, is_safe
-    route = held.defaults.get(key)
+    route = entry.defaults.get(key)
     if route is None:
         default = settings.default.safe if is_safe else settings.default.unsafe
         route = replace(default, route=service.name, service=service)
-        # Callers may make up names.
-        if len(held.defaults) < MAX_CACHED_DEFAULTS:
-            held.defaults[key] = route
+        # Callers choose service names freely, so the cache is bounded.
+        if len(entry.defaults) < MAX_CACHED_DEFAULTS:
+            entry.defaults[key] = route
     return route
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/difference.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/difference.py
@@ -1,4 +1,4 @@
-"""The difference between two texts, for people."""
+"""Unified diff of two settings texts."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 
 def difference(old: str, new: str, old_name: str, new_name: str) -> str:
-    """Return a unified difference; empty if the texts are equal.
+    """Return the unified diff of two texts; empty if they are equal.
 
     Parameters
     ----------
     old, new : str
-        The texts.
+        Texts to compare.
     old_name, new_name : str
-        How to call them in the head of the difference.
+        Names of the texts in the header of the diff.
 
     Returns
     -------
     str
-        At most `MAX_OUTPUT_LINES` lines; only a remark if a text has more than
-        `MAX_INPUT_LINES` lines, since comparing takes long then.
+        Diff, truncated after `MAX_OUTPUT_LINES` lines. If a text has more than
+        `MAX_INPUT_LINES` lines, only a remark, since comparing would take too long.
     """
     if max(old.count("\n"), new.count("\n")) > MAX_INPUT_LINES:
         return f"not compared: a text has more than {MAX_INPUT_LINES} lines"
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/faults.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/faults.py
@@ -1,4 +1,4 @@
-"""What is wrong with a settings text: every fault at once, with its place."""
+"""Errors in a settings text, each with its location."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault of a settings text.
+    """One error in a settings text.
 
     Parameters
     ----------
     path : str
-        The file, or the path on the platform.
+        File name, or path on the platform.
     section, key : str
-        Where in the text; empty where the fault has no section or key.
+        Section and key of the error; empty if it has none.
     value : str
-        What stands there.
+        Invalid value.
     expected : str
-        What would have been valid.
+        Description of valid values.
     line : int
-        Line number from 1; 0 if unknown, as for a key that is missing.
+        Line number from 1; 0 if unknown, as for a missing key.
 
     Examples
     --------
@@ -49,14 +49,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsFaults:
-    """A settings text that is not valid; nothing of it is used.
+    """All errors in an invalid settings text, which is rejected as a whole.
 
     Parameters
     ----------
     path : str
-        The file, or the path on the platform.
+        File name, or path on the platform.
     faults : tuple of Fault
-        Every fault found, in the order of the text; never empty.
+        Errors in the order of the text; never empty.
     """
 
     path: str
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/ini.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/ini.py
@@ -1,7 +1,7 @@
-"""Read an INI text into sections with line numbers, keeping every fault.
+"""INI parser that reports line numbers and all errors of a text.
 
-The text is parsed by `configparser`. A scan of its lines goes first, since the
-parser stops at the first duplicate and gives no line numbers.
+`configparser` parses the text, but does not report line numbers and merges duplicates.
+So a scan of the lines runs first, which finds line numbers and errors.
 """
 
 from __future__ import annotations
@@ -19,16 +19,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One ``key = value`` of a section.
+    """One ``key = value`` entry of a section.
 
     Parameters
     ----------
     key, value : str
-        As written, the key in lower case.
+        Key in lower case, and value as written.
     line : int
-        Line number from 1; 0 if it did not come from a text.
+        Line number from 1; 0 if the entry is not from the text.
     origin : str
-        Where it comes from, if not from the text: a flag, for example.
+        Source of an entry that is not from the text, for example a command-line
+        flag; else empty.
     """
 
     key: str
@@ -39,16 +40,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Section:
-    """One section.
+    """One section of an INI text.
 
     Parameters
     ----------
     name : str
-        The name between the brackets.
+        Name between the brackets.
     line : int
-        Line number from 1.
+        Line number from 1; 0 for a section that is not in the text.
     entries : tuple of Entry
-        Its entries, in order.
+        Entries in the order of the text.
     """
 
     name: str
@@ -58,14 +59,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ParsedIni:
-    """What an INI text holds, and what is wrong with its form.
+    """Sections and syntax errors of an INI text.
 
     Parameters
     ----------
     sections : tuple of Section
-        In order of the text.
+        Sections in the order of the text.
     faults : tuple of Fault
-        Duplicates, lines before the first section, lines that are no entry.
+        Syntax errors: duplicates, lines before the first section, and lines that
+        are neither a section nor an entry.
     """
 
     sections: tuple[Section, ...]
@@ -73,19 +75,19 @@
 
 
 def read_ini(path: str, text: str) -> ParsedIni:
-    """Read an INI text.
+    """Parse an INI text.
 
     Parameters
     ----------
     path : str
-        Where the text comes from, for the faults.
+        File name, or path on the platform, for the error messages.
     text : str
-        The text.
+        INI text.
 
     Returns
     -------
     ParsedIni
-        Sections and faults; what is faulty is left out of the sections.
+        Sections without the invalid lines, and the errors.
     """
     lines = text.splitlines()
     line_numbers, faults = _scan(path, lines)
@@ -94,7 +96,7 @@
     )
     try:
         parser.read_string("\n".join(lines))
-    except configparser.Error as exc:  # the scan left out what it knows of
+    except configparser.Error as exc:  # an error that the scan does not detect
         faults.append(Fault(path, "", "", str(exc), "an INI text"))
         return ParsedIni((), tuple(faults))
     sections = []
@@ -110,35 +112,35 @@
 def _scan(
     path: str, lines: list[str]
 ) -> tuple[dict[tuple[str, str], int], list[Fault]]:
-    """Find the line of each section and key; blank out lines that are neither."""
+    """Return the line of each section and key, and errors; blank invalid lines."""
     line_numbers: dict[tuple[str, str], int] = {}
     faults: list[Fault] = []
     section: str | None = None
     in_value = False
     for index, line in enumerate(lines):
         number = index + 1
-        bare = line.strip()
-        if not bare or bare.startswith(_COMMENTS):
+        stripped = line.strip()
+        if not stripped or stripped.startswith(_COMMENTS):
             continue
         if in_value and line[0].isspace():
-            continue  # continues the value above
+            continue  # continuation of the value above
         if line[0].isspace():
             expected = "no space before a section or its first key"
-            faults.append(Fault(path, section or "", "", bare, expected, number))
+            faults.append(Fault(path, section or "", "", stripped, expected, number))
             lines[index] = ""
             continue
-        found = _SECTION.match(bare)
+        found = _SECTION.match(stripped)
         if found is not None:
             section = found["header"]
             place, key = (section, ""), ""
         elif section is None:
             expected = "a [section] before the first entry"
-            faults.append(Fault(path, "", "", bare, expected, number))
+            faults.append(Fault(path, "", "", stripped, expected, number))
             lines[index] = ""
             continue
-        elif (entry := _ENTRY.match(bare)) is None:
+        elif (entry := _ENTRY.match(stripped)) is None:
             expected = "[section] or key = value"
-            faults.append(Fault(path, section, "", bare, expected, number))
+            faults.append(Fault(path, section, "", stripped, expected, number))
             lines[index] = ""
             continue
         else:
@@ -146,7 +148,7 @@
             place = (section, key)
         in_value = found is None
         if place in line_numbers:
-            expected = f"only one; the other stands in line {line_numbers[place]}"
-            faults.append(Fault(path, section, key, bare, expected, number))
+            expected = f"only one; the other is in line {line_numbers[place]}"
+            faults.append(Fault(path, section, key, stripped, expected, number))
         line_numbers.setdefault(place, number)
     return line_numbers, faults
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/matcher.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/matcher.py
@@ -1,4 +1,4 @@
-"""Find the route of a call: a trie of path segments for each method."""
+"""Route lookup with a trie of path segments for each method."""
 
 from __future__ import annotations
 
@@ -26,7 +26,19 @@
 
 @dataclass(slots=True)
 class _TrieNode:
-    """One place in the paths of a service."""
+    """Routes below one path prefix.
+
+    Parameters
+    ----------
+    exact : RouteSettings or None
+        Route whose pattern ends here.
+    suffix_wildcard : RouteSettings or None
+        Route whose pattern continues with ``**``.
+    children : dict of str to _TrieNode
+        Nodes of literal segments.
+    wildcard_child : _TrieNode or None
+        Node of the segment ``*``.
+    """
 
     exact: RouteSettings | None = None
     suffix_wildcard: RouteSettings | None = None
@@ -36,15 +48,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceMatcher:
-    """The routes of one service, ready to be found.
+    """Routes of one service, compiled for lookups.
 
     Parameters
     ----------
     settings : ServiceSettings
-        What holds where no route matches.
-    tries : dict
-        A trie for each method that a section names and each safe one; ``"*"``
-        holds for any other method.
+        Defaults for calls that no route matches.
+    tries : dict of str to _TrieNode
+        Trie of each method that a section names and of each safe method. The trie
+        ``"*"`` is for all other methods.
     """
 
     settings: ServiceSettings
@@ -52,7 +64,7 @@
 
 
 def compile_team(team: TeamSettings) -> dict[str, ServiceMatcher]:
-    """Return the matchers of a team's services, by their names."""
+    """Return the matchers of the services of a team, by service name."""
     routes: dict[ServiceName, list[RouteSettings]] = {}
     for route in team.routes:
         routes.setdefault(route.service, []).append(route)
@@ -76,16 +88,16 @@
 
 
 def find_route(matcher: ServiceMatcher, method: str, target: str) -> RouteSettings:
-    """Return the settings of the most specific route, or the service's default.
+    """Return the settings of the most specific route, or the defaults of the service.
 
     Parameters
     ----------
     matcher : ServiceMatcher
-        The service's routes.
+        Routes of the service.
     method : str
         HTTP method in upper case.
     target : str
-        Path with query, as the backend server will see it.
+        Path with query, as the backend server receives it.
     """
     path = target.partition("?")[0]
     segments = path.split("/")
@@ -119,18 +131,18 @@
     trie.exact = _more_specific(trie.exact, route)
 
 
-def _more_specific(held: RouteSettings | None, new: RouteSettings) -> RouteSettings:
-    """Of two routes of the same path, the one with the smaller set of methods."""
-    if held is None:
+def _more_specific(known: RouteSettings | None, new: RouteSettings) -> RouteSettings:
+    """Return the route with fewer methods out of two with the same path."""
+    if known is None:
         return new
-    return new if covers_methods(held.methods, new.methods) else held
+    return new if covers_methods(known.methods, new.methods) else known
 
 
 def _search(trie: _TrieNode, segments: list[str], index: int) -> RouteSettings | None:
-    """Walk down, trying a literal segment before ``*``, and ``*`` before ``**``.
+    """Search depth first: a literal segment before ``*``, and ``*`` before ``**``.
 
-    Validation left no two overlapping patterns of which neither is more specific,
-    so the first one found is the most specific one.
+    Validation rejects overlapping patterns of which neither is more specific, so the
+    first match is the most specific one.
     """
     if index == len(segments):
         return trie.exact or trie.suffix_wildcard
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/model.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/model.py
@@ -1,4 +1,4 @@
-"""The settings of one team, as data."""
+"""Data classes of the settings of a team."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenDigest:
-    """A bearer token that may change a team's settings, by its digest.
+    """Digest of a bearer token that may change the settings of a team.
 
     Parameters
     ----------
     name : str
-        Whose token it is, for the audit trail.
+        Name of the token's holder, for the audit trail.
     digest : str
         SHA-256 of the token in hexadecimal.
     """
@@ -30,30 +30,30 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteSettings:
-    """The rules of the calls that one section matches.
+    """Settings for the calls that match one section of the text.
 
     Parameters
     ----------
     route : str
-        The section, for example ``"certs/issue"``; ``"certs"`` for what no
-        section of the service matches.
+        Name of the section, for example ``"certs/issue"``; ``"certs"`` for the
+        calls of that service that no route section matches.
     service : ServiceName
-        The service.
+        Called service.
     methods : tuple of str
         HTTP methods in upper case; ``("*",)`` for any.
     pattern : str
-        Path pattern.
+        Path pattern; see `fuchsiagap.core.settings.pattern`.
     priority : int
-        0 is the most important, 9 the least.
+        Priority; 0 is the most important, 9 the least.
     idempotent : bool
         Whether a call may run more than once.
     timeout : float
-        Milliseconds a caller waits if it gives no deadline, and the most that it
-        may ask for.
+        Timeout in milliseconds of a call without a deadline, and the longest
+        timeout that a caller may set.
     allowance : int
-        Extra attempts of a root request over its whole chain.
+        Maximum number of extra attempts over the whole call chain of a root request.
     retry_budget : float
-        Retries as a share of the service's recent calls.
+        Maximum ratio of retries to the recent calls of the service.
     """
 
     route: str
@@ -69,15 +69,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceSettings:
-    """The rules of one service as a whole.
+    """Default settings of a service, for calls that no route section matches.
 
     Parameters
     ----------
     service : ServiceName
         The service.
-    safe, unsafe : RouteSettings
-        What holds where no route section matches: `safe` for GET, HEAD and
-        OPTIONS, `unsafe` for any other method.
+    safe : RouteSettings
+        Settings of calls with the method GET, HEAD or OPTIONS.
+    unsafe : RouteSettings
+        Settings of calls with any other method.
     """
 
     service: ServiceName
@@ -94,24 +95,25 @@
     team : str
         Name of the team.
     version : int
-        Version the platform gave; 0 for a text that has none yet.
+        Version assigned by the platform; 0 for a text that is not stored yet.
     text : str
-        The text they were read from, without change records.
+        Text that the settings were parsed from, without change records.
     routes : tuple of RouteSettings
-        One for each route section, in the order of the text. Where the section
-        leaves `idempotent` to the method, the flag holds for the section's
-        methods as a whole, and `SettingsBook.route_for` tells them apart.
+        Settings of each route section, in the order of the text. Where a section
+        is in `idempotent_by_method`, its `idempotent` is True only if all of its
+        methods are safe, and `SettingsBook.route_for` decides for each call.
     services : tuple of ServiceSettings
-        One for each service that a section names.
+        Settings of each service that a section names.
     default : ServiceSettings
-        What holds for a service of the team that no section names; its service
-        has the name ``*``.
+        Settings of the services of the team that no section names; the name of
+        its service is ``*``.
     weight : float
-        0 weighs goodput only, 1 recovery time only.
+        Objective of overload control, from 0 (goodput only) to 1 (recovery time
+        only).
     token_digests : tuple of TokenDigest
-        Who may change the settings.
+        Tokens that may change the settings.
     idempotent_by_method : frozenset of str
-        Routes that leave `idempotent` to the method.
+        Names of the routes whose calls are idempotent if their method is safe.
     """
 
     team: str
@@ -127,18 +129,18 @@
 
 @dataclass(frozen=True, slots=True)
 class TeamText:
-    """One version of a team's text, as the platform holds it.
+    """One version of the settings text of a team, as stored on the platform.
 
     Parameters
     ----------
     team : str
         Name of the team.
     version : int
-        Version the platform gave.
+        Version assigned by the platform.
     text : str
-        The stored text, change records included.
+        Stored text, including the change records.
     deleted : bool
-        Whether the team's settings are deleted as of this version.
+        Whether this version deletes the settings of the team.
     """
 
     team: str
@@ -148,12 +150,12 @@
 
 
 def settings_path(team: str) -> str:
-    """Return the path of a team's settings on the platform."""
+    """Return the path of the settings of a team on the platform."""
     return SETTINGS_PREFIX + team
 
 
 def team_from_path(path: str) -> str:
-    """Return the team whose settings stand at a path; empty if it is no such path."""
+    """Return the team whose settings have a path; empty if it is no such path."""
     if not path.startswith(SETTINGS_PREFIX):
         return ""
     team = path.removeprefix(SETTINGS_PREFIX)
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/parse.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/parse.py
@@ -1,4 +1,4 @@
-"""Read and validate a team's settings text, whole or not at all."""
+"""Parser and validation of the settings text of a team."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-# Texts are read on the loop that serves calls, so their size is bounded: the largest
-# takes about as long as a few calls (docs/design/settings.md).
+# Texts are parsed in the event loop that serves calls. These bounds keep the parse time
+# of the largest text near that of a few calls (docs/design/settings.md).
 MAX_TEXT_BYTES = 128 * 1024
 MAX_LINES = 5000
 MAX_SECTIONS = 500
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _ParsedRoute:
-    """A route section on its way to `RouteSettings`."""
+    """A valid route section with its settings, before the check for ambiguities."""
 
     section: Section
     match: Match
@@ -48,21 +48,21 @@
 
 
 def parse_team(team: str, text: str, version: int = 0) -> TeamSettings | SettingsFaults:
-    r"""Read a team's settings text.
+    r"""Parse the settings text of a team.
 
     Parameters
     ----------
     team : str
         Name of the team.
     text : str
-        The INI text.
-    version : int
-        The version the platform gave it.
+        INI text.
+    version : int, default=0
+        Version assigned by the platform.
 
     Returns
     -------
     TeamSettings or SettingsFaults
-        The settings, or every fault at once.
+        Settings of the team, or all errors found in the text.
 
     Examples
     --------
@@ -91,7 +91,7 @@
     left_out = len(ordered) - MAX_FAULTS
     if left_out <= 0:
         return tuple(ordered)
-    rest = Fault(path, "", "", f"{left_out} faults more", "none; mend these first")
+    rest = Fault(path, "", "", f"{left_out} more errors", "none; fix these first")
     return (*ordered[:MAX_FAULTS], rest)
 
 
@@ -102,7 +102,7 @@
     try:
         n_bytes = len(text.encode())
     except UnicodeEncodeError:
-        return Fault(path, "", "", "bytes that are no UTF-8", "text in UTF-8")
+        return Fault(path, "", "", "bytes that are not valid UTF-8", "text in UTF-8")
     if n_bytes > MAX_TEXT_BYTES:
         expected = f"at most {MAX_TEXT_BYTES} bytes"
         return Fault(path, "", "", f"{n_bytes} bytes", expected)
@@ -123,18 +123,20 @@
     faults: list[Fault],
 ) -> TeamSettings:
     by_name = {section.name: section for section in sections}
-    top = by_name.get(
+    team_section = by_name.get(
         team_schema.TEAM_SECTION, Section(team_schema.TEAM_SECTION, 0, ())
     )
-    team_given = read_entries(path, team_schema.TEAM_SCHEMA, top, faults)
-    team_values = with_defaults(path, team_schema.TEAM_SCHEMA, top, team_given, faults)
+    team_given = read_entries(path, team_schema.TEAM_SCHEMA, team_section, faults)
+    team_values = with_defaults(
+        path, team_schema.TEAM_SCHEMA, team_section, team_given, faults
+    )
     services: dict[str, dict[str, Any]] = {}
     routes: list[_ParsedRoute] = []
     for section in sections:
         if section.name == team_schema.TEAM_SECTION:
             continue
-        name, slash, below = section.name.partition("/")
-        if not NAME.fullmatch(name) or (slash and not NAME.fullmatch(below)):
+        name, slash, route_name = section.name.partition("/")
+        if not NAME.fullmatch(name) or (slash and not NAME.fullmatch(route_name)):
             expected = "[team], [SERVICE] or [SERVICE/ROUTE], names in lower case"
             faults.append(Fault(path, section.name, "", "", expected, section.line))
         elif name == team_schema.TEAM_SECTION:
@@ -142,8 +144,10 @@
             faults.append(Fault(path, section.name, "", "", expected, section.line))
         else:
             if name not in services:
-                own = by_name.get(name, Section(name, section.line, ()))
-                services[name] = _service_values(path, own, team_values, faults)
+                service_section = by_name.get(name, Section(name, section.line, ()))
+                services[name] = _service_values(
+                    path, service_section, team_values, faults
+                )
             if slash:
                 route = _route(path, team, section, services[name], faults)
                 if route is not None:
@@ -167,15 +171,15 @@
     )
 
 
-def _inherit(of: SectionSchema, values: dict[str, Any]) -> dict[str, Any]:
-    return {key.field: values[key.field] for key in of.keys if key.inherited}
+def _inherit(schema: SectionSchema, values: dict[str, Any]) -> dict[str, Any]:
+    return {key.field: values[key.field] for key in schema.keys if key.inherited}
 
 
 def _service_values(
-    path: str, section: Section, above: dict[str, Any], faults: list[Fault]
+    path: str, section: Section, parent: dict[str, Any], faults: list[Fault]
 ) -> dict[str, Any]:
     given = read_entries(path, team_schema.SERVICE_SCHEMA, section, faults)
-    given = _inherit(team_schema.TEAM_SCHEMA, above) | given
+    given = _inherit(team_schema.TEAM_SCHEMA, parent) | given
     return with_defaults(path, team_schema.SERVICE_SCHEMA, section, given, faults)
 
 
@@ -183,12 +187,12 @@
     path: str,
     team: str,
     section: Section,
-    above: dict[str, Any],
+    parent: dict[str, Any],
     faults: list[Fault],
 ) -> _ParsedRoute | None:
     n_faults = len(faults)
     given = read_entries(path, team_schema.ROUTE_SCHEMA, section, faults)
-    given = _inherit(team_schema.SERVICE_SCHEMA, above) | given
+    given = _inherit(team_schema.SERVICE_SCHEMA, parent) | given
     values = with_defaults(path, team_schema.ROUTE_SCHEMA, section, given, faults)
     if len(faults) > n_faults:
         return None
@@ -235,16 +239,16 @@
     by_service: dict[str, list[_ParsedRoute]] = {}
     for route in routes:
         by_service.setdefault(route.settings.service.name, []).append(route)
-    for found in by_service.values():
-        if len(found) > MAX_ROUTES:
-            section = found[MAX_ROUTES].section
+    for candidates in by_service.values():
+        if len(candidates) > MAX_ROUTES:
+            section = candidates[MAX_ROUTES].section
             expected = f"at most {MAX_ROUTES} routes of one service"
-            value = f"{len(found)} routes"
+            value = f"{len(candidates)} routes"
             faults.append(Fault(path, section.name, "", value, expected, section.line))
             continue
         faults.extend(
             _ambiguity(path, route, other)
-            for other, route in _overlap_candidates(found)
+            for other, route in _overlap_candidates(candidates)
             if is_ambiguous(route.match, other.match)
         )
     return faults
@@ -255,23 +259,23 @@
 ) -> Iterator[tuple[_ParsedRoute, _ParsedRoute]]:
     """Yield the pairs of routes that may match the same call, in order of the text.
 
-    Literal patterns match the same call only if they are equal, and most patterns
-    are literal.
+    Literal patterns match the same call only if they are equal. Since most patterns
+    are literal, this avoids most of the comparisons.
     """
     literal: dict[tuple[str, ...], list[_ParsedRoute]] = {}
-    wild: list[_ParsedRoute] = []
-    before: list[_ParsedRoute] = []
+    wildcard: list[_ParsedRoute] = []
+    earlier: list[_ParsedRoute] = []
     for route in routes:
         if route.match.is_literal:
             same = literal.setdefault(route.match.segments, [])
-            others = [*same, *wild]
+            others = [*same, *wildcard]
             same.append(route)
         else:
-            others = before
-            wild.append(route)
+            others = earlier
+            wildcard.append(route)
         for other in others:
             yield other, route
-        before.append(route)
+        earlier.append(route)
 
 
 def _ambiguity(path: str, route: _ParsedRoute, other: _ParsedRoute) -> Fault:
@@ -281,7 +285,7 @@
     expected = (
         f"a match that is more specific than that of [{other.section.name}]"
         f" ({'|'.join(other.match.methods)} {other.match.pattern}), less specific,"
-        " or apart from it: some calls match both"
+        " or disjoint from it: some calls match both"
     )
     line = next((e.line for e in section.entries if e.key == "match"), section.line)
     return Fault(path, section.name, "match", value, expected, line)
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/pattern.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/pattern.py
@@ -1,6 +1,7 @@
-"""Which calls a route section matches: ``POST|PUT /panels/*/results``.
+"""Patterns of the calls that a route section matches: ``POST|PUT /panels/*/results``.
 
-``*`` stands for one segment, a last ``**`` for any number of them, also none.
+``*`` matches one path segment. ``**``, allowed only at the end, matches any number of
+segments, including none.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Match:
-    """What calls a route section matches.
+    """Pattern of the calls that a route section matches.
 
     Parameters
     ----------
@@ -30,7 +31,7 @@
     pattern : str
         Path pattern, for example ``/panels/*``.
     segments : tuple of str
-        The pattern cut at its slashes.
+        Path pattern split at its slashes.
     """
 
     methods: tuple[str, ...]
@@ -39,12 +40,12 @@
 
     @property
     def is_literal(self) -> bool:
-        """Whether the pattern stands for one path only."""
+        """Whether the pattern matches one path only."""
         return ANY_SEGMENT not in self.segments and self.segments[-1] != ANY_REST
 
 
 def make_match(methods: tuple[str, ...], pattern: str) -> Match:
-    """Return the match of some methods and a pattern."""
+    """Return the `Match` of methods and a path pattern."""
     return Match(methods, pattern, tuple(pattern[1:].split("/")))
 
 
@@ -81,19 +82,19 @@
 
 
 def shares_method(one: tuple[str, ...], other: tuple[str, ...]) -> bool:
-    """Whether some method belongs to both."""
+    """Return whether two sets of methods have a method in common."""
     if ANY_METHOD in one or ANY_METHOD in other:
         return True
     return not set(one).isdisjoint(other)
 
 
 def covers_methods(wide: tuple[str, ...], narrow: tuple[str, ...]) -> bool:
-    """Whether `wide` has every method of `narrow`."""
+    """Return whether `wide` contains every method of `narrow`."""
     return ANY_METHOD in wide or set(narrow) <= set(wide)
 
 
 def overlap(one: tuple[str, ...], other: tuple[str, ...]) -> bool:
-    """Whether some path matches both patterns."""
+    """Return whether some path matches both patterns, given as segments."""
     for this, that in zip(one, other, strict=False):
         if ANY_REST in (this, that):
             return True
@@ -104,7 +105,7 @@
 
 
 def covers(wide: tuple[str, ...], narrow: tuple[str, ...]) -> bool:
-    """Whether every path of `narrow` also matches `wide`."""
+    """Return whether every path that matches `narrow` also matches `wide`."""
     for this, that in zip(wide, narrow, strict=False):
         if this == ANY_REST:
             return True
@@ -116,9 +117,10 @@
 
 
 def is_ambiguous(one: Match, other: Match) -> bool:
-    """Whether a call could belong to either section with neither more specific.
+    """Return whether some call matches both sections and neither is more specific.
 
-    The more specific path wins; of equal paths, the smaller set of methods.
+    The section with the more specific path has precedence; for equal paths, the one
+    with the smaller set of methods.
     """
     if not overlap(one.segments, other.segments):
         return False
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/record.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/record.py
@@ -1,8 +1,8 @@
-"""The stored form of a team's text: its change records, then the text itself.
+"""Stored form of the settings text of a team: change records, followed by the text.
 
-The records stand in comment lines at the head of the same object as the text, so one
-conditional update changes both: a change and its audit trail cannot part, and reading
-the object back tells whether a change with a given id took effect.
+The records are comment lines at the head of the object that contains the text, so one
+conditional update writes both. The text and its audit trail thus cannot diverge, and
+reading the object back shows whether a change with a given id took effect.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class Action(StrEnum):
-    """What a change did."""
+    """Kind of a change."""
 
     PUT = "put"
     DELETE = "delete"
@@ -32,22 +32,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeRecord:
-    """Who changed a team's settings, when, and under which id.
+    """Audit record of one change to the settings of a team.
 
     Parameters
     ----------
     change_id : str
-        Chosen by who asked for the change; the same for a repeat of it.
+        Identifier chosen by the client; a retry of the change has the same one.
     action : Action
-        What the change did.
+        Kind of the change.
     by : str
-        Name of the token used.
+        Name of the token that authorized the change.
     at : str
-        Time of day in ISO 8601, for people.
+        Date and time in ISO 8601, for information only.
     replaced : int
-        The version that was in its place; 0 if there was none.
+        Version that the change replaced; 0 if there was none.
     digest : str
-        Of the text; tells a repeat from another change under the same id.
+        Digest of the text, which distinguishes a retry from another change with the
+        same id.
     """
 
     change_id: str
@@ -60,15 +61,15 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredText:
-    """The stored form taken apart.
+    """Parts of a stored text.
 
     Parameters
     ----------
     records : tuple of ChangeRecord
-        Newest first, at most `MAX_RECORDS`; empty if somebody wrote the object
-        without them.
+        Newest first, at most `MAX_RECORDS`; empty if the object was written
+        without records.
     body : str
-        The text as its author wrote it; empty after a deletion.
+        Settings text as submitted; empty after a deletion.
     """
 
     records: tuple[ChangeRecord, ...]
@@ -80,14 +81,19 @@
         return bool(self.records) and self.records[0].action is Action.DELETE
 
     def find(self, change_id: str, version: int) -> tuple[ChangeRecord, int] | None:
-        """Return the record of a change and the version it made, if it is there.
+        """Return the record of a change and the version that it wrote.
 
         Parameters
         ----------
         change_id : str
-            The change.
+            Identifier of the change.
         version : int
             Version of the stored object.
+
+        Returns
+        -------
+        tuple of (ChangeRecord, int) or None
+            None if there is no record of the change.
         """
         for record in self.records:
             if record.change_id == change_id:
@@ -97,27 +103,27 @@
 
 
 def text_digest(text: str) -> str:
-    """Return the digest of a text that stands in its change record."""
+    """Return the digest of a text for its change record."""
     return hashlib.sha256(text.encode("utf-8", "surrogateescape")).hexdigest()[:16]
 
 
 def is_change_id(text: str) -> bool:
-    """Whether a text may be used as a change id."""
+    """Return whether a text is a valid change id."""
     return _CHANGE_ID.fullmatch(text) is not None
 
 
 def parse_stored_text(text: str) -> StoredText:
-    """Take the stored form apart.
+    """Parse a stored text.
 
     Parameters
     ----------
     text : str
-        Value of the object. A text without records is all body.
+        Value of the stored object.
 
     Returns
     -------
     StoredText
-        Its parts.
+        Records and settings text. A value without valid records is all settings text.
     """
     head, _, rest = text.partition("\n")
     found = _HEAD.fullmatch(head)
@@ -150,11 +156,11 @@
     Parameters
     ----------
     record : ChangeRecord
-        The change.
+        Record of the change.
     earlier : tuple of ChangeRecord
-        Records of the object that is replaced, newest first.
+        Records of the replaced object, newest first.
     body : str
-        The text as its author wrote it.
+        Settings text as submitted.
     """
     records = (record, *earlier)[:MAX_RECORDS]
     lines = [f"; fuchsiagap: {len(records)} changes, newest first"]
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/schema.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/schema.py
@@ -1,4 +1,4 @@
-"""Tables of keys: the one source of validation, defaults and the settings page."""
+"""Schemas of sections, used for validation, defaults and the settings page."""
 
 from __future__ import annotations
 
@@ -18,23 +18,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Key:
-    """One key of a section.
+    """Schema of one key of a section.
 
     Parameters
     ----------
     name : str
-        As written in the text.
-    kind : ValueType
-        What values it takes.
+        Name in the text.
+    value_type : ValueType
+        Type of the values.
     default : str or None
-        What holds if the key is not given, as one would write it; None if the
-        key must be given.
+        Default as written in a text; None if the key is required.
     doc : str
-        What it does, for the settings page.
+        Description for the settings page.
     inherited : bool
-        Whether a section below takes the value over unless it gives its own.
+        Whether more specific sections inherit the value unless they set their own.
+
+    Attributes
+    ----------
     field : str
-        Name of the data class field the value goes to.
+        Key of the value in the results of `read_entries` and `with_defaults`: the
+        name with underscores.
     """
 
     name: str
@@ -50,16 +53,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SectionSchema:
-    """The keys of one kind of section.
+    """Schema of one kind of section.
 
     Parameters
     ----------
     title : str
-        How the section's name is written on the settings page.
+        Name of the section on the settings page.
     doc : str
-        What the section is for.
+        Description for the settings page.
     keys : tuple of Key
-        Its keys.
+        Keys of the section.
     """
 
     title: str
@@ -67,7 +70,7 @@
     keys: tuple[Key, ...]
 
     def key(self, name: str) -> Key | None:
-        """Return the key of that name, if the section has it."""
+        """Return the key with a name; None if the section has no such key."""
         for key in self.keys:
             if key.name == name:
                 return key
@@ -75,7 +78,7 @@
 
 
 def describe_unknown_name(name: str, known: list[str], what: str) -> str:
-    """Say what was expected in place of an unknown name, with the nearest one."""
+    """Return what was expected instead of an unknown name, with the closest match."""
     near = difflib.get_close_matches(name[:MAX_NAME], known, n=1)
     hint = f"; did you mean {near[0]!r}?" if near else ""
     return f"{what}: {', '.join(known)}{hint}"
@@ -84,23 +87,23 @@
 def read_entries(
     path: str, schema: SectionSchema, section: Section, faults: list[Fault]
 ) -> dict[str, Any]:
-    """Read the entries of a section; faults are added to `faults`.
+    """Parse the entries of a section.
 
     Parameters
     ----------
     path : str
-        Where the text comes from.
+        File name, or path on the platform, for the error messages.
     schema : SectionSchema
-        The keys the section may have.
+        Schema of the section.
     section : Section
-        The section.
+        Section to parse.
     faults : list of Fault
-        Grows by what is wrong.
+        List to which the errors are appended.
 
     Returns
     -------
     dict
-        Values by field for the entries that were given and are valid.
+        Values of the valid entries, by field.
     """
     values: dict[str, Any] = {}
     for entry in section.entries:
@@ -127,20 +130,34 @@
     values: dict[str, Any],
     faults: list[Fault],
 ) -> dict[str, Any]:
-    """Return `values` completed by the table's defaults; a missing key is a fault."""
+    """Return `values` with the defaults of the keys that are not set.
+
+    Parameters
+    ----------
+    path : str
+        File name, or path on the platform, for the error messages.
+    schema : SectionSchema
+        Schema of the section.
+    section : Section
+        Section that the values were parsed from.
+    values : dict
+        Values by field, as from `read_entries`.
+    faults : list of Fault
+        List to which an error is appended for each missing key that is required.
+    """
     given = {entry.key for entry in section.entries}
-    whole = dict(values)
+    completed = dict(values)
     for key in schema.keys:
-        if key.field in whole:
+        if key.field in completed:
             continue
         if key.default is not None:
-            whole[key.field] = key.value_type.read(key.default)
+            completed[key.field] = key.value_type.read(key.default)
         elif key.name not in given:
             expected = f"this key, which must be given: {key.value_type.expected}"
             faults.append(
                 Fault(path, section.name, key.name, "", expected, section.line)
             )
-    return whole
+    return completed
 
 
 def _fault(path: str, section: Section, entry: Entry, expected: str) -> Fault:
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/sync_status.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/sync_status.py
@@ -1,4 +1,4 @@
-"""Where a process stands towards the platform's settings."""
+"""State of the synchronization of settings with the platform."""
 
 from __future__ import annotations
 
@@ -13,25 +13,26 @@
 
 @dataclass(slots=True, eq=False)
 class SyncStatus:
-    """What a process knows of how current its settings are.
+    """State of the synchronization of settings in one process.
 
     Parameters
     ----------
     complete : bool
-        Whether it has had, since its start, all that the platform held at some
-        moment; from the platform or from another process that had.
+        Whether the process has received a complete snapshot of the settings since
+        it started, from the platform or from another process that has one.
     watching : bool
-        Whether its own watch on the platform works now.
+        Whether the process has a working watch on the platform.
     platform_up : bool or None
-        Whether the platform answered last time; None if it was not asked yet.
+        Whether the platform answered the last request; None if there was none yet.
     proxy_watch_until : float
-        Until when it holds a watch for others that cannot.
-    fetching : dict
+        Time in milliseconds until which the process keeps a watch on behalf of a
+        node that cannot reach the platform.
+    fetching : dict of str to int
         Versions being fetched from other processes, by team.
-    news : dict
-        Versions adopted and not yet told to others, by team.
+    unannounced : dict of str to int
+        Versions adopted but not yet announced to other processes, by team.
     changed : trio.Event
-        Set, and replaced, whenever one of these changes.
+        Event set by `notify`, which replaces it by a new one.
     """
 
     complete: bool = False
@@ -43,6 +44,6 @@
     changed: trio.Event = field(default_factory=trio.Event)
 
     def notify(self) -> None:
-        """Wake those who wait for a change."""
+        """Wake the tasks that wait for `changed`."""
         self.changed.set()
         self.changed = trio.Event()
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/team_schema.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/team_schema.py
@@ -1,4 +1,4 @@
-"""The keys of a team's settings text."""
+"""Schemas of the sections of the settings text of a team."""
 
 from __future__ import annotations
 
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/tokens.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/tokens.py
@@ -1,4 +1,4 @@
-"""Bearer tokens, known by their digests only."""
+"""Checks of bearer tokens, of which only digests are stored."""
 
 from __future__ import annotations
 
@@ -13,29 +13,30 @@
 
 
 def digest_of(token: str) -> str:
-    """Return the SHA-256 of a token in hexadecimal."""
+    """Return the SHA-256 digest of a token in hexadecimal."""
     return hashlib.sha256(token.encode("utf-8", "surrogatepass")).hexdigest()
 
 
 def matches_digest(digest: str, token: str) -> bool:
-    """Whether a token has a digest, in a time that does not depend on either."""
+    """Return whether a token has a digest, compared in constant time."""
     return hmac.compare_digest(digest_of(token), digest)
 
 
 def find_token_name(digests: Iterable[TokenDigest], token: str) -> str | None:
-    """Return the name of a token's holder.
+    """Return the name of the holder of a token.
 
     Parameters
     ----------
     digests : iterable of TokenDigest
-        Known tokens; all are compared, whichever fits.
+        Known tokens. All are compared, so that the duration does not reveal which
+        one matches.
     token : str
-        What was presented.
+        Presented token.
 
     Returns
     -------
     str or None
-        The name; None if no digest fits.
+        Name of the holder; None if no digest matches.
     """
     holder = None
     for known in digests:
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/values.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/values.py
@@ -1,4 +1,4 @@
-"""Kinds of values in a settings text, each with what it expects in words."""
+"""Value types of settings: parsers with a description of the valid values."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BadValue:
-    """A value that is not of its kind."""
+    """Result of parsing a value that is not valid."""
 
 
 BAD_VALUE = BadValue()
@@ -32,14 +32,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ValueType:
-    """A kind of value.
+    """Type of the values of a key.
 
     Parameters
     ----------
     expected : str
-        What is valid, in words that follow "expected".
+        Description of the valid values, which follows "expected" in error messages.
     read : callable
-        Turns the text into the value, or into `BAD_VALUE`.
+        Function that parses a text and returns the value, or `BAD_VALUE`.
     """
 
     expected: str
@@ -47,7 +47,7 @@
 
 
 def integer(low: int, high: int) -> ValueType:
-    """Return the kind of whole numbers from `low` to `high`."""
+    """Return the type of integers from `low` to `high`, both included."""
 
     def read(text: str) -> int | BadValue:
         if not re.fullmatch(r"-?[0-9]{1,15}", text):
@@ -59,7 +59,7 @@
 
 
 def number(low: float, high: float, **words: float) -> ValueType:
-    """Return the kind of numbers from `low` to `high`, or words for some of them."""
+    """Return the type of numbers from `low` to `high`, or `words` that name some."""
 
     def read(text: str) -> float | BadValue:
         if text in words:
@@ -74,7 +74,7 @@
 
 
 def duration(low_ms: float, high_ms: float) -> ValueType:
-    """Return the kind of durations in milliseconds, written ``250ms`` or ``2s``."""
+    """Return the type of durations, written ``250ms`` or ``2s``, in milliseconds."""
 
     def read(text: str) -> float | BadValue:
         found = _DURATION.fullmatch(text)
@@ -93,7 +93,7 @@
 
 
 def size(low: int, high: int) -> ValueType:
-    """Return the kind of sizes in bytes, written ``64MB``, ``16KB`` or ``512B``."""
+    """Return the type of sizes, written ``64MB``, ``16KB`` or ``512B``, in bytes."""
 
     def read(text: str) -> int | BadValue:
         found = _SIZE.fullmatch(text)
@@ -117,7 +117,7 @@
 
 
 def parse_address(text: str) -> str | BadValue:
-    """Return ``IP:PORT`` in its usual form, or `BAD_VALUE`."""
+    """Return ``IP:PORT`` in canonical form, or `BAD_VALUE`."""
     host, _, port = text.rpartition(":")
     try:
         ip = ipaddress.ip_address(host.removeprefix("[").removesuffix("]"))
@@ -152,7 +152,7 @@
 
 
 def split_list(text: str) -> list[str]:
-    """Split a value at commas and line ends; empty items are left out."""
+    """Split a value at commas and line breaks, without empty items."""
     return [item.strip() for item in re.split(r"[,\n]", text) if item.strip()]
 
 
@@ -166,10 +166,10 @@
 DIGEST = ValueType("a SHA-256 digest of 64 hexadecimal digits", _read_digest)
 
 
-def optional(kind: ValueType, missing: Any = None) -> ValueType:
-    """Return the kind that also takes an empty value, read as `missing`."""
+def optional(value_type: ValueType, missing: Any = None) -> ValueType:
+    """Return a type that also accepts an empty text, parsed as `missing`."""
 
     def read(text: str) -> Any:
-        return kind.read(text) if text else missing
+        return value_type.read(text) if text else missing
 
-    return ValueType(f"{kind.expected}, or nothing", read)
+    return ValueType(f"{value_type.expected}, or nothing", read)
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/settings/test_parse.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/settings/test_parse.py
@@ -144,7 +144,7 @@
         for text, n_faults, expected in (
             (routes, 1, "at most 200 routes"),
             (sections, 1, "at most 500 sections"),
-            ("[team]\n" + "x = 1\n" * 4_000, 1_001, "mend these first"),
+            ("[team]\n" + "x = 1\n" * 4_000, 1_001, "fix these first"),
             ("\n" * 5_001, 1, "at most 5000 lines"),
         ):
             faults = parse_team("salt-fog", text)
