--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/membership/test_rings.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/membership/test_rings.py
@@ -12,23 +12,23 @@
         for node in self.nodes:
             self.rings.add("hall-a", node)
 
-    def test_each_node_has_others_beside_it_on_each_ring(self):
+    def test_each_ring_has_a_different_order_of_all_nodes(self):
         orders = [list(self.rings.after("hall-a", r, "certs-0")) for r in range(3)]
         for order in orders:
             self.assertEqual(sorted([*order, "certs-0"]), sorted(self.nodes))
         self.assertEqual(len({order[0] for order in orders}), 3)
 
-    def test_who_comes_after_has_the_other_before(self):
+    def test_before_is_the_inverse_of_after(self):
         for node in self.nodes:
             after = next(self.rings.after("hall-a", 1, node))
             self.assertEqual(next(self.rings.before("hall-a", 1, after)), node)
 
-    def test_a_node_of_elsewhere_finds_the_same_place_each_time(self):
+    def test_node_of_another_data_centre_has_a_stable_position(self):
         first = list(self.rings.after("hall-a", 0, "panels-1"))
         self.rings.remove("hall-a", first[0])
         self.assertEqual(list(self.rings.after("hall-a", 0, "panels-1")), first[1:])
 
-    def test_a_data_centre_without_nodes_is_gone(self):
+    def test_data_centre_without_nodes_is_removed(self):
         for node in self.nodes:
             self.rings.remove("hall-a", node)
         self.assertEqual(self.rings.data_centres, ())
@@ -36,14 +36,14 @@
 
 
 class TestChangeLog(TestCase):
-    def test_only_the_last_change_of_a_member_is_told(self):
+    def test_only_the_last_change_of_a_member_is_returned(self):
         log = ChangeLog()
         for node in ("a", "b", "a"):
             log.add(node, source="")
         self.assertEqual([c.node for c in log.after(0)], ["b", "a"])
         self.assertEqual([c.node for c in log.after(2)], ["a"])
 
-    def test_length_is_bounded_by_members(self):
+    def test_length_is_bounded_by_the_number_of_members(self):
         log = ChangeLog()
         for i in range(10_000):
             log.add(f"certs-{i % 10}", source="")
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/routes/test_workspace_priority.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/routes/test_workspace_priority.py
@@ -5,21 +5,21 @@
 
 
 class TestWorkspacePriority(TestCase):
-    def test_priority_of_the_workspace_first_then_that_of_the_route(self):
+    def test_workspace_priority_precedes_route_priority(self):
         order = [(0, 0), (0, 5), (1, 0), (1, 2), (1, 99), (2, 0)]
-        ranks = [
+        priorities = [
             apply_workspace_priority(a_route("r", priority=route), workspace).priority
             for workspace, route in order
         ]
-        self.assertEqual(sorted(set(ranks)), ranks)
+        self.assertEqual(sorted(set(priorities)), priorities)
 
-    def test_route_stands_in_where_the_workspace_has_no_priority(self):
+    def test_route_priority_is_used_if_the_workspace_has_none(self):
         route = a_route("r", priority=3)
         self.assertEqual(
             apply_workspace_priority(route, 3), apply_workspace_priority(route, None)
         )
 
-    def test_kinds_of_two_priorities_are_told_apart(self):
+    def test_kind_differs_by_workspace_priority(self):
         route = a_route("r")
         self.assertEqual("r", route.kind)
         self.assertEqual(
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/settings/test_book.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/settings/test_book.py
@@ -27,22 +27,22 @@
 """
 
 
-def _text(version: int, priority: int = 9) -> TeamText:
+def _make_text(version: int, priority: int = 9) -> TeamText:
     return TeamText("salt-fog", version, f"[certs]\npriority = {priority}\n")
 
 
-def _offer(team: str, version: int) -> TeamText:
-    """What the platform holds at a version: one text for ever."""
+def _stored_text(team: str, version: int) -> TeamText:
+    """Return the only text that the platform stores with a version."""
     if version % 5 == 0:
         return TeamText(team, version, "", deleted=True)
     bad = "oops" if version % 7 == 0 else version % 10
     return TeamText(team, version, f"[team]\npriority = {bad}\n")
 
 
-def _section_of(
+def _expected_section(
     sections: list[tuple[str, str]], method: str, path: tuple[str, ...]
 ) -> str:
-    """Find the route by comparing all sections with each other."""
+    """Return the expected route, found by comparing all matching sections."""
     call = make_match((method,), "/" + "/".join(path))
     matches = [make_match(tuple(m.split("|")), p) for m, p in sections]
     found = [
@@ -52,12 +52,12 @@
         and covers_methods(match.methods, call.methods)
     ]
     for i in found:
-        mine = matches[i]
+        candidate = matches[i]
         if all(
-            covers(matches[j].segments, mine.segments)
+            covers(matches[j].segments, candidate.segments)
             and (
-                matches[j].segments != mine.segments
-                or covers_methods(matches[j].methods, mine.methods)
+                matches[j].segments != candidate.segments
+                or covers_methods(matches[j].methods, candidate.methods)
             )
             for j in found
         ):
@@ -109,7 +109,7 @@
         sections=st.lists(st.tuples(_METHODS, _PATTERNS), max_size=6, unique=True),
         data=st.data(),
     )
-    def test_any_route_found_is_the_one_inside_all_others(
+    def test_the_found_route_is_covered_by_all_other_matches(
         self, sections: list[tuple[str, str]], data: st.DataObject
     ) -> None:
         text = "".join(
@@ -122,10 +122,10 @@
         for method in ("GET", "POST", "PUT"):
             path = data.draw(st.lists(st.sampled_from("abc"), max_size=4))
             route = self.route(book, method, "/" + "/".join(path))
-            expected = _section_of(sections, method, tuple(path or [""]))
+            expected = _expected_section(sections, method, tuple(path or [""]))
             self.assertEqual(expected, route.route)
 
-    def test_a_route_for_any_method_is_idempotent_by_method(self) -> None:
+    def test_idempotence_follows_the_method_in_a_route_for_any_method(self) -> None:
         book = SettingsBook()
         book.adopt(TeamText("salt-fog", 1, TEXT))
         self.assertTrue(self.route(book, "GET", "/panels/7").idempotent)
@@ -144,33 +144,33 @@
 
     def test_a_lower_version_is_never_adopted(self) -> None:
         book = SettingsBook()
-        self.assertEqual(Adopted("salt-fog", 8), book.adopt(_text(8, 2)))
-        self.assertEqual(Stale("salt-fog", 7, 8), book.adopt(_text(7, 5)))
-        self.assertEqual(Stale("salt-fog", 8, 8), book.adopt(_text(8, 2)))
+        self.assertEqual(Adopted("salt-fog", 8), book.adopt(_make_text(8, 2)))
+        self.assertEqual(Stale("salt-fog", 7, 8), book.adopt(_make_text(7, 5)))
+        self.assertEqual(Stale("salt-fog", 8, 8), book.adopt(_make_text(8, 2)))
         self.assertEqual(2, self.route(book, "GET", "/").priority)
         self.assertEqual(0, book.counts.split)
 
-    def test_another_text_under_the_version_in_force_is_counted(self) -> None:
+    def test_another_text_with_the_active_version_is_counted(self) -> None:
         book = SettingsBook()
-        book.adopt(_text(8, 2))
-        book.adopt(_text(8, 3))
+        book.adopt(_make_text(8, 2))
+        book.adopt(_make_text(8, 3))
         self.assertEqual(1, book.counts.split)
         self.assertEqual(2, self.route(book, "GET", "/").priority)
 
     def test_a_tombstone_is_not_resurrected(self) -> None:
         book = SettingsBook()
-        book.adopt(_text(3))
+        book.adopt(_make_text(3))
         book.adopt(TeamText("salt-fog", 5, "", deleted=True))
         self.assertIsNone(book.route_for(CERTS, "GET", "/"))
-        self.assertIsInstance(book.adopt(_text(4)), Stale)
+        self.assertIsInstance(book.adopt(_make_text(4)), Stale)
         self.assertIsNone(book.team("salt-fog"))
         self.assertEqual((("salt-fog", 5),), book.vector())
         self.assertEqual((), book.teams())
-        self.assertIsInstance(book.adopt(_text(6)), Adopted)
+        self.assertIsInstance(book.adopt(_make_text(6)), Adopted)
 
-    def test_an_invalid_text_leaves_the_one_in_force(self) -> None:
+    def test_an_invalid_text_does_not_replace_the_active_one(self) -> None:
         book = SettingsBook()
-        book.adopt(_text(3, 1))
+        book.adopt(_make_text(3, 1))
         bad = TeamText("salt-fog", 4, "[team]\nweight = 7")
         self.assertIsInstance(book.adopt(bad), Invalid)
         book.adopt(bad)
@@ -179,7 +179,7 @@
         self.assertEqual((("salt-fog", 4),), book.seen())
         self.assertEqual([4], [invalid.version for invalid in book.rejected()])
         self.assertEqual(1, book.counts.invalid)
-        book.adopt(_text(5))
+        book.adopt(_make_text(5))
         self.assertEqual((), book.rejected())
 
     @settings(max_examples=200, derandomize=True, deadline=None)
@@ -190,7 +190,7 @@
         ),
         data=st.data(),
     )
-    def test_any_order_ends_in_the_same_settings_and_none_goes_back(
+    def test_any_order_gives_the_same_settings_and_versions_never_decrease(
         self, offers: list[tuple[str, int]], data: st.DataObject
     ) -> None:
         shuffled = data.draw(st.permutations(offers))
@@ -199,11 +199,11 @@
             book = SettingsBook()
             last: dict[str, int] = {}
             for team, version in order:
-                book.adopt(_offer(team, version))
-                held = dict(book.vector())
+                book.adopt(_stored_text(team, version))
+                versions = dict(book.vector())
                 for name in last:
-                    assert held[name] >= last[name], "a version went back"
-                last = held
+                    assert versions[name] >= last[name], "a version decreased"
+                last = versions
             books.append(book)
         one, other = books
         self.assertEqual(one.vector(), other.vector())
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/settings/test_parse.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/settings/test_parse.py
@@ -31,7 +31,7 @@
 idempotent = yes
 """
 
-# Each text has one fault; what the fault must name, in order.
+# Texts with one error each, and two parts of the error message.
 BAD = (
     ("[team]\nweight = 1.5", "weight", "a number from 0 to 1"),
     ("[team]\nweight = -0.1", "weight", "a number from 0 to 1"),
@@ -102,7 +102,7 @@
         assert isinstance(found, TeamSettings), str(found)
         return found
 
-    def test_values_come_from_the_nearest_section_that_gives_them(self) -> None:
+    def test_values_come_from_the_most_specific_section_that_sets_them(self) -> None:
         team = self.parse(GOOD)
         issue, panels = team.routes
         self.assertEqual(ServiceName("salt-fog", "certs"), issue.service)
@@ -120,7 +120,7 @@
         names = [token.name for token in team.token_digests]
         self.assertEqual(["ops", "night-shift"], names)
 
-    def test_idempotent_by_method_unless_said(self) -> None:
+    def test_idempotent_by_method_unless_set(self) -> None:
         issue, panels = self.parse(GOOD).routes
         self.assertFalse(issue.idempotent)
         self.assertTrue(panels.idempotent)
@@ -128,7 +128,7 @@
         self.assertTrue(default.safe.idempotent)
         self.assertFalse(default.unsafe.idempotent)
 
-    def test_each_bad_text_is_refused_with_its_place(self) -> None:
+    def test_each_invalid_text_is_rejected_with_its_location(self) -> None:
         for text, named, expected in BAD:
             with self.subTest(text=text[:60]):
                 faults = parse_team("salt-fog", text)
@@ -138,7 +138,7 @@
                 self.assertIn(expected, str(faults))
                 self.assertIn("/settings/salt-fog", str(faults))
 
-    def test_sizes_are_bounded(self) -> None:
+    def test_sizes_of_texts_are_bounded(self) -> None:
         routes = "".join(f"[a/r{i}]\nmatch = GET /r{i}/*\n" for i in range(201))
         sections = "".join(f"[a{i}]\n" for i in range(501))
         for text, n_faults, expected in (
@@ -152,7 +152,7 @@
             self.assertEqual(n_faults, len(faults.faults))
             self.assertIn(expected, str(faults))
 
-    def test_every_fault_comes_at_once(self) -> None:
+    def test_all_errors_are_reported_at_once(self) -> None:
         text = "x = 1\n[team]\nweight = 9\nwat\n[a/b]\nmtch = 1\n[a/c]\nmatch = x\n"
         faults = parse_team("salt-fog", text)
         assert isinstance(faults, SettingsFaults)
