--- a/packages/fuchsiagap/src/fuchsiagap/core/membership/member.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/membership/member.py
@@ -31,8 +31,8 @@
     LEFT = "left"
 
 
-_RANKS = {state: rank for rank, state in enumerate(MemberState)}
-_GONE = frozenset({MemberState.DEAD, MemberState.LEFT})
+_STATE_ORDER = {state: rank for rank, state in enumerate(MemberState)}
+_GONE_STATES = frozenset({MemberState.DEAD, MemberState.LEFT})
 
 Precedence: TypeAlias = tuple[int, bool, int, int]
 
@@ -84,7 +84,7 @@
     @property
     def gone(self) -> bool:
         """Whether the node is dead or has left."""
-        return self.state in _GONE
+        return self.state in _GONE_STATES
 
     @property
     def precedence(self) -> Precedence:
@@ -93,7 +93,7 @@
         `LEFT` is final for an incarnation, whatever the refutation.
         """
         left = self.state is MemberState.LEFT
-        return self.incarnation, left, self.refutation, _RANKS[self.state]
+        return self.incarnation, left, self.refutation, _STATE_ORDER[self.state]
 
 
 def supersedes(update: Member, known: Member) -> bool:
--- a/packages/fuchsiagap/src/fuchsiagap/core/membership/table.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/membership/table.py
@@ -381,8 +381,8 @@
             listener(known, member)
 
     def _move_on_rings(self, known: Member | None, member: Member) -> None:
-        was_on = known is not None and not known.gone
-        if known is not None and was_on:
+        was_on_ring = known is not None and not known.gone
+        if known is not None and was_on_ring:
             if not member.gone and known.data_centre == member.data_centre:
                 return
             self.rings.remove(known.data_centre, known.node)
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/book.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/book.py
@@ -51,13 +51,13 @@
         Name of the team.
     version : int
         Offered version.
-    in_force : int
+    active_version : int
         Active version.
     """
 
     team: str
     version: int
-    in_force: int
+    active_version: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -147,9 +147,9 @@
             Result of the offer.
         """
         entry = self._entries.get(text.team)
-        in_force = entry.text.version if entry else 0
-        if text.version <= in_force:
-            return self._stale(text, entry, in_force)
+        active_version = entry.text.version if entry else 0
+        if text.version <= active_version:
+            return self._stale(text, entry, active_version)
         if text.deleted:
             new = _TeamEntry(text, None, {})
         else:
@@ -158,7 +158,9 @@
             if isinstance(settings, SettingsFaults):
                 return self._reject(text, settings)
             new = _TeamEntry(text, settings, compile_team(settings))
-        self._fingerprint ^= _hash(text.team, in_force) ^ _hash(text.team, text.version)
+        self._fingerprint ^= _hash(text.team, active_version) ^ _hash(
+            text.team, text.version
+        )
         self._entries[text.team] = new
         rejected = self._rejected.get(text.team)
         if rejected is not None and rejected.version < text.version:
@@ -238,11 +240,13 @@
         """Hash of `vector`; equal vectors have the same hash in every process."""
         return self._fingerprint
 
-    def _stale(self, text: TeamText, entry: _TeamEntry | None, in_force: int) -> Stale:
+    def _stale(
+        self, text: TeamText, entry: _TeamEntry | None, active_version: int
+    ) -> Stale:
         self.counts.stale += 1
-        if entry is not None and text.version == in_force and text != entry.text:
+        if entry is not None and text.version == active_version and text != entry.text:
             self.counts.split += 1
-        return Stale(text.team, text.version, in_force)
+        return Stale(text.team, text.version, active_version)
 
     def _reject(self, text: TeamText, faults: SettingsFaults) -> Invalid:
         invalid = Invalid(text.team, text.version, faults)
