--- a/packages/fuchsiagap/src/fuchsiagap/core/calls/head.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/calls/head.py
@@ -11,7 +11,9 @@
     from fuchsiagap.core.tickets.ticket import Ticket
 
 N_COHORTS = 128
+# Maximum depth of a call chain, in calls.
 MAX_DEPTH = 15
+# Calls with a higher number are refused earlier under overload.
 LEAST_PRIORITY = 9
 MOST_PRIORITY = 0
 
--- a/packages/fuchsiagap/src/fuchsiagap/core/calls/outcome.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/calls/outcome.py
@@ -29,20 +29,24 @@
     TOO_LARGE = "too-large"
     TOO_DEEP = "too-deep"
     NEEDS_TICKET = "needs-ticket"
+    # The request of the ticket did not run and never will.
     TICKET_BURNT = "ticket-burnt"
+    # The node no longer remembers whether the request of the ticket ran.
     TICKET_FORGOTTEN = "ticket-forgotten"
     TICKET_IN_PROGRESS = "ticket-in-progress"
+    # No node is known that holds the ticket.
     HOME_GONE = "home-gone"
     CONNECTION_LOST = "connection-lost"
     NODE_FAILED = "node-failed"
     INCOMPLETE_ANSWER = "incomplete-answer"
     BACKEND_REFUSED = "backend-refused"
+    # The backend server refused the call after one of its nested calls was refused.
     REFUSED_BELOW = "refused-below"
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """Load of one instance for one route, returned with each answer.
+    """Load of one instance for one route, returned with the outcome of a call.
 
     Parameters
     ----------
--- a/packages/fuchsiagap/src/fuchsiagap/core/membership/contacts.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/membership/contacts.py
@@ -66,7 +66,7 @@
         return now - self.last_heard.setdefault(node, now)
 
     def postpone(self, duration: Milliseconds) -> None:
-        """Exclude a pause of this process from the silence of all nodes."""
+        """Exclude a pause of this process, in milliseconds, from all silences."""
         for node in self.last_heard:
             self.last_heard[node] += duration
 
--- a/packages/fuchsiagap/src/fuchsiagap/core/membership/hand_overs.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/membership/hand_overs.py
@@ -13,6 +13,7 @@
 
     from fuchsiagap.core.membership.member import Member
 
+# Maximum number of successors followed; bounds the lookup if they form a cycle.
 _MAX_CHAIN_LENGTH = 8
 
 
@@ -61,6 +62,7 @@
             holder = members.get(update.successor)
             if holder is None or not holder.successor:
                 break
+            # A successor that has neither restarted nor left holds the tickets itself.
             same_incarnation = holder.incarnation <= update.successor_incarnation
             if same_incarnation and holder.state is not MemberState.LEFT:
                 break
--- a/packages/fuchsiagap/src/fuchsiagap/core/membership/member.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/membership/member.py
@@ -18,11 +18,16 @@
     from fuchsiagap.core.calls.head import ServiceName
     from fuchsiagap.core.clock import Clock
 
+# Random low bits of an incarnation, below the wall time in milliseconds.
 _RANDOM_BITS = 10
 
 
 class MemberState(Enum):
-    """State of a member."""
+    """State of a member.
+
+    The order matters: of two records that differ only in the state, the one whose
+    state is listed later is the newer one.
+    """
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -34,6 +39,7 @@
 _STATE_ORDER = {state: rank for rank, state in enumerate(MemberState)}
 _GONE_STATES = frozenset({MemberState.DEAD, MemberState.LEFT})
 
+# Incarnation, whether the node has left, refutation, and position of the state.
 Precedence: TypeAlias = tuple[int, bool, int, int]
 
 
--- a/packages/fuchsiagap/src/fuchsiagap/core/membership/settings.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/membership/settings.py
@@ -51,18 +51,21 @@
         Milliseconds by which a timer may be late. If one is later, this process was
         paused, and timeouts that expired meanwhile are ignored.
     digest_interval : float, default=10_000
-        Milliseconds between two checks of the digest of a data centre by a relay.
+        Milliseconds between two checks by a relay of the digest of its data centre:
+        the list of live members stored on the platform.
     n_relays : int, default=2
-        Number of nodes of each data centre that write its digest.
+        Number of relays of each data centre, which are the nodes that write its digest.
     announce_interval : float, default=60_000
-        Milliseconds between two checks of the announcements by a relay.
+        Milliseconds between two checks by a relay of the announcements: the records
+        that starting nodes write to the platform.
     join_timeout : float, default=2000
         Maximum time in milliseconds that a starting node waits until others know it.
     join_propagation_delay : float, default=300
         Milliseconds in which the record of a node reaches all others, once one of them
         has it.
     drain_notice_timeout : float, default=1500
-        Maximum time in milliseconds that a leaving node spends on notifying others.
+        Maximum time in milliseconds that a leaving node spends on notifying others of
+        one change of its record.
     drain_relay_time : float, default=300
         Milliseconds for which a node that has left still relays calls, until other
         nodes know which node holds its tickets.
--- a/packages/fuchsiagap/src/fuchsiagap/core/membership/table.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/membership/table.py
@@ -122,7 +122,7 @@
         return tuple(self._members.values())
 
     def instances(self) -> tuple[Instance, ...]:
-        """Return the instances that may receive calls; leaving ones are marked.
+        """Return the instances that may receive calls; leaving ones have `leaving` set.
 
         Instances in unreachable data centres are excluded. Suspected ones are included,
         since most suspicions are refuted. Those declared dead by another node without a
@@ -247,7 +247,10 @@
             self._deadlines.pop(node, None)
 
     def expire(self) -> tuple[str, ...]:
-        """Apply expired timeouts: declare suspects dead, and drop old dead members.
+        """Apply expired timeouts.
+
+        Nodes whose suspicion timeout has expired are declared dead, members that have
+        been dead or left for `dead_retention` are dropped, and grace periods end.
 
         Returns
         -------
@@ -295,7 +298,7 @@
         Returns
         -------
         bool
-            Whether the view changed.
+            Whether this differs from the previous value.
         """
         members = self._members.values()
         return self._usable.set_reachable(data_centre, reachable, members)
@@ -304,6 +307,7 @@
         """Return the node that holds the tickets of an incarnation; empty if none.
 
         A successor that stopped has in turn handed over the tickets that it took over.
+        So the chain of successors is followed.
 
         Parameters
         ----------
--- a/packages/fuchsiagap/src/fuchsiagap/core/routes/table.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/routes/table.py
@@ -47,7 +47,8 @@
         Parameters
         ----------
         host : str
-            Value of the ``Host`` header, with or without a port.
+            Value of the ``Host`` header. A port is ignored unless a route matches with
+            it.
         path : str
             Path of the request, without the query.
 
@@ -65,6 +66,8 @@
     def apply_workspace_priority(self, route: Route, priority: int | None) -> Route:
         """Return a route with the priority for requests of a workspace.
 
+        If no workspaces are configured, the route is returned unchanged.
+
         Parameters
         ----------
         route : Route
@@ -92,8 +95,9 @@
 class WeightedRoundRobin:
     """Smooth weighted round-robin among the services of each route.
 
-    Any run of requests deviates from the configured weights by at most one request.
-    Random choices would deviate by several percent over a few hundred requests.
+    After any number of requests, the count of each service is within one request of
+    its configured share. Random choices would deviate by several percent over a few
+    hundred requests.
     """
 
     def __init__(self) -> None:
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/book.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/book.py
@@ -21,7 +21,9 @@
     from fuchsiagap.core.calls.head import ServiceName
     from fuchsiagap.core.settings.model import RouteSettings, TeamSettings, TeamText
 
+# Names of teams with their versions, sorted by name.
 VersionVector: TypeAlias = tuple[tuple[str, int], ...]
+# Maximum number of cached default routes of one team.
 MAX_CACHED_DEFAULTS = 256
 
 
@@ -100,7 +102,8 @@
     Parameters
     ----------
     adopted, stale, invalid : int
-        Number of texts by result of the offer.
+        Number of texts by result of the offer. Of invalid texts, only those
+        with a higher version than the last rejected one of the team count.
     split : int
         Number of texts that differ from the active one but have its version. The
         platform assigns each version once, so any count above 0 is a violation.
@@ -204,7 +207,7 @@
         return entry.settings if entry else None
 
     def text(self, name: str) -> TeamText | None:
-        """Return the active text of a team, which may be a tombstone."""
+        """Return the active text or tombstone of a team; None if there is none."""
         entry = self._entries.get(name)
         return entry.text if entry else None
 
@@ -215,7 +218,7 @@
         )
 
     def rejected(self) -> tuple[Invalid, ...]:
-        """Return the newest invalid text of each team, if newer than the active one."""
+        """Return the newest rejection of each team, if newer than its active text."""
         return tuple(self._rejected[name] for name in sorted(self._rejected))
 
     def vector(self) -> VersionVector:
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/difference.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/difference.py
@@ -22,7 +22,7 @@
     -------
     str
         Diff, truncated after `MAX_OUTPUT_LINES` lines. If a text has more than
-        `MAX_INPUT_LINES` lines, only a remark, since comparing would take too long.
+        `MAX_INPUT_LINES` lines, a notice instead, since comparing would take too long.
     """
     if max(old.count("\n"), new.count("\n")) > MAX_INPUT_LINES:
         return f"not compared: a text has more than {MAX_INPUT_LINES} lines"
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/ini.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/ini.py
@@ -112,7 +112,10 @@
 def _scan(
     path: str, lines: list[str]
 ) -> tuple[dict[tuple[str, str], int], list[Fault]]:
-    """Return the line of each section and key, and errors; blank invalid lines."""
+    """Return the line number of each section and key, and the errors.
+
+    Invalid lines are replaced by empty ones in `lines`.
+    """
     line_numbers: dict[tuple[str, str], int] = {}
     faults: list[Fault] = []
     section: str | None = None
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/model.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/model.py
@@ -155,7 +155,7 @@
 
 
 def team_from_path(path: str) -> str:
-    """Return the team whose settings have a path; empty if it is no such path."""
+    """Return the team of a settings path; empty if it is no such path."""
     if not path.startswith(SETTINGS_PREFIX):
         return ""
     team = path.removeprefix(SETTINGS_PREFIX)
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/record.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/record.py
@@ -103,7 +103,7 @@
 
 
 def text_digest(text: str) -> str:
-    """Return the digest of a text for its change record."""
+    """Return the first 16 hexadecimal digits of the SHA-256 digest of a text."""
     return hashlib.sha256(text.encode("utf-8", "surrogateescape")).hexdigest()[:16]
 
 
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/schema.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/schema.py
@@ -12,7 +12,10 @@
 if TYPE_CHECKING:
     from fuchsiagap.core.settings.ini import Entry, Section
 
+# Number of characters of an unknown name that are compared with the known ones.
 MAX_NAME = 40
+# Number of errors after which no closest match is searched, since each search compares
+# a name with all known ones.
 MAX_HINTS = 100
 
 
@@ -70,7 +73,7 @@
     keys: tuple[Key, ...]
 
     def key(self, name: str) -> Key | None:
-        """Return the key with a name; None if the section has no such key."""
+        """Return the key of the given name; None if there is none."""
         for key in self.keys:
             if key.name == name:
                 return key
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/sync_status.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/sync_status.py
@@ -26,7 +26,7 @@
         Whether the platform answered the last request; None if there was none yet.
     proxy_watch_until : float
         Time in milliseconds until which the process keeps a watch on behalf of a
-        node that cannot reach the platform.
+        node that cannot reach the platform; negative infinity if never asked to.
     fetching : dict of str to int
         Versions being fetched from other processes, by team.
     unannounced : dict of str to int
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/team_schema.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/team_schema.py
@@ -11,6 +11,7 @@
 
 TEAM_SECTION = "team"
 BY_METHOD = "by method"
+# Maximum number of extra attempts over the call chain of one client request.
 MAX_ALLOWANCE = 16
 
 
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/values.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/values.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BadValue:
-    """Result of parsing a value that is not valid."""
+    """Marker that a read function returns for a value that is not valid."""
 
 
 BAD_VALUE = BadValue()
@@ -59,7 +59,7 @@
 
 
 def number(low: float, high: float, **words: float) -> ValueType:
-    """Return the type of numbers from `low` to `high`, or `words` that name some."""
+    """Return the type of numbers from `low` to `high`, some named by `words`."""
 
     def read(text: str) -> float | BadValue:
         if text in words:
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/membership/test_table.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/membership/test_table.py
@@ -145,7 +145,7 @@
         self.assertEqual(other.successor_of("certs-9", 44), "certs-7")
         self.assertEqual(other.successor_of("certs-9", 45), "")
 
-    def test_first_incarnations_of_the_same_time_differ(self):
+    def test_first_incarnations_at_the_same_time_mostly_differ(self):
         clock, rng = FakeTime().clock(), random.Random(1)
         incarnations = {first_incarnation(clock, rng) for _ in range(20)}
         self.assertGreater(len(incarnations), 15)
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/settings/test_parse.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/settings/test_parse.py
@@ -161,11 +161,11 @@
 
     @settings(max_examples=300, derandomize=True, deadline=None)
     @given(st.text(st.sampled_from("[]/ =:#;\n\r\t\x0b\x1c%az*"), max_size=60))
-    def test_any_text_is_read_or_refused(self, text: str) -> None:
+    def test_any_text_is_parsed_or_rejected(self, text: str) -> None:
         self.assertIsInstance(
             parse_team("salt-fog", text), (TeamSettings, SettingsFaults)
         )
 
-    def test_a_team_name_that_is_no_path_segment_is_refused(self) -> None:
+    def test_an_invalid_team_name_is_rejected(self) -> None:
         for team in ("", "..", "a/b", "Salt", "-a", "a" * 64):
             self.assertIsInstance(parse_team(team, ""), SettingsFaults)
