--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/timeline/text.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/timeline/text.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from fuchsiagap.core.clock import MS_PER_S
-from fuchsiagap.core.telemetry.events import plain
+from fuchsiagap.core.telemetry.events import event_to_dict
 from fuchsiagap.core.telemetry.hlc import wall_of
 
 if TYPE_CHECKING:
@@ -73,7 +73,7 @@
     """
     for event in timeline.events:
         time = _iso(wall_of(event.stamp))
-        yield json.dumps({"time": time, **plain(event)})
+        yield json.dumps({"time": time, **event_to_dict(event)})
     yield json.dumps(
         {
             "events": len(timeline.events),
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/dispatch.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/dispatch.py
@@ -10,7 +10,7 @@
 from fuchsiagap.core.clock import sleep_ms
 from fuchsiagap.core.retries.allowance import Allowance
 from fuchsiagap.core.retries.backoff import backoff
-from fuchsiagap.core.telemetry import call_notes
+from fuchsiagap.core.telemetry import call_telemetry
 from fuchsiagap.core.telemetry.events import EventKind
 from fuchsiagap.core.telemetry.metrics import Counter
 from fuchsiagap_node.core.callpath.attempts import (
@@ -154,7 +154,7 @@
 def _early_refusal(state: NodeState, head: CallHead) -> Refused | None:
     """Refuse what cannot be answered in time, or would be refused below."""
     if not _has_time(state, head, 0.0):
-        call_notes.note_expired(state.telemetry, head)
+        call_telemetry.record_expired(state.telemetry, head)
         return Refused(Reason.DEADLINE, detail="the deadline leaves no time to run")
     return state.levels.refusal(head)
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/entry.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/entry.py
@@ -18,7 +18,7 @@
 )
 from fuchsiagap.core.calls.outcome import Outcome, Reason, Refused, Unknown
 from fuchsiagap.core.clock import MS_PER_S
-from fuchsiagap.core.telemetry import call_notes
+from fuchsiagap.core.telemetry import call_telemetry
 from fuchsiagap.core.tickets.ticket import MalformedTicket, Ticket, parse_ticket
 from fuchsiagap_node.core.callpath.attempts import mark_repeat
 from fuchsiagap_node.core.callpath.dispatch import dispatch
@@ -150,7 +150,7 @@
 
 def _not_taken(state: NodeState, outcome: Outcome) -> Outcome:
     """Count the outcome of a request that did not become a call here."""
-    call_notes.count_outcome(state.telemetry, outcome)
+    call_telemetry.count_outcome(state.telemetry, outcome)
     return outcome
 
 
@@ -201,13 +201,13 @@
 ) -> Outcome:
     state.calls.n_entered += 1
     started = state.clock.now()
-    call_notes.note_received(state.telemetry, head)
+    call_telemetry.record_received(state.telemetry, head)
     outcome: Outcome | None = None
     try:
         outcome = await _within_deadline(state, head, body, first_copy)
     finally:
         latency = state.clock.now() - started
-        call_notes.note_ended(state.telemetry, head, outcome, latency)
+        call_telemetry.record_ended(state.telemetry, head, outcome, latency)
         state.calls.n_entered -= 1
         state.calls.note_end()
     return outcome
@@ -218,7 +218,7 @@
 ) -> Outcome:
     remaining = head.deadline - state.clock.now()
     if remaining <= 0:
-        call_notes.note_expired(state.telemetry, head)
+        call_telemetry.record_expired(state.telemetry, head)
         return Refused(Reason.DEADLINE, allowance=head.allowance)
     outcome: Outcome = Unknown(Reason.DEADLINE, detail="the deadline passed")
     with trio.move_on_after(remaining / MS_PER_S):
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home.py
@@ -24,11 +24,11 @@
     Claim,
     Forgotten,
     InProgress,
-    Kept,
-    Moving,
-    OtherRequest,
+    KeptOutcome,
+    RequestMismatch,
     RunRecord,
     Start,
+    WindowFrozen,
 )
 from fuchsiagap_node.core.callpath.home_of import relayed
 from fuchsiagap_node.core.wire.messages_call import HomeCallMessage, head_to_wire
@@ -100,7 +100,7 @@
         record = claim.record
         runs.start_soon(_run_once, state, window, record, head, run)
         return await await_end(state, record, head.deadline)
-    if isinstance(claim, Moving):
+    if isinstance(claim, WindowFrozen):
         return await _follow(state, window, head, body)
     return await _repeat(state, claim, head)
 
@@ -142,7 +142,7 @@
         _LOG.exception("run of %s failed", record.key)
         outcome = Unknown(Reason.CONNECTION_LOST, detail="the home failed")
     if isinstance(outcome, Refused):
-        started.take_back(head.ticket, head.child_key)
+        started.mark_refused(head.ticket, head.child_key)
     window.finish(record, outcome)
     if record.key in window.records:
         record_event(EventKind.TICKET_KEPT, head.call_id, head.root_id)
@@ -156,14 +156,14 @@
         case InProgress(record):
             outcome = await await_end(state, record, head.deadline)
             return as_repeat(outcome, head.allowance)
-        case Kept(outcome):
+        case KeptOutcome(outcome):
             return as_repeat(outcome, head.allowance)
         case Burnt():
             if head.ticket is not None:
                 check_not_run(state, head.ticket)
             detail = f"ticket {head.ticket} was asked about before it came"
             return Refused(Reason.TICKET_BURNT, 0.0, head.allowance, detail=detail)
-        case OtherRequest():
+        case RequestMismatch():
             detail = f"{head.ticket} {head.child_key} was used for another request"
             return Unknown(Reason.BAD_REQUEST, head.allowance, detail=detail)
         case Forgotten(detail):
@@ -182,7 +182,7 @@
         reply = await state.peers.ask(window.handed_to.address, msg)
         return relayed(head, reply, first_copy=False)
     detail = f"{state.node} is leaving, and its tickets found no other home"
-    if window.maybe_handed:
+    if window.may_be_handed_over:
         return Unknown(Reason.LEAVING, head.allowance, detail=detail)
     return Refused(Reason.LEAVING, allowance=head.allowance, detail=detail)
 
@@ -206,15 +206,15 @@
     Answered, Refused or Unknown
         With no allowance if the run goes on: it may still spend it.
     """
-    if record.last is None:
+    if record.final_outcome is None:
         if record.ended is None:
             record.ended = trio.Event()
         with _scope_until(state, deadline):
             await record.ended.wait()
-    if record.last is None:
+    if record.final_outcome is None:
         detail = "it runs; the same ticket gets its outcome"
         return Unknown(Reason.TICKET_IN_PROGRESS, detail=detail)
-    return record.last
+    return record.final_outcome
 
 
 def check_not_run(state: NodeState, ticket: Ticket) -> None:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home_tickets.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home_tickets.py
@@ -15,7 +15,7 @@
     Burnt,
     Forgotten,
     InProgress,
-    Kept,
+    KeptOutcome,
     NotIssued,
 )
 from fuchsiagap_node.core.callpath.home import as_repeat, await_end, check_not_run
@@ -172,7 +172,7 @@
             outcome = as_repeat(await await_end(state, record, deadline), 0)
             # Since it was asked about, a run that was refused is not started again.
             return _burnt(state, ticket) if isinstance(outcome, Refused) else outcome
-        case Kept(outcome):
+        case KeptOutcome(outcome):
             return as_repeat(outcome, 0)
         case Burnt():
             return _burnt(state, ticket)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/serve.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/serve.py
@@ -11,7 +11,7 @@
 from fuchsiagap.core.calls.outcome import Outcome, Reason, Refused, Unknown
 from fuchsiagap.core.clock import MS_PER_S
 from fuchsiagap.core.retries.allowance import Allowance
-from fuchsiagap.core.telemetry import call_notes
+from fuchsiagap.core.telemetry import call_telemetry
 from fuchsiagap.core.telemetry.violations import Invariant
 from fuchsiagap_node.core.callpath.calls import CallInProgress
 from fuchsiagap_node.core.wire.messages_call import CallMessage, head_from_wire
@@ -58,7 +58,7 @@
         outcome = await _serve(state, head, body, spent)
     finally:
         added = state.clock.now() - received - spent.at_backend
-        call_notes.note_served(state.telemetry, head, outcome, added)
+        call_telemetry.record_served(state.telemetry, head, outcome, added)
     return outcome
 
 
@@ -80,7 +80,7 @@
         entered = await state.gate.enter(head)
         if isinstance(entered, Refused):
             if entered.reason is Reason.DEADLINE:
-                call_notes.note_expired(state.telemetry, head)
+                call_telemetry.record_expired(state.telemetry, head)
             return _with_load(state, head, entered, head.allowance)
         if state.leaving:
             # It waited while the drain began; the backend server gets no new work.
@@ -92,7 +92,7 @@
     finally:
         state.calls.n_queued -= 1
         state.calls.note_end()
-    call_notes.note_admitted(state.telemetry, head, entered.waited)
+    call_telemetry.record_admitted(state.telemetry, head, entered.waited)
     outcome: Outcome = Unknown(Reason.CANCELLED, detail="the caller left")
     try:
         outcome = await _run(state, call, body, spent)
@@ -110,7 +110,7 @@
     if state.leaving:
         return _leaving(state, head)
     if head.deadline <= state.clock.now():
-        call_notes.note_expired(state.telemetry, head)
+        call_telemetry.record_expired(state.telemetry, head)
         return Refused(Reason.DEADLINE, allowance=head.allowance)
     if head.call_id in state.calls.serving:
         detail = f"call {head.call_id} runs here already"
@@ -134,7 +134,7 @@
     started = state.clock.now()
     remaining = head.deadline - started
     if remaining <= 0:
-        call_notes.note_expired(state.telemetry, head)
+        call_telemetry.record_expired(state.telemetry, head)
         return Refused(Reason.DEADLINE, detail="the deadline passed in the queue")
     if state.leaving:
         state.telemetry.violation(
@@ -150,7 +150,7 @@
     finally:
         spent.at_backend = state.clock.now() - started
     if isinstance(outcome, Unknown) and outcome.reason is Reason.INCOMPLETE_ANSWER:
-        call_notes.note_incomplete_answer(
+        call_telemetry.record_incomplete_answer(
             state.telemetry, head.call_id, head.root_id, "backend server"
         )
     if isinstance(outcome, Refused) and call.refused_below:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/handover.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/handover.py
@@ -22,7 +22,7 @@
 from fuchsiagap.core.clock import MS_PER_S
 from fuchsiagap.core.telemetry.events import EventKind
 from fuchsiagap.core.tickets.records import Successor
-from fuchsiagap.core.tickets.snapshot import copy_record, mark_pages, record_copies
+from fuchsiagap.core.tickets.snapshot import bitmap_pages, copy_record, record_copies
 from fuchsiagap_node.core.ports import LinkLost
 from fuchsiagap_node.core.wire.messages_ticket import (
     HandOverBegin,
@@ -117,7 +117,7 @@
 ) -> HandOverFailed | None:
     if window.handed_to is not None:
         return None
-    if window.maybe_handed:
+    if window.may_be_handed_over:
         detail = "the last message of an earlier hand-over was sent"
         return HandOverFailed(detail, may_try_another=False)
     reply = await _ask(
@@ -130,12 +130,14 @@
         reply = await _ask(state, address, part)
         n_parts += 1
     if isinstance(reply, HandOverReply) and reply.accepted:
-        window.maybe_handed = True
+        window.may_be_handed_over = True
         reply = await _ask(state, address, HandOverEnd(window.life, n_parts))
         if _surely_not_taken(reply):
-            window.maybe_handed = False
+            window.may_be_handed_over = False
     if not isinstance(reply, HandOverReply) or not reply.accepted:
-        return HandOverFailed(reply.detail, may_try_another=not window.maybe_handed)
+        return HandOverFailed(
+            reply.detail, may_try_another=not window.may_be_handed_over
+        )
     window.handed_to = Successor(reply.node, address)
     return None
 
@@ -159,7 +161,7 @@
 
 def _parts(window: TicketWindow, chunk_bytes: int) -> Iterator[HandOverPart]:
     number = 0
-    pages = mark_pages(window)
+    pages = bitmap_pages(window)
     while batch := tuple(islice(pages, _PAGES_PER_PART)):
         yield HandOverPart(window.life, number, batch, ())
         number += 1
@@ -202,19 +204,19 @@
                 continue
             for record in window.frozen_runs:
                 # A run of another node that goes on is told by `takeover`.
-                if record.last is not None or not record.elsewhere:
+                if record.final_outcome is not None or not record.is_remote:
                     nursery.start_soon(_send_late, state, window, record)
 
 
 async def _send_late(state: NodeState, window: TicketWindow, record: RunRecord) -> None:
     assert window.handed_to is not None
-    if record.last is None:
+    if record.final_outcome is None:
         if record.ended is None:
             record.ended = trio.Event()
         await record.ended.wait()
-    assert record.last is not None
+    assert record.final_outcome is not None
     copy = copy_record(record)
     msg = LateOutcome(
-        window.life, copy.sequence, copy.child_key, record.burn, record.last
+        window.life, copy.sequence, copy.child_key, record.burn, record.final_outcome
     )
     await _ask(state, window.handed_to.address, msg)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/stopping.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/stopping.py
@@ -117,9 +117,9 @@
         await state.calls.idle.wait()
     for window in state.tickets.windows():
         for record in tuple(window.records.values()):
-            if record.elsewhere or record.outcome is not None:
+            if record.is_remote or record.outcome is not None:
                 continue
             if record.ended is None:
                 record.ended = trio.Event()
-            if record.last is None:
+            if record.final_outcome is None:
                 await record.ended.wait()
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/takeover.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/takeover.py
@@ -14,7 +14,7 @@
 from fuchsiagap.core.telemetry.events import EventKind
 from fuchsiagap.core.tickets.records import run_key
 from fuchsiagap.core.tickets.snapshot import put_page, put_record
-from fuchsiagap.core.tickets.tickets import Incoming
+from fuchsiagap.core.tickets.tickets import IncomingWindow
 from fuchsiagap.core.tickets.window import TicketWindow
 from fuchsiagap_node.core.wire.messages_ticket import (
     HandOverBegin,
@@ -61,7 +61,7 @@
     tickets = state.tickets
     if state.leaving:
         return f"{state.node} is leaving too"
-    if tickets.answered_for(msg.life):
+    if tickets.ever_owned(msg.life):
         return f"{state.node} answered for {msg.life} before"
     tickets.incoming.pop(msg.life, None)
     while len(tickets.incoming) >= _MAX_INCOMING:
@@ -71,7 +71,7 @@
     window = TicketWindow(cfg, life.node, life.incarnation, state.clock)
     window.low = msg.low
     window.next = msg.next
-    tickets.incoming[life] = Incoming(window)
+    tickets.incoming[life] = IncomingWindow(window)
     return ""
 
 
@@ -114,7 +114,7 @@
     if window is None:
         return f"{state.node} does not answer for {msg.life}"
     record = window.records.get(run_key(msg.sequence, msg.child_key))
-    if record is None or not record.elsewhere or record.outcome is not None:
+    if record is None or not record.is_remote or record.outcome is not None:
         # A run of this node is another one, started since.
         return "no run of another node is in progress"
     record.burn |= msg.burn
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_node.py
@@ -7,7 +7,7 @@
 from quart import Response, request
 
 from fuchsiagap.core.calls.outcome import Answered, Outcome
-from fuchsiagap.core.telemetry.events import MAX_EVENTS_PER_PAGE, plain
+from fuchsiagap.core.telemetry.events import MAX_EVENTS_PER_PAGE, event_to_dict
 from fuchsiagap.core.tickets.ticket import MalformedTicket, parse_ticket
 from fuchsiagap_node.core.callpath.home_of import HomeAt, HomeGone, home_of
 from fuchsiagap_node.core.callpath.home_tickets import settle
@@ -94,7 +94,7 @@
     ring = state.telemetry.ring
     call, root = request.args.get("call", ""), request.args.get("root", "")
     page = ring.since(after, call, root, limit)
-    found = [plain(event) for event in page.events]
+    found = [event_to_dict(event) for event in page.events]
     return json_reply(
         {
             "process": ring.process,
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/wiring.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/wiring.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from fuchsiagap.core.telemetry import call_notes
+from fuchsiagap.core.telemetry import call_telemetry
 from fuchsiagap.core.telemetry.events import EventKind
 from fuchsiagap.core.telemetry.metrics import Counter
 from fuchsiagap.core.telemetry.violations import Invariant
@@ -61,10 +61,10 @@
         count(Counter.BYTES_RECEIVED, amount=n_bytes)
 
     def note_late(call_id: str, root_id: str) -> None:
-        call_notes.note_late_answer(telemetry, call_id, root_id)
+        call_telemetry.record_late_answer(telemetry, call_id, root_id)
 
     def note_incomplete(call_id: str, root_id: str) -> None:
-        call_notes.note_incomplete_answer(telemetry, call_id, root_id, "node")
+        call_telemetry.record_incomplete_answer(telemetry, call_id, root_id, "node")
 
     def report_crossed(peer: str, number: int) -> None:
         telemetry.ring.record(EventKind.CROSSED_ANSWER_DROPPED, peer=peer)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/test_dispatch.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/test_dispatch.py
@@ -109,7 +109,9 @@
         self.assertEqual(1, outcome.allowance)
         self.assertEqual(2, len(set(self.nodes_asked())))
         state = self.fleet.states["results-0"]
-        counted = state.telemetry.metrics.counted(Counter.RETRIES, "salt-fog/certs")
+        counted = state.telemetry.metrics.counter_value(
+            Counter.RETRIES, "salt-fog/certs"
+        )
         self.assertEqual(1, counted)
 
     def test_never_twice_at_one_instance(self):
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/test_serve_notes.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/test_serve_notes.py
@@ -89,7 +89,9 @@
             kinds = [EventKind.CALL_EXPIRED, EventKind.CALL_REFUSED]
             self.assertEqual(kinds, self.kinds())
             metrics = self.state.telemetry.metrics
-            self.assertEqual(1, metrics.counted(Counter.CALLS_EXPIRED, a_head().route))
+            self.assertEqual(
+                1, metrics.counter_value(Counter.CALLS_EXPIRED, a_head().route)
+            )
 
     def test_cancelled_call_is_noted_while_it_waits_and_while_it_runs(self):
         async def forever(*_args):
@@ -113,7 +115,7 @@
         self.serve(lambda fleet: setattr(fleet, "program", broken))
         self.assertIn(EventKind.INCOMPLETE_ANSWER, self.kinds())
         metrics = self.state.telemetry.metrics
-        self.assertEqual(1, metrics.counted(Counter.INCOMPLETE_ANSWERS))
+        self.assertEqual(1, metrics.counter_value(Counter.INCOMPLETE_ANSWERS))
 
     def test_new_work_of_a_leaving_node_is_a_violation(self):
         def prepare(fleet):
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/settings/test_sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/settings/test_sync.py
@@ -290,7 +290,9 @@
             start(fleet, 8)
             await fleet.until(lambda: fleet.in_force(TEAM, version), 10_000.0)
             listed = sum(
-                state.telemetry.metrics.counted(Counter.PLATFORM_CALLS, "settings-list")
+                state.telemetry.metrics.counter_value(
+                    Counter.PLATFORM_CALLS, "settings-list"
+                )
                 for state in fleet.nodes.values()
             )
             self.assertLess(listed, 15)
@@ -309,7 +311,7 @@
             assert held is not None
             node.book._held[TEAM].text = TeamText(TEAM, version - 1, held.text)
             spread._check_invariants(node, held, held)
-            violations = node.telemetry.metrics.counted(
+            violations = node.telemetry.metrics.counter_value(
                 Counter.VIOLATIONS, Invariant.VERSION_WENT_BACK
             )
             self.assertEqual(2, violations)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_node_notes.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_node_notes.py
@@ -33,7 +33,7 @@
 
 
 def violations(node, invariant):
-    return node.telemetry.metrics.counted(Counter.VIOLATIONS, invariant)
+    return node.telemetry.metrics.counter_value(Counter.VIOLATIONS, invariant)
 
 
 class TestNodeNotes(TestCase):
@@ -73,7 +73,7 @@
             nobody = ServiceName("no-team", "nobody")
             outcome = await enter(node, CallRequest(nobody, "GET", "/", {}, (), b""))
             self.assertEqual(Reason.NO_ROUTE, outcome.reason)
-            counted = node.telemetry.metrics.counted
+            counted = node.telemetry.metrics.counter_value
             self.assertEqual(1, counted(Counter.REFUSALS, Reason.NO_ROUTE.value))
 
         run_fleet(test)
@@ -87,7 +87,7 @@
             await link.send(cbor2.dumps([2, 7, 0, None]))
             await trio.sleep(0.1)
             self.assertEqual(1, violations(node, Invariant.WRONG_ANSWER))
-            counted = node.telemetry.metrics.counted
+            counted = node.telemetry.metrics.counter_value
             self.assertEqual(1, counted(Counter.CROSSED_ANSWERS))
             await link.send(b"")
             await trio.sleep(0.1)
--- a/packages/fuchsiagap/src/fuchsiagap/core/telemetry/call_notes.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/telemetry/call_telemetry.py
@@ -24,7 +24,7 @@
 CANCELLED = "cancelled"
 
 
-def note_received(telemetry: Telemetry, head: CallHead) -> None:
+def record_received(telemetry: Telemetry, head: CallHead) -> None:
     """Note that a caller or a backend server handed in a call at this node."""
     telemetry.metrics.count(Counter.CALLS, head.route)
     telemetry.ring.record(
@@ -38,7 +38,7 @@
     )
 
 
-def note_admitted(
+def record_admitted(
     telemetry: Telemetry, head: CallHead, queueing_delay: Milliseconds
 ) -> None:
     """Note that a call is handed to the backend server after a wait."""
@@ -53,18 +53,18 @@
     )
 
 
-def note_expired(telemetry: Telemetry, head: CallHead) -> None:
+def record_expired(telemetry: Telemetry, head: CallHead) -> None:
     """Note that a call is dropped here, before it was started, for its deadline."""
     telemetry.metrics.count(Counter.CALLS_EXPIRED, head.route)
     telemetry.ring.record(EventKind.CALL_EXPIRED, head.call_id, head.root_id)
 
 
-def note_late_answer(telemetry: Telemetry, call_id: str, root_id: str) -> None:
+def record_late_answer(telemetry: Telemetry, call_id: str, root_id: str) -> None:
     """Record that an answer came after its call had ended here."""
     telemetry.ring.record(EventKind.LATE_ANSWER_DROPPED, call_id, root_id)
 
 
-def note_incomplete_answer(
+def record_incomplete_answer(
     telemetry: Telemetry, call_id: str, root_id: str, source: str
 ) -> None:
     """Note that the body of an answer broke off, and so became an error.
@@ -82,7 +82,7 @@
     telemetry.ring.record(EventKind.INCOMPLETE_ANSWER, call_id, root_id, source=source)
 
 
-def note_ended(
+def record_ended(
     telemetry: Telemetry, head: CallHead, outcome: Outcome | None, latency: Milliseconds
 ) -> None:
     """Note the outcome at the node where the call was handed in.
@@ -118,7 +118,7 @@
         telemetry.metrics.count(Counter.UNKNOWNS, outcome.reason.value)
 
 
-def note_served(
+def record_served(
     telemetry: Telemetry, head: CallHead, outcome: Outcome | None, added: Milliseconds
 ) -> None:
     """Note the outcome at the node beside the backend server.
--- a/packages/fuchsiagap/src/fuchsiagap/core/telemetry/events.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/telemetry/events.py
@@ -269,7 +269,7 @@
     return row[0]
 
 
-def plain(event: Event) -> dict[str, object]:
+def event_to_dict(event: Event) -> dict[str, object]:
     """Return an event as plain values for JSON; far cheaper than `asdict`."""
     return {
         "stamp": event.stamp,
--- a/packages/fuchsiagap/src/fuchsiagap/core/telemetry/metrics.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/telemetry/metrics.py
@@ -231,7 +231,7 @@
             moved += series.flush(limit - moved)
         return moved
 
-    def counted(self, counter: Counter, label: str = "") -> int:
+    def counter_value(self, counter: Counter, label: str = "") -> int:
         """Return a counter's value."""
         return self._counts[counter].get(label, 0)
 
--- a/packages/fuchsiagap/src/fuchsiagap/core/tickets/ledger.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/tickets/ledger.py
@@ -61,7 +61,7 @@
             self.runs.popitem(last=False)
         return True
 
-    def take_back(self, ticket: Ticket, child_key: str) -> None:
+    def mark_refused(self, ticket: Ticket, child_key: str) -> None:
         """Note that a run was truly refused."""
         key = (ticket, child_key)
         self.runs.pop(key, None)
--- a/packages/fuchsiagap/src/fuchsiagap/core/tickets/records.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/tickets/records.py
@@ -78,9 +78,9 @@
     fingerprint: bytes
     outcome: Answered | Unknown | None = None
     burn: bool = False
-    elsewhere: bool = False
+    is_remote: bool = False
     ended: trio.Event | None = None
-    last: Outcome | None = None
+    final_outcome: Outcome | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -98,7 +98,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
+class KeptOutcome:
     """The run has ended, and this is its outcome."""
 
     outcome: Answered | Unknown
@@ -123,17 +123,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OtherRequest:
+class RequestMismatch:
     """The ticket was used for a request of other content."""
 
 
 @dataclass(frozen=True, slots=True)
-class Moving:
+class WindowFrozen:
     """The run was not started here, and the window is handed over or was."""
 
 
-Claim: TypeAlias = Start | InProgress | Kept | Burnt | Forgotten | OtherRequest | Moving
-Settled: TypeAlias = InProgress | Kept | Burnt | Forgotten | Moving
+Claim: TypeAlias = (
+    Start
+    | InProgress
+    | KeptOutcome
+    | Burnt
+    | Forgotten
+    | RequestMismatch
+    | WindowFrozen
+)
+Settled: TypeAlias = InProgress | KeptOutcome | Burnt | Forgotten | WindowFrozen
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/fuchsiagap/src/fuchsiagap/core/tickets/snapshot.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/tickets/snapshot.py
@@ -6,8 +6,8 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from fuchsiagap.core.tickets.marks import PAGE_BITS, Marks
 from fuchsiagap.core.tickets.records import RunRecord, run_key
+from fuchsiagap.core.tickets.sparse_bitmap import PAGE_BITS, SparseBitmap
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -71,16 +71,16 @@
     outcome: Answered | Unknown | None
 
 
-def marks_of(window: TicketWindow, kind: MarkKind) -> Marks:
+def bitmap_of(window: TicketWindow, kind: MarkKind) -> SparseBitmap:
     """Return one set of marks of a window."""
-    marks: Marks = getattr(window, kind.value)
+    marks: SparseBitmap = getattr(window, kind.value)
     return marks
 
 
-def mark_pages(window: TicketWindow) -> Iterator[MarkPage]:
+def bitmap_pages(window: TicketWindow) -> Iterator[MarkPage]:
     """Yield the pages of a window."""
     for kind in MarkKind:
-        for number, bits in sorted(marks_of(window, kind).pages.items()):
+        for number, bits in sorted(bitmap_of(window, kind).pages.items()):
             yield MarkPage(kind, number, bytes(bits))
 
 
@@ -115,14 +115,14 @@
     """
     if len(page.bits) != _PAGE_BYTES:
         return False
-    marks_of(window, page.kind).pages[page.number] = bytearray(page.bits)
+    bitmap_of(window, page.kind).pages[page.number] = bytearray(page.bits)
     return True
 
 
 def put_record(window: TicketWindow, copy: RecordCopy) -> None:
     """Put a run into a window that is being put together."""
     key = run_key(copy.sequence, copy.child_key)
-    record = RunRecord(key, copy.fingerprint, burn=copy.burn, elsewhere=True)
+    record = RunRecord(key, copy.fingerprint, burn=copy.burn, is_remote=True)
     window.records[key] = record
     (window.parents if copy.child_key else window.used).add(copy.sequence)
     if copy.outcome is not None:
--- a/packages/fuchsiagap/src/fuchsiagap/core/tickets/marks.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/tickets/sparse_bitmap.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(slots=True)
-class Marks:
+class SparseBitmap:
     """A sparse bitmap; a page of `PAGE_BITS` numbers is made with its first mark.
 
     Parameters
@@ -19,7 +19,7 @@
 
     Examples
     --------
-    >>> marks = Marks()
+    >>> marks = SparseBitmap()
     >>> marks.add(9)
     >>> 9 in marks, 8 in marks
     (True, False)
--- a/packages/fuchsiagap/src/fuchsiagap/core/tickets/tickets.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/tickets/tickets.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Incoming:
+class IncomingWindow:
     """A window on its way to this node; nobody is answered from it yet.
 
     Parameters
@@ -76,7 +76,7 @@
         self.issuing = True
         self.started = RunLedger()
         self.handed_to_backend = RunLedger()
-        self.incoming: dict[Life, Incoming] = {}
+        self.incoming: dict[Life, IncomingWindow] = {}
         self._adopted_at: dict[Life, Milliseconds] = {}
 
     def window_of(self, ticket: Ticket) -> TicketWindow | None:
@@ -91,7 +91,7 @@
         """Return all windows this node answers for."""
         return (self.own, *self.adopted.values())
 
-    def answered_for(self, life: Life) -> bool:
+    def ever_owned(self, life: Life) -> bool:
         """Whether this node answers for a life, or ever did."""
         return life == self.own.life or life in self._adopted_at
 
@@ -110,7 +110,7 @@
             not in the window.
         """
         life = window.life
-        if self.answered_for(life):
+        if self.ever_owned(life):
             return False
         self._adopted_at[life] = self.clock.now()
         self.adopted[life] = window
--- a/packages/fuchsiagap/src/fuchsiagap/core/tickets/window.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/tickets/window.py
@@ -8,23 +8,23 @@
 import trio
 
 from fuchsiagap.core.calls.outcome import Answered, Refused, Unknown
-from fuchsiagap.core.tickets.marks import PAGE_BITS, Marks
 from fuchsiagap.core.tickets.records import (
     Burnt,
     Claim,
     Forgotten,
     InProgress,
-    Kept,
-    Moving,
+    KeptOutcome,
     NotIssued,
-    OtherRequest,
+    RequestMismatch,
     RunKey,
     RunRecord,
     Settled,
     Start,
     Successor,
+    WindowFrozen,
     run_key,
 )
+from fuchsiagap.core.tickets.sparse_bitmap import PAGE_BITS, SparseBitmap
 from fuchsiagap.core.tickets.ticket import Life, Ticket
 
 if TYPE_CHECKING:
@@ -64,7 +64,7 @@
         Set when the hand-over has ended, whether it succeeded or not.
     handed_to : Successor or None
         Who answers for the tickets now.
-    maybe_handed : bool
+    may_be_handed_over : bool
         Whether somebody may answer for them: the last message was sent.
     frozen_records : tuple of RunRecord
         All runs known when the window was frozen. They are handed over whatever
@@ -86,14 +86,14 @@
         self.frozen = False
         self.hand_over_ended = trio.Event()
         self.handed_to: Successor | None = None
-        self.maybe_handed = False
+        self.may_be_handed_over = False
         self.frozen_records: tuple[RunRecord, ...] = ()
         self.frozen_runs: tuple[RunRecord, ...] = ()
-        self.used = Marks()
-        self.burnt = Marks()
+        self.used = SparseBitmap()
+        self.burnt = SparseBitmap()
         # Roots below which a child was started, and those where no more may be.
-        self.parents = Marks()
-        self.sealed = Marks()
+        self.parents = SparseBitmap()
+        self.sealed = SparseBitmap()
         self.records: dict[RunKey, RunRecord] = {}
         self.kept_bytes = 0
         # Ordered, since the first key of a dict is slow to find behind deleted ones.
@@ -175,7 +175,7 @@
         if denied is not None:
             return denied
         if self.frozen:
-            return Moving()
+            return WindowFrozen()
         record = RunRecord(key, fingerprint)
         self.records[key] = record
         (self.parents if child_key else self.used).add(sequence)
@@ -183,10 +183,10 @@
 
     def _repeat(self, record: RunRecord, fingerprint: bytes) -> Claim:
         if record.fingerprint != fingerprint:
-            return OtherRequest()
+            return RequestMismatch()
         if record.outcome is None:
             return InProgress(record)
-        return Kept(record.outcome)
+        return KeptOutcome(record.outcome)
 
     def _denied(self, sequence: int, child_key: str) -> Burnt | Forgotten | None:
         if not self.low <= sequence < self.next:
@@ -207,9 +207,9 @@
         outcome : Outcome
             `Refused` opens the ticket again, or burns it if that was asked for.
         """
-        record.last = outcome
+        record.final_outcome = outcome
         if isinstance(outcome, Refused):
-            self._take_back(record)
+            self._undo_start(record)
         else:
             record.outcome = outcome
             self._keep(record, outcome)
@@ -217,7 +217,7 @@
             record.ended.set()
             record.ended = None
 
-    def _take_back(self, record: RunRecord) -> None:
+    def _undo_start(self, record: RunRecord) -> None:
         del self.records[record.key]
         if not isinstance(record.key, int) or record.key < self.low:
             return
@@ -274,20 +274,20 @@
 
         Returns
         -------
-        InProgress or Kept or Burnt or Forgotten or Moving
+        InProgress or KeptOutcome or Burnt or Forgotten or WindowFrozen
             `Burnt` only if the request was not run and never will be.
         """
         record = self.records.get(sequence)
         if record is not None:
             if record.outcome is not None:
-                return Kept(record.outcome)
+                return KeptOutcome(record.outcome)
             record.burn = True
             return InProgress(record)
         denied = self._denied(sequence, "")
         if denied is not None:
             return denied
         if self.frozen:
-            return Moving()
+            return WindowFrozen()
         self.used.add(sequence)
         self.sealed.add(sequence)
         if sequence in self.parents:
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/telemetry/test_call_notes.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/telemetry/test_call_telemetry.py
@@ -6,7 +6,7 @@
 
 from fuchsiagap.core.calls.outcome import Answered, Reason, Refused, Unknown
 from fuchsiagap.core.clock import Clock
-from fuchsiagap.core.telemetry import call_notes
+from fuchsiagap.core.telemetry import call_telemetry
 from fuchsiagap.core.telemetry.events import EventKind
 from fuchsiagap.core.telemetry.metrics import Counter, Measure
 from fuchsiagap.core.telemetry.telemetry import TelemetrySettings, make_telemetry
@@ -15,7 +15,7 @@
 CLOCK = Clock(now=lambda: 0.0, wall=lambda: 1_000.0)
 
 
-class TestCallNotes(TestCase):
+class TestCallTelemetry(TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.telemetry = make_telemetry(TelemetrySettings(), "node-a", CLOCK)
@@ -29,13 +29,15 @@
             None,
         )
         for outcome in outcomes:
-            call_notes.note_received(self.telemetry, self.head)
-            call_notes.note_ended(self.telemetry, self.head, outcome, 5.0)
+            call_telemetry.record_received(self.telemetry, self.head)
+            call_telemetry.record_ended(self.telemetry, self.head, outcome, 5.0)
         metrics = self.telemetry.metrics
-        self.assertEqual(4, metrics.counted(Counter.CALLS, self.head.route))
-        self.assertEqual(1, metrics.counted(Counter.REFUSALS, "overload"))
-        self.assertEqual(1, metrics.counted(Counter.UNKNOWNS, "connection-lost"))
-        self.assertEqual(1, metrics.counted(Counter.CALLS_CANCELLED, self.head.route))
+        self.assertEqual(4, metrics.counter_value(Counter.CALLS, self.head.route))
+        self.assertEqual(1, metrics.counter_value(Counter.REFUSALS, "overload"))
+        self.assertEqual(1, metrics.counter_value(Counter.UNKNOWNS, "connection-lost"))
+        self.assertEqual(
+            1, metrics.counter_value(Counter.CALLS_CANCELLED, self.head.route)
+        )
         timed = {summary.outcome for summary in metrics.summaries()}
         self.assertEqual({"answered", "refused", "unknown", "cancelled"}, timed)
         kinds = [e.kind for e in self.telemetry.ring.since().events if "at" in e.detail]
@@ -50,7 +52,9 @@
         )
 
     def test_queueing_delay_and_added_time_are_those_of_the_serving_node(self) -> None:
-        call_notes.note_admitted(self.telemetry, self.head, 3.0)
-        call_notes.note_served(self.telemetry, self.head, Answered(200, (), b""), 4.0)
+        call_telemetry.record_admitted(self.telemetry, self.head, 3.0)
+        call_telemetry.record_served(
+            self.telemetry, self.head, Answered(200, (), b""), 4.0
+        )
         measures = [s.measure for s in self.telemetry.metrics.summaries()]
         self.assertEqual([Measure.QUEUEING_DELAY, Measure.ADDED_TIME], measures)
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/telemetry/test_metrics.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/telemetry/test_metrics.py
@@ -25,8 +25,8 @@
         metrics.count(Counter.REFUSALS, "overload")
         metrics.count(Counter.REFUSALS, "overload", 2)
         metrics.count(Counter.REFUSALS, "deadline")
-        self.assertEqual(3, metrics.counted(Counter.REFUSALS, "overload"))
-        self.assertEqual(0, metrics.counted(Counter.CALLS))
+        self.assertEqual(3, metrics.counter_value(Counter.REFUSALS, "overload"))
+        self.assertEqual(0, metrics.counter_value(Counter.CALLS))
 
     def test_labels_made_up_by_callers_are_bounded(self) -> None:
         metrics = Metrics()
@@ -35,7 +35,7 @@
             metrics.count(Counter.CALLS, f"route-{number}")
             metrics.gauge(Gauge.LIMIT, number, f"route-{number}")
         self.assertLessEqual(len(list(metrics.counters())), n_labels - 49)
-        self.assertEqual(50, metrics.counted(Counter.CALLS, OTHER_LABEL))
+        self.assertEqual(50, metrics.counter_value(Counter.CALLS, OTHER_LABEL))
         self.assertLessEqual(len(list(metrics.gauges())), n_labels - 49)
 
     def test_quantiles_are_within_two_digits_and_flushing_loses_none(self) -> None:
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/telemetry/test_telemetry.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/telemetry/test_telemetry.py
@@ -21,7 +21,7 @@
             telemetry.violation(Invariant.WRONG_ANSWER, "answer of c2", "c1", "r1")
         self.assertIn("wrong-answer", logged.output[0])
         self.assertEqual(
-            1, telemetry.metrics.counted(Counter.VIOLATIONS, "wrong-answer")
+            1, telemetry.metrics.counter_value(Counter.VIOLATIONS, "wrong-answer")
         )
         (event,) = telemetry.ring.since(call="c1").events
         self.assertEqual(EventKind.VIOLATION, event.kind)
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/tickets/test_window.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/tickets/test_window.py
@@ -8,19 +8,19 @@
 from testtools import TestCase
 
 from fuchsiagap.core.clock import Clock
-from fuchsiagap.core.tickets.marks import PAGE_BITS
 from fuchsiagap.core.tickets.records import (
     Burnt,
     Claim,
     Forgotten,
     InProgress,
-    Kept,
-    Moving,
+    KeptOutcome,
     NotIssued,
-    OtherRequest,
+    RequestMismatch,
     Start,
+    WindowFrozen,
 )
 from fuchsiagap.core.tickets.settings import TicketSettings
+from fuchsiagap.core.tickets.sparse_bitmap import PAGE_BITS
 from fuchsiagap.core.tickets.window import TicketWindow
 from fuchsiagap_standins.builders import a_refusal, an_answer, an_unknown
 
@@ -65,7 +65,7 @@
         record = self.start(3).record
         self.assertEqual(InProgress(record), self.claim(3))
         self.window.finish(record, an_answer())
-        self.assertEqual(Kept(an_answer()), self.claim(3))
+        self.assertEqual(KeptOutcome(an_answer()), self.claim(3))
 
     def test_a_refusal_opens_the_ticket_and_its_child_again(self) -> None:
         self.issue()
@@ -76,7 +76,7 @@
     def test_an_unknown_outcome_stays(self) -> None:
         self.issue()
         self.run_to(an_unknown(), 3)
-        self.assertEqual(Kept(an_unknown()), self.claim(3))
+        self.assertEqual(KeptOutcome(an_unknown()), self.claim(3))
 
     def test_tickets_that_were_never_issued_are_not_run(self) -> None:
         self.issue(10)
@@ -87,16 +87,16 @@
     def test_one_ticket_for_two_requests_is_noticed(self) -> None:
         self.issue()
         self.run_to(an_answer(), 1)
-        self.assertEqual(OtherRequest(), self.window.claim(1, "", b"other"))
+        self.assertEqual(RequestMismatch(), self.window.claim(1, "", b"other"))
 
     def test_a_frozen_window_starts_nothing_and_still_tells_outcomes(self) -> None:
         self.issue()
         self.run_to(an_answer(), 1)
         self.window.freeze()
-        self.assertEqual(Kept(an_answer()), self.claim(1))
+        self.assertEqual(KeptOutcome(an_answer()), self.claim(1))
         for child_key in ("", "k"):
-            self.assertEqual(Moving(), self.claim(2, child_key))
-        self.assertEqual(Moving(), self.window.settle(2))
+            self.assertEqual(WindowFrozen(), self.claim(2, child_key))
+        self.assertEqual(WindowFrozen(), self.window.settle(2))
 
 
 class TestSettle(WindowCase):
@@ -117,7 +117,7 @@
     def test_an_answer_is_told(self) -> None:
         self.issue()
         self.run_to(an_answer(), 3)
-        self.assertEqual(Kept(an_answer()), self.window.settle(3))
+        self.assertEqual(KeptOutcome(an_answer()), self.window.settle(3))
 
     def test_a_root_whose_child_was_started_is_not_called_not_run(self) -> None:
         self.issue()
@@ -126,7 +126,7 @@
             self.assertIsInstance(self.window.settle(3), Forgotten)
         self.assertIsInstance(self.claim(3), Forgotten)
         self.assertIsInstance(self.claim(3, "other"), Forgotten)
-        self.assertEqual(Kept(an_answer()), self.claim(3, "k"))
+        self.assertEqual(KeptOutcome(an_answer()), self.claim(3, "k"))
 
 
 class TestBounds(WindowCase):
@@ -136,7 +136,7 @@
             self.run_to(an_answer(), sequence)
         self.assertIsInstance(self.claim(0), Forgotten)
         self.assertIsInstance(self.window.settle(1), Forgotten)
-        self.assertEqual(Kept(an_answer()), self.claim(2))
+        self.assertEqual(KeptOutcome(an_answer()), self.claim(2))
         self.assertEqual(3, len(self.window.records))
 
     def test_a_forgotten_child_seals_its_root(self) -> None:
@@ -153,7 +153,7 @@
         for sequence in range(50):
             self.run_to(an_answer(bytes(500)), sequence)
             self.assertLessEqual(self.window.kept_bytes, 5000)
-        self.assertIsInstance(self.claim(49), Kept)
+        self.assertIsInstance(self.claim(49), KeptOutcome)
 
     def test_a_body_too_large_to_keep_is_forgotten_at_once(self) -> None:
         self.window = self.make(max_kept_body=10)
