--- a/packages/fuchsiagap/src/fuchsiagap/__init__.py
+++ b/packages/fuchsiagap/src/fuchsiagap/__init__.py
@@ -1,4 +1,4 @@
-"""The aggregates of fuchsiagap, an overload control layer for service call graphs."""
+"""Domain model of fuchsiagap, an overload control layer for service call graphs."""
 
 from __future__ import annotations
 
--- a/packages/fuchsiagap/src/fuchsiagap/core/__init__.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/__init__.py
@@ -1,1 +1,1 @@
-"""The aggregates behind the public surface of `fuchsiagap`."""
+"""Implementation behind the public interface of `fuchsiagap`."""
--- a/packages/fuchsiagap/src/fuchsiagap/core/clock.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/clock.py
@@ -1,7 +1,7 @@
-"""The one clock of the project, in milliseconds.
+"""Monotonic and wall-clock time in milliseconds, as used by all components.
 
-Time on one process only: it never crosses the wire. What crosses the wire is a
-remaining time, since hosts do not share a clock.
+Readings are only meaningful within one process and are never sent to another one.
+Deadlines are sent as the remaining time, since hosts do not share a clock.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 Milliseconds: TypeAlias = float
 
 MS_PER_S = 1000.0
-# Seconds of a suspension below which nothing is done about it: a busy host holds up a
-# process for as long.
-_LEAST_SUSPENSION_S = 0.2
+# Shorter gaps are not treated as a suspension: on a busy host a process may wait this
+# long to be scheduled.
+_MIN_SUSPENSION_S = 0.2
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,14 +30,16 @@
     Parameters
     ----------
     now : callable
-        Returns the monotonic time in milliseconds from an arbitrary origin. Time for
-        which the host is suspended counts, so that nothing looks younger after it.
+        Returns the monotonic time in milliseconds from an arbitrary origin. Includes
+        the time for which the host was suspended, so that ages are not
+        underestimated after a suspension.
     wall : callable
-        Returns the time of day in milliseconds since the epoch. Only for what
-        people read (time line, audit trail); no decision rests on it.
+        Returns the time of day in milliseconds since the epoch. Used only for
+        display (event timeline, audit trail) and never for decisions.
     catch_up : callable, optional
-        Returns the milliseconds for which the host was suspended since the last call,
-        and counts them in `now` from then on; by default none ever.
+        Returns the milliseconds for which the host was suspended since the previous
+        call, and adds them to the time that `now` returns. By default the clock
+        detects no suspension and this returns 0.
 
     Examples
     --------
@@ -52,20 +54,20 @@
 
 
 def trio_clock(wall_offset: Milliseconds | None = None) -> Clock:
-    """Return a clock that follows the running trio loop.
+    """Return a clock that reads the clock of the running trio event loop.
 
     Under `trio.testing.MockClock` it is a virtual clock.
 
     Parameters
     ----------
     wall_offset : float, optional
-        If given, the time of day is this offset plus the loop's time, so that
-        runs under a virtual clock are repeatable. By default the host's clock.
+        Milliseconds added to the loop's time to give the time of day, which makes
+        runs under a virtual clock repeatable. By default the host's clock is used.
 
     Returns
     -------
     Clock
-        A clock to be used from within `trio.run`.
+        A clock that can only be read_clock within `trio.run`.
     """
 
     def now() -> Milliseconds:
@@ -80,37 +82,47 @@
 
 
 def process_clock() -> Clock:
-    """Return the steady clock of the process, without going through the loop.
+    """Return the monotonic clock of the process, read without the event loop.
 
-    The loop's own clock does not count the time for which the host is suspended;
-    ``CLOCK_BOOTTIME`` does, and is read by `Clock.catch_up` only: on the path of a
-    request the time is read some 16 times. It does not follow a virtual clock.
+    The event loop's clock does not include the time for which the host is suspended,
+    whereas ``CLOCK_BOOTTIME`` does. Since the time is read about 16 times for each
+    request, ``CLOCK_BOOTTIME`` is read by `Clock.catch_up` only. This clock does not
+    follow a virtual clock.
+
+    Returns
+    -------
+    Clock
+        A clock that can also be read outside `trio.run`.
     """
-    read, counting, steady = time.clock_gettime, time.CLOCK_BOOTTIME, time.monotonic
-    ahead_s = read(counting) - steady()
-    offset = ahead_s * MS_PER_S
+    read_clock, boottime_clock, read_monotonic = (
+        time.clock_gettime,
+        time.CLOCK_BOOTTIME,
+        time.monotonic,
+    )
+    boottime_lead_s = read_clock(boottime_clock) - read_monotonic()
+    offset_ms = boottime_lead_s * MS_PER_S
 
     def now() -> Milliseconds:
-        return steady() * MS_PER_S + offset
+        return read_monotonic() * MS_PER_S + offset_ms
 
     def catch_up() -> Milliseconds:
-        nonlocal ahead_s, offset
-        suspended_s = read(counting) - steady() - ahead_s
-        if suspended_s < _LEAST_SUSPENSION_S:
+        nonlocal boottime_lead_s, offset_ms
+        suspended_s = read_clock(boottime_clock) - read_monotonic() - boottime_lead_s
+        if suspended_s < _MIN_SUSPENSION_S:
             return 0.0
-        ahead_s += suspended_s
-        offset = ahead_s * MS_PER_S
+        boottime_lead_s += suspended_s
+        offset_ms = boottime_lead_s * MS_PER_S
         return suspended_s * MS_PER_S
 
     return Clock(now, lambda: time.time() * MS_PER_S, catch_up)
 
 
 async def sleep_ms(duration: Milliseconds) -> None:
-    """Sleep for `duration` milliseconds; a negative duration is none.
+    """Sleep for `duration` milliseconds.
 
     Parameters
     ----------
     duration : float
-        Milliseconds.
+        Milliseconds; a negative duration counts as 0.
     """
     await trio.sleep(max(duration, 0.0) / MS_PER_S)
--- a/packages/fuchsiagap/src/fuchsiagap/core/tickets/__init__.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/tickets/__init__.py
@@ -1,1 +1,1 @@
-"""The aggregate of tickets: at most one run of a non-idempotent request."""
+"""Tickets, which ensure that a non-idempotent request is executed at most once."""
--- a/packages/fuchsiagap/src/fuchsiagap/core/tickets/child_key.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/tickets/child_key.py
@@ -1,4 +1,4 @@
-"""Keys of child calls under their root request."""
+"""Idempotency keys of the child calls of a root request."""
 
 from __future__ import annotations
 
@@ -12,55 +12,60 @@
     from fuchsiagap.core.calls.head import CallHead, ServiceName
 
 _SEPARATOR = "/"
-_GIVEN = "="
+_EXPLICIT_PREFIX = "="
 _FINGERPRINT_BYTES = 8
-_MAX_LENGTH = 200
-_DIGEST = "~"
+_MAX_KEY_LENGTH = 200
+_DIGEST_PREFIX = "~"
 _DIGEST_BYTES = 16
 
 
 @dataclass(slots=True)
 class ChildOrdinals:
-    """Number the child calls of one call in progress, for each place they go to.
+    """Counts the child calls of one call in progress, for each endpoint called.
 
     Parameters
     ----------
     counts : Counter
-        Calls made so far, by place.
+        Calls made so far, by endpoint (service and route).
     """
 
     counts: Counter[str] = field(default_factory=Counter)
 
 
 def child_key(
-    parent_key: str, given: str, service: ServiceName, route: str, seen: ChildOrdinals
+    parent_key: str,
+    explicit_key: str,
+    service: ServiceName,
+    route: str,
+    ordinals: ChildOrdinals,
 ) -> str:
-    """Return the key of a child call under its root.
+    """Return the key that identifies a child call among the calls of its root.
 
-    A repeated parent must give the same call the same key. The backend server
-    can name it; else it is the call's place: the n-th call of the parent to the
-    route. A backend server that makes several calls to one route in no fixed order
-    must give keys: with another order, the repeat of a call finds a run of other
-    content under its key and is told `Unknown`.
+    When a parent call is repeated, each of its child calls must get the same key as
+    before. The backend server can set the key; otherwise it is derived from the
+    endpoint and the number of earlier calls of the parent to it. A backend server that
+    makes several calls to one route in no fixed order must set keys. Otherwise a
+    repeated call may get the key of a run with another content, and its outcome is
+    `Unknown`.
 
     Parameters
     ----------
     parent_key : str
         The parent's own key; empty if the parent is the root call.
-    given : str
-        The header ``fuchsiagap-child-key``; empty if there is none.
+    explicit_key : str
+        Value of the header ``fuchsiagap-child-key``; empty if there is none.
     service : ServiceName
         The called service.
     route : str
         The route of the called service.
-    seen : ChildOrdinals
-        The numbers of the parent call.
+    ordinals : ChildOrdinals
+        Counts of the parent's child calls; updated if the key is derived.
 
     Returns
     -------
     str
-        The key, never empty; a digest of it if it would be long. A given key and a
-        derived one never meet.
+        The key, never empty; replaced by its digest if longer than
+        `_MAX_KEY_LENGTH` characters. An explicit key never equals a derived one.
 
     Examples
     --------
@@ -69,34 +74,34 @@
     >>> child_key("", "", desk, "desk/order", ChildOrdinals())
     'dakar/desk:desk/order#0'
     """
-    place = f"{service}:{route}"
-    if given:
-        step = f"{place}{_GIVEN}{quote(given, safe='')}"
+    endpoint = f"{service}:{route}"
+    if explicit_key:
+        segment = f"{endpoint}{_EXPLICIT_PREFIX}{quote(explicit_key, safe='')}"
     else:
-        ordinal = seen.counts[place]
-        seen.counts[place] = ordinal + 1
-        step = f"{place}#{ordinal}"
-    key = f"{parent_key}{_SEPARATOR}{step}" if parent_key else step
-    if len(key) <= _MAX_LENGTH:
+        ordinal = ordinals.counts[endpoint]
+        ordinals.counts[endpoint] = ordinal + 1
+        segment = f"{endpoint}#{ordinal}"
+    key = f"{parent_key}{_SEPARATOR}{segment}" if parent_key else segment
+    if len(key) <= _MAX_KEY_LENGTH:
         return key
     digest = blake2b(key.encode(), digest_size=_DIGEST_BYTES)
-    return _DIGEST + digest.hexdigest()
+    return _DIGEST_PREFIX + digest.hexdigest()
 
 
 def fingerprint(head: CallHead, body: bytes) -> bytes:
-    """Return a digest of what a call asks for.
+    """Return a digest of the content of a request.
 
     Parameters
     ----------
     head : CallHead
-        Service, method and target count.
+        The call; its service, method and target enter the digest.
     body : bytes
-        The whole body.
+        The complete request body.
 
     Returns
     -------
     bytes
-        The digest.
+        The digest, of `_FINGERPRINT_BYTES` bytes.
     """
     text = f"{head.service}\0{head.method}\0{head.target}\0"
     digest = blake2b(text.encode(), digest_size=_FINGERPRINT_BYTES)
--- a/packages/fuchsiagap/src/fuchsiagap/core/tickets/ledger.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/tickets/ledger.py
@@ -1,6 +1,7 @@
-"""A second book of the runs that were started, to notice one started twice.
+"""Independent record of started runs, used to detect one that is started twice.
 
-It shares nothing with `TicketWindow`, so a fault there shows here.
+The record shares no code or state with `TicketWindow`, so it also detects faults of
+the window.
 """
 
 from __future__ import annotations
@@ -17,14 +18,17 @@
 
 @dataclass(slots=True)
 class RunLedger:
-    """The latest runs one process started, or handed to its backend server.
+    """The most recent runs that one process started or sent to its backend server.
+
+    A run is identified by the ticket of its root request and its child key. The oldest
+    runs are evicted beyond `_MAX_RUNS`.
 
     Parameters
     ----------
     runs : OrderedDict
-        Runs that were started and not truly refused, the oldest first.
+        Runs that were started and not refused since, the oldest first.
     refused : OrderedDict
-        Runs that were truly refused at least once, the oldest first.
+        Runs that were refused, hence not executed, at least once; the oldest first.
 
     Examples
     --------
@@ -39,7 +43,7 @@
     refused: OrderedDict[tuple[Ticket, str], None] = field(default_factory=OrderedDict)
 
     def start(self, ticket: Ticket, child_key: str) -> bool:
-        """Note the start of a run.
+        """Record the start of a run.
 
         Parameters
         ----------
@@ -51,7 +55,8 @@
         Returns
         -------
         bool
-            False if it was started before and not refused since: a violation.
+            False if the run was started before and not refused since, which violates
+            the at-most-once guarantee.
         """
         key = (ticket, child_key)
         if key in self.runs:
@@ -62,7 +67,7 @@
         return True
 
     def mark_refused(self, ticket: Ticket, child_key: str) -> None:
-        """Note that a run was truly refused."""
+        """Record that a run was refused and therefore not executed."""
         key = (ticket, child_key)
         self.runs.pop(key, None)
         self.refused[key] = None
@@ -70,5 +75,5 @@
             self.refused.popitem(last=False)
 
     def was_refused(self, ticket: Ticket, child_key: str) -> bool:
-        """Return whether an earlier run was refused, so that another is a retry."""
+        """Return whether the run was refused before; starting it again is a retry."""
         return (ticket, child_key) in self.refused
--- a/packages/fuchsiagap/src/fuchsiagap/core/tickets/records.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/tickets/records.py
@@ -1,4 +1,9 @@
-"""What the home of a ticket knows of one run, and what it decides."""
+"""State of one run at the home node of its ticket, and the results of claiming it.
+
+The home node of a ticket is the node that issued it, or the successor to which that
+node handed over its window. Burning a ticket revokes it: its request will not be
+started any more.
+"""
 
 from __future__ import annotations
 
@@ -14,26 +19,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Successor:
-    """The node that answers for a life that stopped.
+    """The node that took over the tickets of a stopped node.
 
     Parameters
     ----------
     node : str
-        Its name.
+        Name of the successor.
     address : str
-        ``IP:PORT`` for other nodes.
+        ``IP:PORT`` at which other nodes reach it.
     """
 
     node: str
     address: str
 
 
-# The sequence of a root call, or with it the key of a child call under the root.
+# The ticket sequence of a root call; for a child call, the pair of the root's sequence
+# and the child key.
 RunKey: TypeAlias = int | tuple[int, str]
 
 
 def run_key(sequence: int, child_key: str) -> RunKey:
-    """Return the key of a run.
+    """Return the key of a run within its ticket window.
 
     Parameters
     ----------
@@ -45,7 +51,7 @@
     Returns
     -------
     RunKey
-        The key within the window.
+        The key, unique within the window.
     """
     if child_key:
         return (sequence, child_key)
@@ -54,24 +60,26 @@
 
 @dataclass(slots=True)
 class RunRecord:
-    """One run that was started, and its outcome once there is one.
+    """One started run and, once it has ended, its outcome.
 
     Parameters
     ----------
     key : RunKey
         The key within the window.
     fingerprint : bytes
-        Digest of the request, so that a ticket used for two requests is noticed.
+        Digest of the request, to detect a ticket that is used for two requests.
     outcome : Answered or Unknown or None
-        The kept outcome; None while the run is in progress.
+        The outcome kept for repeats; None while the run is in progress.
     burn : bool
-        Whether a true refusal shall burn the ticket and not open it again.
-    elsewhere : bool
-        Whether the run is one of the node that handed the window over.
+        Whether to burn the ticket if the run is refused. Otherwise the ticket can be
+        used again.
+    is_remote : bool
+        Whether the run was started by the node that handed over the window.
     ended : trio.Event or None
-        Set when the run ends; made by the first who waits, and only while it goes on.
-    last : Outcome or None
-        What those who wait are told: the kept outcome, or `Refused`.
+        Set when the run ends. Created by the first task that waits for the end; None
+        if no task waits.
+    final_outcome : Outcome or None
+        The outcome reported to waiting tasks: the kept outcome, or `Refused`.
     """
 
     key: RunKey
@@ -85,38 +93,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """The run is the caller's to start, once."""
+    """The claim succeeded: the caller must start the run, once."""
 
     record: RunRecord
 
 
 @dataclass(frozen=True, slots=True)
 class InProgress:
-    """The run was started before and has not ended."""
+    """The run was started before and is still in progress."""
 
     record: RunRecord
 
 
 @dataclass(frozen=True, slots=True)
 class KeptOutcome:
-    """The run has ended, and this is its outcome."""
+    """The run has ended with this outcome."""
 
     outcome: Answered | Unknown
 
 
 @dataclass(frozen=True, slots=True)
 class Burnt:
-    """The run was not started and never will be."""
+    """The ticket is revoked: the run was not started and never will be."""
 
 
 @dataclass(frozen=True, slots=True)
 class Forgotten:
-    """The run may have been started; nothing more is known.
+    """The run may have been started, but its state is no longer kept.
 
     Parameters
     ----------
     detail : str
-        Why, for people.
+        Human-readable reason.
     """
 
     detail: str
@@ -124,12 +132,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestMismatch:
-    """The ticket was used for a request of other content."""
+    """The ticket was already used for a request with another content."""
 
 
 @dataclass(frozen=True, slots=True)
 class WindowFrozen:
-    """The run was not started here, and the window is handed over or was."""
+    """The run was not started here, and the window no longer starts runs.
+
+    The window is being handed over to another node, or has been.
+    """
 
 
 Claim: TypeAlias = (
@@ -146,12 +157,14 @@
 
 @dataclass(frozen=True, slots=True)
 class NotIssued:
-    """No tickets now: the window would push out young ones.
+    """No tickets can be issued now.
+
+    Issuing more would drop tickets that have not reached their minimum age.
 
     Parameters
     ----------
     retry_after : float
-        Milliseconds until the oldest page is old enough.
+        Milliseconds after which to ask again.
     """
 
     retry_after: Milliseconds
--- a/packages/fuchsiagap/src/fuchsiagap/core/tickets/settings.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/tickets/settings.py
@@ -1,4 +1,4 @@
-"""Bounds of the tickets that one node keeps."""
+"""Limits on the tickets that one node keeps."""
 
 from __future__ import annotations
 
@@ -11,34 +11,35 @@
 
 @dataclass(frozen=True, slots=True)
 class TicketSettings:
-    """Bounds of a `TicketWindow`.
+    """Limits of the ticket windows of one node.
 
     Parameters
     ----------
     window : int
-        Tickets the window spans, whether used or not; one bit each when used.
+        Maximum number of tickets in the window, used or not. A used ticket takes one
+        bit.
     min_age : float
-        Milliseconds a ticket surely stays in the window after it was issued.
-        Issuing stops sooner than it would push out a younger one.
+        Milliseconds that a ticket stays in the window at least after it was issued.
+        No tickets are issued if that would drop a younger one.
     max_batch : int
-        Tickets handed out by one request.
+        Maximum number of tickets issued for one request.
     kept_answers : int
-        Outcomes kept for repeats; the oldest go first.
+        Maximum number of outcomes kept for repeats; the oldest are evicted first.
     kept_bytes : int
-        Bytes of the kept outcomes together.
+        Maximum total size of the kept outcomes in bytes.
     max_kept_body : int
-        Largest body, in bytes, that is kept; the repeat of a call with a larger
-        answer is told `Unknown`.
+        Largest response body, in bytes, that is kept. The outcome of a repeat of a
+        call with a larger response is `Unknown`.
     adopted_windows : int
-        Windows of stopped nodes that this node answers for.
+        Maximum number of windows taken over from stopped nodes.
     adopted_bytes : int
-        Bytes of the kept outcomes of one window taken over; of all of them together
-        `kept_bytes`.
+        Maximum size in bytes of the kept outcomes of one window that was taken over.
+        For all of these windows together the limit is `kept_bytes`.
     adopted_age : float
-        Milliseconds after which an adopted window is dropped.
+        Milliseconds after which a window that was taken over is dropped.
     chunk_bytes : int
-        Bytes of kept outcomes in one message of a hand-over; a single larger
-        outcome goes alone.
+        Maximum size in bytes of the kept outcomes in one hand-over message. A single
+        larger outcome is sent in a message of its own.
     """
 
     window: int = 1 << 20
--- a/packages/fuchsiagap/src/fuchsiagap/core/tickets/snapshot.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/tickets/snapshot.py
@@ -1,4 +1,4 @@
-"""A window as parts that can be sent, and put together again."""
+"""Serializable parts of a ticket window, for its hand-over to another node."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class MarkKind(Enum):
-    """The sets of marks of a window."""
+    """The bitmaps of a window; the value is the attribute of `TicketWindow`."""
 
     USED = "used"
     BURNT = "burnt"
@@ -29,16 +29,16 @@
 
 @dataclass(frozen=True, slots=True)
 class MarkPage:
-    """One page of marks.
+    """One page of a bitmap of a window.
 
     Parameters
     ----------
     kind : MarkKind
-        Of which set.
+        The bitmap the page belongs to.
     number : int
-        Number of the page.
+        Page number within the bitmap.
     bits : bytes
-        The page.
+        Content of the page.
     """
 
     kind: MarkKind
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordCopy:
-    """One run of a window.
+    """One run of a window, in the form sent to another node.
 
     Parameters
     ----------
@@ -59,7 +59,7 @@
     fingerprint : bytes
         Digest of the request.
     burn : bool
-        Whether a true refusal shall burn the ticket.
+        Whether to burn the ticket if the run is refused.
     outcome : Answered or Unknown or None
         None while the run is in progress.
     """
@@ -72,13 +72,13 @@
 
 
 def bitmap_of(window: TicketWindow, kind: MarkKind) -> SparseBitmap:
-    """Return one set of marks of a window."""
-    marks: SparseBitmap = getattr(window, kind.value)
-    return marks
+    """Return one of the bitmaps of a window."""
+    bitmap: SparseBitmap = getattr(window, kind.value)
+    return bitmap
 
 
 def bitmap_pages(window: TicketWindow) -> Iterator[MarkPage]:
-    """Yield the pages of a window."""
+    """Yield the pages of all bitmaps of a window."""
     for kind in MarkKind:
         for number, bits in sorted(bitmap_of(window, kind).pages.items()):
             yield MarkPage(kind, number, bytes(bits))
@@ -87,15 +87,16 @@
 def record_copies(window: TicketWindow) -> Iterator[RecordCopy]:
     """Yield the runs of a frozen window, the oldest first.
 
-    A run that was refused or forgotten since is among them, as one in progress or
-    with its outcome: the marks that were sent before do not show it.
+    Includes runs that were refused or evicted after the window was frozen, since the
+    bitmap pages that were sent earlier do not reflect that. A run refused meanwhile is
+    yielded as one in progress, an evicted one with its outcome.
     """
     for record in window.frozen_records:
         yield copy_record(record)
 
 
 def copy_record(record: RunRecord) -> RecordCopy:
-    """Return a run in the form that can be sent."""
+    """Return a run in the form sent to another node."""
     if isinstance(record.key, int):
         sequence, child_key = record.key, ""
     else:
@@ -106,12 +107,19 @@
 
 
 def put_page(window: TicketWindow, page: MarkPage) -> bool:
-    """Put a page into a window that is being put together.
+    """Add a received bitmap page to a window.
+
+    Parameters
+    ----------
+    window : TicketWindow
+        The window that is being received.
+    page : MarkPage
+        The page.
 
     Returns
     -------
     bool
-        Whether the page has the right size.
+        False if the page has the wrong size and was not added.
     """
     if len(page.bits) != _PAGE_BYTES:
         return False
@@ -120,7 +128,7 @@
 
 
 def put_record(window: TicketWindow, copy: RecordCopy) -> None:
-    """Put a run into a window that is being put together."""
+    """Add a received run to a window."""
     key = run_key(copy.sequence, copy.child_key)
     record = RunRecord(key, copy.fingerprint, burn=copy.burn, is_remote=True)
     window.records[key] = record
--- a/packages/fuchsiagap/src/fuchsiagap/core/tickets/sparse_bitmap.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/tickets/sparse_bitmap.py
@@ -1,4 +1,4 @@
-"""A set of sequence numbers at one bit each, above a rising low mark."""
+"""A set of sequence numbers that takes one bit for each number."""
 
 from __future__ import annotations
 
@@ -10,25 +10,27 @@
 
 @dataclass(slots=True)
 class SparseBitmap:
-    """A sparse bitmap; a page of `PAGE_BITS` numbers is made with its first mark.
+    """A set of non-negative integers, stored as a sparse bitmap.
+
+    A page of `PAGE_BITS` bits is allocated when the first of its numbers is added.
 
     Parameters
     ----------
     pages : dict of int to bytearray
-        Pages by number.
+        Allocated pages by page number.
 
     Examples
     --------
-    >>> marks = SparseBitmap()
-    >>> marks.add(9)
-    >>> 9 in marks, 8 in marks
+    >>> bitmap = SparseBitmap()
+    >>> bitmap.add(9)
+    >>> 9 in bitmap, 8 in bitmap
     (True, False)
     """
 
     pages: dict[int, bytearray] = field(default_factory=dict)
 
     def add(self, number: int) -> None:
-        """Mark a number."""
+        """Add a number to the set."""
         page, bit = divmod(number, PAGE_BITS)
         bits = self.pages.get(page)
         if bits is None:
@@ -37,7 +39,7 @@
         bits[bit >> 3] |= 1 << (bit & 7)
 
     def discard(self, number: int) -> None:
-        """Take the mark of a number away."""
+        """Remove a number from the set, if present."""
         page, bit = divmod(number, PAGE_BITS)
         bits = self.pages.get(page)
         if bits is not None:
@@ -49,7 +51,7 @@
         return bits is not None and bool(bits[bit >> 3] & (1 << (bit & 7)))
 
     def drop_below(self, low: int) -> None:
-        """Forget the pages that lie wholly below `low`."""
-        first = low // PAGE_BITS
-        for page in [page for page in self.pages if page < first]:
+        """Free the pages that contain only numbers below `low`."""
+        first_page = low // PAGE_BITS
+        for page in [page for page in self.pages if page < first_page]:
             del self.pages[page]
--- a/packages/fuchsiagap/src/fuchsiagap/core/tickets/ticket.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/tickets/ticket.py
@@ -1,4 +1,4 @@
-"""The ticket a caller presents with a non-idempotent request."""
+"""Tickets, which callers send with non-idempotent requests."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Life:
-    """One incarnation of one node.
+    """One incarnation of a node, from its start to its stop or crash.
 
     Parameters
     ----------
     node : str
         Name of the node.
     incarnation : int
-        Its incarnation.
+        Incarnation number; higher after each restart of the node.
     """
 
     node: str
@@ -23,16 +23,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Ticket:
-    """A ticket: who issued it, in which life of that process, and which one.
+    """A token for at most one execution of a non-idempotent request.
 
     Parameters
     ----------
     node : str
-        Name of the issuing node, the ticket's home.
+        Name of the issuing node, the home node of the ticket.
     incarnation : int
-        The life of the issuing process; a restarted node has a higher one.
+        Incarnation of the issuing node; higher after each restart.
     sequence : int
-        Number within the incarnation, from 0.
+        Sequence number within the incarnation, from 0.
     """
 
     node: str
@@ -41,7 +41,7 @@
 
     @property
     def life(self) -> Life:
-        """The life that issued the ticket."""
+        """The incarnation of the node that issued the ticket."""
         return Life(self.node, self.incarnation)
 
     def __str__(self) -> str:
@@ -50,12 +50,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MalformedTicket:
-    """A text that is no ticket.
+    """A text that cannot be parsed as a ticket.
 
     Parameters
     ----------
     text : str
-        What was passed.
+        The text.
     """
 
     text: str
@@ -79,7 +79,8 @@
     Returns
     -------
     Ticket or MalformedTicket
-        The ticket, or the fault.
+        The ticket, or the error. Only the text that `str` gives for a ticket is
+        accepted, so leading zeros or upper case are malformed.
 
     Examples
     --------
--- a/packages/fuchsiagap/src/fuchsiagap/core/tickets/tickets.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/tickets/tickets.py
@@ -1,4 +1,4 @@
-"""All tickets one node answers for: its own, and those of nodes that stopped."""
+"""The ticket windows of one node: its own, and those taken over from stopped nodes."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 @dataclass(slots=True, eq=False)
 class IncomingWindow:
-    """A window on its way to this node; nobody is answered from it yet.
+    """A window of which this node has received a part; not used to answer requests yet.
 
     Parameters
     ----------
     window : TicketWindow
-        What has come so far.
+        The window as received so far.
     n_parts : int
-        How many parts have come, in order.
+        Number of parts received, in order.
     """
 
     window: TicketWindow
@@ -33,35 +33,37 @@
 
 
 class Tickets:
-    """The windows this node answers for.
+    """The windows of all tickets for which this node is the home node.
 
     Parameters
     ----------
     cfg : TicketSettings
-        The bounds.
+        Limits of the windows.
     node : str
         Name of this node.
     incarnation : int
-        The life of this process; no other life of the node may share it.
+        Incarnation of this process; unique among the incarnations of the node.
     clock : Clock
         The clock of this process.
 
     Attributes
     ----------
     issuing : bool
-        Whether tickets are handed out now.
+        Whether tickets are issued now.
     own : TicketWindow
-        The tickets this process issues; its incarnation is theirs.
+        Window of the tickets that this process issues.
     adopted : dict
-        Windows that were handed over to this node, by the life that issued them.
+        Windows taken over from other nodes, by the incarnation that issued them.
     runs : trio.Nursery or None
-        Where runs live; None until `ready` is set.
+        Nursery in which runs are executed; None until `ready` is set.
+    ready : trio.Event
+        Set once `runs` is available.
     started : RunLedger
-        Runs this node started as a home.
+        Runs that this node started as their home node.
     handed_to_backend : RunLedger
-        Runs this node handed to its backend server.
+        Runs that this node sent to its backend server.
     incoming : dict
-        Windows that are being handed over to this node, by life.
+        Windows that this node is receiving, by the incarnation that issued them.
     """
 
     def __init__(
@@ -80,7 +82,7 @@
         self._adopted_at: dict[Life, Milliseconds] = {}
 
     def window_of(self, ticket: Ticket) -> TicketWindow | None:
-        """Return the window that rules a ticket; None if it is not here."""
+        """Return the window of a ticket; None if this node is not its home node."""
         own = self.own
         life = ticket.life
         if life == own.life:
@@ -88,15 +90,15 @@
         return self.adopted.get(life)
 
     def windows(self) -> tuple[TicketWindow, ...]:
-        """Return all windows this node answers for."""
+        """Return this node's own window and those it has taken over."""
         return (self.own, *self.adopted.values())
 
     def ever_owned(self, life: Life) -> bool:
-        """Whether this node answers for a life, or ever did."""
+        """Return whether this node has ever owned the tickets of an incarnation."""
         return life == self.own.life or life in self._adopted_at
 
     def adopt(self, window: TicketWindow) -> bool:
-        """Answer for a life of another node, whose whole window was handed over.
+        """Take over the completely received window of another node.
 
         Parameters
         ----------
@@ -106,8 +108,8 @@
         Returns
         -------
         bool
-            False if this node answered for that life before: what it did since is
-            not in the window.
+            False if this node was the home node of these tickets before. The window
+            is then rejected, since it lacks the runs this node has started since.
         """
         life = window.life
         if self.ever_owned(life):
@@ -118,7 +120,7 @@
         return True
 
     def _trim_adopted(self) -> None:
-        """Drop the oldest adopted windows, and what they keep, to the bounds."""
+        """Evict the oldest adopted windows and kept outcomes beyond the limits."""
         oldest_time = self.clock.now() - self.cfg.adopted_age
         for life in tuple(self.adopted):
             old = self._adopted_at[life] < oldest_time
--- a/packages/fuchsiagap/src/fuchsiagap/core/tickets/window.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/tickets/window.py
@@ -1,4 +1,4 @@
-"""The window of tickets of one incarnation of a node."""
+"""State of the most recently issued tickets of one incarnation of a node."""
 
 from __future__ import annotations
 
@@ -32,45 +32,64 @@
     from fuchsiagap.core.clock import Clock, Milliseconds
     from fuchsiagap.core.tickets.settings import TicketSettings
 
-# What a kept outcome takes besides its body and headers, measured by
-# `fuchsiagap_standins.bench tickets`.
+# Bytes of memory that a kept outcome takes besides its body and headers.
 _RECORD_BYTES = 500
 
 
 class TicketWindow:
-    """Which tickets of one incarnation were used, and what became of them.
+    """Tracks the used tickets of one incarnation and the outcomes of their runs.
 
-    A ticket is unused, started, done with a kept outcome, burnt, or forgotten.
-    Unused tickets take no memory, used ones a bit, recent ones a record.
+    A ticket is unused, started, finished with a kept outcome, burnt (revoked), or
+    forgotten (its outcome is no longer kept, or it is below the window). Unused tickets
+    take no memory, used ones one bit, and recently used ones a record.
 
     Parameters
     ----------
     cfg : TicketSettings
-        The bounds.
+        Limits of the window.
     node : str
         The issuing node.
     incarnation : int
-        The life of the issuing node.
+        Incarnation of the issuing node.
     clock : Clock
         The clock of this process.
 
     Attributes
     ----------
     low, next : int
-        Tickets from `low` and below `next` are in the window.
+        The window contains the sequence numbers from `low` up to but not including
+        `next`.
+    life : Life
+        The incarnation that issued the tickets.
     frozen : bool
-        Nothing starts here any more, since the window is handed over.
+        Whether the window starts no more runs because its hand-over has begun.
     hand_over_ended : trio.Event
-        Set when the hand-over has ended, whether it succeeded or not.
+        Set when the hand-over has succeeded or failed.
     handed_to : Successor or None
-        Who answers for the tickets now.
+        The node that has taken over the window.
     may_be_handed_over : bool
-        Whether somebody may answer for them: the last message was sent.
+        Whether another node may have taken over the window: the last message of the
+        hand-over was sent and not rejected.
     frozen_records : tuple of RunRecord
-        All runs known when the window was frozen. They are handed over whatever
-        happens to them meanwhile.
+        All runs known when the window was frozen. They are handed over even if they
+        are refused or evicted meanwhile.
     frozen_runs : tuple of RunRecord
-        Those that were in progress then; their outcomes follow.
+        The runs in progress when the window was frozen. Their outcomes are sent to the
+        successor later.
+    used : SparseBitmap
+        Root calls that were started or may no longer start.
+    burnt : SparseBitmap
+        Root calls whose ticket was burnt; no child calls may start either.
+    parents : SparseBitmap
+        Root calls of which a child call was started.
+    sealed : SparseBitmap
+        Root calls that may start no more child calls.
+    records : dict
+        Runs in progress and runs with a kept outcome, by key.
+    kept_bytes : int
+        Total size of the kept outcomes in bytes.
+    kept_sizes : OrderedDict
+        Size in bytes of each kept outcome by key, the oldest first.
     """
 
     def __init__(
@@ -91,56 +110,56 @@
         self.frozen_runs: tuple[RunRecord, ...] = ()
         self.used = SparseBitmap()
         self.burnt = SparseBitmap()
-        # Roots below which a child was started, and those where no more may be.
         self.parents = SparseBitmap()
         self.sealed = SparseBitmap()
         self.records: dict[RunKey, RunRecord] = {}
         self.kept_bytes = 0
-        # Ordered, since the first key of a dict is slow to find behind deleted ones.
+        # An OrderedDict, since finding the first key of a dict is slow after many keys
+        # before it were deleted.
         self.kept_sizes: OrderedDict[RunKey, int] = OrderedDict()
         self._page_times: deque[Milliseconds] = deque()
 
     # -- issuing ---------------------------------------------------------------
 
     def issue(self, count: int) -> tuple[Ticket, ...] | NotIssued:
-        """Hand out tickets.
+        """Issue a batch of tickets.
 
         Parameters
         ----------
         count : int
-            How many; at least one and at most `TicketSettings.max_batch` are given.
+            Number of tickets; clipped to between 1 and `TicketSettings.max_batch`.
 
         Returns
         -------
         tuple of Ticket or NotIssued
-            The tickets, or when to come back.
+            The tickets, or when to ask again.
         """
         count = min(max(count, 1), self.cfg.max_batch)
-        wait = self._make_room(self.next + count)
+        wait = self._advance_window(self.next + count)
         if wait > 0:
             return NotIssued(wait)
         first = self.next
         self.next += count
-        self._note_pages()
+        self._record_page_times()
         node, incarnation = self.node, self.incarnation
         return tuple(Ticket(node, incarnation, n) for n in range(first, self.next))
 
-    def _make_room(self, end: int) -> Milliseconds:
+    def _advance_window(self, end: int) -> Milliseconds:
         while end - self.low > self.cfg.window:
             age = self.clock.now() - self._page_times[0]
             if age < self.cfg.min_age:
                 return self.cfg.min_age - age
-            self._raise_low()
+            self._drop_oldest_page()
         return 0.0
 
-    def _raise_low(self) -> None:
+    def _drop_oldest_page(self) -> None:
         self._page_times.popleft()
         self.low = (self.low // PAGE_BITS + 1) * PAGE_BITS
-        for marks in (self.used, self.burnt, self.parents, self.sealed):
-            marks.drop_below(self.low)
+        for bitmap in (self.used, self.burnt, self.parents, self.sealed):
+            bitmap.drop_below(self.low)
 
-    def _note_pages(self) -> None:
-        """Set the time of the newest page, and of those begun since."""
+    def _record_page_times(self) -> None:
+        """Record the time of the last issue in the newest page and in new pages."""
         now = self.clock.now()
         if self._page_times:
             self._page_times[-1] = now
@@ -148,10 +167,10 @@
         while len(self._page_times) < n_pages:
             self._page_times.append(now)
 
-    # -- starting and ending ---------------------------------------------------
+    # -- claiming and finishing ------------------------------------------------
 
     def claim(self, sequence: int, child_key: str, fingerprint: bytes) -> Claim:
-        """Decide what a copy of a request may do.
+        """Claim a run for a request, or return its state if it was claimed before.
 
         Parameters
         ----------
@@ -165,15 +184,16 @@
         Returns
         -------
         Claim
-            `Start` at most once for each key, unless `finish` was told `Refused`.
+            `Start` at most once for each key; again only after `finish` was called
+            with `Refused`.
         """
         key = run_key(sequence, child_key)
         record = self.records.get(key)
         if record is not None:
-            return self._repeat(record, fingerprint)
-        denied = self._denied(sequence, child_key)
-        if denied is not None:
-            return denied
+            return self._claim_again(record, fingerprint)
+        unusable = self._check_unusable(sequence, child_key)
+        if unusable is not None:
+            return unusable
         if self.frozen:
             return WindowFrozen()
         record = RunRecord(key, fingerprint)
@@ -181,16 +201,18 @@
         (self.parents if child_key else self.used).add(sequence)
         return Start(record)
 
-    def _repeat(self, record: RunRecord, fingerprint: bytes) -> Claim:
+    def _claim_again(self, record: RunRecord, fingerprint: bytes) -> Claim:
         if record.fingerprint != fingerprint:
             return RequestMismatch()
         if record.outcome is None:
             return InProgress(record)
         return KeptOutcome(record.outcome)
 
-    def _denied(self, sequence: int, child_key: str) -> Burnt | Forgotten | None:
+    def _check_unusable(
+        self, sequence: int, child_key: str
+    ) -> Burnt | Forgotten | None:
         if not self.low <= sequence < self.next:
-            return Forgotten("the ticket is out of the window")
+            return Forgotten("the ticket has expired or was never issued")
         if sequence in self.burnt:
             return Burnt()
         if sequence in (self.sealed if child_key else self.used):
@@ -198,14 +220,15 @@
         return None
 
     def finish(self, record: RunRecord, outcome: Outcome) -> None:
-        """Note the outcome of a run that `claim` let start.
+        """Record the outcome of a run that `claim` allowed to start.
 
         Parameters
         ----------
         record : RunRecord
-            From `Start`.
+            Record of the run, from `Start`.
         outcome : Outcome
-            `Refused` opens the ticket again, or burns it if that was asked for.
+            After `Refused` the ticket can be used again, or is burnt if `record.burn`
+            is set.
         """
         record.final_outcome = outcome
         if isinstance(outcome, Refused):
@@ -239,7 +262,13 @@
         self.shrink(self.cfg.kept_bytes)
 
     def shrink(self, kept_bytes: int) -> None:
-        """Forget the oldest outcomes until at most so many bytes are kept."""
+        """Evict the oldest outcomes until the limits on bytes and number are met.
+
+        Parameters
+        ----------
+        kept_bytes : int
+            Maximum total size of the kept outcomes in bytes.
+        """
         sizes = self.kept_sizes
         while self.kept_bytes > kept_bytes or len(sizes) > self.cfg.kept_answers:
             oldest, size = sizes.popitem(last=False)
@@ -252,7 +281,10 @@
             self.sealed.add(key[0])
 
     def freeze(self) -> None:
-        """Start nothing here any more; for good, since a hand-over begins."""
+        """Stop starting runs, permanently, at the start of a hand-over.
+
+        Can be called again for a further attempt after a failed hand-over.
+        """
         if not self.frozen:
             self.frozen = True
             self.frozen_records = tuple(self.records.values())
@@ -262,10 +294,12 @@
         if self.hand_over_ended.is_set() and self.handed_to is None:
             self.hand_over_ended = trio.Event()
 
-    # -- asking ----------------------------------------------------------------
+    # -- settling --------------------------------------------------------------
 
     def settle(self, sequence: int) -> Settled:
-        """Tell the state of a root's ticket; burn it first if it was not started.
+        """Return the state of a root call's ticket; burn it if it was not started.
+
+        If the run is in progress, its ticket is burnt in case the run is refused.
 
         Parameters
         ----------
@@ -275,7 +309,7 @@
         Returns
         -------
         InProgress or KeptOutcome or Burnt or Forgotten or WindowFrozen
-            `Burnt` only if the request was not run and never will be.
+            `Burnt` only if the request was not executed and never will be.
         """
         record = self.records.get(sequence)
         if record is not None:
@@ -283,14 +317,14 @@
                 return KeptOutcome(record.outcome)
             record.burn = True
             return InProgress(record)
-        denied = self._denied(sequence, "")
-        if denied is not None:
-            return denied
+        unusable = self._check_unusable(sequence, "")
+        if unusable is not None:
+            return unusable
         if self.frozen:
             return WindowFrozen()
         self.used.add(sequence)
         self.sealed.add(sequence)
         if sequence in self.parents:
-            return Forgotten("the root was not started here, but a child call was")
+            return Forgotten("the root call was not started here, but a child call was")
         self.burnt.add(sequence)
         return Burnt()
