--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/attempts.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/attempts.py
@@ -163,7 +163,7 @@
     outcome: Outcome,
 ) -> None:
     if outcome.allowance > share:
-        state.telemetry.violation(
+        state.telemetry.report_violation(
             Invariant.ATTEMPTS_ABOVE_BOUND,
             f"{outcome.allowance} extra attempts came back of a share of {share}",
             head.call_id,
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home.py
@@ -129,7 +129,7 @@
     if not started.start(head.ticket, head.child_key):
         detail = f"{head.ticket} {head.child_key}"
         invariant = Invariant.TICKET_STARTED_TWICE
-        state.telemetry.violation(invariant, detail, head.call_id, head.root_id)
+        state.telemetry.report_violation(invariant, detail, head.call_id, head.root_id)
     record_event = state.telemetry.ring.record
     record_event(EventKind.TICKET_STARTED, head.call_id, head.root_id)
     outcome: Outcome = Unknown(Reason.DEADLINE, detail="the deadline passed")
@@ -230,7 +230,7 @@
     if (ticket, "") in state.tickets.started.runs:
         detail = f"ticket {ticket} is called burnt, but its request was started here"
         invariant = Invariant.FALSE_NOT_RUN
-        state.telemetry.violation(invariant, detail, root_id=str(ticket))
+        state.telemetry.report_violation(invariant, detail, root_id=str(ticket))
 
 
 def as_repeat(outcome: Outcome, allowance: int) -> Outcome:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/serve.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/serve.py
@@ -137,7 +137,7 @@
         call_telemetry.record_expired(state.telemetry, head)
         return Refused(Reason.DEADLINE, detail="the deadline passed in the queue")
     if state.leaving:
-        state.telemetry.violation(
+        state.telemetry.report_violation(
             Invariant.WORK_AFTER_LEAVING,
             f"{state.node} is leaving, and its backend server gets a new call",
             head.call_id,
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/node.py
@@ -159,7 +159,7 @@
             f"{len(calls.serving)} served, {calls.n_queued} waiting,"
             f" {calls.n_entered} entered, {calls.n_responding} being answered"
         )
-        state.telemetry.violation(Invariant.PLANNED_STOP_CUT, detail)
+        state.telemetry.report_violation(Invariant.PLANNED_STOP_CUT, detail)
 
 
 def make_state(cfg: NodeConfig, ports: NodePorts, nursery: trio.Nursery) -> NodeState:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/wiring.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/wiring.py
@@ -69,7 +69,7 @@
     def report_crossed(peer: str, number: int) -> None:
         telemetry.ring.record(EventKind.CROSSED_ANSWER_DROPPED, peer=peer)
         detail = f"{peer} sent a reply to ask {number}, which its link never had"
-        telemetry.violation(Invariant.WRONG_ANSWER, detail)
+        telemetry.report_violation(Invariant.WRONG_ANSWER, detail)
 
     return Wire(
         hello=hello,
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/spread.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/spread.py
@@ -96,10 +96,10 @@
     if after is None or after.version < before.version:
         now = 0 if after is None else after.version
         detail = f"settings of {offered.team}: {now} after {before.version}"
-        state.telemetry.violation(Invariant.VERSION_WENT_BACK, detail)
+        state.telemetry.report_violation(Invariant.VERSION_WENT_BACK, detail)
     elif offered.version == before.version and offered != before:
         detail = f"settings of {offered.team}: two texts of version {before.version}"
-        state.telemetry.violation(Invariant.VERSION_WENT_BACK, detail)
+        state.telemetry.report_violation(Invariant.VERSION_WENT_BACK, detail)
 
 
 async def pass_news_on(state: NodeState) -> None:
--- a/packages/fuchsiagap/src/fuchsiagap/core/telemetry/__init__.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""What a process tells its operators: events, metrics and violations."""
+"""Events, metrics and invariant violations that a process reports to its operators."""
--- a/packages/fuchsiagap/src/fuchsiagap/core/telemetry/call_telemetry.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/telemetry/call_telemetry.py
@@ -1,7 +1,7 @@
-"""Note the steps of a call once: as event, counter and histogram value together.
+"""Recording of each step of a call as event, counter and histogram value together.
 
-The call path calls one function for each step, so that the time line, the counters
-and the histograms always agree.
+The call path calls one function for each step, so that the event timeline, the
+counters and the histograms always agree.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 def record_received(telemetry: Telemetry, head: CallHead) -> None:
-    """Note that a caller or a backend server handed in a call at this node."""
+    """Record that this node received a call from a caller or a backend server."""
     telemetry.metrics.count(Counter.CALLS, head.route)
     telemetry.ring.record(
         EventKind.CALL_RECEIVED,
@@ -41,7 +41,7 @@
 def record_admitted(
     telemetry: Telemetry, head: CallHead, queueing_delay: Milliseconds
 ) -> None:
-    """Note that a call is handed to the backend server after a wait."""
+    """Record that a call is sent to the backend server after `queueing_delay` ms."""
     telemetry.metrics.observe(
         Measure.QUEUEING_DELAY, head.route, ANSWERED, queueing_delay
     )
@@ -54,29 +54,29 @@
 
 
 def record_expired(telemetry: Telemetry, head: CallHead) -> None:
-    """Note that a call is dropped here, before it was started, for its deadline."""
+    """Record that a call is dropped before its start because of its deadline."""
     telemetry.metrics.count(Counter.CALLS_EXPIRED, head.route)
     telemetry.ring.record(EventKind.CALL_EXPIRED, head.call_id, head.root_id)
 
 
 def record_late_answer(telemetry: Telemetry, call_id: str, root_id: str) -> None:
-    """Record that an answer came after its call had ended here."""
+    """Record that an answer arrived after its call had ended at this node."""
     telemetry.ring.record(EventKind.LATE_ANSWER_DROPPED, call_id, root_id)
 
 
 def record_incomplete_answer(
     telemetry: Telemetry, call_id: str, root_id: str, source: str
 ) -> None:
-    """Note that the body of an answer broke off, and so became an error.
+    """Record that the body of an answer ended early, so that the call fails.
 
     Parameters
     ----------
     telemetry : Telemetry
-        Of the node.
+        Telemetry of the node.
     call_id, root_id : str
-        The call.
+        Identifiers of the call and its root request.
     source : str
-        Node or backend server whose answer it was.
+        Whether the answer came from a node or from a backend server.
     """
     telemetry.metrics.count(Counter.INCOMPLETE_ANSWERS)
     telemetry.ring.record(EventKind.INCOMPLETE_ANSWER, call_id, root_id, source=source)
@@ -85,16 +85,16 @@
 def record_ended(
     telemetry: Telemetry, head: CallHead, outcome: Outcome | None, latency: Milliseconds
 ) -> None:
-    """Note the outcome at the node where the call was handed in.
+    """Record the outcome of a call at the node that received it from the caller.
 
     Parameters
     ----------
     telemetry : Telemetry
-        Of the node.
+        Telemetry of the node.
     head : CallHead
         The call.
     outcome : Outcome or None
-        None if its caller left.
+        None if the caller abandoned the call.
     latency : float
         Milliseconds since the call was received.
     """
@@ -107,10 +107,10 @@
 
 
 def count_outcome(telemetry: Telemetry, outcome: Outcome) -> None:
-    """Count a refusal or an unknown outcome that a caller gets.
+    """Count a refusal or an unknown outcome that is returned to a caller.
 
-    Requests that never became a call, for example for want of a route, are counted
-    by this alone.
+    For requests that are rejected before they become a call, for example because no
+    route matches, this is the only record.
     """
     if isinstance(outcome, Refused):
         telemetry.metrics.count(Counter.REFUSALS, outcome.reason.value)
@@ -121,19 +121,19 @@
 def record_served(
     telemetry: Telemetry, head: CallHead, outcome: Outcome | None, added: Milliseconds
 ) -> None:
-    """Note the outcome at the node beside the backend server.
+    """Record the outcome of a call at the node of the backend server that runs it.
 
     Parameters
     ----------
     telemetry : Telemetry
-        Of the node.
+        Telemetry of the node.
     head : CallHead
         The call.
     outcome : Outcome or None
         None if the call was cancelled.
     added : float
-        Milliseconds that the call spent at this node and not at its backend server,
-        the wait for admission included.
+        Milliseconds that the call spent at this node outside the backend server,
+        including the wait for admission.
     """
     name = _note_outcome(telemetry, head, outcome, at="backend")
     telemetry.metrics.observe(Measure.ADDED_TIME, head.route, name, added)
--- a/packages/fuchsiagap/src/fuchsiagap/core/telemetry/events.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/telemetry/events.py
@@ -1,4 +1,4 @@
-"""The bounded ring of events of one process."""
+"""Event kinds, and the bounded ring buffer of recent events of one process."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 _logger = logging.getLogger(__name__)
 
 DEFAULT_RING_SIZE = 20_000
-# Events that belong to no call are rare, so a small ring keeps them far longer.
+# Events that belong to no call are rare, so a small buffer retains them far longer.
 STATE_RING_SIZE = 2_000
 MAX_EVENTS_PER_PAGE = 10_000
 
@@ -28,9 +28,9 @@
 
 
 class EventKind(StrEnum):
-    """What an event says; the value is its name on the wire and on the screen."""
+    """Kind of an event; the value is its name in messages and on screen."""
 
-    # The way of a call.
+    # Steps of a call.
     CALL_RECEIVED = "call-received"
     CALL_RELAYED = "call-relayed"
     CALL_ADMITTED = "call-admitted"
@@ -77,13 +77,13 @@
     SETTINGS_WRITTEN = "settings-written"
     PLATFORM_UP = "platform-up"
     PLATFORM_DOWN = "platform-down"
-    # Never in a healthy run.
+    # Violations of invariants, which indicate a bug.
     VIOLATION = "violation"
 
 
-# Changes of state, which are rare; each of these gets a line in the log. Level and
-# limit change each second under overload, and members a thousand times a day in a
-# large fleet, so they are only recorded.
+# Rare state changes, each of which is also written to the log. Changes of admission
+# level and concurrency limit (every second under overload) and of members (a thousand
+# times a day in a large fleet) are recorded but not logged.
 LOGGED_KINDS = frozenset(
     {
         EventKind.OVERLOAD_STARTED,
@@ -114,15 +114,15 @@
     Parameters
     ----------
     stamp : int
-        Stamp of the hybrid logical clock; unique within the process.
+        Timestamp of the hybrid logical clock; unique within the process.
     process : str
         Name of the process.
     kind : EventKind
-        What happened.
+        Kind of the event.
     call_id, root_id : str
-        The call and the root request it belongs to; empty if none.
+        The call and its root request; empty if the event belongs to none.
     detail : dict
-        Names and values that say more.
+        Further values by name.
     """
 
     stamp: Stamp
@@ -135,17 +135,18 @@
 
 @dataclass(frozen=True, slots=True)
 class EventPage:
-    """A part of a ring, in the order of the stamps.
+    """One page of events of a ring, in the order of their timestamps.
 
     Parameters
     ----------
     events : tuple of Event
         The events, oldest first.
     overwritten : bool
-        Whether events after the asked stamp were overwritten by newer ones, so that
-        the page may lack some.
+        Whether events after the requested timestamp were overwritten by newer ones,
+        so that some may be missing from the page.
     more : bool
-        Whether the limit cut the page; ask again after the last event's stamp.
+        Whether further events follow. Request them with the timestamp of the last
+        event of this page.
     """
 
     events: tuple[Event, ...]
@@ -154,20 +155,21 @@
 
 
 class EventRing:
-    """The latest events of one process.
+    """A ring buffer of the most recent events of one process.
 
-    Events of calls and events of the process itself are kept apart, so that calls,
-    thousands a second, do not push out when the platform went away.
+    Events of calls and events of the process itself have separate buffers. Otherwise
+    the events of thousands of calls per second would soon overwrite state changes, such
+    as the loss of the platform.
 
     Parameters
     ----------
     process : str
         Name of the process.
     hlc : HybridClock
-        Clock of the process, which its links keep up to date.
+        Hybrid logical clock of the process.
     size : int, default=DEFAULT_RING_SIZE
-        How many events of calls are kept; a new one overwrites the oldest. Of the
-        others `STATE_RING_SIZE`, or `size` if that is less.
+        Number of call events kept; a new one overwrites the oldest. Of other events,
+        `STATE_RING_SIZE` or `size` are kept, whichever is less.
     """
 
     __slots__ = ("_calls", "_hlc", "_states", "counts", "process")
@@ -178,8 +180,8 @@
         self.process = process
         self.counts: dict[EventKind, int] = dict.fromkeys(EventKind, 0)
         self._hlc = hlc
-        self._calls = _Rows(size)
-        self._states = _Rows(min(size, STATE_RING_SIZE))
+        self._calls = _EventBuffer(size)
+        self._states = _EventBuffer(min(size, STATE_RING_SIZE))
 
     def __len__(self) -> int:
         return len(self._calls.rows) + len(self._states.rows)
@@ -187,21 +189,21 @@
     def record(
         self, kind: EventKind, call_id: str = "", root_id: str = "", **detail: Value
     ) -> None:
-        """Record an event now; a change of state gets a line in the log too.
+        """Record an event with the current time; log it if in `LOGGED_KINDS`.
 
         Parameters
         ----------
         kind : EventKind
-            What happened.
+            Kind of the event.
         call_id, root_id : str, default=""
             The call and its root request, if the event belongs to one.
         **detail : str, int, float or bool
-            Names and values that say more.
+            Further values by name.
         """
-        kept = self._calls if call_id or root_id else self._states
-        rows = kept.rows
+        buffer = self._calls if call_id or root_id else self._states
+        rows = buffer.rows
         if len(rows) == rows.maxlen:
-            kept.overwritten_to = rows[0][0]
+            buffer.last_overwritten = rows[0][0]
         rows.append((self._hlc.tick(), kind, call_id, root_id, detail))
         self.counts[kind] += 1
         if kind in LOGGED_KINDS:
@@ -214,46 +216,46 @@
         root: str = "",
         limit: int = MAX_EVENTS_PER_PAGE,
     ) -> EventPage:
-        """Return the events after a stamp.
+        """Return the events after a timestamp.
 
         Parameters
         ----------
         after : int, default=0
-            Only events with a higher stamp.
+            Only events with a higher timestamp are returned.
         call, root : str, default=""
-            If given, only events of this call or of this root request.
+            If given, only events of this call and this root request are returned.
         limit : int, default=MAX_EVENTS_PER_PAGE
-            At most so many events, the oldest first.
+            Maximum number of events; the oldest are returned first.
 
         Returns
         -------
         EventPage
-            The events, and whether some are missing.
+            The events, whether some may be missing and whether more follow.
         """
         limit = max(1, min(limit, MAX_EVENTS_PER_PAGE))
-        searched = [self._calls] if call or root else [self._calls, self._states]
-        found = [kept.matching(after, call, root, limit + 1) for kept in searched]
+        buffers = [self._calls] if call or root else [self._calls, self._states]
+        found = [buffer.matching(after, call, root, limit + 1) for buffer in buffers]
         rows = list(islice(heapq.merge(*found), limit + 1))
         return EventPage(
             events=tuple(Event(r[0], self.process, *r[1:]) for r in rows[:limit]),
-            overwritten=any(after < kept.overwritten_to for kept in searched),
+            overwritten=any(after < buffer.last_overwritten for buffer in buffers),
             more=len(rows) > limit,
         )
 
 
-class _Rows:
-    """A bounded number of rows, and the stamp of the last one that was overwritten."""
+class _EventBuffer:
+    """A bounded buffer of events that stores when it last overwrote one."""
 
-    __slots__ = ("overwritten_to", "rows")
+    __slots__ = ("last_overwritten", "rows")
 
     def __init__(self, size: int) -> None:
         self.rows: deque[_Row] = deque(maxlen=size)
-        self.overwritten_to: Stamp = 0
+        self.last_overwritten: Stamp = 0
 
     def matching(
         self, after: Stamp, call: str, root: str, limit: int
     ) -> Iterator[_Row]:
-        """Return the first rows after a stamp, of a call or root request if given."""
+        """Return the first rows after a timestamp, of one call or root if given."""
         start = bisect_right(self.rows, after, key=_stamp_of)
         rows: Iterable[_Row] = islice(self.rows, start, None)
         if call or root:
@@ -270,7 +272,7 @@
 
 
 def event_to_dict(event: Event) -> dict[str, object]:
-    """Return an event as plain values for JSON; far cheaper than `asdict`."""
+    """Return an event as a dict for JSON; much faster than `dataclasses.asdict`."""
     return {
         "stamp": event.stamp,
         "process": event.process,
@@ -282,6 +284,6 @@
 
 
 def _log(kind: EventKind, detail: dict[str, Value]) -> None:
-    said = " ".join(f"{name}={value}" for name, value in detail.items())
-    message = f"{kind} {said}".rstrip()
+    pairs = " ".join(f"{name}={value}" for name, value in detail.items())
+    message = f"{kind} {pairs}".rstrip()
     _logger.info(message, extra={"event": kind.value, "detail": detail})
--- a/packages/fuchsiagap/src/fuchsiagap/core/telemetry/hlc.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/telemetry/hlc.py
@@ -1,11 +1,11 @@
-"""A hybrid logical clock: orders events of processes whose clocks differ.
-
-A stamp is one integer: the time of day in units of 1 / `UNITS_PER_MS` milliseconds,
-raised by one where that would not be above the last stamp. The low bits are the
-counter of the textbook's clock; filled from the time of day they show fractions of a
-millisecond too. Stamps of one process always grow, and a stamp taken after `observe`
-is above the observed one, so a cause is ordered before its effect whatever the hosts'
-clocks say. No decision of the program rests on a stamp.
+"""Hybrid logical clock that orders events of processes with differing host clocks.
+
+A timestamp is one integer: the time of day in units of 1 / `UNITS_PER_MS` milliseconds,
+or the previous timestamp plus one if that is greater. The low bits serve as the logical
+counter of the clock, and also hold fractions of a millisecond of the time of day.
+Timestamps of one process strictly increase, and a timestamp taken after `observe` is
+greater than the observed one. A cause is therefore ordered before its effect even if
+the hosts' clocks differ. Timestamps are used for display and never for decisions.
 """
 
 from __future__ import annotations
@@ -21,20 +21,21 @@
 Stamp: TypeAlias = int
 
 UNITS_PER_MS = 65_536.0
-# A host whose clock is further ahead than this drags no other clock along.
+# Timestamps further ahead than this are rejected, so that one host whose clock is wrong
+# does not advance the clocks of all others.
 MAX_DRIFT_MS = 300_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class DriftTooLarge:
-    """An observed stamp is so far ahead of the own clock that it was not taken over.
+    """An observed timestamp was rejected since it is too far ahead of the own clock.
 
     Parameters
     ----------
     ahead : float
-        Milliseconds between the observed stamp and the own time of day.
+        Milliseconds by which the observed timestamp is ahead of the own time of day.
     allowed : float
-        The bound in milliseconds.
+        Maximum allowed difference in milliseconds.
     """
 
     ahead: Milliseconds
@@ -42,25 +43,26 @@
 
     def __str__(self) -> str:
         return (
-            f"observed clock is {self.ahead:.0f} ms ahead, allowed are"
+            f"observed clock is {self.ahead:.0f} ms ahead, more than the allowed"
             f" {self.allowed:.0f} ms: set the clocks of both hosts"
         )
 
 
 class HybridClock:
-    """A hybrid logical clock of one process.
+    """The hybrid logical clock of one process.
 
     Parameters
     ----------
     wall : callable
         Returns the time of day in milliseconds since the epoch.
     max_drift : float, default=MAX_DRIFT_MS
-        Stamps further ahead of the own time of day than this are not taken over.
+        Milliseconds; observed timestamps further ahead of the own time of day are
+        rejected.
 
     Attributes
     ----------
     on_drift : callable
-        Called with each stamp's fault that was not taken over.
+        Called with the error for each rejected timestamp.
 
     Examples
     --------
@@ -80,7 +82,7 @@
         self.on_drift: Callable[[DriftTooLarge], None] = _ignore
 
     def tick(self) -> Stamp:
-        """Return a stamp above all that this clock returned or observed."""
+        """Return a timestamp greater than all returned or observed before."""
         stamp = int(self._wall() * UNITS_PER_MS)
         if stamp <= self._last:
             stamp = self._last + 1
@@ -88,17 +90,19 @@
         return stamp
 
     def observe(self, remote: Stamp) -> DriftTooLarge | None:
-        """Take over a stamp that came with a message, before its handling.
+        """Advance the clock to the timestamp of a received message.
+
+        Must be called before the message is handled.
 
         Parameters
         ----------
         remote : int
-            Stamp of the sender; 0 if it sent none.
+            Timestamp of the sender; 0 if it sent none.
 
         Returns
         -------
         DriftTooLarge or None
-            The fault if the stamp was not taken over.
+            The error if the timestamp was rejected.
         """
         if remote <= self._last:
             return None
@@ -112,14 +116,14 @@
 
 
 def _ignore(_fault: DriftTooLarge) -> None:
-    """Do nothing about a drift."""
+    """Ignore a rejected timestamp."""
 
 
 def stamp_at(wall: Milliseconds) -> Stamp:
-    """Return the lowest stamp of a time of day in milliseconds since the epoch."""
+    """Return the lowest timestamp of a time of day, in milliseconds since the epoch."""
     return max(int(wall * UNITS_PER_MS), 0)
 
 
 def wall_of(stamp: Stamp) -> Milliseconds:
-    """Return the time of day of a stamp, in milliseconds since the epoch."""
+    """Return the time of day of a timestamp, in milliseconds since the epoch."""
     return stamp / UNITS_PER_MS
--- a/packages/fuchsiagap/src/fuchsiagap/core/telemetry/metric_table.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/telemetry/metric_table.py
@@ -1,4 +1,4 @@
-"""What each metric means, and its labels: for the text format and the pages."""
+"""Help text and labels of each metric, for the exposition format and documentation."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MetricSpec:
-    """What a metric means.
+    """Description of a metric.
 
     Parameters
     ----------
     help : str
-        One sentence.
+        Help text in one sentence.
     labels : tuple of str
-        Names of its labels.
+        Label names.
     """
 
     help: str
@@ -85,15 +85,15 @@
     ),
 }
 
-_MEASURED = ("route", "outcome")
+_ROUTE_AND_OUTCOME = ("route", "outcome")
 MEASURES: dict[Measure, MetricSpec] = {
     Measure.LATENCY: MetricSpec(
-        "From a call's arrival at this node to its outcome.", _MEASURED
+        "From a call's arrival at this node to its outcome.", _ROUTE_AND_OUTCOME
     ),
     Measure.QUEUEING_DELAY: MetricSpec(
-        "Time calls waited for admission at this node.", _MEASURED
+        "Time calls waited for admission at this node.", _ROUTE_AND_OUTCOME
     ),
     Measure.ADDED_TIME: MetricSpec(
-        "Latency less the time the backend server had the call.", _MEASURED
+        "Latency less the time the backend server had the call.", _ROUTE_AND_OUTCOME
     ),
 }
--- a/packages/fuchsiagap/src/fuchsiagap/core/telemetry/metrics.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/telemetry/metrics.py
@@ -13,23 +13,23 @@
 
     from fuchsiagap.core.clock import Milliseconds
 
-# More labels than this on one metric are counted together as `OTHER_LABEL`, so that
-# names that callers make up cannot fill the memory.
+# Further labels of a metric are counted together as `OTHER_LABEL`, so that arbitrary
+# names sent by callers cannot exhaust memory.
 MAX_LABELS = 1_000
 MAX_HISTOGRAMS = 500
 OTHER_LABEL = "other"
 
-# Histograms count microseconds with two significant digits up to two minutes.
+# Histograms store microseconds up to two minutes with two significant digits.
 UNITS_PER_MS = 1_000
 HIGHEST_UNITS = 120_000_000
 SIGNIFICANT_DIGITS = 2
 _COUNTER_BYTES = 4
-# Bits of a value that decide its bucket at two significant digits.
+# Number of leading bits that determine the bucket of a value at two significant digits.
 _BUCKET_BITS = 8
 
 
 class Counter(StrEnum):
-    """Counters; the value is the name in the text format."""
+    """Counters; the value is the name in the exposition format."""
 
     CALLS = "fuchsiagap_calls"
     REFUSALS = "fuchsiagap_refusals"
@@ -59,7 +59,7 @@
 
 
 class Gauge(StrEnum):
-    """Gauges; the value is the name in the text format."""
+    """Gauges; the value is the name in the exposition format."""
 
     IN_FLIGHT = "fuchsiagap_in_flight"
     QUEUED = "fuchsiagap_queued"
@@ -72,7 +72,7 @@
 
 
 class Measure(StrEnum):
-    """Times that are kept in histograms, by route and outcome."""
+    """Durations recorded in histograms, by route and outcome."""
 
     LATENCY = "fuchsiagap_latency"
     QUEUEING_DELAY = "fuchsiagap_queueing_delay"
@@ -81,20 +81,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """What a histogram holds, times in milliseconds.
+    """Summary of a histogram.
 
     Parameters
     ----------
     measure : Measure
-        What was measured.
+        The measured duration.
     route, outcome : str
-        Of which calls.
+        Route and outcome of the calls.
     count : int
-        How many values.
+        Number of values.
     total : float
-        Sum of the values.
+        Sum of the values in milliseconds.
     quantiles : tuple of (float, float)
-        Quantile between 0 and 1, and its value.
+        Pairs of a quantile between 0 and 1 and its value in milliseconds.
     """
 
     measure: Measure
@@ -109,10 +109,10 @@
 
 
 class _Series:
-    """A histogram, and counts that wait to be put into it as a batch.
+    """A histogram and the counts that have not been added to it yet.
 
-    A value costs a division into buckets as wide as the histogram's and one step in
-    a dict; the histogram itself is touched by readers only.
+    To keep recording cheap, a value is only rounded to the histogram's resolution and
+    counted in a dict. The counts are added to the histogram by `flush`.
     """
 
     __slots__ = ("histogram", "pending", "total")
@@ -125,17 +125,17 @@
         self.total = 0.0
 
     def flush(self, limit: int) -> int:
-        """Move up to `limit` counts to the histogram, and return how many."""
+        """Move up to `limit` pending counts to the histogram; return how many."""
         moved = 0
         while self.pending and moved < limit:
             self.histogram.record_value(*self.pending.popitem())
             moved += 1
         if not self.pending:
-            self.pending = {}  # An emptied dict would keep its memory.
+            self.pending = {}  # An emptied dict would retain its memory.
         return moved
 
     def quantiles(self) -> tuple[tuple[float, Milliseconds], ...]:
-        """Return the values at `QUANTILES`, found in one pass."""
+        """Return the values at `QUANTILES`, computed in one pass."""
         percentiles = [quantile * 100.0 for quantile in QUANTILES]
         found = self.histogram.get_percentile_to_value_dict(percentiles)
         values = (found[percentile] / UNITS_PER_MS for percentile in percentiles)
@@ -159,11 +159,11 @@
         Parameters
         ----------
         counter : Counter
-            Which one.
+            The counter.
         label : str, default=""
-            Its label, for example a route or a reason.
+            Label value, for example a route or a reason.
         amount : int, default=1
-            What to add.
+            Amount to add.
         """
         counts = self._counts[counter]
         if label not in counts and len(counts) >= MAX_LABELS:
@@ -178,22 +178,22 @@
         gauges[label] = value
 
     def add_source(self, source: Callable[[], None]) -> None:
-        """Call a function, which sets gauges, whenever the gauges are read."""
+        """Register a function that sets gauges, called whenever the gauges are read."""
         self._sources.append(source)
 
     def observe(
         self, measure: Measure, route: str, outcome: str, value: Milliseconds
     ) -> None:
-        """Put a time into a histogram; cheap, since values go in by batches.
+        """Record a duration for its histogram, to which `flush` adds it.
 
         Parameters
         ----------
         measure : Measure
-            What was measured.
+            The measured duration.
         route, outcome : str
-            Of which calls.
+            Route and outcome of the call.
         value : float
-            Milliseconds.
+            Milliseconds; clipped to the range of the histograms.
         """
         series = self._series.get((measure, route, outcome))
         if series is None:
@@ -214,17 +214,17 @@
         return self._series.setdefault((measure, route, outcome), _Series())
 
     def flush(self, limit: int) -> int:
-        """Move waiting values to the histograms, so that a reader's share is small.
+        """Move pending values to the histograms, so that reading them takes less time.
 
         Parameters
         ----------
         limit : int
-            At most so many steps, of about 3 microseconds each.
+            Maximum number of values to move; each takes about 3 microseconds.
 
         Returns
         -------
         int
-            How many steps were made; 0 if nothing waits.
+            Number of values moved; 0 if none are pending.
         """
         moved = 0
         for series in self._series.values():
@@ -232,7 +232,7 @@
         return moved
 
     def counter_value(self, counter: Counter, label: str = "") -> int:
-        """Return a counter's value."""
+        """Return the value of a counter; 0 if it was never increased."""
         return self._counts[counter].get(label, 0)
 
     def counters(self) -> Iterator[tuple[Counter, str, int]]:
@@ -250,7 +250,7 @@
                 yield gauge, label, value
 
     def summaries(self) -> Iterator[Summary]:
-        """Yield a summary of each histogram; others may be added meanwhile."""
+        """Yield a summary of each histogram that exists at the time of the call."""
         for (measure, route, outcome), series in list(self._series.items()):
             series.flush(len(series.pending))
             yield Summary(
--- a/packages/fuchsiagap/src/fuchsiagap/core/telemetry/telemetry.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/telemetry/telemetry.py
@@ -1,4 +1,4 @@
-"""The telemetry of one process, put together."""
+"""Event ring, metrics and violation reports of one process, bundled as `Telemetry`."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 from fuchsiagap.core.telemetry.events import DEFAULT_RING_SIZE, EventKind, EventRing
 from fuchsiagap.core.telemetry.hlc import MAX_DRIFT_MS, HybridClock
 from fuchsiagap.core.telemetry.metrics import Metrics
-from fuchsiagap.core.telemetry.violations import Violation, make_violation
+from fuchsiagap.core.telemetry.violations import (
+    ViolationReporter,
+    make_violation_reporter,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -17,21 +20,22 @@
     from fuchsiagap.core.clock import Clock, Milliseconds
     from fuchsiagap.core.telemetry.hlc import DriftTooLarge
 
-_DRIFT_QUIET_MS = 60_000.0
+_DRIFT_EVENT_INTERVAL_MS = 60_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class TelemetrySettings:
-    """Settings of the telemetry.
+    """Telemetry settings of one process.
 
     Parameters
     ----------
     ring_size : int, default=DEFAULT_RING_SIZE
-        How many events the ring keeps.
+        Number of call events that the event ring keeps.
     max_drift : float, default=MAX_DRIFT_MS
-        Milliseconds; stamps from hosts further ahead are not taken over.
+        Milliseconds; timestamps from hosts whose clock is further ahead are rejected.
     stop_on_violation : bool, default=False
-        Whether a violated invariant stops the process.
+        Whether a violated invariant raises `InvariantViolated`, which stops the
+        process.
     """
 
     ring_size: int = DEFAULT_RING_SIZE
@@ -41,61 +45,63 @@
 
 @dataclass(frozen=True, slots=True)
 class Telemetry:
-    """What a process uses to tell what it does.
+    """The means by which a process reports its events, metrics and violations.
 
     Parameters
     ----------
     hlc : HybridClock
-        Stamps events; links pass it on with each frame.
+        Provides the timestamps of events and of frames sent to other nodes.
     ring : EventRing
-        The latest events.
+        The most recent events.
     metrics : Metrics
         Counters, gauges and histograms.
-    violation : Violation
-        Reports that an invariant does not hold.
+    report_violation : ViolationReporter
+        Reports that an invariant was violated.
     """
 
     hlc: HybridClock
     ring: EventRing
     metrics: Metrics
-    violation: Violation
+    report_violation: ViolationReporter
 
 
 def make_telemetry(cfg: TelemetrySettings, process: str, clock: Clock) -> Telemetry:
-    """Make the telemetry of a process.
+    """Create the telemetry of a process.
 
     Parameters
     ----------
     cfg : TelemetrySettings
-        Settings.
+        Telemetry settings.
     process : str
-        Name of the process, as the time line shows it.
+        Name of the process, as shown in the event timeline.
     clock : Clock
-        Gives the time of day.
+        The clock of the process.
 
     Returns
     -------
     Telemetry
-        Empty rings and counters.
+        The telemetry, with no events or counts yet.
     """
     hlc = HybridClock(clock.wall, cfg.max_drift)
     ring = EventRing(process, hlc, cfg.ring_size)
     metrics = Metrics()
     hlc.on_drift = _record_drift(ring, clock)
-    violation = make_violation(ring, metrics, stop=cfg.stop_on_violation)
-    return Telemetry(hlc, ring, metrics, violation)
+    report_violation = make_violation_reporter(
+        ring, metrics, stop=cfg.stop_on_violation
+    )
+    return Telemetry(hlc, ring, metrics, report_violation)
 
 
 def _record_drift(ring: EventRing, clock: Clock) -> Callable[[DriftTooLarge], None]:
-    """Return a function that records a drift, but not for every frame."""
-    quiet_until = -math.inf
+    """Return a function that records clock drift, at a limited rate."""
+    next_event_at = -math.inf
 
     def record(fault: DriftTooLarge) -> None:
-        nonlocal quiet_until
+        nonlocal next_event_at
         now = clock.now()
-        if now < quiet_until:
+        if now < next_event_at:
             return
-        quiet_until = now + _DRIFT_QUIET_MS
+        next_event_at = now + _DRIFT_EVENT_INTERVAL_MS
         ring.record(EventKind.CLOCK_DRIFT, ahead_ms=round(fault.ahead))
 
     return record
--- a/packages/fuchsiagap/src/fuchsiagap/core/telemetry/violations.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/telemetry/violations.py
@@ -1,4 +1,4 @@
-"""Invariants of the program, and what happens when one does not hold."""
+"""Invariants of the program, and the reporting of their violations."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
 
 
 class Invariant(StrEnum):
-    """What must always hold.
-
-    A process reports what it can see alone, and that is less than the whole claim:
-
-    - ``TICKET_STARTED_TWICE``, ``FALSE_NOT_RUN``: by the home's second book of the
-      latest runs. What a backend server did, and what another home did, it cannot
-      see.
-    - ``ATTEMPTS_ABOVE_BOUND``: where more allowance comes back than was lent. The sum
-      over a tree of calls is known to no process.
-    - ``WRONG_ANSWER``: by an answer to a call that the link never had. Whether a body
-      is that of the call, only callers know.
-    - ``VERSION_WENT_BACK``: at each text that is offered, against the one in force.
-    - ``WORK_AFTER_LEAVING``: where a call is handed to the backend server.
-    - ``PLANNED_STOP_CUT``: at the end of the process, by the calls still in progress.
-    - ``PRIORITY_INVERSION``: by no process. The level moves with each step, chains
-      that were let in are judged by an earlier level, and the other call may have met
-      another node.
-
-    The fault and overload experiments judge the whole claims from outside.
+    """Conditions that must always hold.
+
+    A process can only detect a part of the possible violations by itself:
+
+    - ``TICKET_STARTED_TWICE``, ``FALSE_NOT_RUN``: detected with the `RunLedger` of the
+      home node. It does not show what backend servers or other home nodes did.
+    - ``ATTEMPTS_ABOVE_BOUND``: detected where more allowance is returned than was
+      granted. No process knows the sum over a tree of calls.
+    - ``WRONG_ANSWER``: detected by an answer to a call that was never sent on the link.
+      Only callers can tell whether a body belongs to their call.
+    - ``VERSION_WENT_BACK``: detected by comparing each offered settings document with
+      the one in force.
+    - ``WORK_AFTER_LEAVING``: detected where a call is sent to the backend server.
+    - ``PLANNED_STOP_CUT``: detected at the end of the process by calls in progress.
+    - ``PRIORITY_INVERSION``: not detected by any process. The admission level changes
+      at each step, nested calls of admitted requests are judged by an earlier level,
+      and the other call may have been handled by another node.
+
+    The fault and overload experiments check the complete invariants from outside.
     """
 
     TICKET_STARTED_TWICE = "ticket-started-twice"
@@ -49,37 +49,40 @@
 
 
 class InvariantViolated(Exception):
-    """An invariant does not hold, and the process shall stop at once."""
+    """An invariant was violated, and the process must stop immediately."""
 
 
-class Violation(Protocol):
-    """Report that an invariant does not hold."""
+class ViolationReporter(Protocol):
+    """Function that reports the violation of an invariant."""
 
     def __call__(
         self, invariant: Invariant, detail: str, call_id: str = "", root_id: str = ""
     ) -> None:
-        """Count, record and log it; raise `InvariantViolated` if so configured."""
+        """Count, record and log a violation; may raise `InvariantViolated`."""
 
 
-def make_violation(ring: EventRing, metrics: Metrics, *, stop: bool) -> Violation:
+def make_violation_reporter(
+    ring: EventRing, metrics: Metrics, *, stop: bool
+) -> ViolationReporter:
     """Return the function that reports violations.
 
     Parameters
     ----------
     ring : EventRing
-        Where the event goes.
+        Records the event.
     metrics : Metrics
-        Where the violation is counted.
+        Counts the violation.
     stop : bool
-        Whether it raises `InvariantViolated` too; tests and randomised runs do.
+        Whether the function also raises `InvariantViolated`, as in tests and
+        randomised runs.
 
     Returns
     -------
-    Violation
+    ViolationReporter
         The function.
     """
 
-    def violation(
+    def report_violation(
         invariant: Invariant, detail: str, call_id: str = "", root_id: str = ""
     ) -> None:
         metrics.count(Counter.VIOLATIONS, invariant.value)
@@ -91,7 +94,7 @@
             detail=detail,
         )
         _logger.critical(
-            "invariant does not hold: %s: %s (call %s, root %s)",
+            "invariant violated: %s: %s (call %s, root %s)",
             invariant.value,
             detail,
             call_id or "-",
@@ -100,4 +103,4 @@
         if stop:
             raise InvariantViolated(f"{invariant.value}: {detail}")
 
-    return violation
+    return report_violation
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/telemetry/test_call_telemetry.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/telemetry/test_call_telemetry.py
@@ -1,4 +1,4 @@
-"""One step of a call is event, counter and histogram value together."""
+"""Tests that each step of a call is recorded as event, counter and histogram value."""
 
 from __future__ import annotations
 
@@ -38,8 +38,10 @@
         self.assertEqual(
             1, metrics.counter_value(Counter.CALLS_CANCELLED, self.head.route)
         )
-        timed = {summary.outcome for summary in metrics.summaries()}
-        self.assertEqual({"answered", "refused", "unknown", "cancelled"}, timed)
+        measured_outcomes = {summary.outcome for summary in metrics.summaries()}
+        self.assertEqual(
+            {"answered", "refused", "unknown", "cancelled"}, measured_outcomes
+        )
         kinds = [e.kind for e in self.telemetry.ring.since().events if "at" in e.detail]
         self.assertEqual(
             [
@@ -51,7 +53,9 @@
             kinds,
         )
 
-    def test_queueing_delay_and_added_time_are_those_of_the_serving_node(self) -> None:
+    def test_queueing_delay_and_added_time_are_measured_at_the_serving_node(
+        self,
+    ) -> None:
         call_telemetry.record_admitted(self.telemetry, self.head, 3.0)
         call_telemetry.record_served(
             self.telemetry, self.head, Answered(200, (), b""), 4.0
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/telemetry/test_events.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/telemetry/test_events.py
@@ -1,4 +1,4 @@
-"""The ring is bounded and says when it overwrote something."""
+"""Tests that the event ring is bounded and reports overwritten events."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class TestEventRing(TestCase):
-    def test_event_carries_what_was_recorded(self) -> None:
+    def test_event_has_the_recorded_values(self) -> None:
         ring = _ring(4)
         ring.record(EventKind.CALL_REFUSED, "c1", "r1", reason="overload", level=3)
         (event,) = ring.since().events
@@ -22,7 +22,7 @@
         self.assertEqual(("c1", "r1"), (event.call_id, event.root_id))
         self.assertEqual({"reason": "overload", "level": 3}, event.detail)
 
-    def test_overwriting_is_named_only_if_it_concerns_the_reader(self) -> None:
+    def test_overwriting_is_reported_only_for_the_requested_range(self) -> None:
         ring = _ring(3)
         for number in range(5):
             ring.record(EventKind.LINK_UP, number=number)
@@ -32,7 +32,7 @@
         self.assertFalse(ring.since(page.events[0].stamp).overwritten)
         self.assertEqual(5, ring.counts[EventKind.LINK_UP])
 
-    def test_calls_do_not_push_out_changes_of_state(self) -> None:
+    def test_call_events_do_not_overwrite_state_changes(self) -> None:
         ring = _ring(3)
         ring.record(EventKind.PLATFORM_DOWN)
         for number in range(5):
@@ -44,7 +44,7 @@
         self.assertEqual(5, len(kinds))
         self.assertTrue(ring.since().overwritten)
 
-    def test_pages_follow_each_other_without_loss(self) -> None:
+    def test_consecutive_pages_contain_all_events(self) -> None:
         ring = _ring(10)
         for number in range(7):
             ring.record(EventKind.LINK_UP, number=number)
@@ -56,7 +56,7 @@
             after, more = page.events[-1].stamp, page.more
         self.assertEqual(list(range(7)), numbers)
 
-    def test_call_and_root_select(self) -> None:
+    def test_events_are_selected_by_call_and_root(self) -> None:
         ring = _ring(10)
         ring.record(EventKind.CALL_RECEIVED, "c1", "r1")
         ring.record(EventKind.CALL_RECEIVED, "c2", "r1")
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/telemetry/test_metrics.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/telemetry/test_metrics.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and histograms, and their bounds."""
+"""Tests of counters, gauges and histograms, and of the limits on their number."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         self.assertEqual(3, metrics.counter_value(Counter.REFUSALS, "overload"))
         self.assertEqual(0, metrics.counter_value(Counter.CALLS))
 
-    def test_labels_made_up_by_callers_are_bounded(self) -> None:
+    def test_number_of_labels_is_limited(self) -> None:
         metrics = Metrics()
         n_labels = metrics_module.MAX_LABELS + 50
         for number in range(n_labels):
@@ -38,7 +38,7 @@
         self.assertEqual(50, metrics.counter_value(Counter.CALLS, OTHER_LABEL))
         self.assertLessEqual(len(list(metrics.gauges())), n_labels - 49)
 
-    def test_quantiles_are_within_two_digits_and_flushing_loses_none(self) -> None:
+    def test_quantiles_are_accurate_and_flushing_loses_no_values(self) -> None:
         metrics = Metrics()
         rng = random.Random(7)
         values = sorted(rng.lognormvariate(2.0, 1.0) for _ in range(5_000))
@@ -53,7 +53,7 @@
             exact = values[math.ceil(quantile * len(values)) - 1]
             self.assertLess(abs(measured - exact) / exact, 0.01)
 
-    def test_values_outside_the_range_count_at_its_ends(self) -> None:
+    def test_values_outside_the_range_are_clipped(self) -> None:
         metrics = Metrics()
         metrics.observe(Measure.LATENCY, "r", "answered", -1.0)
         metrics.observe(Measure.LATENCY, "r", "answered", 1e12)
@@ -62,7 +62,7 @@
         highest = HIGHEST_UNITS / UNITS_PER_MS
         self.assertLess(abs(summary.quantiles[-1][1] - highest) / highest, 0.01)
 
-    def test_histograms_are_bounded(self) -> None:
+    def test_number_of_histograms_is_limited(self) -> None:
         metrics = Metrics()
         self.patch(metrics_module, "MAX_HISTOGRAMS", 3)
         for number in range(6):
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/telemetry/test_telemetry.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/telemetry/test_telemetry.py
@@ -1,4 +1,4 @@
-"""A violated invariant is counted, recorded and logged, and may stop the process."""
+"""Tests of the reporting of violated invariants and of clock drift."""
 
 from __future__ import annotations
 
@@ -15,10 +15,12 @@
 
 
 class TestViolation(TestCase):
-    def test_counted_recorded_and_logged(self) -> None:
+    def test_a_violation_is_counted_recorded_and_logged(self) -> None:
         telemetry = make_telemetry(TelemetrySettings(), "node-a", CLOCK)
         with self.assertLogs("fuchsiagap", "CRITICAL") as logged:
-            telemetry.violation(Invariant.WRONG_ANSWER, "answer of c2", "c1", "r1")
+            telemetry.report_violation(
+                Invariant.WRONG_ANSWER, "answer of c2", "c1", "r1"
+            )
         self.assertIn("wrong-answer", logged.output[0])
         self.assertEqual(
             1, telemetry.metrics.counter_value(Counter.VIOLATIONS, "wrong-answer")
@@ -26,13 +28,13 @@
         (event,) = telemetry.ring.since(call="c1").events
         self.assertEqual(EventKind.VIOLATION, event.kind)
 
-    def test_stops_if_so_configured(self) -> None:
+    def test_a_violation_raises_if_configured(self) -> None:
         cfg = TelemetrySettings(stop_on_violation=True)
         telemetry = make_telemetry(cfg, "node-a", CLOCK)
         with self.assertLogs("fuchsiagap", "CRITICAL"):
             self.assertRaises(
                 InvariantViolated,
-                telemetry.violation,
+                telemetry.report_violation,
                 Invariant.TICKET_STARTED_TWICE,
                 "n1.1.1",
             )
