--- a/packages/fuchsiagap/src/fuchsiagap/core/telemetry/events.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/telemetry/events.py
@@ -244,7 +244,7 @@
 
 
 class _EventBuffer:
-    """A bounded buffer of events that stores when it last overwrote one."""
+    """A bounded buffer of events, and the timestamp of the last overwritten one."""
 
     __slots__ = ("last_overwritten", "rows")
 
--- a/packages/fuchsiagap/src/fuchsiagap/core/telemetry/metrics.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/telemetry/metrics.py
@@ -13,8 +13,8 @@
 
     from fuchsiagap.core.clock import Milliseconds
 
-# Further labels of a metric are counted together as `OTHER_LABEL`, so that arbitrary
-# names sent by callers cannot exhaust memory.
+# Beyond these numbers, labels of a metric and routes of histograms are recorded
+# together as `OTHER_LABEL`, so that arbitrary names of callers cannot exhaust memory.
 MAX_LABELS = 1_000
 MAX_HISTOGRAMS = 500
 OTHER_LABEL = "other"
@@ -109,7 +109,7 @@
 
 
 class _Series:
-    """A histogram and the counts that have not been added to it yet.
+    """A histogram and the counts of values that have not been added to it yet.
 
     To keep recording cheap, a value is only rounded to the histogram's resolution and
     counted in a dict. The counts are added to the histogram by `flush`.
@@ -125,7 +125,7 @@
         self.total = 0.0
 
     def flush(self, limit: int) -> int:
-        """Move up to `limit` pending counts to the histogram; return how many."""
+        """Move the counts of up to `limit` values to the histogram; return how many."""
         moved = 0
         while self.pending and moved < limit:
             self.histogram.record_value(*self.pending.popitem())
@@ -193,7 +193,8 @@
         route, outcome : str
             Route and outcome of the call.
         value : float
-            Milliseconds; clipped to the range of the histograms.
+            Milliseconds. Clipped to the range of the histograms, but not in the sum of
+            the values.
         """
         series = self._series.get((measure, route, outcome))
         if series is None:
@@ -219,12 +220,13 @@
         Parameters
         ----------
         limit : int
-            Maximum number of values to move; each takes about 3 microseconds.
+            Maximum number of distinct rounded values to move; each takes about
+            3 microseconds.
 
         Returns
         -------
         int
-            Number of values moved; 0 if none are pending.
+            Number of distinct values moved; 0 if none are pending.
         """
         moved = 0
         for series in self._series.values():
@@ -250,7 +252,7 @@
                 yield gauge, label, value
 
     def summaries(self) -> Iterator[Summary]:
-        """Yield a summary of each histogram that exists at the time of the call."""
+        """Yield a summary of each histogram; ones added meanwhile are not included."""
         for (measure, route, outcome), series in list(self._series.items()):
             series.flush(len(series.pending))
             yield Summary(
--- a/packages/fuchsiagap/src/fuchsiagap/core/tickets/child_key.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/tickets/child_key.py
@@ -45,7 +45,7 @@
     before. The backend server can set the key; otherwise it is derived from the
     endpoint and the number of earlier calls of the parent to it. A backend server that
     makes several calls to one route in no fixed order must set keys. Otherwise a
-    repeated call may get the key of a run with another content, and its outcome is
+    repeated call may get the key of a run with different content, and its outcome is
     `Unknown`.
 
     Parameters
--- a/packages/fuchsiagap/src/fuchsiagap/core/tickets/records.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/tickets/records.py
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Successor:
-    """The node that took over the tickets of a stopped node.
+    """The node that takes over the tickets of a stopping node.
 
     Parameters
     ----------
@@ -74,7 +74,7 @@
         Whether to burn the ticket if the run is refused. Otherwise the ticket can be
         used again.
     is_remote : bool
-        Whether the run was started by the node that handed over the window.
+        Whether the run was started by a previous home node of the ticket.
     ended : trio.Event or None
         Set when the run ends. Created by the first task that waits for the end; None
         if no task waits.
@@ -132,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestMismatch:
-    """The ticket was already used for a request with another content."""
+    """The ticket was already used for a request with different content."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/fuchsiagap/src/fuchsiagap/core/tickets/snapshot.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/tickets/snapshot.py
@@ -19,7 +19,7 @@
 
 
 class MarkKind(Enum):
-    """The bitmaps of a window; the value is the attribute of `TicketWindow`."""
+    """The bitmaps of a window; the value names the attribute of `TicketWindow`."""
 
     USED = "used"
     BURNT = "burnt"
--- a/packages/fuchsiagap/src/fuchsiagap/core/tickets/tickets.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/tickets/tickets.py
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, eq=False)
 class IncomingWindow:
-    """A window of which this node has received a part; not used to answer requests yet.
+    """A partly received window, which is not used to answer requests yet.
 
     Parameters
     ----------
--- a/packages/fuchsiagap/src/fuchsiagap/core/tickets/window.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/tickets/window.py
@@ -283,7 +283,7 @@
     def freeze(self) -> None:
         """Stop starting runs, permanently, at the start of a hand-over.
 
-        Can be called again for a further attempt after a failed hand-over.
+        After a failed hand-over, resets `hand_over_ended` for another attempt.
         """
         if not self.frozen:
             self.frozen = True
