--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home.py
@@ -182,7 +182,7 @@
         reply = await state.peers.ask(window.handed_to.address, msg)
         return relayed(head, reply, first_copy=False)
     detail = f"{state.node} is leaving, and its tickets found no other home"
-    if window.may_be_handed_over:
+    if window.may_have_been_handed_over:
         return Unknown(Reason.LEAVING, head.allowance, detail=detail)
     return Refused(Reason.LEAVING, allowance=head.allowance, detail=detail)
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/handover.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/handover.py
@@ -117,7 +117,7 @@
 ) -> HandOverFailed | None:
     if window.handed_to is not None:
         return None
-    if window.may_be_handed_over:
+    if window.may_have_been_handed_over:
         detail = "the last message of an earlier hand-over was sent"
         return HandOverFailed(detail, may_try_another=False)
     reply = await _ask(
@@ -130,13 +130,13 @@
         reply = await _ask(state, address, part)
         n_parts += 1
     if isinstance(reply, HandOverReply) and reply.accepted:
-        window.may_be_handed_over = True
+        window.may_have_been_handed_over = True
         reply = await _ask(state, address, HandOverEnd(window.life, n_parts))
         if _surely_not_taken(reply):
-            window.may_be_handed_over = False
+            window.may_have_been_handed_over = False
     if not isinstance(reply, HandOverReply) or not reply.accepted:
         return HandOverFailed(
-            reply.detail, may_try_another=not window.may_be_handed_over
+            reply.detail, may_try_another=not window.may_have_been_handed_over
         )
     window.handed_to = Successor(reply.node, address)
     return None
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/messages_ticket.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/messages_ticket.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from fuchsiagap.core.calls.outcome import Outcome
-from fuchsiagap.core.tickets.snapshot import MarkPage, RecordCopy
+from fuchsiagap.core.tickets.snapshot import BitmapPage, RecordCopy
 from fuchsiagap.core.tickets.ticket import Life
 from fuchsiagap_node.core.wire.codec import message
 
@@ -54,7 +54,7 @@
     next: int
 
 
-@message(32, Life=Life, MarkPage=MarkPage, RecordCopy=RecordCopy)
+@message(32, Life=Life, BitmapPage=BitmapPage, RecordCopy=RecordCopy)
 @dataclass(frozen=True, slots=True)
 class HandOverPart:
     """Some pages of marks, and some runs.
@@ -65,7 +65,7 @@
         The life whose tickets are handed over.
     number : int
         Number of the part, from 0.
-    pages : tuple of MarkPage
+    pages : tuple of BitmapPage
         Pages of marks.
     records : tuple of RecordCopy
         Runs.
@@ -73,7 +73,7 @@
 
     life: Life
     number: int
-    pages: tuple[MarkPage, ...]
+    pages: tuple[BitmapPage, ...]
     records: tuple[RecordCopy, ...]
 
 
--- a/packages/fuchsiagap/src/fuchsiagap/core/clock.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/clock.py
@@ -1,7 +1,7 @@
-"""Monotonic and wall-clock time in milliseconds, as used by all components.
+"""Monotonic and wall-clock time in milliseconds.
 
-Readings are only meaningful within one process and are never sent to another one.
-Deadlines are sent as the remaining time, since hosts do not share a clock.
+Readings of `Clock.now` are only meaningful within one process and are never sent to
+another one. Deadlines are sent as the remaining time, since hosts do not share a clock.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 Milliseconds: TypeAlias = float
 
 MS_PER_S = 1000.0
-# Shorter gaps are not treated as a suspension: on a busy host a process may wait this
-# long to be scheduled.
+# Shorter gaps are not treated as a suspension: on a busy host, a process may have to
+# wait this long for the CPU between the readings of the two clocks.
 _MIN_SUSPENSION_S = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class Clock:
-    """A monotonic clock in milliseconds.
+    """The monotonic clock and the wall clock of a process, in milliseconds.
 
     Parameters
     ----------
@@ -34,8 +34,9 @@
         the time for which the host was suspended, so that ages are not
         underestimated after a suspension.
     wall : callable
-        Returns the time of day in milliseconds since the epoch. Used only for
-        display (event timeline, audit trail) and never for decisions.
+        Returns the time of day in milliseconds since the epoch. It may be wrong or
+        step, so it is used only for display (event timeline, audit trail) and for the
+        first guess of a node's incarnation, which the node corrects when it joins.
     catch_up : callable, optional
         Returns the milliseconds for which the host was suspended since the previous
         call, and adds them to the time that `now` returns. By default the clock
@@ -67,7 +68,7 @@
     Returns
     -------
     Clock
-        A clock that can only be read_clock within `trio.run`.
+        A clock that can only be read within `trio.run`.
     """
 
     def now() -> Milliseconds:
@@ -85,9 +86,9 @@
     """Return the monotonic clock of the process, read without the event loop.
 
     The event loop's clock does not include the time for which the host is suspended,
-    whereas ``CLOCK_BOOTTIME`` does. Since the time is read about 16 times for each
-    request, ``CLOCK_BOOTTIME`` is read by `Clock.catch_up` only. This clock does not
-    follow a virtual clock.
+    whereas ``CLOCK_BOOTTIME`` does. To keep `Clock.now` cheap, which is called about
+    16 times for each request, ``CLOCK_BOOTTIME`` is read by `Clock.catch_up` only. This
+    clock does not follow a virtual clock.
 
     Returns
     -------
--- a/packages/fuchsiagap/src/fuchsiagap/core/telemetry/call_telemetry.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/telemetry/call_telemetry.py
@@ -1,7 +1,7 @@
 """Recording of each step of a call as event, counter and histogram value together.
 
 The call path calls one function for each step, so that the event timeline, the
-counters and the histograms always agree.
+counters and the histograms agree.
 """
 
 from __future__ import annotations
@@ -41,7 +41,11 @@
 def record_admitted(
     telemetry: Telemetry, head: CallHead, queueing_delay: Milliseconds
 ) -> None:
-    """Record that a call is sent to the backend server after `queueing_delay` ms."""
+    """Record that a call is sent to the backend server after `queueing_delay` ms.
+
+    The queueing delay is recorded under the outcome ``answered``, whatever the outcome
+    of the call will be.
+    """
     telemetry.metrics.observe(
         Measure.QUEUEING_DELAY, head.route, ANSWERED, queueing_delay
     )
@@ -60,7 +64,10 @@
 
 
 def record_late_answer(telemetry: Telemetry, call_id: str, root_id: str) -> None:
-    """Record that an answer arrived after its call had ended at this node."""
+    """Record that an answer arrived after its call had ended at this node.
+
+    Records the event only; the link counts late answers itself.
+    """
     telemetry.ring.record(EventKind.LATE_ANSWER_DROPPED, call_id, root_id)
 
 
@@ -76,7 +83,7 @@
     call_id, root_id : str
         Identifiers of the call and its root request.
     source : str
-        Whether the answer came from a node or from a backend server.
+        ``node`` or ``backend server``, whichever sent the answer.
     """
     telemetry.metrics.count(Counter.INCOMPLETE_ANSWERS)
     telemetry.ring.record(EventKind.INCOMPLETE_ANSWER, call_id, root_id, source=source)
@@ -85,7 +92,7 @@
 def record_ended(
     telemetry: Telemetry, head: CallHead, outcome: Outcome | None, latency: Milliseconds
 ) -> None:
-    """Record the outcome of a call at the node that received it from the caller.
+    """Record the outcome of a call at the node that called `record_received`.
 
     Parameters
     ----------
@@ -98,7 +105,7 @@
     latency : float
         Milliseconds since the call was received.
     """
-    name = _note_outcome(telemetry, head, outcome, at="entry")
+    name = _record_outcome(telemetry, head, outcome, at="entry")
     telemetry.metrics.observe(Measure.LATENCY, head.route, name, latency)
     if outcome is None:
         telemetry.metrics.count(Counter.CALLS_CANCELLED, head.route)
@@ -135,11 +142,11 @@
         Milliseconds that the call spent at this node outside the backend server,
         including the wait for admission.
     """
-    name = _note_outcome(telemetry, head, outcome, at="backend")
+    name = _record_outcome(telemetry, head, outcome, at="backend")
     telemetry.metrics.observe(Measure.ADDED_TIME, head.route, name, added)
 
 
-def _note_outcome(
+def _record_outcome(
     telemetry: Telemetry, head: CallHead, outcome: Outcome | None, at: str
 ) -> str:
     record = telemetry.ring.record
--- a/packages/fuchsiagap/src/fuchsiagap/core/telemetry/event_table.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/telemetry/event_table.py
@@ -15,7 +15,7 @@
     ),
     EventKind.CALL_ANSWERED: (
         "A complete answer was received; `at=entry` at the node that received the call,"
-        " else at the backend server."
+        " `at=backend` at the node of the backend server."
     ),
     EventKind.CALL_REFUSED: "The call was certainly not executed; `reason` says why.",
     EventKind.CALL_UNKNOWN: (
@@ -32,7 +32,8 @@
         "Another attempt was made; `after` is the reason why the previous one failed."
     ),
     EventKind.RETRY_DENIED: (
-        "No other attempt was made because of allowance, budget or deadline."
+        "No other attempt was made; `by` says whether because of the deadline, the"
+        " allowance, the admission level, the retry budget or the lack of an instance."
     ),
     EventKind.LATE_ANSWER_DROPPED: (
         "An answer arrived after its call had ended, and was dropped."
@@ -75,7 +76,8 @@
     EventKind.LINK_UP: "A link to another node was opened.",
     EventKind.LINK_DOWN: "A link to another node was closed or lost.",
     EventKind.CLOCK_DRIFT: (
-        "The clock of another host is minutes ahead; synchronise the clocks."
+        "The clock of another host is further ahead than allowed, by default 5 minutes;"
+        " synchronise the clocks."
     ),
     EventKind.PROCESS_STARTED: "The node accepts calls.",
     EventKind.PROCESS_STOPPED: "The node has left the cluster and its process ends.",
--- a/packages/fuchsiagap/src/fuchsiagap/core/telemetry/events.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/telemetry/events.py
@@ -170,6 +170,11 @@
     size : int, default=DEFAULT_RING_SIZE
         Number of call events kept; a new one overwrites the oldest. Of other events,
         `STATE_RING_SIZE` or `size` are kept, whichever is less.
+
+    Attributes
+    ----------
+    counts : dict of EventKind to int
+        Number of events recorded so far, including overwritten ones.
     """
 
     __slots__ = ("_calls", "_hlc", "_states", "counts", "process")
--- a/packages/fuchsiagap/src/fuchsiagap/core/telemetry/hlc.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/telemetry/hlc.py
@@ -4,8 +4,9 @@
 or the previous timestamp plus one if that is greater. The low bits serve as the logical
 counter of the clock, and also hold fractions of a millisecond of the time of day.
 Timestamps of one process strictly increase, and a timestamp taken after `observe` is
-greater than the observed one. A cause is therefore ordered before its effect even if
-the hosts' clocks differ. Timestamps are used for display and never for decisions.
+greater than the observed one, unless that was rejected as too far ahead. A cause is
+therefore ordered before its effect even if the hosts' clocks differ. Timestamps are
+used for display and never for decisions.
 """
 
 from __future__ import annotations
--- a/packages/fuchsiagap/src/fuchsiagap/core/telemetry/telemetry.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/telemetry/telemetry.py
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Telemetry:
-    """The means by which a process reports its events, metrics and violations.
+    """Event ring, metrics, event clock and violation reporter of one process.
 
     Parameters
     ----------
--- a/packages/fuchsiagap/src/fuchsiagap/core/telemetry/violations.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/telemetry/violations.py
@@ -32,8 +32,8 @@
     - ``WORK_AFTER_LEAVING``: detected where a call is sent to the backend server.
     - ``PLANNED_STOP_CUT``: detected at the end of the process by calls in progress.
     - ``PRIORITY_INVERSION``: not detected by any process. The admission level changes
-      at each step, nested calls of admitted requests are judged by an earlier level,
-      and the other call may have been handled by another node.
+      continually, nested calls of admitted requests are judged by an earlier level than
+      new requests, and the other call may have been handled by another node.
 
     The fault and overload experiments check the complete invariants from outside.
     """
--- a/packages/fuchsiagap/src/fuchsiagap/core/tickets/child_key.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/tickets/child_key.py
@@ -14,19 +14,19 @@
 _SEPARATOR = "/"
 _EXPLICIT_PREFIX = "="
 _FINGERPRINT_BYTES = 8
-_MAX_KEY_LENGTH = 200
+_MAX_KEY_LENGTH = 200  # characters
 _DIGEST_PREFIX = "~"
 _DIGEST_BYTES = 16
 
 
 @dataclass(slots=True)
 class ChildOrdinals:
-    """Counts the child calls of one call in progress, for each endpoint called.
+    """Counts the child calls without an explicit key of one call in progress.
 
     Parameters
     ----------
     counts : Counter
-        Calls made so far, by endpoint (service and route).
+        Number of these calls so far, by endpoint (service and route).
     """
 
     counts: Counter[str] = field(default_factory=Counter)
@@ -43,10 +43,10 @@
 
     When a parent call is repeated, each of its child calls must get the same key as
     before. The backend server can set the key; otherwise it is derived from the
-    endpoint and the number of earlier calls of the parent to it. A backend server that
-    makes several calls to one route in no fixed order must set keys. Otherwise a
-    repeated call may get the key of a run with different content, and its outcome is
-    `Unknown`.
+    endpoint and the number of earlier calls of the parent to it without an explicit
+    key. A backend server that makes several calls to one route in no fixed order must
+    set keys. Otherwise a repeated call may get the key of a run with different content,
+    and its outcome is `Unknown`.
 
     Parameters
     ----------
--- a/packages/fuchsiagap/src/fuchsiagap/core/tickets/records.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/tickets/records.py
@@ -93,21 +93,39 @@
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """The claim succeeded: the caller must start the run, once."""
+    """The claim succeeded: the caller must start the run, once.
+
+    Parameters
+    ----------
+    record : RunRecord
+        The new record of the run, to be passed to `TicketWindow.finish`.
+    """
 
     record: RunRecord
 
 
 @dataclass(frozen=True, slots=True)
 class InProgress:
-    """The run was started before and is still in progress."""
+    """The run was started before and is still in progress.
+
+    Parameters
+    ----------
+    record : RunRecord
+        The record of the run.
+    """
 
     record: RunRecord
 
 
 @dataclass(frozen=True, slots=True)
 class KeptOutcome:
-    """The run has ended with this outcome."""
+    """The run has ended, and its outcome is kept.
+
+    Parameters
+    ----------
+    outcome : Answered or Unknown
+        The outcome.
+    """
 
     outcome: Answered | Unknown
 
--- a/packages/fuchsiagap/src/fuchsiagap/core/tickets/settings.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/tickets/settings.py
@@ -19,14 +19,15 @@
         Maximum number of tickets in the window, used or not. A used ticket takes one
         bit.
     min_age : float
-        Milliseconds that a ticket stays in the window at least after it was issued.
+        Minimum time in milliseconds for which an issued ticket stays in the window.
         No tickets are issued if that would drop a younger one.
     max_batch : int
         Maximum number of tickets issued for one request.
     kept_answers : int
-        Maximum number of outcomes kept for repeats; the oldest are evicted first.
+        Maximum number of outcomes kept for repeats in each window; the oldest are
+        evicted first.
     kept_bytes : int
-        Maximum total size of the kept outcomes in bytes.
+        Maximum total size in bytes of the kept outcomes of the node's own window.
     max_kept_body : int
         Largest response body, in bytes, that is kept. The outcome of a repeat of a
         call with a larger response is `Unknown`.
@@ -36,7 +37,8 @@
         Maximum size in bytes of the kept outcomes of one window that was taken over.
         For all of these windows together the limit is `kept_bytes`.
     adopted_age : float
-        Milliseconds after which a window that was taken over is dropped.
+        Milliseconds after which a window that was taken over may be dropped. It is
+        dropped when the next window is taken over.
     chunk_bytes : int
         Maximum size in bytes of the kept outcomes in one hand-over message. A single
         larger outcome is sent in a message of its own.
--- a/packages/fuchsiagap/src/fuchsiagap/core/tickets/snapshot.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/tickets/snapshot.py
@@ -18,7 +18,7 @@
 _PAGE_BYTES = PAGE_BITS // 8
 
 
-class MarkKind(Enum):
+class BitmapKind(Enum):
     """The bitmaps of a window; the value names the attribute of `TicketWindow`."""
 
     USED = "used"
@@ -28,12 +28,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MarkPage:
+class BitmapPage:
     """One page of a bitmap of a window.
 
     Parameters
     ----------
-    kind : MarkKind
+    kind : BitmapKind
         The bitmap the page belongs to.
     number : int
         Page number within the bitmap.
@@ -41,7 +41,7 @@
         Content of the page.
     """
 
-    kind: MarkKind
+    kind: BitmapKind
     number: int
     bits: bytes
 
@@ -71,17 +71,17 @@
     outcome: Answered | Unknown | None
 
 
-def bitmap_of(window: TicketWindow, kind: MarkKind) -> SparseBitmap:
+def bitmap_of(window: TicketWindow, kind: BitmapKind) -> SparseBitmap:
     """Return one of the bitmaps of a window."""
     bitmap: SparseBitmap = getattr(window, kind.value)
     return bitmap
 
 
-def bitmap_pages(window: TicketWindow) -> Iterator[MarkPage]:
+def bitmap_pages(window: TicketWindow) -> Iterator[BitmapPage]:
     """Yield the pages of all bitmaps of a window."""
-    for kind in MarkKind:
+    for kind in BitmapKind:
         for number, bits in sorted(bitmap_of(window, kind).pages.items()):
-            yield MarkPage(kind, number, bytes(bits))
+            yield BitmapPage(kind, number, bytes(bits))
 
 
 def record_copies(window: TicketWindow) -> Iterator[RecordCopy]:
@@ -106,14 +106,14 @@
     )
 
 
-def put_page(window: TicketWindow, page: MarkPage) -> bool:
+def put_page(window: TicketWindow, page: BitmapPage) -> bool:
     """Add a received bitmap page to a window.
 
     Parameters
     ----------
     window : TicketWindow
         The window that is being received.
-    page : MarkPage
+    page : BitmapPage
         The page.
 
     Returns
--- a/packages/fuchsiagap/src/fuchsiagap/core/tickets/ticket.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/tickets/ticket.py
@@ -28,7 +28,8 @@
     Parameters
     ----------
     node : str
-        Name of the issuing node, the home node of the ticket.
+        Name of the issuing node, which is the home node of the ticket unless it has
+        handed over its tickets.
     incarnation : int
         Incarnation of the issuing node; higher after each restart.
     sequence : int
--- a/packages/fuchsiagap/src/fuchsiagap/core/tickets/tickets.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/tickets/tickets.py
@@ -25,7 +25,7 @@
     window : TicketWindow
         The window as received so far.
     n_parts : int
-        Number of parts received, in order.
+        Number of parts received so far. Parts are only accepted in order.
     """
 
     window: TicketWindow
@@ -94,7 +94,7 @@
         return (self.own, *self.adopted.values())
 
     def ever_owned(self, life: Life) -> bool:
-        """Return whether this node has ever owned the tickets of an incarnation."""
+        """Return whether this process owns, or once owned, an incarnation's tickets."""
         return life == self.own.life or life in self._adopted_at
 
     def adopt(self, window: TicketWindow) -> bool:
@@ -120,7 +120,11 @@
         return True
 
     def _trim_adopted(self) -> None:
-        """Evict the oldest adopted windows and kept outcomes beyond the limits."""
+        """Apply the limits on the age, number and total size of adopted windows.
+
+        Windows that are too old or too many are dropped, the oldest first. To reduce
+        the total size, all kept outcomes of the oldest windows are evicted.
+        """
         oldest_time = self.clock.now() - self.cfg.adopted_age
         for life in tuple(self.adopted):
             old = self._adopted_at[life] < oldest_time
--- a/packages/fuchsiagap/src/fuchsiagap/core/tickets/window.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/tickets/window.py
@@ -67,7 +67,7 @@
         Set when the hand-over has succeeded or failed.
     handed_to : Successor or None
         The node that has taken over the window.
-    may_be_handed_over : bool
+    may_have_been_handed_over : bool
         Whether another node may have taken over the window: the last message of the
         hand-over was sent and not rejected.
     frozen_records : tuple of RunRecord
@@ -105,7 +105,7 @@
         self.frozen = False
         self.hand_over_ended = trio.Event()
         self.handed_to: Successor | None = None
-        self.may_be_handed_over = False
+        self.may_have_been_handed_over = False
         self.frozen_records: tuple[RunRecord, ...] = ()
         self.frozen_runs: tuple[RunRecord, ...] = ()
         self.used = SparseBitmap()
@@ -145,6 +145,11 @@
         return tuple(Ticket(node, incarnation, n) for n in range(first, self.next))
 
     def _advance_window(self, end: int) -> Milliseconds:
+        """Drop the oldest pages to make room for the sequence numbers below `end`.
+
+        Returns 0 if there is room; otherwise the milliseconds until the oldest page may
+        be dropped.
+        """
         while end - self.low > self.cfg.window:
             age = self.clock.now() - self._page_times[0]
             if age < self.cfg.min_age:
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/tickets/test_child_key.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/tickets/test_child_key.py
@@ -1,4 +1,4 @@
-"""Tests that child keys are stable under repeats and unique within a root request."""
+"""Tests of child keys, which must be stable and unique, fingerprints and parsing."""
 
 from __future__ import annotations
 
