--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/entry.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/entry.py
@@ -17,7 +17,7 @@
 
     from fuchsiagap.core.clock import Milliseconds
     from fuchsiagap.core.routes.model import Route
-    from fuchsiagap.core.routes.table import RouteTable, ShareRotation
+    from fuchsiagap.core.routes.table import RouteTable, WeightedRoundRobin
     from fuchsiagap.core.shedding.fair_admission import CallerCredit
     from fuchsiagap.core.workspaces.model import Workspace
     from fuchsiagap_node.core.mesh.admission import Admission
@@ -52,7 +52,7 @@
         Records which nested calls the requests of a route make.
     admission : Admission
         Admission control of new requests.
-    rotation : ShareRotation
+    rotation : WeightedRoundRobin
         Weighted choice among the services of a route.
     event_log : EventLog
         Event log and counters.
@@ -77,7 +77,7 @@
         context: PlacementContext,
         route_loads: RouteLoads,
         admission: Admission,
-        rotation: ShareRotation,
+        rotation: WeightedRoundRobin,
         event_log: EventLog,
         authenticator: ApiKeyAuthenticator,
         quotas: Quotas,
@@ -133,8 +133,10 @@
             done(caller)
             return None
         if caller is None:
-            return self._admit(req, table.ranked(route, None), done, caller_credit)
-        ranked = table.ranked(route, caller.priority)
+            return self._admit(
+                req, table.apply_workspace_priority(route, None), done, caller_credit
+            )
+        ranked = table.apply_workspace_priority(route, caller.priority)
         metered = MeteredRequest(self, caller, req, ranked, done, caller_credit)
         return metered if metered.start(self._quotas) else None
 
--- a/packages/fuchsiagap/src/fuchsiagap/core/membership/hand_overs.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/membership/hand_overs.py
@@ -1,4 +1,4 @@
-"""Who holds the tickets of lives that are over."""
+"""Lookup of the nodes that took over the tickets of ended incarnations."""
 
 from __future__ import annotations
 
@@ -13,53 +13,58 @@
 
     from fuchsiagap.core.membership.member import Member
 
-_MAX_STEPS = 8
+# Maximum number of successors followed; bounds the lookup if they form a cycle.
+_MAX_CHAIN_LENGTH = 8
 
 
 @dataclass(slots=True)
-class HandOvers:
-    """The hand-overs a node heard of, the latest ones.
+class TicketHandOvers:
+    """Latest ticket hand-overs announced by members.
 
     Parameters
     ----------
     max_remembered : int
-        Most hand-overs kept.
+        Maximum number of hand-overs stored; the oldest are dropped.
     """
 
     max_remembered: int
-    _words: OrderedDict[tuple[str, int], Member] = field(default_factory=OrderedDict)
+    _updates: OrderedDict[tuple[str, int], Member] = field(default_factory=OrderedDict)
 
-    def note(self, word: Member) -> None:
-        """Note the hand-over that a word tells of, if it does."""
-        if not word.successor:
+    def record(self, update: Member) -> None:
+        """Store the hand-over that an update announces, if any."""
+        if not update.successor:
             return
-        key = (word.node, word.handed_incarnation)
-        if key not in self._words:
-            self._words[key] = word
-            if len(self._words) > self.max_remembered:
-                self._words.popitem(last=False)
+        key = (update.node, update.handed_incarnation)
+        if key not in self._updates:
+            self._updates[key] = update
+            if len(self._updates) > self.max_remembered:
+                self._updates.popitem(last=False)
 
     def holder(self, node: str, incarnation: int, members: Mapping[str, Member]) -> str:
-        """Return the node that holds the tickets of a life; empty if none.
+        """Return the node that holds the tickets of an incarnation; empty if none.
 
-        A successor that stopped has handed over what it had taken over, too.
+        A successor that stopped has in turn handed over the tickets that it took over.
+        So the chain of successors is followed.
 
         Parameters
         ----------
-        node, incarnation
-            The life that issued the tickets.
-        members : mapping
-            The members by name.
+        node : str
+            Node that issued the tickets.
+        incarnation : int
+            Incarnation of the node when it issued them.
+        members : mapping of str to Member
+            Members by name.
         """
-        word = self._words.get((node, incarnation))
-        if word is None:
+        update = self._updates.get((node, incarnation))
+        if update is None:
             return ""
-        for _ in range(_MAX_STEPS):
-            holder = members.get(word.successor)
+        for _ in range(_MAX_CHAIN_LENGTH):
+            holder = members.get(update.successor)
             if holder is None or not holder.successor:
                 break
-            same_life = holder.incarnation <= word.successor_incarnation
-            if same_life and holder.state is not MemberState.LEFT:
+            # A successor that has neither restarted nor left holds the tickets itself.
+            same_incarnation = holder.incarnation <= update.successor_incarnation
+            if same_incarnation and holder.state is not MemberState.LEFT:
                 break
-            word = holder
-        return word.successor
+            update = holder
+        return update.successor
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/book.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/book.py
@@ -1,4 +1,4 @@
-"""All teams' settings on one process, adopted by version only."""
+"""Settings of all teams in a process; only a higher version replaces a lower one."""
 
 from __future__ import annotations
 
@@ -14,27 +14,29 @@
 )
 from fuchsiagap.core.settings.parse import parse_team
 from fuchsiagap.core.settings.pattern import SAFE_METHODS
-from fuchsiagap.core.settings.record import read_stored
-from fuchsiagap.core.settings.standing import Standing
+from fuchsiagap.core.settings.record import parse_stored_text
+from fuchsiagap.core.settings.sync_status import SyncStatus
 
 if TYPE_CHECKING:
     from fuchsiagap.core.calls.head import ServiceName
     from fuchsiagap.core.settings.model import RouteSettings, TeamSettings, TeamText
 
-Vector: TypeAlias = tuple[tuple[str, int], ...]
-MAX_DEFAULTS = 256
+# Names of teams with their versions, sorted by name.
+VersionVector: TypeAlias = tuple[tuple[str, int], ...]
+# Maximum number of cached default routes of one team.
+MAX_CACHED_DEFAULTS = 256
 
 
 @dataclass(frozen=True, slots=True)
 class Adopted:
-    """The text is in force from now on.
+    """The offered text was adopted.
 
     Parameters
     ----------
     team : str
         Name of the team.
     version : int
-        The version now in force.
+        Adopted version.
     """
 
     team: str
@@ -43,35 +45,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Stale:
-    """The text is no newer than the one in force, and was left.
+    """The offered text was ignored, since it is not newer than the active one.
 
     Parameters
     ----------
     team : str
         Name of the team.
     version : int
-        The version offered.
-    in_force : int
-        The version in force.
+        Offered version.
+    active_version : int
+        Active version.
     """
 
     team: str
     version: int
-    in_force: int
+    active_version: int
 
 
 @dataclass(frozen=True, slots=True)
 class Invalid:
-    """The text is newer but not valid; the one in force stays.
+    """The offered text is newer but not valid; the active one is kept.
 
     Parameters
     ----------
     team : str
         Name of the team.
     version : int
-        The version offered.
+        Offered version.
     faults : SettingsFaults
-        What is wrong with it.
+        Errors found in the text.
     """
 
     team: str
@@ -80,11 +82,11 @@
 
 
 @dataclass(slots=True)
-class _Held:
-    """The text in force of one team, with its settings unless it is deleted.
+class _TeamEntry:
+    """Active text of one team, with its settings unless they are deleted.
 
-    `defaults` are routes already made for services that no section names, by name
-    and whether the method is safe.
+    `defaults` caches the settings of services that no section names, by the name of
+    the service and whether the method is safe.
     """
 
     text: TeamText
@@ -95,15 +97,16 @@
 
 @dataclass(slots=True)
 class BookCounts:
-    """What the book has counted.
+    """Counts of the texts offered to a `SettingsBook`.
 
     Parameters
     ----------
     adopted, stale, invalid : int
-        Offers by what became of them.
+        Number of texts by result of the offer. Of invalid texts, only those
+        with a higher version than the last rejected one of the team count.
     split : int
-        Offers of the version in force with another text. The platform gives a
-        version once, so any at all is a violation.
+        Number of texts that differ from the active one but have its version. The
+        platform assigns each version once, so any count above 0 is a violation.
     """
 
     adopted: int = 0
@@ -113,53 +116,55 @@
 
 
 class SettingsBook:
-    """The settings of all teams on this process.
+    """Active settings of all teams in this process.
 
-    A team's version only grows, whatever order texts arrive in and whoever offers
-    them; a deletion is a version too. An invalid text is never in force.
+    The version of a team never decreases, whatever the order and the source of the
+    texts. A deletion is a version too. An invalid text is never adopted.
 
     Attributes
     ----------
     counts : BookCounts
-        What has been counted.
-    standing : Standing
-        How current the book is.
+        Counts of the offered texts.
+    sync_status : SyncStatus
+        State of the synchronization with the platform.
     """
 
     def __init__(self) -> None:
-        self._held: dict[str, _Held] = {}
+        self._entries: dict[str, _TeamEntry] = {}
         self._rejected: dict[str, Invalid] = {}
         self._fingerprint = 0
         self.counts = BookCounts()
-        self.standing = Standing()
+        self.sync_status = SyncStatus()
 
     def adopt(self, text: TeamText) -> Adopted | Stale | Invalid:
-        """Take a text over if its version is higher than the one in force.
+        """Adopt a text if it is valid and its version is higher than the active one.
 
         Parameters
         ----------
         text : TeamText
-            The text, from the platform or from a peer.
+            Text received from the platform or from another node.
 
         Returns
         -------
         Adopted, Stale or Invalid
-            What became of it.
+            Result of the offer.
         """
-        held = self._held.get(text.team)
-        in_force = held.text.version if held else 0
-        if text.version <= in_force:
-            return self._stale(text, held, in_force)
+        entry = self._entries.get(text.team)
+        active_version = entry.text.version if entry else 0
+        if text.version <= active_version:
+            return self._stale(text, entry, active_version)
         if text.deleted:
-            new = _Held(text, None, {})
+            new = _TeamEntry(text, None, {})
         else:
-            body = read_stored(text.text).body
+            body = parse_stored_text(text.text).body
             settings = parse_team(text.team, body, text.version)
             if isinstance(settings, SettingsFaults):
                 return self._reject(text, settings)
-            new = _Held(text, settings, compile_team(settings))
-        self._fingerprint ^= _hash(text.team, in_force) ^ _hash(text.team, text.version)
-        self._held[text.team] = new
+            new = _TeamEntry(text, settings, compile_team(settings))
+        self._fingerprint ^= _hash(text.team, active_version) ^ _hash(
+            text.team, text.version
+        )
+        self._entries[text.team] = new
         rejected = self._rejected.get(text.team)
         if rejected is not None and rejected.version < text.version:
             del self._rejected[text.team]
@@ -169,62 +174,64 @@
     def route_for(
         self, service: ServiceName, method: str, target: str
     ) -> RouteSettings | None:
-        """Return the rules of a call.
+        """Return the settings that apply to a call.
 
         Parameters
         ----------
         service : ServiceName
-            The called service.
+            Called service.
         method : str
             HTTP method in upper case.
         target : str
-            Path with query, as the backend server will see it.
+            Path with query, as the backend server receives it.
 
         Returns
         -------
         RouteSettings or None
-            The most specific section's; else the service's default; else the
-            team's. None if no settings of the team are in force.
+            Settings of the most specific matching section, else the defaults of the
+            service, else those of the team. None if the team has no settings.
         """
-        held = self._held.get(service.team)
-        if held is None:
+        entry = self._entries.get(service.team)
+        if entry is None:
             return None
-        matcher = held.services.get(service.name)
+        matcher = entry.services.get(service.name)
         if matcher is not None:
             return find_route(matcher, method, target)
-        if held.settings is None:
+        if entry.settings is None:
             return None
-        return _default_route(held, held.settings, service, method in SAFE_METHODS)
+        return _default_route(entry, entry.settings, service, method in SAFE_METHODS)
 
     def team(self, name: str) -> TeamSettings | None:
-        """Return a team's settings in force; None if there are none."""
-        held = self._held.get(name)
-        return held.settings if held else None
+        """Return the active settings of a team; None if there are none."""
+        entry = self._entries.get(name)
+        return entry.settings if entry else None
 
     def text(self, name: str) -> TeamText | None:
-        """Return the text in force of a team, a tombstone included."""
-        held = self._held.get(name)
-        return held.text if held else None
+        """Return the active text or tombstone of a team; None if there is none."""
+        entry = self._entries.get(name)
+        return entry.text if entry else None
 
     def teams(self) -> tuple[str, ...]:
-        """Return the names of the teams whose settings are in force."""
-        return tuple(sorted(name for name, held in self._held.items() if held.settings))
+        """Return the sorted names of the teams that have settings."""
+        return tuple(
+            sorted(name for name, entry in self._entries.items() if entry.settings)
+        )
 
     def rejected(self) -> tuple[Invalid, ...]:
-        """Return the newest text of each team that was found invalid."""
+        """Return the newest rejection of each team, if newer than its active text."""
         return tuple(self._rejected[name] for name in sorted(self._rejected))
 
-    def vector(self) -> Vector:
-        """Return the version in force of each team, tombstones included."""
+    def vector(self) -> VersionVector:
+        """Return the active version of each team, including tombstones."""
         return tuple(
-            sorted((name, held.text.version) for name, held in self._held.items())
+            sorted((name, entry.text.version) for name, entry in self._entries.items())
         )
 
-    def seen(self) -> Vector:
-        """Return the newest version looked at of each team, invalid ones included.
+    def seen(self) -> VersionVector:
+        """Return the newest version received of each team, including invalid ones.
 
-        What a process asks others for is what is newer than this, so that a text
-        it has rejected is not sent to it again and again.
+        A process requests only newer versions than these from other nodes, so a text
+        that it rejected is not sent to it repeatedly.
         """
         versions = dict(self.vector())
         for name, rejected in self._rejected.items():
@@ -233,19 +240,21 @@
 
     @property
     def fingerprint(self) -> int:
-        """Hash of `vector`: equal for equal vectors, in any process."""
+        """Hash of `vector`; equal vectors have the same hash in every process."""
         return self._fingerprint
 
-    def _stale(self, text: TeamText, held: _Held | None, in_force: int) -> Stale:
+    def _stale(
+        self, text: TeamText, entry: _TeamEntry | None, active_version: int
+    ) -> Stale:
         self.counts.stale += 1
-        if held is not None and text.version == in_force and text != held.text:
+        if entry is not None and text.version == active_version and text != entry.text:
             self.counts.split += 1
-        return Stale(text.team, text.version, in_force)
+        return Stale(text.team, text.version, active_version)
 
     def _reject(self, text: TeamText, faults: SettingsFaults) -> Invalid:
         invalid = Invalid(text.team, text.version, faults)
-        held = self._rejected.get(text.team)
-        if held is None or held.version < text.version:
+        previous = self._rejected.get(text.team)
+        if previous is None or previous.version < text.version:
             self._rejected[text.team] = invalid
             self.counts.invalid += 1
         return invalid
@@ -259,15 +268,15 @@
 
 
 def _default_route(
-    held: _Held, settings: TeamSettings, service: ServiceName, is_safe: bool
+    entry: _TeamEntry, settings: TeamSettings, service: ServiceName, is_safe: bool
 ) -> RouteSettings:
-    """Return the team's default for a service that no section names."""
+    """Return the defaults of the team for a service that no section names."""
     key = service.name, is_safe
-    route = held.defaults.get(key)
+    route = entry.defaults.get(key)
     if route is None:
         default = settings.default.safe if is_safe else settings.default.unsafe
         route = replace(default, route=service.name, service=service)
-        # Callers may make up names.
-        if len(held.defaults) < MAX_DEFAULTS:
-            held.defaults[key] = route
+        # Callers choose service names freely, so the cache is bounded.
+        if len(entry.defaults) < MAX_CACHED_DEFAULTS:
+            entry.defaults[key] = route
     return route
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/difference.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/difference.py
@@ -1,36 +1,36 @@
-"""The difference between two texts, for people."""
+"""Unified diff of two settings texts."""
 
 from __future__ import annotations
 
 import difflib
 
-MAX_LINES = 2000
-MAX_COMPARED = 5000
+MAX_OUTPUT_LINES = 2000
+MAX_INPUT_LINES = 5000
 
 
 def difference(old: str, new: str, old_name: str, new_name: str) -> str:
-    """Return a unified difference; empty if the texts are equal.
+    """Return the unified diff of two texts; empty if they are equal.
 
     Parameters
     ----------
     old, new : str
-        The texts.
+        Texts to compare.
     old_name, new_name : str
-        How to call them in the head of the difference.
+        Names of the texts in the header of the diff.
 
     Returns
     -------
     str
-        At most `MAX_LINES` lines; only a remark if a text has more than
-        `MAX_COMPARED` lines, since comparing takes long then.
+        Diff, truncated after `MAX_OUTPUT_LINES` lines. If a text has more than
+        `MAX_INPUT_LINES` lines, a notice instead, since comparing would take too long.
     """
-    if max(old.count("\n"), new.count("\n")) > MAX_COMPARED:
-        return f"not compared: a text has more than {MAX_COMPARED} lines"
+    if max(old.count("\n"), new.count("\n")) > MAX_INPUT_LINES:
+        return f"not compared: a text has more than {MAX_INPUT_LINES} lines"
     lines = difflib.unified_diff(
         old.splitlines(), new.splitlines(), old_name, new_name, lineterm=""
     )
     shown = list(lines)
-    if len(shown) > MAX_LINES:
-        left_out = len(shown) - MAX_LINES
-        shown = [*shown[:MAX_LINES], f"... {left_out} more lines"]
+    if len(shown) > MAX_OUTPUT_LINES:
+        left_out = len(shown) - MAX_OUTPUT_LINES
+        shown = [*shown[:MAX_OUTPUT_LINES], f"... {left_out} more lines"]
     return "\n".join(shown)
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/parse.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/parse.py
@@ -1,4 +1,4 @@
-"""Read and validate a team's settings text, whole or not at all."""
+"""Parser and validation of the settings text of a team."""
 
 from __future__ import annotations
 
@@ -6,24 +6,29 @@
 from typing import TYPE_CHECKING, Any
 
 from fuchsiagap.core.calls.head import ServiceName
-from fuchsiagap.core.settings import table
+from fuchsiagap.core.settings import team_schema
 from fuchsiagap.core.settings.faults import Fault, SettingsFaults
 from fuchsiagap.core.settings.ini import Section, read_ini
-from fuchsiagap.core.settings.keys import SectionTable, read_entries, with_defaults
 from fuchsiagap.core.settings.model import (
     RouteSettings,
     ServiceSettings,
     TeamSettings,
     settings_path,
 )
-from fuchsiagap.core.settings.pattern import MATCH_ALL, SAFE_METHODS, Match, ambiguous
+from fuchsiagap.core.settings.pattern import (
+    MATCH_ALL,
+    SAFE_METHODS,
+    Match,
+    is_ambiguous,
+)
+from fuchsiagap.core.settings.schema import SectionSchema, read_entries, with_defaults
 from fuchsiagap.core.settings.values import NAME
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-# Texts are read on the loop that serves calls, so their size is bounded: the largest
-# takes about as long as a few calls (docs/design/settings.md).
+# Texts are parsed in the event loop that serves calls. These bounds keep the parse time
+# of the largest text near that of a few calls (docs/design/settings.md).
 MAX_TEXT_BYTES = 128 * 1024
 MAX_LINES = 5000
 MAX_SECTIONS = 500
@@ -33,31 +38,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Route:
-    """A route section on its way to `RouteSettings`."""
+class _ParsedRoute:
+    """A valid route section with its settings, before the check for ambiguities."""
 
     section: Section
     match: Match
     settings: RouteSettings
-    by_method: bool
+    idempotent_by_method: bool
 
 
 def parse_team(team: str, text: str, version: int = 0) -> TeamSettings | SettingsFaults:
-    r"""Read a team's settings text.
+    r"""Parse the settings text of a team.
 
     Parameters
     ----------
     team : str
         Name of the team.
     text : str
-        The INI text.
-    version : int
-        The version the platform gave it.
+        INI text.
+    version : int, default=0
+        Version assigned by the platform.
 
     Returns
     -------
     TeamSettings or SettingsFaults
-        The settings, or every fault at once.
+        Settings of the team, or all errors found in the text.
 
     Examples
     --------
@@ -66,38 +71,38 @@
     'certs/issue'
     """
     path = settings_path(team)
-    unreadable = _unreadable(path, team, text)
-    if unreadable is not None:
-        return SettingsFaults(path, (unreadable,))
+    text_fault = _find_text_fault(path, team, text)
+    if text_fault is not None:
+        return SettingsFaults(path, (text_fault,))
     ini = read_ini(path, text)
     faults = list(ini.faults)
     if len(ini.sections) > MAX_SECTIONS:
         expected = f"at most {MAX_SECTIONS} sections"
         faults.append(Fault(path, "", "", str(len(ini.sections)), expected))
         return SettingsFaults(path, tuple(faults))
-    settings = _build(path, team, text, version, ini.sections, faults)
+    settings = _build_settings(path, team, text, version, ini.sections, faults)
     if faults:
-        return SettingsFaults(path, _bounded(path, faults))
+        return SettingsFaults(path, _limit_faults(path, faults))
     return settings
 
 
-def _bounded(path: str, faults: list[Fault]) -> tuple[Fault, ...]:
+def _limit_faults(path: str, faults: list[Fault]) -> tuple[Fault, ...]:
     ordered = sorted(faults, key=lambda fault: fault.line)
     left_out = len(ordered) - MAX_FAULTS
     if left_out <= 0:
         return tuple(ordered)
-    rest = Fault(path, "", "", f"{left_out} faults more", "none; mend these first")
+    rest = Fault(path, "", "", f"{left_out} more errors", "none; fix these first")
     return (*ordered[:MAX_FAULTS], rest)
 
 
-def _unreadable(path: str, team: str, text: str) -> Fault | None:
+def _find_text_fault(path: str, team: str, text: str) -> Fault | None:
     if not NAME.fullmatch(team):
         expected = "a team name of lower-case letters, digits and inner hyphens"
         return Fault(path, "", "", team, expected)
     try:
         n_bytes = len(text.encode())
     except UnicodeEncodeError:
-        return Fault(path, "", "", "bytes that are no UTF-8", "text in UTF-8")
+        return Fault(path, "", "", "bytes that are not valid UTF-8", "text in UTF-8")
     if n_bytes > MAX_TEXT_BYTES:
         expected = f"at most {MAX_TEXT_BYTES} bytes"
         return Fault(path, "", "", f"{n_bytes} bytes", expected)
@@ -109,7 +114,7 @@
     return None
 
 
-def _build(
+def _build_settings(
     path: str,
     team: str,
     text: str,
@@ -118,25 +123,31 @@
     faults: list[Fault],
 ) -> TeamSettings:
     by_name = {section.name: section for section in sections}
-    top = by_name.get(table.TEAM_SECTION, Section(table.TEAM_SECTION, 0, ()))
-    team_given = read_entries(path, table.TEAM_TABLE, top, faults)
-    team_values = with_defaults(path, table.TEAM_TABLE, top, team_given, faults)
+    team_section = by_name.get(
+        team_schema.TEAM_SECTION, Section(team_schema.TEAM_SECTION, 0, ())
+    )
+    team_given = read_entries(path, team_schema.TEAM_SCHEMA, team_section, faults)
+    team_values = with_defaults(
+        path, team_schema.TEAM_SCHEMA, team_section, team_given, faults
+    )
     services: dict[str, dict[str, Any]] = {}
-    routes: list[_Route] = []
+    routes: list[_ParsedRoute] = []
     for section in sections:
-        if section.name == table.TEAM_SECTION:
+        if section.name == team_schema.TEAM_SECTION:
             continue
-        name, slash, below = section.name.partition("/")
-        if not NAME.fullmatch(name) or (slash and not NAME.fullmatch(below)):
+        name, slash, route_name = section.name.partition("/")
+        if not NAME.fullmatch(name) or (slash and not NAME.fullmatch(route_name)):
             expected = "[team], [SERVICE] or [SERVICE/ROUTE], names in lower case"
             faults.append(Fault(path, section.name, "", "", expected, section.line))
-        elif name == table.TEAM_SECTION:
+        elif name == team_schema.TEAM_SECTION:
             expected = "another name: a service cannot be called team"
             faults.append(Fault(path, section.name, "", "", expected, section.line))
         else:
             if name not in services:
-                own = by_name.get(name, Section(name, section.line, ()))
-                services[name] = _service_values(path, own, team_values, faults)
+                service_section = by_name.get(name, Section(name, section.line, ()))
+                services[name] = _service_values(
+                    path, service_section, team_values, faults
+                )
             if slash:
                 route = _route(path, team, section, services[name], faults)
                 if route is not None:
@@ -154,33 +165,35 @@
         default=_service(team, DEFAULT_SERVICE, default),
         weight=team_values["weight"],
         token_digests=team_values["tokens"],
-        by_method=frozenset(r.settings.route for r in routes if r.by_method),
+        idempotent_by_method=frozenset(
+            r.settings.route for r in routes if r.idempotent_by_method
+        ),
     )
 
 
-def _inherit(of: SectionTable, values: dict[str, Any]) -> dict[str, Any]:
-    return {key.field: values[key.field] for key in of.keys if key.inherited}
+def _inherit(schema: SectionSchema, values: dict[str, Any]) -> dict[str, Any]:
+    return {key.field: values[key.field] for key in schema.keys if key.inherited}
 
 
 def _service_values(
-    path: str, section: Section, above: dict[str, Any], faults: list[Fault]
+    path: str, section: Section, parent: dict[str, Any], faults: list[Fault]
 ) -> dict[str, Any]:
-    given = read_entries(path, table.SERVICE_TABLE, section, faults)
-    given = _inherit(table.TEAM_TABLE, above) | given
-    return with_defaults(path, table.SERVICE_TABLE, section, given, faults)
+    given = read_entries(path, team_schema.SERVICE_SCHEMA, section, faults)
+    given = _inherit(team_schema.TEAM_SCHEMA, parent) | given
+    return with_defaults(path, team_schema.SERVICE_SCHEMA, section, given, faults)
 
 
 def _route(
     path: str,
     team: str,
     section: Section,
-    above: dict[str, Any],
+    parent: dict[str, Any],
     faults: list[Fault],
-) -> _Route | None:
+) -> _ParsedRoute | None:
     n_faults = len(faults)
-    given = read_entries(path, table.ROUTE_TABLE, section, faults)
-    given = _inherit(table.SERVICE_TABLE, above) | given
-    values = with_defaults(path, table.ROUTE_TABLE, section, given, faults)
+    given = read_entries(path, team_schema.ROUTE_SCHEMA, section, faults)
+    given = _inherit(team_schema.SERVICE_SCHEMA, parent) | given
+    values = with_defaults(path, team_schema.ROUTE_SCHEMA, section, given, faults)
     if len(faults) > n_faults:
         return None
     name = section.name.partition("/")[0]
@@ -189,15 +202,15 @@
     settings = _route_settings(
         section.name, ServiceName(team, name), match, values, safe
     )
-    by_method = values["idempotent"] == table.BY_METHOD
-    return _Route(section, match, settings, by_method)
+    idempotent_by_method = values["idempotent"] == team_schema.BY_METHOD
+    return _ParsedRoute(section, match, settings, idempotent_by_method)
 
 
 def _route_settings(
     route: str, service: ServiceName, match: Match, values: dict[str, Any], safe: bool
 ) -> RouteSettings:
     idempotent = values["idempotent"]
-    if idempotent == table.BY_METHOD:
+    if idempotent == team_schema.BY_METHOD:
         idempotent = safe
     return RouteSettings(
         route=route,
@@ -221,56 +234,58 @@
     )
 
 
-def _ambiguities(path: str, routes: list[_Route]) -> list[Fault]:
+def _ambiguities(path: str, routes: list[_ParsedRoute]) -> list[Fault]:
     faults = []
-    by_service: dict[str, list[_Route]] = {}
+    by_service: dict[str, list[_ParsedRoute]] = {}
     for route in routes:
         by_service.setdefault(route.settings.service.name, []).append(route)
-    for found in by_service.values():
-        if len(found) > MAX_ROUTES:
-            section = found[MAX_ROUTES].section
+    for candidates in by_service.values():
+        if len(candidates) > MAX_ROUTES:
+            section = candidates[MAX_ROUTES].section
             expected = f"at most {MAX_ROUTES} routes of one service"
-            value = f"{len(found)} routes"
+            value = f"{len(candidates)} routes"
             faults.append(Fault(path, section.name, "", value, expected, section.line))
             continue
         faults.extend(
             _ambiguity(path, route, other)
-            for other, route in _comparable(found)
-            if ambiguous(route.match, other.match)
+            for other, route in _overlap_candidates(candidates)
+            if is_ambiguous(route.match, other.match)
         )
     return faults
 
 
-def _comparable(routes: list[_Route]) -> Iterator[tuple[_Route, _Route]]:
+def _overlap_candidates(
+    routes: list[_ParsedRoute],
+) -> Iterator[tuple[_ParsedRoute, _ParsedRoute]]:
     """Yield the pairs of routes that may match the same call, in order of the text.
 
-    Literal patterns match the same call only if they are equal, and most patterns
-    are literal.
+    Literal patterns match the same call only if they are equal. Since most patterns
+    are literal, this avoids most of the comparisons.
     """
-    literal: dict[tuple[str, ...], list[_Route]] = {}
-    wild: list[_Route] = []
-    before: list[_Route] = []
+    literal: dict[tuple[str, ...], list[_ParsedRoute]] = {}
+    wildcard: list[_ParsedRoute] = []
+    earlier: list[_ParsedRoute] = []
     for route in routes:
         if route.match.is_literal:
             same = literal.setdefault(route.match.segments, [])
-            others = [*same, *wild]
+            others = [*same, *wildcard]
             same.append(route)
         else:
-            others = before
-            wild.append(route)
+            others = earlier
+            wildcard.append(route)
         for other in others:
             yield other, route
-        before.append(route)
+        earlier.append(route)
 
 
-def _ambiguity(path: str, route: _Route, other: _Route) -> Fault:
+def _ambiguity(path: str, route: _ParsedRoute, other: _ParsedRoute) -> Fault:
     section = route.section
     methods = "|".join(route.match.methods)
     value = f"{methods} {route.match.pattern}"
     expected = (
         f"a match that is more specific than that of [{other.section.name}]"
         f" ({'|'.join(other.match.methods)} {other.match.pattern}), less specific,"
-        " or apart from it: some calls match both"
+        " or disjoint from it: some calls match both"
     )
     line = next((e.line for e in section.entries if e.key == "match"), section.line)
     return Fault(path, section.name, "match", value, expected, line)
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/values.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/values.py
@@ -1,4 +1,4 @@
-"""Kinds of values in a settings text, each with what it expects in words."""
+"""Value types of settings: parsers with a description of the valid values."""
 
 from __future__ import annotations
 
@@ -16,38 +16,38 @@
 _SIZE = re.compile(r"(?P<number>[0-9]+)\s*(?P<unit>B|KB|MB)", re.IGNORECASE)
 _BYTES_PER = {"b": 1, "kb": 1024, "mb": 1024 * 1024}
 _DIGEST = re.compile(r"[0-9a-f]{64}")
-_WORDS = {"yes": True, "true": True, "on": True}
-_WORDS |= {"no": False, "false": False, "off": False}
+_FLAG_WORDS = {"yes": True, "true": True, "on": True}
+_FLAG_WORDS |= {"no": False, "false": False, "off": False}
 NAME = re.compile(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?")
 MAX_PORT = 65535
 
 
 @dataclass(frozen=True, slots=True)
 class BadValue:
-    """A value that is not of its kind."""
+    """Marker that a read function returns for a value that is not valid."""
 
 
 BAD_VALUE = BadValue()
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
-    """A kind of value.
+class ValueType:
+    """Type of the values of a key.
 
     Parameters
     ----------
     expected : str
-        What is valid, in words that follow "expected".
+        Description of the valid values, which follows "expected" in error messages.
     read : callable
-        Turns the text into the value, or into `BAD_VALUE`.
+        Function that parses a text and returns the value, or `BAD_VALUE`.
     """
 
     expected: str
     read: Callable[[str], Any]
 
 
-def integer(low: int, high: int) -> Kind:
-    """Return the kind of whole numbers from `low` to `high`."""
+def integer(low: int, high: int) -> ValueType:
+    """Return the type of integers from `low` to `high`, both included."""
 
     def read(text: str) -> int | BadValue:
         if not re.fullmatch(r"-?[0-9]{1,15}", text):
@@ -55,11 +55,11 @@
         number = int(text)
         return number if low <= number <= high else BAD_VALUE
 
-    return Kind(f"a whole number from {low} to {high}", read)
+    return ValueType(f"a whole number from {low} to {high}", read)
 
 
-def number(low: float, high: float, **words: float) -> Kind:
-    """Return the kind of numbers from `low` to `high`, or words for some of them."""
+def number(low: float, high: float, **words: float) -> ValueType:
+    """Return the type of numbers from `low` to `high`, some named by `words`."""
 
     def read(text: str) -> float | BadValue:
         if text in words:
@@ -70,11 +70,11 @@
         return value if low <= value <= high else BAD_VALUE
 
     named = "".join(f", or {word} ({value:g})" for word, value in words.items())
-    return Kind(f"a number from {low:g} to {high:g}{named}", read)
+    return ValueType(f"a number from {low:g} to {high:g}{named}", read)
 
 
-def duration(low_ms: float, high_ms: float) -> Kind:
-    """Return the kind of durations in milliseconds, written ``250ms`` or ``2s``."""
+def duration(low_ms: float, high_ms: float) -> ValueType:
+    """Return the type of durations, written ``250ms`` or ``2s``, in milliseconds."""
 
     def read(text: str) -> float | BadValue:
         found = _DURATION.fullmatch(text)
@@ -89,11 +89,11 @@
         f"a time with its unit, such as 250ms or 2s, from {low_ms:g}ms to"
         f" {high_ms / MS_PER_S:g}s"
     )
-    return Kind(expected, read)
+    return ValueType(expected, read)
 
 
-def size(low: int, high: int) -> Kind:
-    """Return the kind of sizes in bytes, written ``64MB``, ``16KB`` or ``512B``."""
+def size(low: int, high: int) -> ValueType:
+    """Return the type of sizes, written ``64MB``, ``16KB`` or ``512B``, in bytes."""
 
     def read(text: str) -> int | BadValue:
         found = _SIZE.fullmatch(text)
@@ -105,19 +105,19 @@
     expected = (
         f"a size with its unit, such as 512B, 16KB or 64MB, from {low} to {high} bytes"
     )
-    return Kind(expected, read)
+    return ValueType(expected, read)
 
 
 def _read_flag(text: str) -> bool | BadValue:
-    return _WORDS.get(text.lower(), BAD_VALUE)
+    return _FLAG_WORDS.get(text.lower(), BAD_VALUE)
 
 
 def _read_name(text: str) -> str | BadValue:
     return text if NAME.fullmatch(text) else BAD_VALUE
 
 
-def address_of(text: str) -> str | BadValue:
-    """Return ``IP:PORT`` in its usual form, or `BAD_VALUE`."""
+def parse_address(text: str) -> str | BadValue:
+    """Return ``IP:PORT`` in canonical form, or `BAD_VALUE`."""
     host, _, port = text.rpartition(":")
     try:
         ip = ipaddress.ip_address(host.removeprefix("[").removesuffix("]"))
@@ -133,7 +133,7 @@
 def _read_addresses(text: str) -> tuple[str, ...] | BadValue:
     found = []
     for item in split_list(text):
-        address = address_of(item)
+        address = parse_address(item)
         if isinstance(address, BadValue) or address in found:
             return BAD_VALUE
         found.append(address)
@@ -143,7 +143,7 @@
 def _read_url(text: str) -> str | BadValue:
     if not text.startswith("http://"):
         return BAD_VALUE
-    address = address_of(text.removeprefix("http://").removesuffix("/"))
+    address = parse_address(text.removeprefix("http://").removesuffix("/"))
     return BAD_VALUE if isinstance(address, BadValue) else f"http://{address}"
 
 
@@ -152,24 +152,24 @@
 
 
 def split_list(text: str) -> list[str]:
-    """Split a value at commas and line ends; empty items are left out."""
+    """Split a value at commas and line breaks, without empty items."""
     return [item.strip() for item in re.split(r"[,\n]", text) if item.strip()]
 
 
-FLAG = Kind("yes or no", _read_flag)
-PLAIN_NAME = Kind(
+FLAG = ValueType("yes or no", _read_flag)
+PLAIN_NAME = ValueType(
     "a name of 1 to 63 lower-case letters, digits and inner hyphens", _read_name
 )
-ADDRESS = Kind("IP:PORT, such as 127.0.0.1:8080 or [::1]:8080", address_of)
-ADDRESSES = Kind("IP:PORT items, separated by commas, none twice", _read_addresses)
-URL = Kind("http://IP:PORT", _read_url)
-DIGEST = Kind("a SHA-256 digest of 64 hexadecimal digits", _read_digest)
+ADDRESS = ValueType("IP:PORT, such as 127.0.0.1:8080 or [::1]:8080", parse_address)
+ADDRESSES = ValueType("IP:PORT items, separated by commas, none twice", _read_addresses)
+URL = ValueType("http://IP:PORT", _read_url)
+DIGEST = ValueType("a SHA-256 digest of 64 hexadecimal digits", _read_digest)
 
 
-def optional(kind: Kind, missing: Any = None) -> Kind:
-    """Return the kind that also takes an empty value, read as `missing`."""
+def optional(value_type: ValueType, missing: Any = None) -> ValueType:
+    """Return a type that also accepts an empty text, parsed as `missing`."""
 
     def read(text: str) -> Any:
-        return kind.read(text) if text else missing
+        return value_type.read(text) if text else missing
 
-    return Kind(f"{kind.expected}, or nothing", read)
+    return ValueType(f"{value_type.expected}, or nothing", read)
--- a/packages/fuchsiagap/src/fuchsiagap/core/telemetry/call_notes.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/telemetry/call_telemetry.py
@@ -1,7 +1,7 @@
-"""Note the steps of a call once: as event, counter and histogram value together.
+"""Recording of each step of a call as event, counter and histogram value together.
 
-The call path calls one function for each step, so that the time line, the counters
-and the histograms always agree.
+The call path calls one function for each step, so that the event timeline, the
+counters and the histograms agree.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 CANCELLED = "cancelled"
 
 
-def note_received(telemetry: Telemetry, head: CallHead) -> None:
-    """Note that a caller or a backend server handed in a call at this node."""
+def record_received(telemetry: Telemetry, head: CallHead) -> None:
+    """Record that this node received a call from a caller or a backend server."""
     telemetry.metrics.count(Counter.CALLS, head.route)
     telemetry.ring.record(
         EventKind.CALL_RECEIVED,
@@ -38,10 +38,14 @@
     )
 
 
-def note_admitted(
+def record_admitted(
     telemetry: Telemetry, head: CallHead, queueing_delay: Milliseconds
 ) -> None:
-    """Note that a call is handed to the backend server after a wait."""
+    """Record that a call is sent to the backend server after `queueing_delay` ms.
+
+    The queueing delay is recorded under the outcome ``answered``, whatever the outcome
+    of the call will be.
+    """
     telemetry.metrics.observe(
         Measure.QUEUEING_DELAY, head.route, ANSWERED, queueing_delay
     )
@@ -53,52 +57,55 @@
     )
 
 
-def note_expired(telemetry: Telemetry, head: CallHead) -> None:
-    """Note that a call is dropped here, before it was started, for its deadline."""
+def record_expired(telemetry: Telemetry, head: CallHead) -> None:
+    """Record that a call is dropped before its start because of its deadline."""
     telemetry.metrics.count(Counter.CALLS_EXPIRED, head.route)
     telemetry.ring.record(EventKind.CALL_EXPIRED, head.call_id, head.root_id)
 
 
-def note_late_answer(telemetry: Telemetry, call_id: str, root_id: str) -> None:
-    """Record that an answer came after its call had ended here."""
+def record_late_answer(telemetry: Telemetry, call_id: str, root_id: str) -> None:
+    """Record that an answer arrived after its call had ended at this node.
+
+    Records the event only; the link counts late answers itself.
+    """
     telemetry.ring.record(EventKind.LATE_ANSWER_DROPPED, call_id, root_id)
 
 
-def note_incomplete_answer(
+def record_incomplete_answer(
     telemetry: Telemetry, call_id: str, root_id: str, source: str
 ) -> None:
-    """Note that the body of an answer broke off, and so became an error.
+    """Record that the body of an answer ended early, so that the call fails.
 
     Parameters
     ----------
     telemetry : Telemetry
-        Of the node.
+        Telemetry of the node.
     call_id, root_id : str
-        The call.
+        Identifiers of the call and its root request.
     source : str
-        Node or backend server whose answer it was.
+        ``node`` or ``backend server``, whichever sent the answer.
     """
     telemetry.metrics.count(Counter.INCOMPLETE_ANSWERS)
     telemetry.ring.record(EventKind.INCOMPLETE_ANSWER, call_id, root_id, source=source)
 
 
-def note_ended(
+def record_ended(
     telemetry: Telemetry, head: CallHead, outcome: Outcome | None, latency: Milliseconds
 ) -> None:
-    """Note the outcome at the node where the call was handed in.
+    """Record the outcome of a call at the node that called `record_received`.
 
     Parameters
     ----------
     telemetry : Telemetry
-        Of the node.
+        Telemetry of the node.
     head : CallHead
         The call.
     outcome : Outcome or None
-        None if its caller left.
+        None if the caller abandoned the call.
     latency : float
         Milliseconds since the call was received.
     """
-    name = _note_outcome(telemetry, head, outcome, at="entry")
+    name = _record_outcome(telemetry, head, outcome, at="entry")
     telemetry.metrics.observe(Measure.LATENCY, head.route, name, latency)
     if outcome is None:
         telemetry.metrics.count(Counter.CALLS_CANCELLED, head.route)
@@ -107,10 +114,10 @@
 
 
 def count_outcome(telemetry: Telemetry, outcome: Outcome) -> None:
-    """Count a refusal or an unknown outcome that a caller gets.
+    """Count a refusal or an unknown outcome that is returned to a caller.
 
-    Requests that never became a call, for example for want of a route, are counted
-    by this alone.
+    For requests that are rejected before they become a call, for example because no
+    route matches, this is the only record.
     """
     if isinstance(outcome, Refused):
         telemetry.metrics.count(Counter.REFUSALS, outcome.reason.value)
@@ -118,28 +125,28 @@
         telemetry.metrics.count(Counter.UNKNOWNS, outcome.reason.value)
 
 
-def note_served(
+def record_served(
     telemetry: Telemetry, head: CallHead, outcome: Outcome | None, added: Milliseconds
 ) -> None:
-    """Note the outcome at the node beside the backend server.
+    """Record the outcome of a call at the node of the backend server that runs it.
 
     Parameters
     ----------
     telemetry : Telemetry
-        Of the node.
+        Telemetry of the node.
     head : CallHead
         The call.
     outcome : Outcome or None
         None if the call was cancelled.
     added : float
-        Milliseconds that the call spent at this node and not at its backend server,
-        the wait for admission included.
+        Milliseconds that the call spent at this node outside the backend server,
+        including the wait for admission.
     """
-    name = _note_outcome(telemetry, head, outcome, at="backend")
+    name = _record_outcome(telemetry, head, outcome, at="backend")
     telemetry.metrics.observe(Measure.ADDED_TIME, head.route, name, added)
 
 
-def _note_outcome(
+def _record_outcome(
     telemetry: Telemetry, head: CallHead, outcome: Outcome | None, at: str
 ) -> str:
     record = telemetry.ring.record
--- a/packages/fuchsiagap/src/fuchsiagap/core/tickets/snapshot.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/tickets/snapshot.py
@@ -1,4 +1,4 @@
-"""A window as parts that can be sent, and put together again."""
+"""Serializable parts of a ticket window, for its hand-over to another node."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from fuchsiagap.core.tickets.marks import PAGE_BITS, Marks
 from fuchsiagap.core.tickets.records import RunRecord, run_key
+from fuchsiagap.core.tickets.sparse_bitmap import PAGE_BITS, SparseBitmap
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -18,8 +18,8 @@
 _PAGE_BYTES = PAGE_BITS // 8
 
 
-class MarkKind(Enum):
-    """The sets of marks of a window."""
+class BitmapKind(Enum):
+    """The bitmaps of a window; the value names the attribute of `TicketWindow`."""
 
     USED = "used"
     BURNT = "burnt"
@@ -28,27 +28,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MarkPage:
-    """One page of marks.
+class BitmapPage:
+    """One page of a bitmap of a window.
 
     Parameters
     ----------
-    kind : MarkKind
-        Of which set.
+    kind : BitmapKind
+        The bitmap the page belongs to.
     number : int
-        Number of the page.
+        Page number within the bitmap.
     bits : bytes
-        The page.
+        Content of the page.
     """
 
-    kind: MarkKind
+    kind: BitmapKind
     number: int
     bits: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class RecordCopy:
-    """One run of a window.
+    """One run of a window, in the form sent to another node.
 
     Parameters
     ----------
@@ -59,7 +59,7 @@
     fingerprint : bytes
         Digest of the request.
     burn : bool
-        Whether a true refusal shall burn the ticket.
+        Whether to burn the ticket if the run is refused.
     outcome : Answered or Unknown or None
         None while the run is in progress.
     """
@@ -71,31 +71,32 @@
     outcome: Answered | Unknown | None
 
 
-def marks_of(window: TicketWindow, kind: MarkKind) -> Marks:
-    """Return one set of marks of a window."""
-    marks: Marks = getattr(window, kind.value)
-    return marks
+def bitmap_of(window: TicketWindow, kind: BitmapKind) -> SparseBitmap:
+    """Return one of the bitmaps of a window."""
+    bitmap: SparseBitmap = getattr(window, kind.value)
+    return bitmap
 
 
-def mark_pages(window: TicketWindow) -> Iterator[MarkPage]:
-    """Yield the pages of a window."""
-    for kind in MarkKind:
-        for number, bits in sorted(marks_of(window, kind).pages.items()):
-            yield MarkPage(kind, number, bytes(bits))
+def bitmap_pages(window: TicketWindow) -> Iterator[BitmapPage]:
+    """Yield the pages of all bitmaps of a window."""
+    for kind in BitmapKind:
+        for number, bits in sorted(bitmap_of(window, kind).pages.items()):
+            yield BitmapPage(kind, number, bytes(bits))
 
 
 def record_copies(window: TicketWindow) -> Iterator[RecordCopy]:
     """Yield the runs of a frozen window, the oldest first.
 
-    A run that was refused or forgotten since is among them, as one in progress or
-    with its outcome: the marks that were sent before do not show it.
+    Includes runs that were refused or evicted after the window was frozen, since the
+    bitmap pages that were sent earlier do not reflect that. A run refused meanwhile is
+    yielded as one in progress, an evicted one with its outcome.
     """
     for record in window.frozen_records:
         yield copy_record(record)
 
 
 def copy_record(record: RunRecord) -> RecordCopy:
-    """Return a run in the form that can be sent."""
+    """Return a run in the form sent to another node."""
     if isinstance(record.key, int):
         sequence, child_key = record.key, ""
     else:
@@ -105,24 +106,31 @@
     )
 
 
-def put_page(window: TicketWindow, page: MarkPage) -> bool:
-    """Put a page into a window that is being put together.
+def put_page(window: TicketWindow, page: BitmapPage) -> bool:
+    """Add a received bitmap page to a window.
+
+    Parameters
+    ----------
+    window : TicketWindow
+        The window that is being received.
+    page : BitmapPage
+        The page.
 
     Returns
     -------
     bool
-        Whether the page has the right size.
+        False if the page has the wrong size and was not added.
     """
     if len(page.bits) != _PAGE_BYTES:
         return False
-    marks_of(window, page.kind).pages[page.number] = bytearray(page.bits)
+    bitmap_of(window, page.kind).pages[page.number] = bytearray(page.bits)
     return True
 
 
 def put_record(window: TicketWindow, copy: RecordCopy) -> None:
-    """Put a run into a window that is being put together."""
+    """Add a received run to a window."""
     key = run_key(copy.sequence, copy.child_key)
-    record = RunRecord(key, copy.fingerprint, burn=copy.burn, elsewhere=True)
+    record = RunRecord(key, copy.fingerprint, burn=copy.burn, is_remote=True)
     window.records[key] = record
     (window.parents if copy.child_key else window.used).add(copy.sequence)
     if copy.outcome is not None:
