--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/attempts.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/attempts.py
@@ -24,17 +24,17 @@
 
 # Ends the id of an attempt that may repeat work an earlier one did. It is part of the
 # id, so that the children of the attempt show it as their parent's.
-_REPEAT_MARK = "!"
+_REPEAT_SUFFIX = "!"
 
 
 def is_repeat(call_id: str) -> bool:
     """Whether an attempt may repeat work that an earlier one did."""
-    return call_id.endswith(_REPEAT_MARK)
+    return call_id.endswith(_REPEAT_SUFFIX)
 
 
 def mark_repeat(call_id: str, repeat: bool) -> str:
     """Return a call id that tells whether an earlier copy of the call may have run."""
-    return f"{call_id}{_REPEAT_MARK}" if repeat else call_id
+    return f"{call_id}{_REPEAT_SUFFIX}" if repeat else call_id
 
 
 def may_have_run(outcome: Outcome) -> bool:
@@ -62,7 +62,7 @@
     if n_sent == 0 and not repeat:
         return head
     number = f"~{n_sent}" if n_sent else ""
-    call_id = head.call_id.removesuffix(_REPEAT_MARK) + number
+    call_id = head.call_id.removesuffix(_REPEAT_SUFFIX) + number
     marked = repeat or is_repeat(head.call_id)
     return replace(head, call_id=mark_repeat(call_id, marked))
 
@@ -72,7 +72,7 @@
     head: CallHead,
     body: bytes,
     instance: Instance,
-    ledger: Allowance,
+    allowance: Allowance,
 ) -> Outcome:
     """Send one attempt and settle its share of the allowance.
 
@@ -95,7 +95,7 @@
         ``Refused(CONNECTION_LOST)`` if the attempt certainly never left, and
         ``Unknown`` if it may have.
     """
-    share = ledger.lend()
+    share = allowance.lend()
     started = state.clock.now()
     state.router.begin(instance)
     outcome: Outcome | None = None
@@ -105,12 +105,12 @@
     finally:
         now = state.clock.now()
         if outcome is not None:
-            _settle(state, head, ledger, share, outcome)
+            _settle_share(state, head, allowance, share, outcome)
         else:
-            ledger.write_off(share)
+            allowance.write_off(share)
             if scope.cancelled_caught:
                 outcome = Unknown(Reason.DEADLINE, detail="no answer in time")
-        _end(state, instance, outcome, now - started)
+        _record_end(state, instance, outcome, now - started)
     assert outcome is not None
     if isinstance(outcome, Answered):
         least_times = state.router.least_times
@@ -138,7 +138,7 @@
     return Refused(Reason.CONNECTION_LOST, allowance=share, detail=reply.detail)
 
 
-def _end(
+def _record_end(
     state: NodeState,
     instance: Instance,
     outcome: Outcome | None,
@@ -155,10 +155,10 @@
         )
 
 
-def _settle(
+def _settle_share(
     state: NodeState,
     head: CallHead,
-    ledger: Allowance,
+    allowance: Allowance,
     share: int,
     outcome: Outcome,
 ) -> None:
@@ -169,7 +169,7 @@
             head.call_id,
             head.root_id,
         )
-    ledger.settle(share, outcome.allowance)
+    allowance.settle(share, outcome.allowance)
 
 
 def _seconds(duration: Milliseconds) -> float:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/calls.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/calls.py
@@ -25,13 +25,13 @@
     allowance : Allowance
         Extra attempts left for its own calls; they take shares and give the
         unused part back.
-    refused_below : bool
+    has_refused_child : bool
         Whether one of its own calls was refused.
     """
 
     head: CallHead
     allowance: Allowance
-    refused_below: bool = False
+    has_refused_child: bool = False
     _ordinals: ChildOrdinals = field(default_factory=ChildOrdinals)
 
     def next_child_key(self, given: str, service: ServiceName, route: str) -> str:
@@ -67,12 +67,12 @@
         """Return a call that the backend server works on."""
         return self.serving.get(call_id)
 
-    def busy(self) -> bool:
+    def has_calls(self) -> bool:
         """Return whether any call is in progress."""
         n_waiting = self.n_entered + self.n_queued + self.n_responding
         return bool(self.serving) or n_waiting > 0
 
-    def note_end(self) -> None:
+    def notify_if_idle(self) -> None:
         """Wake a graceful shutdown if the last call has ended."""
-        if self.idle is not None and not self.busy():
+        if self.idle is not None and not self.has_calls():
             self.idle.set()
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/dispatch.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/dispatch.py
@@ -27,7 +27,7 @@
     from fuchsiagap.core.routing.router import Instance
     from fuchsiagap_node.core.state import NodeState
 
-_RETRIED_REFUSALS = frozenset(
+_RETRYABLE_REFUSALS = frozenset(
     {
         Reason.OVERLOAD,
         Reason.LEAVING,
@@ -36,10 +36,10 @@
         Reason.CONNECTION_LOST,
     }
 )
-_RETRIED_UNKNOWNS = frozenset({Reason.CONNECTION_LOST, Reason.INCOMPLETE_ANSWER})
+_RETRYABLE_UNKNOWNS = frozenset({Reason.CONNECTION_LOST, Reason.INCOMPLETE_ANSWER})
 
 
-class Denial(StrEnum):
+class RetryDenial(StrEnum):
     """What denied a retry; the value is the label of the counter."""
 
     DEADLINE = "deadline"
@@ -72,20 +72,20 @@
     Outcome
         Its allowance is what is left of the head's.
     """
-    early = _early_refusal(state, head)
-    if early is not None:
-        return _with_allowance(early, head.allowance)
+    refused = _early_refusal(state, head)
+    if refused is not None:
+        return _with_allowance(refused, head.allowance)
     parent = state.calls.serving.get(head.parent_id) if head.idempotent else None
     if parent is not None:
-        outcome = await _run(state, head, body, parent.allowance)
+        outcome = await _dispatch_within_allowance(state, head, body, parent.allowance)
         if outcome.load is not None:
             state.gate.record_downstream_load(
                 parent.head.route, head.service, outcome.load
             )
         return _with_allowance(outcome, head.allowance)
-    ledger = Allowance(head.allowance)
-    outcome = await _run(state, head, body, ledger)
-    return _with_allowance(outcome, ledger.remaining)
+    allowance = Allowance(head.allowance)
+    outcome = await _dispatch_within_allowance(state, head, body, allowance)
+    return _with_allowance(outcome, allowance.remaining)
 
 
 def _with_allowance(outcome: Outcome, allowance: int) -> Outcome:
@@ -94,61 +94,67 @@
     return replace(outcome, allowance=allowance)
 
 
-async def _run(
-    state: NodeState, head: CallHead, body: bytes, ledger: Allowance
+async def _dispatch_within_allowance(
+    state: NodeState, head: CallHead, body: bytes, allowance: Allowance
 ) -> Outcome:
     """Send the first attempt, and others while that is right."""
     instance = state.router.choose(head.service)
     if instance is None:
-        return _no_backend(head)
+        return _no_instance_refusal(head)
     # The child of a repeated call may itself have run before.
     repeat = head.idempotent and is_repeat(head.parent_id)
-    if repeat and not ledger.take():
-        return _cannot_pay(head)
+    if repeat and not allowance.take():
+        return _no_allowance_refusal(head)
     state.budget.record_call(head.service)
-    outcome, unsure = await _attempts(state, head, body, instance, ledger, repeat)
-    if unsure and isinstance(outcome, Refused):
+    outcome, maybe_executed = await _run_attempts(
+        state, head, body, instance, allowance, repeat
+    )
+    if maybe_executed and isinstance(outcome, Refused):
         # True of the last attempt, but an earlier one may have run.
         return Unknown(outcome.reason, load=outcome.load, detail=outcome.detail)
     return outcome
 
 
-async def _attempts(
+async def _run_attempts(
     state: NodeState,
     head: CallHead,
     body: bytes,
     instance: Instance,
-    ledger: Allowance,
+    allowance: Allowance,
     repeat: bool,
 ) -> tuple[Outcome, bool]:
     """Return the last attempt's outcome, and whether one before may have run."""
     tried: frozenset[str] = frozenset()
     n_sent = n_retries = 0
-    unsure = False
+    maybe_executed = False
     while True:
         attempt = attempt_head(head, n_sent, repeat)
-        outcome = await send_attempt(state, attempt, body, instance, ledger)
+        outcome = await send_attempt(state, attempt, body, instance, allowance)
         n_sent += 1
         tried |= {instance.node}
         if not _may_retry(head, outcome):
-            return outcome, unsure
+            return outcome, maybe_executed
         wait = backoff(state.budget.cfg, n_retries, state.rng)
         if not _has_time(state, head, wait):
-            return _denied(state, attempt, outcome, Denial.DEADLINE), unsure
+            return _record_denial(
+                state, attempt, outcome, RetryDenial.DEADLINE
+            ), maybe_executed
         if wait > 0.0:
             await sleep_ms(wait)
-        following = state.router.choose(head.service, tried)
-        if following is None:
-            return _denied(state, attempt, outcome, Denial.NO_INSTANCE), unsure
-        if not _never_left(outcome):
-            denial = _pay_retry(state, head, ledger)
+        next_instance = state.router.choose(head.service, tried)
+        if next_instance is None:
+            return _record_denial(
+                state, attempt, outcome, RetryDenial.NO_INSTANCE
+            ), maybe_executed
+        if not _was_not_sent(outcome):
+            denial = _charge_retry(state, head, allowance)
             if denial is not None:
-                return _denied(state, attempt, outcome, denial), unsure
+                return _record_denial(state, attempt, outcome, denial), maybe_executed
             n_retries += 1
             repeat = repeat or may_have_run(outcome)
-        unsure = unsure or isinstance(outcome, Unknown)
-        _record_retry(state, attempt, outcome, following)
-        instance = following
+        maybe_executed = maybe_executed or isinstance(outcome, Unknown)
+        _record_retry(state, attempt, outcome, next_instance)
+        instance = next_instance
 
 
 def _early_refusal(state: NodeState, head: CallHead) -> Refused | None:
@@ -162,8 +168,8 @@
 def _has_time(state: NodeState, head: CallHead, wait: Milliseconds) -> bool:
     """Whether an attempt after `wait` milliseconds can be answered in time."""
     now = state.clock.now()
-    least = state.router.least_times.least(head.service, head.route, now)
-    return head.deadline - now - wait > least
+    min_latency = state.router.least_times.least(head.service, head.route, now)
+    return head.deadline - now - wait > min_latency
 
 
 def _may_retry(head: CallHead, outcome: Outcome) -> bool:
@@ -171,31 +177,33 @@
     if isinstance(outcome, Answered):
         return False
     if isinstance(outcome, Refused):
-        return outcome.reason in _RETRIED_REFUSALS
-    return head.idempotent and outcome.reason in _RETRIED_UNKNOWNS
+        return outcome.reason in _RETRYABLE_REFUSALS
+    return head.idempotent and outcome.reason in _RETRYABLE_UNKNOWNS
 
 
-def _never_left(outcome: Outcome) -> bool:
+def _was_not_sent(outcome: Outcome) -> bool:
     """Whether the attempt reached no other node, and so counts as none."""
     return isinstance(outcome, Refused) and outcome.reason is Reason.CONNECTION_LOST
 
 
-def _pay_retry(state: NodeState, head: CallHead, ledger: Allowance) -> Denial | None:
+def _charge_retry(
+    state: NodeState, head: CallHead, allowance: Allowance
+) -> RetryDenial | None:
     """Pay for a retry out of budget and allowance, of both or of none."""
-    if ledger.remaining < 1:
-        return Denial.ALLOWANCE
+    if allowance.remaining < 1:
+        return RetryDenial.ALLOWANCE
     if state.levels.refusal(head) is not None:
-        return Denial.LEVEL
+        return RetryDenial.LEVEL
     route = state.book.route_for(head.service, head.method, head.target)
     ratio = route.retry_budget if route is not None else None
     if not state.budget.try_spend(head.service, ratio):
-        return Denial.BUDGET
-    ledger.take()
+        return RetryDenial.BUDGET
+    allowance.take()
     return None
 
 
-def _denied(
-    state: NodeState, attempt: CallHead, outcome: Outcome, denial: Denial
+def _record_denial(
+    state: NodeState, attempt: CallHead, outcome: Outcome, denial: RetryDenial
 ) -> Outcome:
     by = denial.value
     state.telemetry.metrics.count(Counter.RETRIES_DENIED, by)
@@ -206,7 +214,7 @@
 
 
 def _record_retry(
-    state: NodeState, attempt: CallHead, outcome: Outcome, following: Instance
+    state: NodeState, attempt: CallHead, outcome: Outcome, next_instance: Instance
 ) -> None:
     state.telemetry.metrics.count(Counter.RETRIES, str(attempt.service))
     state.telemetry.ring.record(
@@ -214,16 +222,16 @@
         attempt.call_id,
         attempt.root_id,
         after="" if isinstance(outcome, Answered) else outcome.reason.value,
-        to=following.node,
+        to=next_instance.node,
     )
 
 
-def _no_backend(head: CallHead) -> Refused:
+def _no_instance_refusal(head: CallHead) -> Refused:
     detail = f"no instance of {head.service} is known that takes new work"
     return Refused(Reason.NO_BACKEND, detail=detail)
 
 
-def _cannot_pay(head: CallHead) -> Refused:
+def _no_allowance_refusal(head: CallHead) -> Refused:
     detail = (
         f"{head.service}: the call above is a repeat, and the request's allowance of"
         " extra attempts is used up"
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/entry.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/entry.py
@@ -22,8 +22,11 @@
 from fuchsiagap.core.tickets.ticket import MalformedTicket, Ticket, parse_ticket
 from fuchsiagap_node.core.callpath.attempts import mark_repeat
 from fuchsiagap_node.core.callpath.dispatch import dispatch
-from fuchsiagap_node.core.callpath.home_tickets import private_ticket, settle_ticket
-from fuchsiagap_node.core.callpath.relay import send_home
+from fuchsiagap_node.core.callpath.home_tickets import (
+    issue_private_ticket,
+    settle_ticket,
+)
+from fuchsiagap_node.core.callpath.relay import relay_to_home
 
 if TYPE_CHECKING:
     import random
@@ -34,7 +37,7 @@
 _ID_BITS = 64
 _FIRST_COPY = "0"
 _REPEATED_COPY = "1"
-_MAX_ROOT_ID = 64
+_MAX_ROOT_ID_LENGTH = 64
 _LEAVING_RETRY_AFTER_MS = 100.0
 _STARTING_RETRY_AFTER_MS = 100.0
 
@@ -49,7 +52,7 @@
         From the first two segments of the path.
     method, target : str
         HTTP method; the rest of the path with the query.
-    own_headers : dict of str to str
+    control_headers : dict of str to str
         The headers that steer the call; see `call_headers`.
     headers : tuple of (str, str)
         All other end-to-end headers.
@@ -60,7 +63,7 @@
     service: ServiceName
     method: str
     target: str
-    own_headers: dict[str, str]
+    control_headers: dict[str, str]
     headers: Headers
     body: bytes
 
@@ -85,15 +88,15 @@
     Answered, Refused or Unknown
         What became of it. Cancelling the task gives the call up everywhere.
     """
-    parent_id = req.own_headers.get(call_headers.PARENT_CALL)
+    parent_id = req.control_headers.get(call_headers.PARENT_CALL)
     if parent_id is None:
         head = _root_head(state, req)
         if isinstance(head, Refused):
             return await refuse(state, req, head)
         first_copy = _is_first_copy(req)
-        outcome = await _counted(state, head, req.body, first_copy=first_copy)
+        outcome = await _run_recorded(state, head, req.body, first_copy=first_copy)
         if isinstance(outcome, Refused) and not head.idempotent:
-            return await _without_contradiction(state, req, outcome)
+            return await _confirm_refusal(state, req, outcome)
         return outcome
     parent = state.calls.serving.get(parent_id)
     if parent is None:
@@ -101,7 +104,7 @@
             f"{call_headers.PARENT_CALL}: call {parent_id!r:.40} is not in progress"
             " here; a backend server's own calls go through the node of its host"
         )
-        return _not_taken(state, Refused(Reason.CANCELLED, detail=detail))
+        return _count_outcome(state, Refused(Reason.CANCELLED, detail=detail))
     return await _enter_child(state, parent, req)
 
 
@@ -126,13 +129,13 @@
     Answered, Refused or Unknown
         `Refused` only if no copy has run or ever will.
     """
-    return _not_taken(state, await _without_contradiction(state, req, refused))
+    return _count_outcome(state, await _confirm_refusal(state, req, refused))
 
 
-async def _without_contradiction(
+async def _confirm_refusal(
     state: NodeState, req: CallRequest, refused: Refused
 ) -> Outcome:
-    ticket = _ticket(req)
+    ticket = _read_ticket(req)
     if not isinstance(ticket, Ticket) or _is_first_copy(req):
         return refused
     if refused.reason is Reason.TICKET_BURNT:
@@ -148,19 +151,19 @@
     return outcome
 
 
-def _not_taken(state: NodeState, outcome: Outcome) -> Outcome:
+def _count_outcome(state: NodeState, outcome: Outcome) -> Outcome:
     """Count the outcome of a request that did not become a call here."""
     call_notes.count_outcome(state.telemetry, outcome)
     return outcome
 
 
 def _is_first_copy(req: CallRequest) -> bool:
-    return req.own_headers.get(call_headers.REPEAT) == _FIRST_COPY
+    return req.control_headers.get(call_headers.REPEAT) == _FIRST_COPY
 
 
 def _is_repeat(req: CallRequest) -> bool:
     """Return whether the caller says that an earlier copy may have run."""
-    return req.own_headers.get(call_headers.REPEAT) == _REPEATED_COPY
+    return req.control_headers.get(call_headers.REPEAT) == _REPEATED_COPY
 
 
 async def _enter_child(
@@ -168,17 +171,17 @@
 ) -> Outcome:
     head = _child_head(state, parent, req)
     if isinstance(head, Refused):
-        return _not_taken(state, head)
+        return _count_outcome(state, head)
     if head.idempotent:
-        outcome = await _counted(state, head, req.body)
+        outcome = await _run_recorded(state, head, req.body)
     else:
-        outcome = await _with_share(state, parent, head, req.body)
+        outcome = await _run_with_share(state, parent, head, req.body)
     if isinstance(outcome, Refused):
-        parent.refused_below = True
+        parent.has_refused_child = True
     return outcome
 
 
-async def _with_share(
+async def _run_with_share(
     state: NodeState, parent: CallInProgress, head: CallHead, body: bytes
 ) -> Outcome:
     """Send a share of the parent's allowance along; its home may be elsewhere."""
@@ -186,7 +189,7 @@
     share = parent.allowance.lend_up_to((parent.allowance.remaining + 1) // 2)
     outcome: Outcome | None = None
     try:
-        outcome = await _counted(state, head.with_allowance(share), body)
+        outcome = await _run_recorded(state, head.with_allowance(share), body)
     finally:
         if outcome is None:
             parent.allowance.write_off(share)
@@ -196,7 +199,7 @@
     return outcome
 
 
-async def _counted(
+async def _run_recorded(
     state: NodeState, head: CallHead, body: bytes, *, first_copy: bool = False
 ) -> Outcome:
     state.calls.n_entered += 1
@@ -204,16 +207,16 @@
     call_notes.note_received(state.telemetry, head)
     outcome: Outcome | None = None
     try:
-        outcome = await _within_deadline(state, head, body, first_copy)
+        outcome = await _run_within_deadline(state, head, body, first_copy)
     finally:
         latency = state.clock.now() - started
         call_notes.note_ended(state.telemetry, head, outcome, latency)
         state.calls.n_entered -= 1
-        state.calls.note_end()
+        state.calls.notify_if_idle()
     return outcome
 
 
-async def _within_deadline(
+async def _run_within_deadline(
     state: NodeState, head: CallHead, body: bytes, first_copy: bool
 ) -> Outcome:
     remaining = head.deadline - state.clock.now()
@@ -225,7 +228,7 @@
         if head.idempotent:
             outcome = await dispatch(state, head, body)
         else:
-            outcome = await send_home(state, head, body, first_copy)
+            outcome = await relay_to_home(state, head, body, first_copy)
     return outcome
 
 
@@ -237,23 +240,23 @@
         )
     route = state.book.route_for(req.service, req.method, req.target)
     if route is None:
-        return _no_route(state, req)
-    timeout = _number(req, call_headers.DEADLINE, route.timeout)
+        return _no_route_refusal(state, req)
+    timeout = _read_number(req, call_headers.DEADLINE, route.timeout)
     if isinstance(timeout, Refused):
         return timeout
-    allowance = _number(req, call_headers.ALLOWANCE, route.allowance)
+    allowance = _read_number(req, call_headers.ALLOWANCE, route.allowance)
     if isinstance(allowance, Refused):
         return allowance
-    priority = _number(req, call_headers.PRIORITY, route.priority)
+    priority = _read_number(req, call_headers.PRIORITY, route.priority)
     if isinstance(priority, Refused):
         return priority
-    ticket = _ticket(req)
+    ticket = _read_ticket(req)
     if isinstance(ticket, Refused):
         return ticket
-    root_id = req.own_headers.get(call_headers.ROOT, "")[:_MAX_ROOT_ID]
+    root_id = req.control_headers.get(call_headers.ROOT, "")[:_MAX_ROOT_ID_LENGTH]
     root_id = str(ticket) if ticket is not None else root_id or new_id(state.rng)
     if ticket is None and route.idempotent:
-        ticket = private_ticket(state)
+        ticket = issue_private_ticket(state)
     head = CallHead(
         call_id=mark_repeat(new_id(state.rng), _is_repeat(req)),
         root_id=root_id,
@@ -277,33 +280,35 @@
 def _child_head(
     state: NodeState, parent: CallInProgress, req: CallRequest
 ) -> CallHead | Refused:
-    above = parent.head
+    parent_head = parent.head
     route = state.book.route_for(req.service, req.method, req.target)
     if route is None:
-        return _no_route(state, req)
-    if above.depth >= MAX_DEPTH:
-        detail = f"the chain is {above.depth} deep, at most {MAX_DEPTH} is possible"
+        return _no_route_refusal(state, req)
+    if parent_head.depth >= MAX_DEPTH:
+        detail = (
+            f"the chain is {parent_head.depth} deep, at most {MAX_DEPTH} is possible"
+        )
         return Refused(Reason.TOO_DEEP, detail=detail)
-    given = req.own_headers.get(call_headers.CHILD_KEY, "")
+    given = req.control_headers.get(call_headers.CHILD_KEY, "")
     return replace(
-        above,
+        parent_head,
         call_id=new_id(state.rng),
-        parent_id=above.call_id,
+        parent_id=parent_head.call_id,
         service=req.service,
         route=route.route,
         method=req.method,
         target=req.target,
         headers=req.headers,
-        deadline=min(above.deadline, state.clock.now() + route.timeout),
+        deadline=min(parent_head.deadline, state.clock.now() + route.timeout),
         allowance=0,
         idempotent=route.idempotent,
         child_key=parent.next_child_key(given, req.service, route.route),
-        depth=above.depth + 1,
+        depth=parent_head.depth + 1,
     )
 
 
-def _number(req: CallRequest, name: str, default: float) -> float | Refused:
-    text = req.own_headers.get(name)
+def _read_number(req: CallRequest, name: str, default: float) -> float | Refused:
+    text = req.control_headers.get(name)
     if text is None:
         return default
     if text.isascii() and text.isdigit() and len(text) <= _MAX_DIGITS:
@@ -315,8 +320,8 @@
 _MAX_DIGITS = 9
 
 
-def _ticket(req: CallRequest) -> Ticket | Refused | None:
-    text = req.own_headers.get(call_headers.TICKET)
+def _read_ticket(req: CallRequest) -> Ticket | Refused | None:
+    text = req.control_headers.get(call_headers.TICKET)
     if text is None:
         return None
     ticket = parse_ticket(text)
@@ -326,7 +331,7 @@
     return ticket
 
 
-def _no_route(state: NodeState, req: CallRequest) -> Refused:
+def _no_route_refusal(state: NodeState, req: CallRequest) -> Refused:
     if not state.book.standing.complete:
         detail = f"node {state.node} has just started and has no settings yet"
         return Refused(
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home.py
@@ -30,7 +30,7 @@
     RunRecord,
     Start,
 )
-from fuchsiagap_node.core.callpath.home_of import relayed
+from fuchsiagap_node.core.callpath.home_lookup import outcome_of_relay
 from fuchsiagap_node.core.wire.messages_call import HomeCallMessage, head_to_wire
 
 if TYPE_CHECKING:
@@ -44,8 +44,8 @@
 
 Run: TypeAlias = "Callable[[], Awaitable[Outcome]]"
 
-_HOW_TO_GET = "get tickets with POST /tickets and send one as Idempotency-Key"
-_GRACE_MS = 500.0
+_TICKET_HINT = "get tickets with POST /tickets and send one as Idempotency-Key"
+_RUN_GRACE_MS = 500.0
 _LOG = logging.getLogger(__name__)
 
 
@@ -86,34 +86,34 @@
     """
     ticket = head.ticket
     if ticket is None:
-        return needs_ticket(head)
+        return refuse_without_ticket(head)
     window = state.tickets.window_of(ticket)
     if window is None:
         detail = f"{state.node} does not know the life that issued {ticket}"
         return _forgotten(state, head, detail)
     runs = state.tickets.runs
     if runs is None:
-        runs = await _runs(state)
+        runs = await _wait_for_nursery(state)
     claim = window.claim(ticket.sequence, head.child_key, fingerprint(head, body))
     # From the claim to the start of the task nothing waits, so no run gets lost.
     if isinstance(claim, Start):
         record = claim.record
         runs.start_soon(_run_once, state, window, record, head, run)
-        return await await_end(state, record, head.deadline)
+        return await await_run_end(state, record, head.deadline)
     if isinstance(claim, Moving):
-        return await _follow(state, window, head, body)
-    return await _repeat(state, claim, head)
+        return await _forward_to_successor(state, window, head, body)
+    return await _handle_copy(state, claim, head)
 
 
-async def _runs(state: NodeState) -> trio.Nursery:
+async def _wait_for_nursery(state: NodeState) -> trio.Nursery:
     await state.tickets.ready.wait()
     assert state.tickets.runs is not None
     return state.tickets.runs
 
 
-def needs_ticket(head: CallHead) -> Refused:
+def refuse_without_ticket(head: CallHead) -> Refused:
     """Return the refusal of a non-idempotent call whose root has no ticket."""
-    detail = f"{head.method} of route {head.route} may run once only: {_HOW_TO_GET}"
+    detail = f"{head.method} of route {head.route} may run once only: {_TICKET_HINT}"
     return Refused(Reason.NEEDS_TICKET, allowance=head.allowance, detail=detail)
 
 
@@ -135,7 +135,7 @@
     outcome: Outcome = Unknown(Reason.DEADLINE, detail="the deadline passed")
     try:
         # The dispatch keeps the deadline and says more truly what came of it.
-        with _scope_until(state, head.deadline + _GRACE_MS):
+        with _scope_until(state, head.deadline + _RUN_GRACE_MS):
             outcome = await run()
     except Exception:
         # A fault of the program: what it had done by then is not known.
@@ -148,19 +148,19 @@
         record_event(EventKind.TICKET_KEPT, head.call_id, head.root_id)
 
 
-async def _repeat(state: NodeState, claim: Claim, head: CallHead) -> Outcome:
+async def _handle_copy(state: NodeState, claim: Claim, head: CallHead) -> Outcome:
     state.telemetry.metrics.count(Counter.TICKETS_REPEATED)
     ring = state.telemetry.ring
     ring.record(EventKind.TICKET_REPEATED, head.call_id, head.root_id)
     match claim:
         case InProgress(record):
-            outcome = await await_end(state, record, head.deadline)
-            return as_repeat(outcome, head.allowance)
+            outcome = await await_run_end(state, record, head.deadline)
+            return as_repeated(outcome, head.allowance)
         case Kept(outcome):
-            return as_repeat(outcome, head.allowance)
+            return as_repeated(outcome, head.allowance)
         case Burnt():
             if head.ticket is not None:
-                check_not_run(state, head.ticket)
+                check_not_started(state, head.ticket)
             detail = f"ticket {head.ticket} was asked about before it came"
             return Refused(Reason.TICKET_BURNT, 0.0, head.allowance, detail=detail)
         case OtherRequest():
@@ -171,7 +171,7 @@
     raise AssertionError(claim)
 
 
-async def _follow(
+async def _forward_to_successor(
     state: NodeState, window: TicketWindow, head: CallHead, body: bytes
 ) -> Outcome:
     """Send a call that was not started here after the window it belongs to."""
@@ -180,14 +180,14 @@
     if window.handed_to is not None:
         msg = HomeCallMessage(head_to_wire(head, state.clock.now()), body)
         reply = await state.peers.ask(window.handed_to.address, msg)
-        return relayed(head, reply, first_copy=False)
+        return outcome_of_relay(head, reply, first_copy=False)
     detail = f"{state.node} is leaving, and its tickets found no other home"
     if window.maybe_handed:
         return Unknown(Reason.LEAVING, head.allowance, detail=detail)
     return Refused(Reason.LEAVING, allowance=head.allowance, detail=detail)
 
 
-async def await_end(
+async def await_run_end(
     state: NodeState, record: RunRecord, deadline: Milliseconds
 ) -> Outcome:
     """Wait for the end of a run, until a deadline.
@@ -217,7 +217,7 @@
     return record.last
 
 
-def check_not_run(state: NodeState, ticket: Ticket) -> None:
+def check_not_started(state: NodeState, ticket: Ticket) -> None:
     """Report a ticket that is about to be called not run, though it was started.
 
     Parameters
@@ -233,7 +233,7 @@
         state.telemetry.violation(invariant, detail, root_id=str(ticket))
 
 
-def as_repeat(outcome: Outcome, allowance: int) -> Outcome:
+def as_repeated(outcome: Outcome, allowance: int) -> Outcome:
     """Return the outcome for a copy that spent nothing of its own allowance."""
     if isinstance(outcome, Answered):
         return replace(outcome, allowance=allowance, load=None, repeated=True)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home_of.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home_lookup.py
@@ -16,12 +16,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HomeHere:
+class LocalHome:
     """The node itself answers for the ticket."""
 
 
 @dataclass(frozen=True, slots=True)
-class HomeAt:
+class RemoteHome:
     """Another node answers for the ticket.
 
     Parameters
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HomeGone:
+class UnknownHome:
     """No node is known to answer for the ticket.
 
     Parameters
@@ -48,10 +48,10 @@
 
 # Successors of successors that are looked up, within the time members are kept.
 _MAX_HAND_OVERS = 8
-Home: TypeAlias = HomeHere | HomeAt | HomeGone
+Home: TypeAlias = LocalHome | RemoteHome | UnknownHome
 
 
-def home_of(state: NodeState, ticket: Ticket) -> Home:
+def find_home(state: NodeState, ticket: Ticket) -> Home:
     """Return who answers for a ticket.
 
     Parameters
@@ -63,15 +63,15 @@
 
     Returns
     -------
-    HomeHere, HomeAt or HomeGone
+    LocalHome, RemoteHome or UnknownHome
         Where to send a call that bears the ticket.
     """
     if state.tickets.window_of(ticket) is not None:
-        return HomeHere()
+        return LocalHome()
     view = state.membership
     name = view.successor_of(ticket.node, ticket.incarnation)
     if not name and ticket.node == state.node:
-        return HomeGone(Reason.TICKET_FORGOTTEN)
+        return UnknownHome(Reason.TICKET_FORGOTTEN)
     member = view.get(name or ticket.node)
     for _ in range(_MAX_HAND_OVERS):
         if member is None or member.state is not MemberState.LEFT:
@@ -79,13 +79,13 @@
         # It handed over what it had taken over, too.
         member = view.get(member.successor)
     if member is None:
-        return HomeGone(Reason.HOME_GONE)
+        return UnknownHome(Reason.HOME_GONE)
     if member.node == state.node:
-        return HomeGone(Reason.TICKET_FORGOTTEN)
-    return HomeAt(member.address)
+        return UnknownHome(Reason.TICKET_FORGOTTEN)
+    return RemoteHome(member.address)
 
 
-def relayed(head: CallHead, reply: object, *, first_copy: bool) -> Outcome:
+def outcome_of_relay(head: CallHead, reply: object, *, first_copy: bool) -> Outcome:
     """Return the outcome of a call that was sent to its home.
 
     Parameters
@@ -108,10 +108,10 @@
             reason = Reason.HOME_GONE
             return Refused(reason, allowance=head.allowance, detail=reply.detail)
         return Unknown(Reason.HOME_GONE, head.allowance, detail=reply.detail)
-    return lost(reply)
+    return outcome_of_reply(reply)
 
 
-def lost(reply: object) -> Outcome:
+def outcome_of_reply(reply: object) -> Outcome:
     """Return the outcome of what was sent to a home: the reply, or `Unknown`."""
     if isinstance(reply, (Answered, Refused, Unknown)):
         return reply
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home_tickets.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home_tickets.py
@@ -18,8 +18,17 @@
     Kept,
     NotIssued,
 )
-from fuchsiagap_node.core.callpath.home import as_repeat, await_end, check_not_run
-from fuchsiagap_node.core.callpath.home_of import HomeGone, HomeHere, home_of, lost
+from fuchsiagap_node.core.callpath.home import (
+    as_repeated,
+    await_run_end,
+    check_not_started,
+)
+from fuchsiagap_node.core.callpath.home_lookup import (
+    LocalHome,
+    UnknownHome,
+    find_home,
+    outcome_of_reply,
+)
 from fuchsiagap_node.core.wire.messages_ticket import SettleMessage
 
 if TYPE_CHECKING:
@@ -29,7 +38,7 @@
 
 _LEAVING_RETRY_AFTER_MS = 100.0
 # On top of the wait for a run: the way to the home and back.
-_TRIP_MS = 500.0
+_ROUND_TRIP_MS = 500.0
 
 
 def register(state: NodeState) -> None:
@@ -70,7 +79,7 @@
     return issued
 
 
-def private_ticket(state: NodeState) -> Ticket | None:
+def issue_private_ticket(state: NodeState) -> Ticket | None:
     """Return a ticket for an idempotent root request that came without one.
 
     It makes this node the home of the chain's non-idempotent calls, so that they run
@@ -140,22 +149,22 @@
     Answered, Refused or Unknown
         `Refused` only if the request was not run and never will be.
     """
-    home = home_of(state, ticket)
-    if isinstance(home, HomeHere):
+    home = find_home(state, ticket)
+    if isinstance(home, LocalHome):
         return await _settle_here(state, ticket, remaining)
-    if isinstance(home, HomeGone):
+    if isinstance(home, UnknownHome):
         return Unknown(home.reason, detail=f"nobody answers for ticket {ticket}")
-    return await _ask(state, home.address, ticket, remaining)
+    return await _settle_at(state, home.address, ticket, remaining)
 
 
-async def _ask(
+async def _settle_at(
     state: NodeState, address: str, ticket: Ticket, remaining: Milliseconds
 ) -> Outcome:
     detail = f"no reply from {address}"
     outcome: Outcome = Unknown(Reason.TICKET_IN_PROGRESS, detail=detail)
-    with trio.move_on_after((remaining + _TRIP_MS) / MS_PER_S):
+    with trio.move_on_after((remaining + _ROUND_TRIP_MS) / MS_PER_S):
         reply = await state.peers.ask(address, SettleMessage(ticket, remaining))
-        outcome = lost(reply)
+        outcome = outcome_of_reply(reply)
     return outcome
 
 
@@ -169,13 +178,17 @@
     deadline = state.clock.now() + remaining
     match window.settle(ticket.sequence):
         case InProgress(record):
-            outcome = as_repeat(await await_end(state, record, deadline), 0)
+            outcome = as_repeated(await await_run_end(state, record, deadline), 0)
             # Since it was asked about, a run that was refused is not started again.
-            return _burnt(state, ticket) if isinstance(outcome, Refused) else outcome
+            return (
+                _burnt_refusal(state, ticket)
+                if isinstance(outcome, Refused)
+                else outcome
+            )
         case Kept(outcome):
-            return as_repeat(outcome, 0)
+            return as_repeated(outcome, 0)
         case Burnt():
-            return _burnt(state, ticket)
+            return _burnt_refusal(state, ticket)
         case Forgotten(detail):
             return Unknown(Reason.TICKET_FORGOTTEN, detail=detail)
     # The window is handed over, or was.
@@ -183,11 +196,11 @@
         await window.hand_over_ended.wait()
     if window.handed_to is None:
         return Unknown(Reason.LEAVING, detail=f"{state.node} is leaving")
-    return await _ask(state, window.handed_to.address, ticket, remaining)
+    return await _settle_at(state, window.handed_to.address, ticket, remaining)
 
 
-def _burnt(state: NodeState, ticket: Ticket) -> Refused:
-    check_not_run(state, ticket)
+def _burnt_refusal(state: NodeState, ticket: Ticket) -> Refused:
+    check_not_started(state, ticket)
     state.telemetry.ring.record(EventKind.TICKET_BURNT, root_id=str(ticket))
     state.telemetry.metrics.count(Counter.TICKETS_BURNT)
     detail = f"the request with ticket {ticket} was not run and never will be"
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/relay.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/relay.py
@@ -9,8 +9,13 @@
 from fuchsiagap.core.telemetry.metrics import Counter
 from fuchsiagap_node.core.callpath.attempts import is_repeat
 from fuchsiagap_node.core.callpath.dispatch import dispatch
-from fuchsiagap_node.core.callpath.home import at_home, needs_ticket
-from fuchsiagap_node.core.callpath.home_of import HomeGone, HomeHere, home_of, relayed
+from fuchsiagap_node.core.callpath.home import at_home, refuse_without_ticket
+from fuchsiagap_node.core.callpath.home_lookup import (
+    LocalHome,
+    UnknownHome,
+    find_home,
+    outcome_of_relay,
+)
 from fuchsiagap_node.core.wire.messages_call import (
     HomeCallMessage,
     head_from_wire,
@@ -28,13 +33,13 @@
 
     async def on_call(_peer: str, msg: HomeCallMessage) -> Outcome:
         head = head_from_wire(msg.head, state.clock.now())
-        run = _run_of(state, head, msg.body)
+        run = _make_run(state, head, msg.body)
         return await at_home(state, head, msg.body, run)
 
     state.handlers.on_ask(HomeCallMessage, on_call)
 
 
-async def send_home(
+async def relay_to_home(
     state: NodeState, head: CallHead, body: bytes, first_copy: bool = False
 ) -> Outcome:
     """Have the home of a call's ticket run it at most once.
@@ -57,13 +62,13 @@
     """
     ticket = head.ticket
     if ticket is None:
-        return needs_ticket(head)
-    home = home_of(state, ticket)
-    if isinstance(home, HomeGone):
+        return refuse_without_ticket(head)
+    home = find_home(state, ticket)
+    if isinstance(home, UnknownHome):
         detail = f"no node is known that answers for ticket {ticket}"
         return Unknown(home.reason, head.allowance, detail=detail)
-    if isinstance(home, HomeHere):
-        return await at_home(state, head, body, _run_of(state, head, body))
+    if isinstance(home, LocalHome):
+        return await at_home(state, head, body, _make_run(state, head, body))
     state.telemetry.metrics.count(Counter.CALLS_RELAYED, str(head.service))
     state.telemetry.ring.record(
         EventKind.CALL_RELAYED,
@@ -73,12 +78,12 @@
     )
     msg = HomeCallMessage(head_to_wire(head, state.clock.now()), body)
     reply = await state.peers.ask(home.address, msg)
-    return relayed(head, reply, first_copy=first_copy)
+    return outcome_of_relay(head, reply, first_copy=first_copy)
 
 
-def _run_of(state: NodeState, head: CallHead, body: bytes) -> Run:
+def _make_run(state: NodeState, head: CallHead, body: bytes) -> Run:
     async def run() -> Outcome:
-        if not _is_started_again(state, head):
+        if not _is_rerun(state, head):
             return await dispatch(state, head, body)
         if head.allowance < 1:
             detail = "the request's allowance of extra attempts is used up"
@@ -88,7 +93,7 @@
     return run
 
 
-def _is_started_again(state: NodeState, head: CallHead) -> bool:
+def _is_rerun(state: NodeState, head: CallHead) -> bool:
     """Return whether a child was refused before and comes again by a repeat above.
 
     A successor was not told which children were refused, so there a repeat counts.
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/serve.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/serve.py
@@ -52,54 +52,54 @@
         With the load of this instance and the unused allowance.
     """
     received = state.clock.now()
-    spent = _Spent()
+    backend_time = _BackendTime()
     outcome: Outcome | None = None
     try:
-        outcome = await _serve(state, head, body, spent)
+        outcome = await _serve(state, head, body, backend_time)
     finally:
-        added = state.clock.now() - received - spent.at_backend
+        added = state.clock.now() - received - backend_time.elapsed
         call_notes.note_served(state.telemetry, head, outcome, added)
     return outcome
 
 
 @dataclass(slots=True)
-class _Spent:
+class _BackendTime:
     """Milliseconds that the backend server had a call."""
 
-    at_backend: Milliseconds = 0.0
+    elapsed: Milliseconds = 0.0
 
 
 async def _serve(
-    state: NodeState, head: CallHead, body: bytes, spent: _Spent
+    state: NodeState, head: CallHead, body: bytes, backend_time: _BackendTime
 ) -> Outcome:
     refused = _refusal(state, head)
     if refused is not None:
         return refused
     state.calls.n_queued += 1
     try:
-        entered = await state.gate.enter(head)
-        if isinstance(entered, Refused):
-            if entered.reason is Reason.DEADLINE:
+        admission = await state.gate.enter(head)
+        if isinstance(admission, Refused):
+            if admission.reason is Reason.DEADLINE:
                 call_notes.note_expired(state.telemetry, head)
-            return _with_load(state, head, entered, head.allowance)
+            return _with_load(state, head, admission, head.allowance)
         if state.leaving:
             # It waited while the drain began; the backend server gets no new work.
-            left = _leaving(state, head)
-            state.gate.leave(entered, left)
-            return _with_load(state, head, left, head.allowance)
+            refusal = _leaving_refusal(state, head)
+            state.gate.leave(admission, refusal)
+            return _with_load(state, head, refusal, head.allowance)
         call = CallInProgress(head, Allowance(head.allowance))
         state.calls.serving[head.call_id] = call
     finally:
         state.calls.n_queued -= 1
-        state.calls.note_end()
-    call_notes.note_admitted(state.telemetry, head, entered.waited)
+        state.calls.notify_if_idle()
+    call_notes.note_admitted(state.telemetry, head, admission.waited)
     outcome: Outcome = Unknown(Reason.CANCELLED, detail="the caller left")
     try:
-        outcome = await _run(state, call, body, spent)
+        outcome = await _run(state, call, body, backend_time)
     finally:
-        state.gate.leave(entered, outcome)
+        state.gate.leave(admission, outcome)
         del state.calls.serving[head.call_id]
-        state.calls.note_end()
+        state.calls.notify_if_idle()
     return _with_load(state, head, outcome, call.allowance.remaining)
 
 
@@ -108,7 +108,7 @@
         detail = f"{head.service} is not served here, {state.cfg.service} is"
         return Refused(Reason.NO_BACKEND, allowance=head.allowance, detail=detail)
     if state.leaving:
-        return _leaving(state, head)
+        return _leaving_refusal(state, head)
     if head.deadline <= state.clock.now():
         call_notes.note_expired(state.telemetry, head)
         return Refused(Reason.DEADLINE, allowance=head.allowance)
@@ -118,7 +118,7 @@
     return None
 
 
-def _leaving(state: NodeState, head: CallHead) -> Refused:
+def _leaving_refusal(state: NodeState, head: CallHead) -> Refused:
     return Refused(
         Reason.LEAVING,
         retry_after=_LEAVING_RETRY_AFTER_MS,
@@ -128,7 +128,7 @@
 
 
 async def _run(
-    state: NodeState, call: CallInProgress, body: bytes, spent: _Spent
+    state: NodeState, call: CallInProgress, body: bytes, backend_time: _BackendTime
 ) -> Outcome:
     head = call.head
     started = state.clock.now()
@@ -148,12 +148,12 @@
         with trio.move_on_after(remaining / MS_PER_S):
             outcome = await state.backend.send(head, body, remaining)
     finally:
-        spent.at_backend = state.clock.now() - started
+        backend_time.elapsed = state.clock.now() - started
     if isinstance(outcome, Unknown) and outcome.reason is Reason.INCOMPLETE_ANSWER:
         call_notes.note_incomplete_answer(
             state.telemetry, head.call_id, head.root_id, "backend server"
         )
-    if isinstance(outcome, Refused) and call.refused_below:
+    if isinstance(outcome, Refused) and call.has_refused_child:
         return replace(outcome, reason=Reason.REFUSED_BELOW)
     return outcome
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/handover.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/handover.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HandedOver:
+class HandOverCompleted:
     """The successor answers for every window.
 
     Parameters
@@ -78,7 +78,9 @@
     may_try_another: bool
 
 
-async def hand_over(state: NodeState, peer_address: str) -> HandedOver | HandOverFailed:
+async def hand_over(
+    state: NodeState, peer_address: str
+) -> HandOverCompleted | HandOverFailed:
     """Hand all windows of this node to another one, and wait for its runs to end.
 
     Parameters
@@ -90,7 +92,7 @@
 
     Returns
     -------
-    HandedOver or HandOverFailed
+    HandOverCompleted or HandOverFailed
         After a failure another peer may be tried if the result says so.
     """
     windows = state.tickets.windows()
@@ -109,7 +111,7 @@
     assert successor is not None
     ring = state.telemetry.ring
     ring.record(EventKind.TICKETS_HANDED_OVER, to=successor.node, windows=len(windows))
-    return HandedOver(successor.node, len(windows))
+    return HandOverCompleted(successor.node, len(windows))
 
 
 async def _hand_over_window(
@@ -120,19 +122,19 @@
     if window.maybe_handed:
         detail = "the last message of an earlier hand-over was sent"
         return HandOverFailed(detail, may_try_another=False)
-    reply = await _ask(
+    reply = await _request(
         state, address, HandOverBegin(window.life, window.low, window.next)
     )
     n_parts = 0
     for part in _parts(window, state.tickets.cfg.chunk_bytes):
         if not isinstance(reply, HandOverReply) or not reply.accepted:
             break
-        reply = await _ask(state, address, part)
+        reply = await _request(state, address, part)
         n_parts += 1
     if isinstance(reply, HandOverReply) and reply.accepted:
         window.maybe_handed = True
-        reply = await _ask(state, address, HandOverEnd(window.life, n_parts))
-        if _surely_not_taken(reply):
+        reply = await _request(state, address, HandOverEnd(window.life, n_parts))
+        if _was_not_accepted(reply):
             window.maybe_handed = False
     if not isinstance(reply, HandOverReply) or not reply.accepted:
         return HandOverFailed(reply.detail, may_try_another=not window.maybe_handed)
@@ -140,7 +142,7 @@
     return None
 
 
-async def _ask(
+async def _request(
     state: NodeState, address: str, msg: object
 ) -> HandOverReply | LinkLost | Refused:
     reply: object = LinkLost(sent=True, detail=f"no reply from {address}")
@@ -151,7 +153,7 @@
     return LinkLost(sent=True, detail=f"{address} replied {reply!r:.60}")
 
 
-def _surely_not_taken(reply: HandOverReply | LinkLost | Refused) -> bool:
+def _was_not_accepted(reply: HandOverReply | LinkLost | Refused) -> bool:
     if isinstance(reply, HandOverReply):
         return not reply.accepted
     return isinstance(reply, Refused) or not reply.sent
@@ -174,7 +176,7 @@
     chunk: list[RecordCopy] = []
     n_bytes = 0
     for record in records:
-        size = _size(record)
+        size = _estimate_size(record)
         if chunk and n_bytes + size > chunk_bytes:
             yield tuple(chunk)
             chunk, n_bytes = [], 0
@@ -184,7 +186,7 @@
         yield tuple(chunk)
 
 
-def _size(record: RecordCopy) -> int:
+def _estimate_size(record: RecordCopy) -> int:
     size = 100 + len(record.child_key)
     if isinstance(record.outcome, Answered):
         size += len(record.outcome.body)
@@ -203,10 +205,12 @@
             for record in window.frozen_runs:
                 # A run of another node that goes on is told by `takeover`.
                 if record.last is not None or not record.elsewhere:
-                    nursery.start_soon(_send_late, state, window, record)
+                    nursery.start_soon(_send_late_outcome, state, window, record)
 
 
-async def _send_late(state: NodeState, window: TicketWindow, record: RunRecord) -> None:
+async def _send_late_outcome(
+    state: NodeState, window: TicketWindow, record: RunRecord
+) -> None:
     assert window.handed_to is not None
     if record.last is None:
         if record.ended is None:
@@ -217,4 +221,4 @@
     msg = LateOutcome(
         window.life, copy.sequence, copy.child_key, record.burn, record.last
     )
-    await _ask(state, window.handed_to.address, msg)
+    await _request(state, window.handed_to.address, msg)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/stopping.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/stopping.py
@@ -11,7 +11,7 @@
 from fuchsiagap.core.clock import MS_PER_S, sleep_ms
 from fuchsiagap.core.membership.member import Member, MemberState
 from fuchsiagap.core.telemetry.events import EventKind
-from fuchsiagap_node.core.drain.handover import HandedOver, hand_over
+from fuchsiagap_node.core.drain.handover import HandOverCompleted, hand_over
 from fuchsiagap_node.core.gossip import neighbours
 from fuchsiagap_node.core.wire.messages_gossip import Leaving
 
@@ -56,23 +56,23 @@
     state.telemetry.ring.record(EventKind.DRAIN_STARTED, reason=reason)
     state.leaving = True
     state.gate.refuse_waiting(Reason.LEAVING)
-    await _tell(state, membership.describe_self(MemberState.LEAVING))
+    await _announce(state, membership.describe_self(MemberState.LEAVING))
     # Before the requests end, since holders of tickets could start new ones for long.
     successor = await _hand_over_tickets(state)
     if successor:
         incarnation = state.tickets.own.incarnation
-        await _tell(state, membership.describe_hand_over(successor, incarnation))
-    await _until_idle(state)
-    await _tell(state, membership.describe_self(MemberState.LEFT))
+        await _announce(state, membership.describe_hand_over(successor, incarnation))
+    await _wait_until_idle(state)
+    await _announce(state, membership.describe_self(MemberState.LEFT))
     await sleep_ms(membership.cfg.drain_linger)
     # What came meanwhile, such as a question about a ticket, has its answer too.
-    await _until_idle(state)
+    await _wait_until_idle(state)
     state.telemetry.ring.record(EventKind.DRAIN_FINISHED, successor=successor)
 
 
-async def _tell(state: NodeState, word: Member) -> None:
+async def _announce(state: NodeState, update: Member) -> None:
     """Tell every linked node and the neighbours; wait only for what gets through."""
-    msg = Leaving(word)
+    msg = Leaving(update)
     await state.peers.notify_linked(msg)
     linked = set(state.peers.linked())
     with trio.move_on_after(state.membership.cfg.drain_notice / MS_PER_S):
@@ -86,7 +86,7 @@
     """Hand the tickets to another node, and wait for the runs; return its name."""
     for member in _successors(state):
         result = await hand_over(state, member.address)
-        if isinstance(result, HandedOver):
+        if isinstance(result, HandOverCompleted):
             return member.node
         _LOG.info("%s did not take the tickets: %s", member.node, result.detail)
         if not result.may_try_another:
@@ -97,22 +97,22 @@
 def _successors(state: NodeState) -> list[Member]:
     """Return nodes that may take the tickets, those of the own data centre first."""
     membership = state.membership
-    me = membership.self_member
-    fit = [
+    self_member = membership.self_member
+    candidates = [
         member
         for member in membership.members()
         if member.state is MemberState.ALIVE
-        and member.node != me.node
+        and member.node != self_member.node
         and member.data_centre not in membership.unreachable
     ]
-    state.rng.shuffle(fit)
-    fit.sort(key=lambda member: member.data_centre != me.data_centre)
-    return fit[: membership.cfg.max_successors]
+    state.rng.shuffle(candidates)
+    candidates.sort(key=lambda member: member.data_centre != self_member.data_centre)
+    return candidates[: membership.cfg.max_successors]
 
 
-async def _until_idle(state: NodeState) -> None:
+async def _wait_until_idle(state: NodeState) -> None:
     """Wait until no request is in progress here and no run of a ticket goes on."""
-    while state.calls.busy():
+    while state.calls.has_calls():
         state.calls.idle = trio.Event()
         await state.calls.idle.wait()
     for window in state.tickets.windows():
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/takeover.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/takeover.py
@@ -27,7 +27,7 @@
 if TYPE_CHECKING:
     from fuchsiagap_node.core.state import NodeState
 
-_MAX_INCOMING = 4
+_MAX_INCOMING_WINDOWS = 4
 _LOG = logging.getLogger(__name__)
 
 
@@ -52,8 +52,8 @@
     state.handlers.on_ask(LateOutcome, on_late)
 
 
-def _reply(state: NodeState, fault: str) -> HandOverReply:
-    return HandOverReply(accepted=not fault, detail=fault, node=state.node)
+def _reply(state: NodeState, error: str) -> HandOverReply:
+    return HandOverReply(accepted=not error, detail=error, node=state.node)
 
 
 def begin(state: NodeState, msg: HandOverBegin) -> str:
@@ -64,7 +64,7 @@
     if tickets.answered_for(msg.life):
         return f"{state.node} answered for {msg.life} before"
     tickets.incoming.pop(msg.life, None)
-    while len(tickets.incoming) >= _MAX_INCOMING:
+    while len(tickets.incoming) >= _MAX_INCOMING_WINDOWS:
         del tickets.incoming[next(iter(tickets.incoming))]
     life = msg.life
     cfg = replace(tickets.cfg, kept_bytes=tickets.cfg.adopted_bytes)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_node.py
@@ -9,7 +9,7 @@
 from fuchsiagap.core.calls.outcome import Answered, Outcome
 from fuchsiagap.core.telemetry.events import MAX_EVENTS_PER_PAGE, plain
 from fuchsiagap.core.tickets.ticket import MalformedTicket, parse_ticket
-from fuchsiagap_node.core.callpath.home_of import HomeAt, HomeGone, home_of
+from fuchsiagap_node.core.callpath.home_lookup import RemoteHome, UnknownHome, find_home
 from fuchsiagap_node.core.callpath.home_tickets import settle
 from fuchsiagap_node.core.edges.admin_reply import (
     UNAUTHORIZED,
@@ -106,7 +106,7 @@
 
 
 def _home(state: NodeState, ticket: Ticket) -> dict[str, Any]:
-    home = home_of(state, ticket)
+    home = find_home(state, ticket)
     shown: dict[str, Any] = {
         "ticket": str(ticket),
         "node": ticket.node,
@@ -115,9 +115,9 @@
         "home": "here",
         "address": state.cfg.peer_address,
     }
-    if isinstance(home, HomeAt):
+    if isinstance(home, RemoteHome):
         shown |= {"home": "elsewhere", "address": home.address}
-    elif isinstance(home, HomeGone):
+    elif isinstance(home, UnknownHome):
         shown |= {"home": "gone", "address": "", "reason": home.reason.value}
     return shown
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/callers.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/callers.py
@@ -94,7 +94,7 @@
 
     def note_open(change: int) -> None:
         state.calls.n_responding += change
-        state.calls.note_end()
+        state.calls.notify_if_idle()
 
     async def handle(req: HttpRequest) -> HttpResponse:
         if opened.n_calls >= limits.open_calls:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/node.py
@@ -145,7 +145,7 @@
     while True:
         with trio.move_on_after(_REPLIES_TIMEOUT_S):
             await peers.wait_idle()
-        if not calls.busy():
+        if not calls.has_calls():
             return
         calls.idle = trio.Event()
         await calls.idle.wait()
@@ -154,7 +154,7 @@
 def _check_idle(state: NodeState) -> None:
     """Report calls that the end of the process would cut."""
     calls = state.calls
-    if calls.busy():
+    if calls.has_calls():
         detail = (
             f"{len(calls.serving)} served, {calls.n_queued} waiting,"
             f" {calls.n_entered} entered, {calls.n_responding} being answered"
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/a_fleet.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/dispatch_fleet.py
@@ -24,7 +24,7 @@
 from fuchsiagap_standins.builders import TEAM, a_load
 
 LATENCY_S = 0.001
-GENEROUS = RetrySettings(ratio=100.0)
+AMPLE_RETRIES = RetrySettings(ratio=100.0)
 
 
 class FakeGate:
@@ -32,7 +32,7 @@
 
     def __init__(self, fleet, node):
         self.fleet, self.node = fleet, node
-        self.below = []
+        self.downstream_loads = []
 
     async def enter(self, head):
         reason = self.fleet.refuse(self.node, head)
@@ -47,7 +47,7 @@
         return self.fleet.load
 
     def record_downstream_load(self, route, service, load):
-        self.below.append((route, str(service)))
+        self.downstream_loads.append((route, str(service)))
 
 
 class FakeBackend:
@@ -68,7 +68,7 @@
     "before" or "after" for a message that does not arrive, or whose reply does not.
     """
 
-    def __init__(self, services, n_instances=3, seed=0, retries=GENEROUS):
+    def __init__(self, services, n_instances=3, seed=0, retries=AMPLE_RETRIES):
         self.states, self.runs, self.asked, self.cancelled = {}, [], [], []
         self.load = a_load()
         self.refuse = lambda node, head: None
@@ -152,7 +152,7 @@
     )
     outcome = await dispatch(state, child, b"")
     if isinstance(outcome, Refused):
-        state.calls.serving[head.call_id].refused_below = True
+        state.calls.serving[head.call_id].has_refused_child = True
     return outcome
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/test_attempts_bound.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/test_attempts_bound.py
@@ -9,7 +9,11 @@
 
 from fuchsiagap.core.calls.outcome import Answered, Reason, Refused, Unknown
 from fuchsiagap_node.core.callpath.attempts import is_repeat
-from fuchsiagap_node.tests.core.callpath.a_fleet import Fleet, answer_ok, call_child
+from fuchsiagap_node.tests.core.callpath.dispatch_fleet import (
+    Fleet,
+    answer_ok,
+    call_child,
+)
 from fuchsiagap_standins.builders import a_head, an_issue_head
 from fuchsiagap_standins.testing import run_virtual
 
@@ -46,7 +50,7 @@
 
 
 class FanOutTest(TestCase):
-    def test_children_race_for_an_allowance(self):
+    def test_concurrent_children_stay_within_the_allowance(self):
         async def run(seed):
             fleet = Fleet(["certs", "results"], 4, seed)
             fleet.program = fan_out(N_CHILDREN)
@@ -62,7 +66,7 @@
             self.assertGreaterEqual(n_asked, N_CHILDREN + 3)
             self.assertLessEqual(outcome.allowance, 6 - (n_asked - 1 - N_CHILDREN))
 
-    def test_an_unlucky_child_is_saved_while_others_hold_a_share(self):
+    def test_refused_child_is_retried_while_siblings_hold_shares(self):
         async def run(seed):
             fleet = Fleet(["certs", "results"], 4, seed)
             unlucky = random.Random(seed).randrange(N_CHILDREN)
@@ -106,7 +110,7 @@
             n_extra += max(n_runs - CHAIN_CALLS, 0)
         self.assertGreater(n_extra, 20)
 
-    def test_crash_in_the_middle_loses_its_share_only(self):
+    def test_crash_of_a_node_loses_only_its_share(self):
         async def run():
             fleet = Fleet(["certs", "results"], 3)
             fleet.program = fan_out(1)
@@ -122,7 +126,7 @@
         self.assertEqual([3, 0], [head.allowance for head in certs])
         self.assertLessEqual(len(fleet.runs), 2 + 4)
 
-    def test_child_of_a_repeat_that_nobody_pays_for_is_not_run(self):
+    def test_child_of_a_repeat_is_refused_without_allowance(self):
         async def run():
             fleet = Fleet(["certs", "results"], 3)
             outcomes = []
@@ -143,7 +147,7 @@
         self.assertEqual([Answered, Refused], [type(o) for o in outcomes])
         self.assertEqual(2 + 1, n_runs)
 
-    def test_children_of_a_repeat_pay_and_their_children_too(self):
+    def test_child_of_a_repeat_takes_allowance_and_is_marked(self):
         async def run(head):
             fleet = Fleet(["certs", "results"], 3)
             outcome = await fleet.call(head, "results-0")
@@ -155,7 +159,7 @@
             self.assertEqual(expected, left)
             self.assertEqual(is_repeat(parent_id), is_repeat(call_id))
 
-    def test_non_idempotent_child_of_a_repeat_was_never_started_before(self):
+    def test_non_idempotent_child_of_a_repeat_takes_no_allowance(self):
         async def run():
             fleet = Fleet(["certs", "results"], 3)
             head = an_issue_head("child", parent_id="above~1!", allowance=0)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/test_dispatch.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/test_dispatch.py
@@ -8,7 +8,7 @@
 from fuchsiagap.core.calls.outcome import Answered, Reason, Refused, Unknown
 from fuchsiagap.core.retries.budget import RetrySettings
 from fuchsiagap.core.telemetry.metrics import Counter
-from fuchsiagap_node.tests.core.callpath.a_fleet import Fleet, call_child
+from fuchsiagap_node.tests.core.callpath.dispatch_fleet import Fleet, call_child
 from fuchsiagap_standins.builders import a_head, a_load, an_issue_head
 from fuchsiagap_standins.testing import run_virtual
 
@@ -31,12 +31,12 @@
 
 
 class FirstAttemptTest(DispatchCase):
-    def test_answer_comes_back_with_all_of_the_allowance(self):
+    def test_first_attempt_returns_the_whole_allowance(self):
         outcome = self.dispatch(a_head(allowance=3))
         self.assertEqual((200, 3), (outcome.status, outcome.allowance))
         self.assertEqual(1, len(self.fleet.runs))
 
-    def test_own_backend_server_needs_no_link(self):
+    def test_local_backend_server_is_called_without_a_link(self):
         def only_own(fleet):
             router = fleet.states["certs-1"].router
             own = router.choose(a_head().service, frozenset({"certs-0", "certs-2"}))
@@ -63,7 +63,7 @@
         self.assertEqual(Reason.NO_BACKEND, outcome.reason)
         self.assertEqual(2, outcome.allowance)
 
-    def test_load_is_learnt(self):
+    def test_reported_load_sets_the_admission_level(self):
         async def run():
             fleet = Fleet(["certs", "results"])
             fleet.load = a_load(level_priority=2, level_cohort=0)
@@ -78,15 +78,15 @@
         self.assertIsNotNone(low)
         self.assertIsNone(high)
 
-    def test_refused_early_by_what_was_learnt(self):
-        def shut(fleet):
+    def test_call_outside_a_reported_level_is_refused_early(self):
+        def report_level(fleet):
             load = a_load(level_priority=2, level_cohort=0)
             levels = fleet.states["results-0"].levels
             levels.learn(a_head().service, "certs/read", "certs-0", load)
             # One call a while passes as a probe; this was the one.
             self.assertIsNone(levels.refusal(a_head(priority=5)))
 
-        outcome = self.dispatch(a_head(priority=5), shut)
+        outcome = self.dispatch(a_head(priority=5), report_level)
         self.assertEqual(Reason.OVERLOAD, outcome.reason)
         self.assertEqual([], self.fleet.asked)
 
@@ -112,7 +112,7 @@
         counted = state.telemetry.metrics.counted(Counter.RETRIES, "salt-fog/certs")
         self.assertEqual(1, counted)
 
-    def test_never_twice_at_one_instance(self):
+    def test_no_instance_gets_two_attempts(self):
         outcome = self.dispatch(a_head(allowance=9), self.refuse_all(Reason.OVERLOAD))
         self.assertEqual(Reason.OVERLOAD, outcome.reason)
         self.assertEqual(N_INSTANCES, len(set(self.nodes_asked())))
@@ -134,11 +134,11 @@
         outcome = self.dispatch(a_head(allowance=3), arrange)
         self.assertIsInstance(outcome, Unknown)
 
-    def test_no_allowance_no_retry(self):
+    def test_no_retry_without_allowance(self):
         self.dispatch(a_head(allowance=0), self.refuse_all(Reason.OVERLOAD))
         self.assertEqual(1, len(self.fleet.asked))
 
-    def test_no_budget_no_retry(self):
+    def test_no_retry_without_budget(self):
         cfg = RetrySettings(ratio=0.0, least_per_s=0.0)
         outcome = self.dispatch(
             a_head(allowance=2), self.refuse_all(Reason.OVERLOAD), retries=cfg
@@ -146,13 +146,13 @@
         self.assertEqual(1, len(self.fleet.asked))
         self.assertEqual(2, outcome.allowance)
 
-    def test_refusals_that_would_be_the_same_elsewhere_are_not_retried(self):
+    def test_final_refusals_are_not_retried(self):
         for reason in (Reason.REFUSED_BELOW, Reason.BAD_REQUEST, Reason.DEADLINE):
             outcome = self.dispatch(a_head(), self.refuse_all(reason))
             self.assertEqual(reason, outcome.reason)
             self.assertEqual(1, len(self.fleet.asked))
 
-    def test_retried_only_directly_above_the_refusal(self):
+    def test_refusal_is_retried_only_by_the_direct_caller(self):
         async def call_results(state, head):
             if head.service.name == "results":
                 return Refused(Reason.BACKEND_REFUSED)
@@ -167,7 +167,7 @@
         services = [head.service.name for _, head in self.fleet.runs]
         self.assertEqual(["certs", "results", "results"], services)
 
-    def test_deadline_leaves_no_room_for_a_retry(self):
+    def test_no_retry_without_time_before_the_deadline(self):
         def slow_to_refuse(fleet):
             async def refuse(state, head):
                 await trio.sleep(0.05)
@@ -181,7 +181,7 @@
         self.dispatch(a_head(deadline=140.0), slow_to_refuse)
         self.assertEqual(1, len(self.fleet.asked))
 
-    def test_no_start_without_a_chance(self):
+    def test_no_attempt_if_the_minimum_latency_exceeds_the_deadline(self):
         def slow(fleet):
             times = fleet.states["results-0"].router.least_times
             times.learn(a_head().service, "certs/read", 100.0, 0.0)
@@ -199,12 +199,12 @@
 
         return arrange
 
-    def test_never_sent_goes_elsewhere_without_allowance(self):
+    def test_unsent_attempt_is_retried_without_allowance(self):
         outcome = self.dispatch(an_issue_head(allowance=0), self.lose_first("before"))
         self.assertIsInstance(outcome, Answered)
         self.assertEqual(1, len(self.fleet.runs))
 
-    def test_never_sent_to_anyone_is_refused(self):
+    def test_call_sent_to_no_instance_is_refused(self):
         def lose_all(fleet):
             fleet.lose = lambda node, head: "before"
 
@@ -241,7 +241,7 @@
         self.assertEqual(Reason.DEADLINE, outcome.reason)
         self.assertEqual(self.nodes_asked(), self.fleet.cancelled)
 
-    def test_leaving_caller_cancels_and_frees_the_place(self):
+    def test_cancelled_caller_cancels_the_attempt_and_frees_the_slot(self):
         async def run():
             fleet = Fleet(["certs", "results"])
             self.hang(fleet)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/test_home.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/test_home.py
@@ -22,7 +22,7 @@
     from fuchsiagap.core.tickets.ticket import Ticket
     from fuchsiagap_standins.ticket_nodes import TicketNet
 
-ONCE = b"run 1 of "
+FIRST_RUN_BODY = b"run 1 of "
 
 
 class TestRepeats(TicketCase):
@@ -31,35 +31,41 @@
             ticket = self.ticket()
             for entry, repeated in (("b", False), ("a", True), ("c", True)):
                 outcome = await self.call(entry, ticket, allowance=3)
-                expected = Answered(200, (), ONCE, 3 * repeated, repeated=repeated)
+                expected = Answered(
+                    200, (), FIRST_RUN_BODY, 3 * repeated, repeated=repeated
+                )
                 self.assertEqual(expected, outcome)
             self.assert_runs(1, ticket)
 
-        self.on_net(scenario)
+        self.run_scenario(scenario)
 
-    def test_copies_that_cross_share_one_run(self) -> None:
+    def test_concurrent_copies_share_one_run(self) -> None:
         async def scenario(net: TicketNet) -> None:
             ticket = self.ticket()
             outcomes: list[Outcome] = []
             for entry in ("a", "b", "c", "b"):
                 self.call_soon(outcomes, entry, ticket)
             await trio.sleep(1.0)
-            self.assertEqual([ONCE] * 4, [outcome.body for outcome in outcomes])
+            self.assertEqual(
+                [FIRST_RUN_BODY] * 4, [outcome.body for outcome in outcomes]
+            )
             self.assert_runs(1, ticket)
 
-        self.on_net(scenario)
+        self.run_scenario(scenario)
 
-    def test_a_caller_who_leaves_does_not_stop_the_run(self) -> None:
+    def test_a_cancelled_caller_does_not_stop_the_run(self) -> None:
         async def scenario(net: TicketNet) -> None:
             for entry in ("a", "b"):
                 ticket = self.ticket()
                 with trio.move_on_after(0.05):
                     await self.call(entry, ticket)
                 outcome = await self.call("c", ticket)
-                self.assertEqual((ONCE, True), (outcome.body, outcome.repeated))
+                self.assertEqual(
+                    (FIRST_RUN_BODY, True), (outcome.body, outcome.repeated)
+                )
                 self.assert_runs(1, ticket)
 
-        self.on_net(scenario)
+        self.run_scenario(scenario)
 
     def test_a_copy_waits_no_longer_than_its_own_deadline(self) -> None:
         async def scenario(net: TicketNet) -> None:
@@ -70,9 +76,9 @@
             outcome = await self.call("b", ticket, timeout=20.0)
             self.assertEqual(Reason.TICKET_IN_PROGRESS, outcome.reason)
             await trio.sleep(0.1)
-            self.assertEqual([ONCE], [outcome.body for outcome in outcomes])
+            self.assertEqual([FIRST_RUN_BODY], [outcome.body for outcome in outcomes])
 
-        self.on_net(scenario)
+        self.run_scenario(scenario)
 
     def test_a_lost_answer_is_kept_at_the_home(self) -> None:
         async def scenario(net: TicketNet) -> None:
@@ -81,10 +87,10 @@
             outcome = await self.call("b", ticket)
             self.assertEqual(Reason.CONNECTION_LOST, outcome.reason)
             net.lose_reply = lambda _address, _msg: False
-            self.assertEqual(ONCE, (await self.call("c", ticket)).body)
+            self.assertEqual(FIRST_RUN_BODY, (await self.call("c", ticket)).body)
             self.assert_runs(1, ticket)
 
-        self.on_net(scenario)
+        self.run_scenario(scenario)
 
     def test_the_ticket_of_another_request_runs_nothing(self) -> None:
         async def scenario(net: TicketNet) -> None:
@@ -95,11 +101,11 @@
             self.assertEqual(Reason.BAD_REQUEST, outcome.reason)
             self.assert_runs(1, ticket)
 
-        self.on_net(scenario)
+        self.run_scenario(scenario)
 
 
 class TestRefusals(TicketCase):
-    def test_after_a_true_refusal_the_same_ticket_runs(self) -> None:
+    def test_a_refused_ticket_can_run_again(self) -> None:
         refusals = [a_refusal(), a_refusal(Reason.NO_BACKEND)]
 
         async def runner(head: CallHead, _body: bytes) -> Outcome:
@@ -116,7 +122,7 @@
             self.assertIsInstance(await self.call("a", ticket), Answered)
             self.assert_runs(1, ticket)
 
-        self.on_net(scenario, runner)
+        self.run_scenario(scenario, runner)
 
     def test_an_unknown_outcome_is_never_run_again(self) -> None:
         async def runner(head: CallHead, _body: bytes) -> Outcome:
@@ -129,7 +135,7 @@
                 self.assertIsInstance(await self.call(entry, ticket), Unknown)
             self.assert_runs(1, ticket)
 
-        self.on_net(scenario, runner)
+        self.run_scenario(scenario, runner)
 
     def test_a_run_that_never_ends_becomes_unknown(self) -> None:
         async def runner(head: CallHead, _body: bytes) -> Outcome:
@@ -145,9 +151,9 @@
             self.assertEqual(Reason.DEADLINE, outcome.reason)
             self.assert_runs(1, ticket)
 
-        self.on_net(scenario, runner)
+        self.run_scenario(scenario, runner)
 
-    def test_a_fault_of_the_program_becomes_unknown(self) -> None:
+    def test_an_exception_in_the_run_becomes_unknown(self) -> None:
         async def runner(head: CallHead, _body: bytes) -> Outcome:
             self.backends.ran(head)
             raise ZeroDivisionError
@@ -158,7 +164,7 @@
                 self.assertIsInstance(await self.call("b", ticket), Unknown)
             self.assert_runs(1, ticket)
 
-        self.on_net(scenario, runner)
+        self.run_scenario(scenario, runner)
 
     def test_without_a_ticket_nothing_runs(self) -> None:
         async def scenario(net: TicketNet) -> None:
@@ -169,11 +175,13 @@
             self.assertEqual(2, outcome.allowance)
             self.assertEqual({}, self.backends.runs)
 
-        self.on_net(scenario)
+        self.run_scenario(scenario)
 
 
 class TestHomeLost(TicketCase):
-    def test_a_crashed_home_is_unknown_and_its_new_life_runs_nothing(self) -> None:
+    def test_a_crashed_home_gives_unknown_and_its_next_incarnation_runs_nothing(
+        self,
+    ) -> None:
         async def scenario(net: TicketNet) -> None:
             used, unused = self.ticket(), self.ticket()
             outcomes: list[Outcome] = []
@@ -190,9 +198,9 @@
             self.assert_runs(1, used)
             self.assert_runs(0, unused)
 
-        self.on_net(scenario)
+        self.run_scenario(scenario)
 
-    def test_a_home_that_is_cut_off_is_never_said_not_to_have_run_it(self) -> None:
+    def test_an_unreachable_home_is_never_reported_as_not_run(self) -> None:
         async def scenario(net: TicketNet) -> None:
             ticket = self.ticket()
             await self.call("a", ticket)
@@ -201,12 +209,12 @@
             self.assertEqual(Reason.HOME_GONE, outcome.reason)
             self.assertIsInstance(outcome, Unknown)
             net.cut.clear()
-            self.assertEqual(ONCE, (await self.call("b", ticket)).body)
+            self.assertEqual(FIRST_RUN_BODY, (await self.call("b", ticket)).body)
             self.assert_runs(1, ticket)
 
-        self.on_net(scenario)
+        self.run_scenario(scenario)
 
-    def test_a_copy_that_a_paused_node_held_back_runs_once(self) -> None:
+    def test_a_copy_delayed_by_a_paused_node_runs_once(self) -> None:
         async def scenario(net: TicketNet) -> None:
             ticket = self.ticket()
 
@@ -218,38 +226,38 @@
             outcomes: list[Outcome] = []
             self.call_soon(outcomes, "b", ticket)
             await trio.sleep(0.02)
-            self.assertEqual(ONCE, (await self.call("c", ticket)).body)
+            self.assertEqual(FIRST_RUN_BODY, (await self.call("c", ticket)).body)
             await trio.sleep(31.0)
             self.assertEqual([True], [outcome.repeated for outcome in outcomes])
             self.assert_runs(1, ticket)
 
-        self.on_net(scenario)
+        self.run_scenario(scenario)
 
-    def test_an_unknown_home_is_gone(self) -> None:
+    def test_a_ticket_of_an_unknown_node_has_no_home(self) -> None:
         async def scenario(net: TicketNet) -> None:
             ticket = replace(self.ticket(), node="nowhere")
             outcome = await self.call("a", ticket)
             self.assertEqual(Reason.HOME_GONE, outcome.reason)
 
-        self.on_net(scenario)
+        self.run_scenario(scenario)
 
 
 class TestChildren(TicketCase):
-    def test_a_repeated_parent_finds_its_child_started(self) -> None:
+    def test_a_repeated_parent_gets_the_kept_outcome_of_its_child(self) -> None:
         async def scenario(net: TicketNet) -> None:
             ticket = self.ticket()
             child = {"child_key": "dakar/desk:desk/order#0", "depth": 2}
             first = await self.call("b", ticket, **child)
             again = await self.call("c", ticket, **child)
-            self.assertEqual((ONCE, ONCE), (first.body, again.body))
+            self.assertEqual((FIRST_RUN_BODY, FIRST_RUN_BODY), (first.body, again.body))
             other = await self.call("c", ticket, child_key="dakar/desk:desk/order#1")
             self.assertFalse(other.repeated)
             for n in (0, 1):
                 self.assert_runs(1, ticket, f"dakar/desk:desk/order#{n}")
 
-        self.on_net(scenario)
+        self.run_scenario(scenario)
 
-    def test_a_child_whose_root_has_lost_its_home_does_not_run(self) -> None:
+    def test_a_child_does_not_run_if_the_home_of_its_root_crashed(self) -> None:
         async def scenario(net: TicketNet) -> None:
             ticket = self.ticket()
             net.crash(self.node("a"))
@@ -257,11 +265,11 @@
             self.assertIsInstance(outcome, Unknown)
             self.assert_runs(0, ticket, "k")
 
-        self.on_net(scenario)
+        self.run_scenario(scenario)
 
 
 class TestInvariant(TicketCase):
-    def test_a_window_that_forgets_is_noticed(self) -> None:
+    def test_a_second_start_of_a_ticket_is_a_violation(self) -> None:
         async def scenario(net: TicketNet) -> None:
             ticket = self.ticket()
             await self.call("a", ticket)
@@ -270,11 +278,11 @@
             del window.records[ticket.sequence]
             await self.call("a", ticket)
 
-        fault = self.assertRaises(ExceptionGroup, self.on_net, scenario)
+        fault = self.assertRaises(ExceptionGroup, self.run_scenario, scenario)
         self.assertIsNotNone(fault.subgroup(InvariantViolated))
         self.assertIn(Invariant.TICKET_STARTED_TWICE.value, repr(fault.exceptions))
 
-    def test_a_started_ticket_that_is_called_burnt_is_noticed(self) -> None:
+    def test_a_started_ticket_reported_as_burnt_is_a_violation(self) -> None:
         def ask_again(ticket: Ticket) -> Awaitable[Outcome]:
             return self.call("a", ticket)
 
@@ -293,13 +301,13 @@
                 del window.records[ticket.sequence]
                 await ask(ticket)
 
-            fault = self.assertRaises(ExceptionGroup, self.on_net, scenario)
+            fault = self.assertRaises(ExceptionGroup, self.run_scenario, scenario)
             self.assertIsNotNone(fault.subgroup(InvariantViolated))
             self.assertIn(Invariant.FALSE_NOT_RUN.value, repr(fault.exceptions))
 
 
 class TestEvents(TicketCase):
-    def test_the_time_line_of_a_ticket(self) -> None:
+    def test_events_of_a_ticket(self) -> None:
         async def scenario(net: TicketNet) -> None:
             ticket = self.ticket()
             await self.call("a", ticket, root_id=str(ticket))
@@ -318,7 +326,7 @@
             kinds = [EventKind.TICKETS_ISSUED, EventKind.TICKET_BURNT]
             self.assertEqual(kinds, self.kinds(unused))
 
-        self.on_net(scenario)
+        self.run_scenario(scenario)
 
     def test_a_refused_run_keeps_nothing(self) -> None:
         async def refuse(_head: CallHead, _body: bytes) -> Outcome:
@@ -330,7 +338,7 @@
             kinds = [EventKind.TICKETS_ISSUED, EventKind.TICKET_STARTED]
             self.assertEqual(kinds, self.kinds(ticket))
 
-        self.on_net(scenario, refuse)
+        self.run_scenario(scenario, refuse)
 
     def kinds(self, ticket: Ticket) -> list[EventKind]:
         page = self.node("a").telemetry.ring.since(root=str(ticket))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/test_home_tickets.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/test_home_tickets.py
@@ -11,7 +11,7 @@
 from fuchsiagap.core.tickets.records import NotIssued
 from fuchsiagap_node.core.callpath.home_tickets import (
     issue_batch,
-    private_ticket,
+    issue_private_ticket,
     settle,
     settle_ticket,
 )
@@ -22,40 +22,40 @@
 
 
 class TestSettle(TicketCase):
-    def test_a_copy_that_comes_after_the_question_does_not_run(self) -> None:
+    def test_a_copy_after_settlement_does_not_run(self) -> None:
         async def scenario(net: TicketNet) -> None:
             for asked in ("a", "b"):
                 ticket = self.ticket()
-                told = await settle_ticket(self.node(asked), ticket, 100.0)
-                self.assertEqual(Reason.TICKET_BURNT, told.reason)
-                self.assertIsInstance(told, Refused)
+                settlement = await settle_ticket(self.node(asked), ticket, 100.0)
+                self.assertEqual(Reason.TICKET_BURNT, settlement.reason)
+                self.assertIsInstance(settlement, Refused)
                 late = await self.call("c", ticket)
                 self.assertEqual(Reason.TICKET_BURNT, late.reason)
                 self.assert_runs(0, ticket)
 
-        self.on_net(scenario)
+        self.run_scenario(scenario)
 
-    def test_a_run_in_progress_is_waited_for_within_the_time_given(self) -> None:
+    def test_settlement_waits_for_a_run_up_to_the_given_time(self) -> None:
         async def scenario(net: TicketNet) -> None:
             ticket = self.ticket()
             outcomes: list[Outcome] = []
             self.call_soon(outcomes, "b", ticket)
             await trio.sleep(0.05)
-            told = await settle_ticket(self.node("c"), ticket, 10.0)
-            self.assertEqual(Reason.TICKET_IN_PROGRESS, told.reason)
-            told = await settle_ticket(self.node("c"), ticket, 1000.0)
-            self.assertIsInstance(told, Answered)
-            self.assertTrue(told.repeated)
+            settlement = await settle_ticket(self.node("c"), ticket, 10.0)
+            self.assertEqual(Reason.TICKET_IN_PROGRESS, settlement.reason)
+            settlement = await settle_ticket(self.node("c"), ticket, 1000.0)
+            self.assertIsInstance(settlement, Answered)
+            self.assertTrue(settlement.repeated)
             self.assert_runs(1, ticket)
 
-        self.on_net(scenario)
+        self.run_scenario(scenario)
 
-    def test_a_home_that_is_not_reached_is_unknown(self) -> None:
+    def test_an_unreachable_home_gives_unknown(self) -> None:
         async def scenario(net: TicketNet) -> None:
             ticket = self.ticket()
             net.cut.add("a:1")
-            told = await settle_ticket(self.node("b"), ticket, 100.0)
-            self.assertIsInstance(told, Unknown)
+            settlement = await settle_ticket(self.node("b"), ticket, 100.0)
+            self.assertIsInstance(settlement, Unknown)
             net.cut.clear()
             net.lose_reply = lambda _address, _msg: True
             self.assertIsInstance(
@@ -64,7 +64,7 @@
             net.lose_reply = lambda _address, _msg: False
             self.assertIsInstance(await self.call("c", ticket), Refused)
 
-        self.on_net(scenario)
+        self.run_scenario(scenario)
 
     def test_an_idempotent_request_cannot_be_settled(self) -> None:
         async def scenario(net: TicketNet) -> None:
@@ -78,31 +78,31 @@
                 ("/salt-fog/certs/issue", Refused),
             ):
                 ticket = self.ticket()
-                told = await settle(node, ticket, "POST", path, 100.0)
-                self.assertIsInstance(told, expected)
+                settlement = await settle(node, ticket, "POST", path, 100.0)
+                self.assertIsInstance(settlement, expected)
                 burnt = isinstance(await self.call("b", ticket), Refused)
                 self.assertEqual(expected is Refused, burnt)
 
-        self.on_net(scenario)
+        self.run_scenario(scenario)
 
 
 class TestIssue(TicketCase):
-    def test_a_leaving_node_issues_none(self) -> None:
+    def test_a_leaving_node_issues_no_tickets(self) -> None:
         async def scenario(net: TicketNet) -> None:
             node = self.node("a")
             self.assertEqual(3, len(issue_batch(node, 3)))
             node.leaving = True
             self.assertIsInstance(issue_batch(node, 3), NotIssued)
 
-        self.on_net(scenario)
+        self.run_scenario(scenario)
 
     def test_the_entry_node_is_the_home_of_a_root_without_a_ticket(self) -> None:
         async def scenario(net: TicketNet) -> None:
-            ticket = private_ticket(self.node("b"))
+            ticket = issue_private_ticket(self.node("b"))
             assert ticket is not None
             for entry in ("a", "c"):
                 outcome = await self.call(entry, ticket, child_key="k")
                 self.assertEqual(b"run 1 of ", outcome.body)
             self.assertEqual(ticket.node, "b")
 
-        self.on_net(scenario)
+        self.run_scenario(scenario)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/test_serve_notes.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/test_serve_telemetry.py
@@ -12,7 +12,7 @@
 from fuchsiagap.core.telemetry.violations import Invariant, InvariantViolated
 from fuchsiagap_node.core.callpath.calls import CallTable
 from fuchsiagap_node.core.callpath.serve import serve
-from fuchsiagap_node.tests.core.callpath.a_fleet import Fleet
+from fuchsiagap_node.tests.core.callpath.dispatch_fleet import Fleet
 from fuchsiagap_standins.builders import a_head, a_service
 from fuchsiagap_standins.testing import run_virtual
 
@@ -21,7 +21,7 @@
 RUN_S = 0.2
 
 
-class TestServeNotes(TestCase):
+class TestServeTelemetry(TestCase):
     def setUp(self):
         super().setUp()
         self.fleet = None
@@ -50,7 +50,7 @@
         found = self.state.telemetry.metrics.summaries()
         return {(s.measure, s.outcome): s.total for s in found}
 
-    def test_wait_and_added_time_leave_the_backend_server_out(self):
+    def test_queueing_delay_and_added_time_exclude_backend_time(self):
         async def slow(_state, _head):
             await trio.sleep(RUN_S)
             return Answered(200, (), b"")
@@ -70,16 +70,16 @@
         self.assertAlmostEqual(WAIT_MS, totals[Measure.QUEUEING_DELAY, "answered"])
         self.assertAlmostEqual(WAIT_MS, totals[Measure.ADDED_TIME, "answered"], 3)
 
-    def test_refusal_says_why(self):
+    def test_refusal_event_records_the_reason(self):
         def prepare(fleet):
             fleet.refuse = lambda _node, _head: Reason.OVERLOAD
 
         self.serve(prepare)
         (event,) = self.events()
         self.assertEqual(EventKind.CALL_REFUSED, event.kind)
-        self.assertEqual(("backend", "overload"), _at_and_reason(event))
+        self.assertEqual(("backend", "overload"), _place_and_reason(event))
 
-    def test_call_that_is_too_late_expires(self):
+    def test_call_past_its_deadline_is_recorded_as_expired(self):
         for reason, deadline in ((Reason.DEADLINE, 1_000.0), (None, -1.0)):
 
             def prepare(fleet, reason=reason):
@@ -91,7 +91,7 @@
             metrics = self.state.telemetry.metrics
             self.assertEqual(1, metrics.counted(Counter.CALLS_EXPIRED, a_head().route))
 
-    def test_cancelled_call_is_noted_while_it_waits_and_while_it_runs(self):
+    def test_cancelled_call_is_recorded_while_queued_and_while_running(self):
         async def forever(*_args):
             await trio.sleep_forever()
 
@@ -106,7 +106,7 @@
             self.assertEqual(EventKind.CALL_CANCELLED, self.kinds()[-1])
             self.assertIn((Measure.ADDED_TIME, "cancelled"), self.summaries())
 
-    def test_answer_that_broke_off_is_counted(self):
+    def test_incomplete_answer_is_counted(self):
         async def broken(_state, _head):
             return Unknown(Reason.INCOMPLETE_ANSWER)
 
@@ -115,28 +115,28 @@
         metrics = self.state.telemetry.metrics
         self.assertEqual(1, metrics.counted(Counter.INCOMPLETE_ANSWERS))
 
-    def test_new_work_of_a_leaving_node_is_a_violation(self):
+    def test_new_work_on_a_leaving_node_is_a_violation(self):
         def prepare(fleet):
-            fleet.states[NODE].calls = _LeavesUnnoticed(fleet.states[NODE])
+            fleet.states[NODE].calls = _LeavingAfterCheck(fleet.states[NODE])
 
         fault = self.assertRaises(InvariantViolated, self.serve, prepare)
         self.assertIn(Invariant.WORK_AFTER_LEAVING.value, str(fault))
         self.assertEqual([], self.fleet.runs)
 
 
-class _LeavesUnnoticed(CallTable):
+class _LeavingAfterCheck(CallTable):
     """The node begins to leave after the last look at `leaving`."""
 
     def __init__(self, state):
         super().__init__()
         self.state = state
 
-    def note_end(self):
+    def notify_if_idle(self):
         self.state.leaving = True
 
 
-class TestAttemptNotes(TestCase):
-    def test_more_allowance_back_than_was_lent_is_a_violation(self):
+class TestAttemptTelemetry(TestCase):
+    def test_returned_allowance_above_the_share_is_a_violation(self):
         async def run():
             fleet = Fleet(["certs", "results"], n_instances=1)
 
@@ -165,5 +165,5 @@
         self.assertEqual([expected], found)
 
 
-def _at_and_reason(event):
+def _place_and_reason(event):
     return event.detail["at"], event.detail["reason"]
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/ticket_case.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/ticket_case.py
@@ -26,7 +26,7 @@
 
     cfg = TicketSettings()
 
-    def on_net(
+    def run_scenario(
         self,
         scenario: Callable[[TicketNet], Awaitable[None]],
         runner: Runner | None = None,
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/drain/test_handover.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/drain/test_handover.py
@@ -12,7 +12,7 @@
 from fuchsiagap_node.core.callpath.home_tickets import settle_ticket
 from fuchsiagap_node.core.drain import takeover
 from fuchsiagap_node.core.drain.handover import (
-    HandedOver,
+    HandOverCompleted,
     HandOverFailed,
     hand_over,
 )
@@ -29,25 +29,27 @@
     from fuchsiagap.core.calls.head import CallHead
     from fuchsiagap_standins.ticket_nodes import TicketNet
 
-ONCE = b"run 1 of "
+FIRST_RUN_BODY = b"run 1 of "
 
 
 class HandOverCase(TicketCase):
     cfg = TicketSettings(chunk_bytes=400)
 
-    async def stop(self, name: str, successor: str) -> HandedOver | HandOverFailed:
+    async def stop(
+        self, name: str, successor: str
+    ) -> HandOverCompleted | HandOverFailed:
         """Stop a node as a drain does."""
         state = self.node(name)
         state.leaving = True
         result = await hand_over(state, f"{successor}:1")
-        if isinstance(result, HandedOver):
+        if isinstance(result, HandOverCompleted):
             self.net.leave(state, result.successor)
             self.net.crash(state)
         return result
 
 
 class TestHandOver(HandOverCase):
-    def test_every_state_of_a_ticket_goes_over(self) -> None:
+    def test_every_ticket_state_is_handed_over(self) -> None:
         async def scenario(net: TicketNet) -> None:
             answered, unused, burnt = (self.ticket() for _ in range(3))
             others = [self.ticket() for _ in range(10)]
@@ -55,31 +57,33 @@
                 await self.call("a", ticket)
             await self.call("a", unused, child_key="k")
             await settle_ticket(self.node("a"), burnt, 0.0)
-            self.assertEqual(HandedOver("b", 1), await self.stop("a", "b"))
+            self.assertEqual(HandOverCompleted("b", 1), await self.stop("a", "b"))
             for ticket in (answered, *others):
                 outcome = await self.call("c", ticket)
-                self.assertEqual((ONCE, True), (outcome.body, outcome.repeated))
+                self.assertEqual(
+                    (FIRST_RUN_BODY, True), (outcome.body, outcome.repeated)
+                )
                 self.assert_runs(1, ticket)
             self.assertTrue((await self.call("b", unused, child_key="k")).repeated)
-            self.assertEqual(ONCE, (await self.call("c", unused)).body)
+            self.assertEqual(FIRST_RUN_BODY, (await self.call("c", unused)).body)
             outcome = await self.call("c", burnt)
             self.assertEqual(Reason.TICKET_BURNT, outcome.reason)
 
-        self.on_net(scenario)
+        self.run_scenario(scenario)
 
-    def test_a_run_in_progress_ends_and_its_answer_follows(self) -> None:
+    def test_the_outcome_of_a_run_in_progress_follows_the_hand_over(self) -> None:
         async def scenario(net: TicketNet) -> None:
             ticket = self.ticket()
             outcomes: list[Outcome] = []
             self.call_soon(outcomes, "c", ticket)
             await trio.sleep(0.05)
             started = trio.current_time()
-            self.assertIsInstance(await self.stop("a", "b"), HandedOver)
+            self.assertIsInstance(await self.stop("a", "b"), HandOverCompleted)
             self.assertAlmostEqual(0.05, trio.current_time() - started, places=2)
-            self.assertEqual(ONCE, (await self.call("c", ticket)).body)
+            self.assertEqual(FIRST_RUN_BODY, (await self.call("c", ticket)).body)
             self.assert_runs(1, ticket)
 
-        self.on_net(scenario)
+        self.run_scenario(scenario)
 
     def test_a_copy_at_the_successor_waits_for_the_run_of_the_old_home(self) -> None:
         async def scenario(net: TicketNet) -> None:
@@ -91,12 +95,14 @@
             await trio.sleep(0.02)
             self.call_soon(outcomes, "b", ticket)
             await trio.sleep(0.2)
-            self.assertEqual([ONCE, ONCE], [outcome.body for outcome in outcomes])
+            self.assertEqual(
+                [FIRST_RUN_BODY, FIRST_RUN_BODY], [outcome.body for outcome in outcomes]
+            )
             self.assert_runs(1, ticket)
 
-        self.on_net(scenario)
+        self.run_scenario(scenario)
 
-    def test_a_run_refused_late_may_run_at_the_successor_unless_asked_about(
+    def test_a_run_refused_late_may_run_at_the_successor_unless_settled(
         self,
     ) -> None:
         async def runner(head: CallHead, _body: bytes) -> Outcome:
@@ -114,16 +120,16 @@
             await trio.sleep(0.05)
             net.nursery.start_soon(self.stop, "a", "b")
             await trio.sleep(0.03)
-            told = await settle_ticket(self.node("a"), settled, 1000.0)
-            self.assertIsInstance(told, Refused)
+            settlement = await settle_ticket(self.node("a"), settled, 1000.0)
+            self.assertIsInstance(settlement, Refused)
             await trio.sleep(1.0)
             self.assertIsInstance(await self.call("c", refused), Answered)
             self.assertIsInstance(await self.call("c", settled), Refused)
             self.assert_runs(0, settled)
 
-        self.on_net(scenario, runner)
+        self.run_scenario(scenario, runner)
 
-    def test_a_refusal_that_comes_late_takes_no_run_of_the_successor_back(self) -> None:
+    def test_a_late_refusal_does_not_undo_a_run_of_the_successor(self) -> None:
         """Found by the randomised run with seed 208."""
 
         async def runner(head: CallHead, _body: bytes) -> Outcome:
@@ -154,9 +160,9 @@
             self.assertEqual(4, len(outcomes))
             self.assert_runs(1, ticket)
 
-        self.on_net(scenario, runner)
+        self.run_scenario(scenario, runner)
 
-    def test_a_run_that_ends_and_is_forgotten_meanwhile_goes_over(self) -> None:
+    def test_a_run_forgotten_during_the_hand_over_is_handed_over(self) -> None:
         """Found by the randomised run with seed 521."""
 
         async def runner(head: CallHead, _body: bytes) -> Outcome:
@@ -182,9 +188,9 @@
                 self.assertEqual(Reason.TICKET_FORGOTTEN, again.reason)
                 self.assert_runs(1, ticket, child_key)
 
-        self.on_net(scenario, runner)
+        self.run_scenario(scenario, runner)
 
-    def test_a_copy_that_comes_during_the_hand_over_follows_it(self) -> None:
+    def test_a_copy_during_the_hand_over_is_forwarded(self) -> None:
         async def scenario(net: TicketNet) -> None:
             ticket = self.ticket()
 
@@ -196,12 +202,12 @@
             net.nursery.start_soon(hand_over, self.node("a"), "b:1")
             await trio.sleep(0.1)
             outcome = await self.call("c", ticket)
-            self.assertEqual(ONCE, outcome.body)
+            self.assertEqual(FIRST_RUN_BODY, outcome.body)
             self.assertIn(ticket.life, self.node("b").tickets.adopted)
 
-        self.on_net(scenario)
+        self.run_scenario(scenario)
 
-    def test_windows_pass_on_from_successor_to_successor(self) -> None:
+    def test_adopted_windows_are_handed_over_again(self) -> None:
         async def scenario(net: TicketNet) -> None:
             used, unused = self.ticket(), self.ticket()
             await self.call("a", used)
@@ -210,17 +216,17 @@
             net.members["a"] = net.members["a"].__class__(
                 "a", 2, "a:2", "hall-a", successor="b", handed_incarnation=1
             )
-            self.assertEqual(HandedOver("c", 2), await self.stop("b", "c"))
+            self.assertEqual(HandOverCompleted("c", 2), await self.stop("b", "c"))
             for entry in ("a", "c"):
                 state = self.net.nodes["a:2" if entry == "a" else "c:1"]
                 outcome = await net.call(state, self.head(used))
-                self.assertEqual(ONCE, outcome.body)
-            self.assertEqual(ONCE, (await self.call("c", unused)).body)
+                self.assertEqual(FIRST_RUN_BODY, outcome.body)
+            self.assertEqual(FIRST_RUN_BODY, (await self.call("c", unused)).body)
 
-        self.on_net(scenario)
+        self.run_scenario(scenario)
 
 
-class TestHalfHandOver(HandOverCase):
+class TestPartialHandOver(HandOverCase):
     def reply_lost_to(self, message_type: type) -> None:
         async def scenario(net: TicketNet) -> None:
             used, unused = self.ticket(), self.ticket()
@@ -237,25 +243,25 @@
             outcome = await self.call("a", unused)
             self.assertNotIsInstance(outcome, Answered)
             again = await hand_over(old, "c:1")
-            self.assertEqual(may_try_another, isinstance(again, HandedOver))
+            self.assertEqual(may_try_another, isinstance(again, HandOverCompleted))
             net.leave(old, "c" if may_try_another else "b")
             net.crash(old)
             for ticket in (used, unused):
-                self.assertEqual(ONCE, (await self.call("c", ticket)).body)
+                self.assertEqual(FIRST_RUN_BODY, (await self.call("c", ticket)).body)
                 self.assert_runs(1, ticket)
 
-        self.on_net(scenario)
+        self.run_scenario(scenario)
 
-    def test_at_the_first_message(self) -> None:
+    def test_the_reply_to_the_first_message_is_lost(self) -> None:
         self.reply_lost_to(HandOverBegin)
 
-    def test_in_the_middle(self) -> None:
+    def test_the_reply_to_a_part_is_lost(self) -> None:
         self.reply_lost_to(HandOverPart)
 
     def test_the_reply_to_the_last_message_is_lost(self) -> None:
         self.reply_lost_to(HandOverEnd)
 
-    def test_a_peer_that_is_not_reached_or_does_not_reply(self) -> None:
+    def test_an_unreachable_or_unresponsive_peer(self) -> None:
         async def never(_address: str, msg: object) -> None:
             if isinstance(msg, HandOverEnd):
                 await trio.sleep_forever()
@@ -274,9 +280,9 @@
             self.assertIsInstance(await self.call("a", ticket), Unknown)
             self.assert_runs(0, ticket)
 
-        self.on_net(scenario)
+        self.run_scenario(scenario)
 
-    def test_half_a_window_answers_nobody(self) -> None:
+    def test_an_incomplete_window_is_not_used(self) -> None:
         async def scenario(net: TicketNet) -> None:
             ticket = self.ticket()
             await self.call("a", ticket)
@@ -288,10 +294,10 @@
             end = HandOverEnd(ticket.life, n_parts=3)
             self.assertIn("0 parts came, 3", takeover.end(new, "a", end))
             self.assertIsInstance(await self.at("b", ticket), Unknown)
-            self.assertIsInstance(await hand_over(old, "b:1"), HandedOver)
-            self.assertEqual(ONCE, (await self.at("b", ticket)).body)
+            self.assertIsInstance(await hand_over(old, "b:1"), HandOverCompleted)
+            self.assertEqual(FIRST_RUN_BODY, (await self.at("b", ticket)).body)
 
-        self.on_net(scenario)
+        self.run_scenario(scenario)
 
     async def at(self, name: str, ticket: Any) -> Outcome:
         """Send a copy to a node as if it were the home."""
@@ -309,9 +315,9 @@
             self.assertNotEqual("", takeover.end(new, "a", HandOverEnd(life, 0)))
             self.assertEqual({}, new.tickets.adopted)
 
-        self.on_net(scenario)
+        self.run_scenario(scenario)
 
-    def test_an_old_snapshot_is_not_taken_a_second_time(self) -> None:
+    def test_an_old_snapshot_is_not_adopted_again(self) -> None:
         async def scenario(net: TicketNet) -> None:
             ticket = self.ticket()
             new = self.node("b")
@@ -325,15 +331,15 @@
             self.assertIsInstance(await self.at("b", ticket), Unknown)
             self.assert_runs(1, ticket)
 
-        self.on_net(scenario)
+        self.run_scenario(scenario)
 
-    def test_a_leaving_peer_takes_nothing(self) -> None:
+    def test_a_leaving_peer_accepts_no_hand_over(self) -> None:
         async def scenario(net: TicketNet) -> None:
             self.node("b").leaving = True
             result = await hand_over(self.node("a"), "b:1")
             self.assertEqual(HandOverFailed("b is leaving too", True), result)
 
-        self.on_net(scenario)
+        self.run_scenario(scenario)
 
 
 class TestAdoptedBounds(HandOverCase):
@@ -346,7 +352,7 @@
                 await self.call(name, ticket)
                 await self.stop(name, "c")
             self.assertIsInstance(await self.call("c", first), Unknown)
-            self.assertEqual(ONCE, (await self.call("c", second)).body)
+            self.assertEqual(FIRST_RUN_BODY, (await self.call("c", second)).body)
             self.assert_runs(1, first)
 
-        self.on_net(scenario)
+        self.run_scenario(scenario)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/drain/test_stopping.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/drain/test_stopping.py
@@ -53,7 +53,7 @@
     run_virtual(main)
 
 
-def marked_leaving(fleet, name):
+def is_marked_leaving(fleet, name):
     def holds():
         views = (node.membership.instances() for node in fleet.nodes.values())
         return all(i.leaving for view in views for i in view if i.node == name)
@@ -62,7 +62,7 @@
 
 
 class TestDrain(TestCase):
-    def test_a_rolling_restart_of_all_nodes_cuts_no_request(self):
+    def test_a_rolling_restart_of_all_nodes_interrupts_no_request(self):
         async def test(fleet):
             load = Load(fleet, per_s=20)
             async with trio.open_nursery() as nursery:
@@ -113,7 +113,7 @@
                 nursery.start_soon(load.run)
                 await trio.sleep(1.0)
                 ended = fleet.request_drain("results-0")
-                await fleet.until(marked_leaving(fleet, "results-0"), NO_NEW_WORK_MS)
+                await fleet.until(is_marked_leaving(fleet, "results-0"), NO_NEW_WORK_MS)
                 server = next(
                     b for b in fleet.backends if b.cfg.name.startswith("results-0.")
                 )
@@ -125,12 +125,12 @@
 
         run_fleet(test)
 
-    def test_the_successor_answers_for_the_tickets_also_after_the_restart(self):
+    def test_the_successor_keeps_the_tickets_after_the_restart(self):
         async def test(fleet):
             home = fleet.nodes["certs-0"]
             (ticket,) = issue_batch(home, 1)
             req = fleet.call(ISSUE, 5, str(ticket))
-            self.assertEqual(req.own_headers[call_headers.TICKET], str(ticket))
+            self.assertEqual(req.control_headers[call_headers.TICKET], str(ticket))
             first = await enter(fleet.nodes["bookings-1"], req)
             self.assertIsInstance(first, Answered)
             await fleet.restart("certs-0")
@@ -146,7 +146,7 @@
 
         run_fleet(test)
 
-    def test_what_comes_in_after_it_has_left_is_answered_too(self):
+    def test_a_request_after_leaving_is_answered_before_the_exit(self):
         async def test(fleet):
             node = fleet.nodes["certs-0"]
             ended = fleet.request_drain("certs-0")
@@ -157,12 +157,12 @@
             await trio.sleep(2.0)
             self.assertFalse(ended.is_set())
             node.calls.n_responding -= 1
-            node.calls.note_end()
+            node.calls.notify_if_idle()
             await ended.wait()
 
         run_fleet(test)
 
-    def test_a_node_leaves_also_when_nobody_listens(self):
+    def test_a_node_leaves_if_no_peer_is_reachable(self):
         async def test(fleet):
             everyone = {node.cfg.peer_address for node in fleet.nodes.values()}
             fleet.network.cut({"certs-0:7000"}, everyone)
@@ -177,9 +177,9 @@
         async def test(fleet):
             view = fleet.nodes["certs-0"].membership
             old = fleet.ended["certs-0"]
-            word = view.self_member
-            newer = type(word)(
-                word.node, word.incarnation + 9, "certs-9:7000", word.data_centre
+            member = view.self_member
+            newer = type(member)(
+                member.node, member.incarnation + 9, "certs-9:7000", member.data_centre
             )
             view.apply(newer)
             with trio.fail_after(30.0):
@@ -187,7 +187,7 @@
 
         run_fleet(test)
 
-    def test_having_left_is_no_death(self):
+    def test_a_node_that_left_is_not_marked_dead(self):
         async def test(fleet):
             await fleet.request_drain("cycles-1").wait()
             await trio.sleep(3.0)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_node_notes.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_node_notes.py
@@ -108,7 +108,7 @@
             busy = None
             while busy is None:
                 await trio.sleep(0.0005)
-                busy = next((n for n, s in states.items() if s.calls.busy()), None)
+                busy = next((n for n, s in states.items() if s.calls.has_calls()), None)
             await fleet.request_drain(busy).wait()
             found.insert(0, violations(states[busy], Invariant.PLANNED_STOP_CUT))
             await trio.sleep(5.0)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/backend.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/backend.py
@@ -147,7 +147,7 @@
             service=child.service,
             method=child.method,
             target=child.target,
-            own_headers={
+            control_headers={
                 call_headers.PARENT_CALL: head.call_id,
                 call_headers.CHILD_KEY: mark.place,
             },
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/breaks.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/breaks.py
@@ -130,7 +130,7 @@
     """A node that shall stop tells nobody and goes on taking work until idle."""
 
     async def quiet_drain(state: NodeState, reason: str) -> None:
-        await drain._until_idle(state)
+        await drain._wait_until_idle(state)
 
     _patch(stack, drain, "drain", quiet_drain)
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/transport.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/transport.py
@@ -125,7 +125,7 @@
         raise
     finally:
         calls.n_responding -= 1
-        calls.note_end()
+        calls.notify_if_idle()
 
 
 def _read(request: httpx.Request) -> HttpRequest:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/backends.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/backends.py
@@ -190,7 +190,7 @@
             service=self._graph.service_name(route),
             method=route.method,
             target=route.target(1),
-            own_headers={call_headers.PARENT_CALL: head.call_id},
+            control_headers={call_headers.PARENT_CALL: head.call_id},
             headers=((ATTEMPT_HEADER, head.headers[0][1]),),
             body=b"",
         )
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/callers.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/callers.py
@@ -103,7 +103,7 @@
     """Make one client request with all its attempts."""
     record = RequestRecord(route, callers.clock.now())
     callers.records.requests.append(record)
-    own_headers, root_id = _identity(callers, route)
+    control_headers, root_id = _identity(callers, route)
     callers.records.by_root[root_id] = record
     ledger = Allowance(route.attempts + callers.scenario.caller_retries)
     wait = callers.graph.to_clients
@@ -111,7 +111,7 @@
         record.work.append(0.0)
         record.attempt_starts.append(callers.clock.now())
         await callers.fleet.ticks.sleep(wait)
-        outcome = await _attempt(callers, route, own_headers, number, ledger)
+        outcome = await _attempt(callers, route, control_headers, number, ledger)
         if isinstance(outcome, Answered) and outcome.status == _OK:
             await callers.fleet.ticks.sleep(callers.graph.to_clients)
             _note_answer(callers, record, root_id, number, outcome)
@@ -119,7 +119,7 @@
         record.last_reason = _reason(outcome)
         if not isinstance(outcome, Refused):
             # From now on a copy may have run, and the nodes have to be told.
-            own_headers = {**own_headers, call_headers.REPEAT: "1"}
+            control_headers = {**control_headers, call_headers.REPEAT: "1"}
         if not ledger.take():
             return
         # The way back, a short pause, and the way to another node.
@@ -130,7 +130,7 @@
 async def _attempt(
     callers: Callers,
     route: GraphRoute,
-    own_headers: dict[str, str],
+    control_headers: dict[str, str],
     number: int,
     ledger: Allowance,
 ) -> Outcome:
@@ -145,8 +145,8 @@
         service=callers.graph.service_name(route),
         method=route.method,
         target=route.target(1),
-        own_headers={
-            **own_headers,
+        control_headers={
+            **control_headers,
             call_headers.DEADLINE: str(int(timeout)),
             call_headers.ALLOWANCE: str(share),
         },
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/tickets.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/tickets.py
@@ -29,7 +29,7 @@
 from fuchsiagap.core.tickets.settings import TicketSettings
 from fuchsiagap.core.tickets.window import TicketWindow
 from fuchsiagap_node.core.callpath.home import at_home
-from fuchsiagap_node.core.drain.handover import HandedOver, hand_over
+from fuchsiagap_node.core.drain.handover import HandOverCompleted, hand_over
 from fuchsiagap_standins.builders import an_issue_head
 from fuchsiagap_standins.programs import new_flags
 from fuchsiagap_standins.ticket_nodes import Backends, TicketNet
@@ -238,7 +238,7 @@
         started = time.process_time()
         result = await hand_over(old, new.cfg.peer_address)
         taken = time.process_time() - started
-        assert isinstance(result, HandedOver), result
+        assert isinstance(result, HandOverCompleted), result
         nursery.cancel_scope.cancel()
     return {"hand_over_ms": round(taken * MS_PER_S, 1)}
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/in_process.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/in_process.py
@@ -94,7 +94,7 @@
     """
 
     async def call_out(child: ChildCall) -> ChildResult:
-        own_headers = {
+        control_headers = {
             call_headers.PARENT_CALL: child.parent_call,
             call_headers.CHILD_KEY: child.child_key,
         }
@@ -102,7 +102,7 @@
             service=graph.service_name(child.route),
             method=child.route.method,
             target=child.target,
-            own_headers=own_headers,
+            control_headers=control_headers,
             headers=child.mark.headers(),
             body=b"",
         )
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/node_fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/node_fleet.py
@@ -194,7 +194,7 @@
             service=self.graph.service_name(route),
             method=route.method,
             target=route.target(number),
-            own_headers=own,
+            control_headers=own,
             headers=CallMark(f"request-{number}").headers(),
             body=b"",
         )
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bench/faults/test_found.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bench/faults/test_found.py
@@ -22,7 +22,7 @@
 from fuchsiagap_node.core.callpath.attempts import is_repeat, send_attempt
 from fuchsiagap_node.core.callpath.entry import CallRequest, enter
 from fuchsiagap_node.core.callpath.home_tickets import issue_batch
-from fuchsiagap_node.core.callpath.relay import send_home
+from fuchsiagap_node.core.callpath.relay import relay_to_home
 from fuchsiagap_standins.answers import CallMark
 from fuchsiagap_standins.bench.faults.conditions import Conditions
 from fuchsiagap_standins.bench.faults.evidence import Evidence
@@ -151,7 +151,7 @@
                     allowance=allowance,
                     deadline=home.clock.now() + 900.0,
                 )
-                outcomes.append(type(await send_home(home, head, b"")))
+                outcomes.append(type(await relay_to_home(home, head, b"")))
                 for gate, original in zip(gates, entered, strict=True):
                     vars(gate)["enter"] = original
             return outcomes
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/ticket_faults.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/ticket_faults.py
@@ -15,7 +15,7 @@
 from fuchsiagap.core.calls.outcome import Answered, Outcome, Reason, Refused
 from fuchsiagap.core.tickets.settings import TicketSettings
 from fuchsiagap_node.core.callpath.home_tickets import issue_batch, settle_ticket
-from fuchsiagap_node.core.drain.handover import HandedOver, hand_over
+from fuchsiagap_node.core.drain.handover import HandOverCompleted, hand_over
 from fuchsiagap_standins.builders import a_refusal, an_issue_head, an_unknown
 from fuchsiagap_standins.testing import run_virtual
 from fuchsiagap_standins.ticket_nodes import Backends, TicketNet
@@ -231,11 +231,11 @@
             peer = run.rng.choice(peers)
             with trio.move_on_after(run.rng.choice((0.2, 10.0))):
                 result = await hand_over(state, peer.cfg.peer_address)
-        if isinstance(result, HandedOver):
+        if isinstance(result, HandOverCompleted):
             break
     if state.cfg.peer_address not in run.net.nodes:
         return
-    if isinstance(result, HandedOver):
+    if isinstance(result, HandOverCompleted):
         _count(run.report.faults, "handed-over")
         run.net.leave(state, result.successor)
     await trio.sleep(run.rng.random() * 0.3)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/ticket_nodes.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/ticket_nodes.py
@@ -20,7 +20,12 @@
 from fuchsiagap.core.tickets.tickets import Tickets
 from fuchsiagap_node.core.callpath import home, home_tickets
 from fuchsiagap_node.core.callpath.home import at_home
-from fuchsiagap_node.core.callpath.home_of import HomeAt, HomeHere, home_of, relayed
+from fuchsiagap_node.core.callpath.home_lookup import (
+    LocalHome,
+    RemoteHome,
+    find_home,
+    outcome_of_relay,
+)
 from fuchsiagap_node.core.drain import takeover
 from fuchsiagap_node.core.peers.handlers import Handlers
 from fuchsiagap_node.core.ports import LinkLost
@@ -168,13 +173,13 @@
     async def call(self, state: Any, head: CallHead, body: bytes = b"") -> Outcome:
         """Enter a non-idempotent call at a node."""
         assert head.ticket is not None
-        place = home_of(state, head.ticket)
-        if isinstance(place, HomeHere):
+        place = find_home(state, head.ticket)
+        if isinstance(place, LocalHome):
             return await at_home(state, head, body, self.run_of(head, body))
-        if isinstance(place, HomeAt):
+        if isinstance(place, RemoteHome):
             msg = HomeCallMessage(head_to_wire(head, state.clock.now()), body)
             reply = await state.peers.ask(place.address, msg)
-            return relayed(head, reply, first_copy=False)
+            return outcome_of_relay(head, reply, first_copy=False)
         return an_unknown(place.reason)
 
 
