--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/__init__.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/__init__.py
@@ -1,1 +1,1 @@
-"""The way of a call through a node: entry, dispatch, home, serve."""
+"""Stages of a call at a node: entry, relay to the home, dispatch and serving."""
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/attempts.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt of a call: its head, how it is sent, what is learnt from it."""
+"""Sends one attempt of a call and records its outcome."""
 
 from __future__ import annotations
 
@@ -22,25 +22,25 @@
     from fuchsiagap.core.routing.router import Instance
     from fuchsiagap_node.core.state import NodeState
 
-# Ends the id of an attempt that may repeat work an earlier one did. It is part of the
-# id, so that the children of the attempt show it as their parent's.
+# Suffix of the call id of an attempt that may repeat work of an earlier attempt. It is
+# part of the id so that the children of the attempt carry it in their parent id.
 _REPEAT_SUFFIX = "!"
 
 
 def is_repeat(call_id: str) -> bool:
-    """Whether an attempt may repeat work that an earlier one did."""
+    """Return whether a call id marks an attempt that may repeat earlier work."""
     return call_id.endswith(_REPEAT_SUFFIX)
 
 
 def mark_repeat(call_id: str, repeat: bool) -> str:
-    """Return a call id that tells whether an earlier copy of the call may have run."""
+    """Return a call id, marked if an earlier copy of the call may have run."""
     return f"{call_id}{_REPEAT_SUFFIX}" if repeat else call_id
 
 
 def may_have_run(outcome: Outcome) -> bool:
-    """Whether another attempt would repeat work done before the outcome.
+    """Return whether another attempt may repeat work of the attempt with this outcome.
 
-    A backend server that refuses may have made calls of its own before.
+    A backend server may make calls of its own before it refuses a call.
     """
     if isinstance(outcome, Refused):
         return outcome.reason is Reason.BACKEND_REFUSED
@@ -48,16 +48,16 @@
 
 
 def attempt_head(head: CallHead, n_sent: int, repeat: bool) -> CallHead:
-    """Return the head of an attempt, with an id of its own.
+    """Return the head of an attempt, with a call id unique to the attempt.
 
     Parameters
     ----------
     head : CallHead
         Head of the call.
     n_sent : int
-        Attempts sent before this one.
+        Number of attempts of the call sent before this one.
     repeat : bool
-        Whether the attempt may repeat work.
+        Whether the attempt may repeat work of an earlier attempt.
     """
     if n_sent == 0 and not repeat:
         return head
@@ -74,26 +74,27 @@
     instance: Instance,
     allowance: Allowance,
 ) -> Outcome:
-    """Send one attempt and settle its share of the allowance.
+    """Send one attempt with a share of the allowance, and take back what is unused.
 
     Parameters
     ----------
     state : NodeState
         The node.
     head : CallHead
-        Head of the attempt, its deadline on this process's clock.
+        Head of the attempt; its deadline is on the clock of this process.
     body : bytes
-        The whole body.
+        The complete request body.
     instance : Instance
-        Who gets it.
-    ledger : Allowance
-        Where the share comes from. A share whose answer is lost is lost.
+        The instance to send the attempt to.
+    allowance : Allowance
+        Extra attempts left for the call. A share of it is sent with the attempt; if
+        the outcome is lost, the share is lost as well.
 
     Returns
     -------
     Outcome
-        ``Refused(CONNECTION_LOST)`` if the attempt certainly never left, and
-        ``Unknown`` if it may have.
+        The outcome of the attempt. On connection loss, ``Refused(CONNECTION_LOST)``
+        if the attempt was certainly not sent, and ``Unknown`` if it may have been.
     """
     share = allowance.lend()
     started = state.clock.now()
@@ -109,7 +110,10 @@
         else:
             allowance.write_off(share)
             if scope.cancelled_caught:
-                outcome = Unknown(Reason.DEADLINE, detail="no answer in time")
+                outcome = Unknown(
+                    Reason.DEADLINE,
+                    detail="no outcome of the attempt before the deadline",
+                )
         _record_end(state, instance, outcome, now - started)
     assert outcome is not None
     if isinstance(outcome, Answered):
@@ -125,14 +129,16 @@
 ) -> Outcome:
     if instance.node == state.node:
         return await state.serve(head.with_allowance(share), body)
-    # One copy of the head for both changes: copies are dear here.
+    # One copy of the head for both changes, as copies are expensive on this path.
     remaining = head.deadline - state.clock.now()
     msg = CallMessage(replace(head, allowance=share, deadline=remaining), body)
     reply = await state.peers.ask(instance.address, msg)
     if isinstance(reply, (Answered, Refused, Unknown)):
         return reply
     if not isinstance(reply, LinkLost):
-        return Unknown(Reason.CONNECTION_LOST, detail=f"no outcome: {reply!r:.80}")
+        return Unknown(
+            Reason.CONNECTION_LOST, detail=f"unexpected reply: {reply!r:.80}"
+        )
     if reply.sent:
         return Unknown(Reason.CONNECTION_LOST, detail=reply.detail)
     return Refused(Reason.CONNECTION_LOST, allowance=share, detail=reply.detail)
@@ -165,7 +171,7 @@
     if outcome.allowance > share:
         state.telemetry.violation(
             Invariant.ATTEMPTS_ABOVE_BOUND,
-            f"{outcome.allowance} extra attempts came back of a share of {share}",
+            f"{outcome.allowance} extra attempts returned of a share of {share}",
             head.call_id,
             head.root_id,
         )
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/calls.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/calls.py
@@ -1,4 +1,4 @@
-"""Calls in progress at a node, and what their own calls may still spend."""
+"""Table of the calls in progress at a node."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 @dataclass(slots=True, eq=False)
 class CallInProgress:
-    """A call that the backend server beside this node works on.
+    """A call in progress at the backend server of this node.
 
     Parameters
     ----------
     head : CallHead
-        The call.
+        Head of the call.
     allowance : Allowance
-        Extra attempts left for its own calls; they take shares and give the
-        unused part back.
+        Extra attempts left for the child calls. Each child takes a share and returns
+        the unused part.
     has_refused_child : bool
-        Whether one of its own calls was refused.
+        Whether a child call was refused.
     """
 
     head: CallHead
@@ -35,26 +35,26 @@
     _ordinals: ChildOrdinals = field(default_factory=ChildOrdinals)
 
     def next_child_key(self, given: str, service: ServiceName, route: str) -> str:
-        """Return the key of the next call; see `child_key`."""
+        """Return the key of the next child call; see `child_key`."""
         return child_key(self.head.child_key, given, service, route, self._ordinals)
 
 
 @dataclass(slots=True)
 class CallTable:
-    """The calls in progress at a node.
+    """Counts and lookup of the calls in progress at a node.
 
     Parameters
     ----------
     serving : dict
-        Calls that the backend server works on, by call id.
+        Calls in progress at the backend server, by call id.
     n_entered : int
-        Calls of callers that this node has taken and not answered yet.
+        Number of calls that entered at this node and have no outcome yet.
     n_queued : int
-        Calls of other nodes that wait for admission.
+        Number of calls that wait for admission to the backend server.
     n_responding : int
-        Requests of callers from their first byte until the response is written.
+        Number of HTTP requests between their first byte and the end of the response.
     idle : trio.Event or None
-        Set when the last call ends, for a graceful shutdown that waits.
+        Set when the last call ends; None unless a graceful shutdown waits for it.
     """
 
     serving: dict[str, CallInProgress] = field(default_factory=dict)
@@ -64,7 +64,7 @@
     idle: trio.Event | None = None
 
     def get(self, call_id: str) -> CallInProgress | None:
-        """Return a call that the backend server works on."""
+        """Return a call in progress at the backend server, or None."""
         return self.serving.get(call_id)
 
     def has_calls(self) -> bool:
@@ -73,6 +73,6 @@
         return bool(self.serving) or n_waiting > 0
 
     def notify_if_idle(self) -> None:
-        """Wake a graceful shutdown if the last call has ended."""
+        """Set `idle` if a graceful shutdown waits for it and no call is in progress."""
         if self.idle is not None and not self.has_calls():
             self.idle.set()
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/dispatch.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch of a call: choose an instance, send, and retry where that is right."""
+"""Sends a call to an instance of its service, and retries it where permitted."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class RetryDenial(StrEnum):
-    """What denied a retry; the value is the label of the counter."""
+    """Why a retry was denied; the value is the label of the counter."""
 
     DEADLINE = "deadline"
     NO_INSTANCE = "no-instance"
@@ -50,27 +50,28 @@
 
 
 async def dispatch(state: NodeState, head: CallHead, body: bytes) -> Outcome:
-    """Run a call at one instance of its service, or at another after a refusal.
+    """Send a call to an instance of its service, and retry it on failure.
 
-    Attempts are strictly sequential. A refusal is retried only here, directly above
-    the node that made it; one from further down is passed up. A non-idempotent call
-    goes to another instance only after a true refusal.
+    Attempts are strictly sequential. A refusal is retried only by the direct caller
+    of the service that refused; a refusal of a nested call is passed up, as
+    ``REFUSED_BELOW``. A non-idempotent call is retried only if the outcome is
+    `Refused`, never if it is `Unknown`.
 
     Parameters
     ----------
     state : NodeState
         The node.
     head : CallHead
-        The head, its deadline on this process's clock. An idempotent child of a call
-        in progress here has no allowance of its own: side by side with the other
-        children it draws on the ledger of its parent.
+        Head of the call; its deadline is on the clock of this process. An idempotent
+        child of a call in progress here has no allowance of its own: it takes extra
+        attempts from the allowance of its parent, which all children share.
     body : bytes
-        The whole body.
+        The complete request body.
 
     Returns
     -------
     Outcome
-        Its allowance is what is left of the head's.
+        The outcome of the last attempt, with what is left of the head's allowance.
     """
     refused = _early_refusal(state, head)
     if refused is not None:
@@ -97,11 +98,11 @@
 async def _dispatch_within_allowance(
     state: NodeState, head: CallHead, body: bytes, allowance: Allowance
 ) -> Outcome:
-    """Send the first attempt, and others while that is right."""
+    """Send the attempts of a call; a possible repeat takes one extra attempt first."""
     instance = state.router.choose(head.service)
     if instance is None:
         return _no_instance_refusal(head)
-    # The child of a repeated call may itself have run before.
+    # The child of a repeated call may itself have run already.
     repeat = head.idempotent and is_repeat(head.parent_id)
     if repeat and not allowance.take():
         return _no_allowance_refusal(head)
@@ -110,7 +111,7 @@
         state, head, body, instance, allowance, repeat
     )
     if maybe_executed and isinstance(outcome, Refused):
-        # True of the last attempt, but an earlier one may have run.
+        # The last attempt did not run, but an earlier one may have.
         return Unknown(outcome.reason, load=outcome.load, detail=outcome.detail)
     return outcome
 
@@ -123,7 +124,7 @@
     allowance: Allowance,
     repeat: bool,
 ) -> tuple[Outcome, bool]:
-    """Return the last attempt's outcome, and whether one before may have run."""
+    """Return the last attempt's outcome, and whether an earlier one may have run."""
     tried: frozenset[str] = frozenset()
     n_sent = n_retries = 0
     maybe_executed = False
@@ -158,22 +159,25 @@
 
 
 def _early_refusal(state: NodeState, head: CallHead) -> Refused | None:
-    """Refuse what cannot be answered in time, or would be refused below."""
+    """Refuse a call that would miss its deadline or be refused by its service."""
     if not _has_time(state, head, 0.0):
         call_notes.note_expired(state.telemetry, head)
-        return Refused(Reason.DEADLINE, detail="the deadline leaves no time to run")
+        return Refused(
+            Reason.DEADLINE,
+            detail="time to the deadline is below the minimum latency of the route",
+        )
     return state.levels.refusal(head)
 
 
 def _has_time(state: NodeState, head: CallHead, wait: Milliseconds) -> bool:
-    """Whether an attempt after `wait` milliseconds can be answered in time."""
+    """Return whether an attempt after `wait` milliseconds can meet the deadline."""
     now = state.clock.now()
     min_latency = state.router.least_times.least(head.service, head.route, now)
     return head.deadline - now - wait > min_latency
 
 
 def _may_retry(head: CallHead, outcome: Outcome) -> bool:
-    """Whether the outcome allows another attempt elsewhere."""
+    """Return whether the outcome permits an attempt at another instance."""
     if isinstance(outcome, Answered):
         return False
     if isinstance(outcome, Refused):
@@ -182,14 +186,14 @@
 
 
 def _was_not_sent(outcome: Outcome) -> bool:
-    """Whether the attempt reached no other node, and so counts as none."""
+    """Return whether the attempt was not sent, so that its retry costs nothing."""
     return isinstance(outcome, Refused) and outcome.reason is Reason.CONNECTION_LOST
 
 
 def _charge_retry(
     state: NodeState, head: CallHead, allowance: Allowance
 ) -> RetryDenial | None:
-    """Pay for a retry out of budget and allowance, of both or of none."""
+    """Charge a retry to both the retry budget and the allowance, or to neither."""
     if allowance.remaining < 1:
         return RetryDenial.ALLOWANCE
     if state.levels.refusal(head) is not None:
@@ -227,13 +231,13 @@
 
 
 def _no_instance_refusal(head: CallHead) -> Refused:
-    detail = f"no instance of {head.service} is known that takes new work"
+    detail = f"no known instance of {head.service} accepts new calls"
     return Refused(Reason.NO_BACKEND, detail=detail)
 
 
 def _no_allowance_refusal(head: CallHead) -> Refused:
     detail = (
-        f"{head.service}: the call above is a repeat, and the request's allowance of"
-        " extra attempts is used up"
+        f"{head.service}: the parent call is a repeat, and the request has no extra"
+        " attempts left"
     )
     return Refused(Reason.OVERLOAD, detail=detail)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/entry.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/entry.py
@@ -1,4 +1,4 @@
-"""Where a call enters: from a caller, or from the backend server beside this node."""
+"""Entry of calls from external callers and from the local backend server."""
 
 from __future__ import annotations
 
@@ -44,20 +44,20 @@
 
 @dataclass(frozen=True, slots=True)
 class CallRequest:
-    """A request as it came in over HTTP.
+    """An HTTP request to a service, before its route is looked up.
 
     Parameters
     ----------
     service : ServiceName
-        From the first two segments of the path.
+        Team and service, from the first two segments of the path.
     method, target : str
         HTTP method; the rest of the path with the query.
     control_headers : dict of str to str
-        The headers that steer the call; see `call_headers`.
+        Headers with parameters of the call; see `call_headers`.
     headers : tuple of (str, str)
         All other end-to-end headers.
     body : bytes
-        The whole body.
+        The complete request body.
     """
 
     service: ServiceName
@@ -69,12 +69,16 @@
 
 
 def new_id(rng: random.Random) -> str:
-    """Return a fresh identifier of a call or root request."""
+    """Return a random identifier of a call or root request, in hexadecimal."""
     return f"{rng.getrandbits(_ID_BITS):016x}"
 
 
 async def enter(state: NodeState, req: CallRequest) -> Outcome:
-    """Take a call, run it somewhere, and return what became of it.
+    """Run a request as a call at an instance of its service, and return its outcome.
+
+    A request without a parent call is a root request; with one, it is a nested call of
+    the local backend server. Cancelling the task cancels the call at all nodes, but
+    for a run at the home of its ticket, which goes on.
 
     Parameters
     ----------
@@ -86,7 +90,7 @@
     Returns
     -------
     Answered, Refused or Unknown
-        What became of it. Cancelling the task gives the call up everywhere.
+        The outcome of the call.
     """
     parent_id = req.control_headers.get(call_headers.PARENT_CALL)
     if parent_id is None:
@@ -101,19 +105,19 @@
     parent = state.calls.serving.get(parent_id)
     if parent is None:
         detail = (
-            f"{call_headers.PARENT_CALL}: call {parent_id!r:.40} is not in progress"
-            " here; a backend server's own calls go through the node of its host"
+            f"{call_headers.PARENT_CALL}: call {parent_id!r:.40} is not in progress at"
+            " this node; nested calls must go to the node on the backend server's host"
         )
         return _count_outcome(state, Refused(Reason.CANCELLED, detail=detail))
     return await _enter_child(state, parent, req)
 
 
 async def refuse(state: NodeState, req: CallRequest, refused: Refused) -> Outcome:
-    """Refuse a root request without contradicting an earlier copy of it.
+    """Refuse a root request, unless an earlier copy of it may have run.
 
-    An earlier copy of a request with a ticket may run through another node. So the
-    ticket is burnt at its home first, unless the caller says that this is the first
-    copy.
+    An earlier copy of a request with a ticket may have entered at another node. So the
+    ticket is first settled at its home, which burns an unused ticket so that no copy
+    can start later. A request marked as the first copy needs no such check.
 
     Parameters
     ----------
@@ -122,12 +126,13 @@
     req : CallRequest
         The request.
     refused : Refused
-        Why this node does not take it.
+        The refusal, with its reason.
 
     Returns
     -------
     Answered, Refused or Unknown
-        `Refused` only if no copy has run or ever will.
+        `Refused` only if no copy has run or can run later; otherwise the outcome of
+        the earlier copy, as far as known.
     """
     return _count_outcome(state, await _confirm_refusal(state, req, refused))
 
@@ -152,7 +157,7 @@
 
 
 def _count_outcome(state: NodeState, outcome: Outcome) -> Outcome:
-    """Count the outcome of a request that did not become a call here."""
+    """Count the outcome of a request for which no call was started."""
     call_notes.count_outcome(state.telemetry, outcome)
     return outcome
 
@@ -162,7 +167,7 @@
 
 
 def _is_repeat(req: CallRequest) -> bool:
-    """Return whether the caller says that an earlier copy may have run."""
+    """Return whether the caller marked the request as a repeat that may have run."""
     return req.control_headers.get(call_headers.REPEAT) == _REPEATED_COPY
 
 
@@ -184,8 +189,8 @@
 async def _run_with_share(
     state: NodeState, parent: CallInProgress, head: CallHead, body: bytes
 ) -> Outcome:
-    """Send a share of the parent's allowance along; its home may be elsewhere."""
-    # Half of what is left, so that other calls beside this one have some too.
+    """Run a non-idempotent child with a share of its parent's allowance."""
+    # Half of what is left, so that concurrent children can get extra attempts too.
     share = parent.allowance.lend_up_to((parent.allowance.remaining + 1) // 2)
     outcome: Outcome | None = None
     try:
@@ -223,7 +228,9 @@
     if remaining <= 0:
         call_notes.note_expired(state.telemetry, head)
         return Refused(Reason.DEADLINE, allowance=head.allowance)
-    outcome: Outcome = Unknown(Reason.DEADLINE, detail="the deadline passed")
+    outcome: Outcome = Unknown(
+        Reason.DEADLINE, detail="the deadline expired before an outcome arrived"
+    )
     with trio.move_on_after(remaining / MS_PER_S):
         if head.idempotent:
             outcome = await dispatch(state, head, body)
@@ -234,7 +241,7 @@
 
 def _root_head(state: NodeState, req: CallRequest) -> CallHead | Refused:
     if state.leaving:
-        detail = f"node {state.node} is leaving; ask another node"
+        detail = f"node {state.node} is shutting down; send the request to another node"
         return Refused(
             Reason.LEAVING, retry_after=_LEAVING_RETRY_AFTER_MS, detail=detail
         )
@@ -266,7 +273,7 @@
         method=req.method,
         target=req.target,
         headers=req.headers,
-        # Callers may make their own requests less important, never more.
+        # Callers may lower the priority of their requests, but not raise it.
         priority=min(max(int(priority), route.priority), LEAST_PRIORITY),
         cohort=cohort_of(root_id),
         deadline=state.clock.now() + min(timeout, route.timeout),
@@ -286,7 +293,7 @@
         return _no_route_refusal(state, req)
     if parent_head.depth >= MAX_DEPTH:
         detail = (
-            f"the chain is {parent_head.depth} deep, at most {MAX_DEPTH} is possible"
+            f"call depth {parent_head.depth} has reached the maximum of {MAX_DEPTH}"
         )
         return Refused(Reason.TOO_DEEP, detail=detail)
     given = req.control_headers.get(call_headers.CHILD_KEY, "")
@@ -313,7 +320,7 @@
         return default
     if text.isascii() and text.isdigit() and len(text) <= _MAX_DIGITS:
         return int(text)
-    detail = f"{name}: expected a whole number from 0, got {text!r:.40}"
+    detail = f"{name}: expected a non-negative integer, got {text!r:.40}"
     return Refused(Reason.BAD_REQUEST, detail=detail)
 
 
@@ -333,12 +340,12 @@
 
 def _no_route_refusal(state: NodeState, req: CallRequest) -> Refused:
     if not state.book.standing.complete:
-        detail = f"node {state.node} has just started and has no settings yet"
+        detail = f"node {state.node} has started but not loaded all settings yet"
         return Refused(
             Reason.STARTING, retry_after=_STARTING_RETRY_AFTER_MS, detail=detail
         )
     detail = (
-        f"{req.method} {req.target!r:.80}: no team settings name service"
-        f" {req.service!s:.80}; expected a path /TEAM/SERVICE/... of a known service"
+        f"{req.method} {req.target!r:.80}: no route; service {req.service!s:.80} is in"
+        " no team's settings; expected a path /TEAM/SERVICE/... of a known service"
     )
     return Refused(Reason.NO_ROUTE, detail=detail)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home.py
@@ -1,8 +1,9 @@
-"""A non-idempotent call at the home of its root's ticket: at most one run.
+"""Runs a non-idempotent call at most once, at the home of its root request's ticket.
 
-A run is a task of the home and not of the caller: a caller who leaves neither stops
-it nor makes it start again. It ends by the deadline of the copy that started it, and
-its outcome is kept.
+The home is the node that issued the ticket or took its window over; it keeps the
+record of each run. A run is a task of the home and not of the caller, so a caller that
+disconnects neither stops it nor causes a second one. It ends by the deadline of the
+copy that started it, and its outcome is kept for later copies.
 """
 
 from __future__ import annotations
@@ -44,13 +45,13 @@
 
 Run: TypeAlias = "Callable[[], Awaitable[Outcome]]"
 
-_TICKET_HINT = "get tickets with POST /tickets and send one as Idempotency-Key"
+_TICKET_HINT = "obtain a ticket with POST /tickets and send it as Idempotency-Key"
 _RUN_GRACE_MS = 500.0
 _LOG = logging.getLogger(__name__)
 
 
 async def run(state: NodeState) -> None:
-    """Be the parent of all runs, until cancelled.
+    """Host the tasks of all runs in one nursery, until cancelled.
 
     Parameters
     ----------
@@ -65,37 +66,39 @@
 
 
 async def at_home(state: NodeState, head: CallHead, body: bytes, run: Run) -> Outcome:
-    """Run a non-idempotent call, unless it was started before.
+    """Run a non-idempotent call, or return the outcome of its earlier run.
 
     Parameters
     ----------
     state : NodeState
-        The node that answers for the ticket.
+        The home of the ticket.
     head : CallHead
-        The call, with the ticket of its root.
+        Head of the call, with the ticket of its root request.
     body : bytes
-        The whole body.
+        The complete request body.
     run : callable
-        Dispatches the call; called at most once for each (ticket, child key), but
-        again after it returned `Refused`.
+        Dispatches the call. Called at most once for each (ticket, child key), unless
+        it returns `Refused`: then a later copy may run.
 
     Returns
     -------
     Answered, Refused or Unknown
-        The outcome of this run or of the earlier one, within the deadline.
+        The outcome of this run or of an earlier one, at the deadline of the call at the
+        latest.
     """
     ticket = head.ticket
     if ticket is None:
         return refuse_without_ticket(head)
     window = state.tickets.window_of(ticket)
     if window is None:
-        detail = f"{state.node} does not know the life that issued {ticket}"
+        detail = f"{state.node} has no records of the node incarnation of {ticket}"
         return _forgotten(state, head, detail)
     runs = state.tickets.runs
     if runs is None:
         runs = await _wait_for_nursery(state)
     claim = window.claim(ticket.sequence, head.child_key, fingerprint(head, body))
-    # From the claim to the start of the task nothing waits, so no run gets lost.
+    # There is no checkpoint between the claim and the start of the task, so a
+    # cancellation cannot leave a claim without a run.
     if isinstance(claim, Start):
         record = claim.record
         runs.start_soon(_run_once, state, window, record, head, run)
@@ -112,8 +115,8 @@
 
 
 def refuse_without_ticket(head: CallHead) -> Refused:
-    """Return the refusal of a non-idempotent call whose root has no ticket."""
-    detail = f"{head.method} of route {head.route} may run once only: {_TICKET_HINT}"
+    """Return the refusal of a non-idempotent call whose root request has no ticket."""
+    detail = f"{head.method} of route {head.route} is not idempotent: {_TICKET_HINT}"
     return Refused(Reason.NEEDS_TICKET, allowance=head.allowance, detail=detail)
 
 
@@ -132,15 +135,20 @@
         state.telemetry.violation(invariant, detail, head.call_id, head.root_id)
     record_event = state.telemetry.ring.record
     record_event(EventKind.TICKET_STARTED, head.call_id, head.root_id)
-    outcome: Outcome = Unknown(Reason.DEADLINE, detail="the deadline passed")
+    outcome: Outcome = Unknown(
+        Reason.DEADLINE, detail="the deadline of the run expired"
+    )
     try:
-        # The dispatch keeps the deadline and says more truly what came of it.
+        # Dispatch enforces the deadline itself and returns a more precise outcome; this
+        # scope only ends a run that exceeds it.
         with _scope_until(state, head.deadline + _RUN_GRACE_MS):
             outcome = await run()
     except Exception:
-        # A fault of the program: what it had done by then is not known.
-        _LOG.exception("run of %s failed", record.key)
-        outcome = Unknown(Reason.CONNECTION_LOST, detail="the home failed")
+        # A defect of the program; whether the call was run by then is unknown.
+        _LOG.exception("run %s failed with an unexpected error", record.key)
+        outcome = Unknown(
+            Reason.CONNECTION_LOST, detail="internal error at the home of the ticket"
+        )
     if isinstance(outcome, Refused):
         started.take_back(head.ticket, head.child_key)
     window.finish(record, outcome)
@@ -161,10 +169,10 @@
         case Burnt():
             if head.ticket is not None:
                 check_not_started(state, head.ticket)
-            detail = f"ticket {head.ticket} was asked about before it came"
+            detail = f"ticket {head.ticket} was settled before its request arrived"
             return Refused(Reason.TICKET_BURNT, 0.0, head.allowance, detail=detail)
         case OtherRequest():
-            detail = f"{head.ticket} {head.child_key} was used for another request"
+            detail = f"{head.ticket} {head.child_key} was used for a different request"
             return Unknown(Reason.BAD_REQUEST, head.allowance, detail=detail)
         case Forgotten(detail):
             return _forgotten(state, head, detail)
@@ -174,14 +182,14 @@
 async def _forward_to_successor(
     state: NodeState, window: TicketWindow, head: CallHead, body: bytes
 ) -> Outcome:
-    """Send a call that was not started here after the window it belongs to."""
+    """Wait for the hand-over of a window, and forward the call to the successor."""
     with _scope_until(state, head.deadline):
         await window.hand_over_ended.wait()
     if window.handed_to is not None:
         msg = HomeCallMessage(head_to_wire(head, state.clock.now()), body)
         reply = await state.peers.ask(window.handed_to.address, msg)
         return outcome_of_relay(head, reply, first_copy=False)
-    detail = f"{state.node} is leaving, and its tickets found no other home"
+    detail = f"{state.node} is shutting down, and no node took over its tickets"
     if window.maybe_handed:
         return Unknown(Reason.LEAVING, head.allowance, detail=detail)
     return Refused(Reason.LEAVING, allowance=head.allowance, detail=detail)
@@ -190,21 +198,22 @@
 async def await_run_end(
     state: NodeState, record: RunRecord, deadline: Milliseconds
 ) -> Outcome:
-    """Wait for the end of a run, until a deadline.
+    """Wait for the end of a run until a deadline, and return its outcome.
 
     Parameters
     ----------
     state : NodeState
-        The home.
+        The home of the ticket.
     record : RunRecord
-        The run.
+        Record of the run.
     deadline : float
         Milliseconds on the clock of this process.
 
     Returns
     -------
     Answered, Refused or Unknown
-        With no allowance if the run goes on: it may still spend it.
+        ``Unknown(TICKET_IN_PROGRESS)`` if the run is still in progress, with no
+        allowance, since the run may still spend it.
     """
     if record.last is None:
         if record.ended is None:
@@ -212,29 +221,31 @@
         with _scope_until(state, deadline):
             await record.ended.wait()
     if record.last is None:
-        detail = "it runs; the same ticket gets its outcome"
+        detail = "the request is in progress; repeat it with the same ticket"
         return Unknown(Reason.TICKET_IN_PROGRESS, detail=detail)
     return record.last
 
 
 def check_not_started(state: NodeState, ticket: Ticket) -> None:
-    """Report a ticket that is about to be called not run, though it was started.
+    """Report a violation if a ticket to be reported as not run was started here.
 
     Parameters
     ----------
     state : NodeState
-        The home.
+        The home of the ticket.
     ticket : Ticket
-        The root's ticket.
+        Ticket of the root request.
     """
     if (ticket, "") in state.tickets.started.runs:
-        detail = f"ticket {ticket} is called burnt, but its request was started here"
+        detail = (
+            f"ticket {ticket} is reported as burnt, but its request was started here"
+        )
         invariant = Invariant.FALSE_NOT_RUN
         state.telemetry.violation(invariant, detail, root_id=str(ticket))
 
 
 def as_repeated(outcome: Outcome, allowance: int) -> Outcome:
-    """Return the outcome for a copy that spent nothing of its own allowance."""
+    """Return an earlier run's outcome for a copy, with the copy's unspent allowance."""
     if isinstance(outcome, Answered):
         return replace(outcome, allowance=allowance, load=None, repeated=True)
     return replace(outcome, allowance=allowance, load=None)
@@ -248,6 +259,6 @@
 
 
 def _scope_until(state: NodeState, deadline: Milliseconds) -> trio.CancelScope:
-    """Return a scope that is cancelled at a deadline; quicker than `move_on_after`."""
+    """Return a scope that is cancelled at a deadline; cheaper than `move_on_after`."""
     seconds = max(deadline - state.clock.now(), 0.0) / MS_PER_S
     return trio.CancelScope(deadline=trio.current_time() + seconds)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home_lookup.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home_lookup.py
@@ -1,4 +1,4 @@
-"""Where the home of a ticket is now, and what it means if it is not reached."""
+"""Finds the home of a ticket, and maps replies of a home to outcomes."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalHome:
-    """The node itself answers for the ticket."""
+    """The node itself is the home of the ticket."""
 
 
 @dataclass(frozen=True, slots=True)
 class RemoteHome:
-    """Another node answers for the ticket.
+    """Another node is the home of the ticket.
 
     Parameters
     ----------
     address : str
-        ``IP:PORT`` for other nodes.
+        ``IP:PORT`` of its peer listener.
     """
 
     address: str
@@ -35,36 +35,38 @@
 
 @dataclass(frozen=True, slots=True)
 class UnknownHome:
-    """No node is known to answer for the ticket.
+    """No known node is the home of the ticket.
 
     Parameters
     ----------
     reason : Reason
-        `Reason.HOME_GONE` or `Reason.TICKET_FORGOTTEN`.
+        `Reason.HOME_GONE`, or `Reason.TICKET_FORGOTTEN` if this node would be the home
+        but has no records of the ticket.
     """
 
     reason: Reason
 
 
-# Successors of successors that are looked up, within the time members are kept.
+# Hand-overs followed from one successor to the next. Nodes that have left stay in the
+# member list for a limited time, so longer chains are not expected.
 _MAX_HAND_OVERS = 8
 Home: TypeAlias = LocalHome | RemoteHome | UnknownHome
 
 
 def find_home(state: NodeState, ticket: Ticket) -> Home:
-    """Return who answers for a ticket.
+    """Return the home of a ticket.
 
     Parameters
     ----------
     state : NodeState
-        The node that asks.
+        The node that looks it up.
     ticket : Ticket
         The ticket.
 
     Returns
     -------
     LocalHome, RemoteHome or UnknownHome
-        Where to send a call that bears the ticket.
+        Where to send a call with the ticket.
     """
     if state.tickets.window_of(ticket) is not None:
         return LocalHome()
@@ -76,7 +78,7 @@
     for _ in range(_MAX_HAND_OVERS):
         if member is None or member.state is not MemberState.LEFT:
             break
-        # It handed over what it had taken over, too.
+        # A node that leaves hands over its adopted windows together with its own.
         member = view.get(member.successor)
     if member is None:
         return UnknownHome(Reason.HOME_GONE)
@@ -91,17 +93,17 @@
     Parameters
     ----------
     head : CallHead
-        The call.
+        Head of the call.
     reply : object
         What `Peers.ask` returned.
     first_copy : bool
-        Whether the caller says that it sent no copy of the request before.
+        Whether the caller marked the request as its first copy.
 
     Returns
     -------
     Answered, Refused or Unknown
-        If the home was not reached, `Refused` only for a first copy: an earlier one
-        may have run.
+        If the call could not be sent, `Refused` for a first copy and `Unknown`
+        otherwise, since an earlier copy may have run.
     """
     if isinstance(reply, LinkLost) and not reply.sent:
         if first_copy:
@@ -112,8 +114,12 @@
 
 
 def outcome_of_reply(reply: object) -> Outcome:
-    """Return the outcome of what was sent to a home: the reply, or `Unknown`."""
+    """Return the reply of a home if it is an outcome, or else `Unknown`."""
     if isinstance(reply, (Answered, Refused, Unknown)):
         return reply
-    detail = reply.detail if isinstance(reply, LinkLost) else f"got {reply!r:.60}"
+    detail = (
+        reply.detail
+        if isinstance(reply, LinkLost)
+        else f"unexpected reply: {reply!r:.60}"
+    )
     return Unknown(Reason.CONNECTION_LOST, detail=detail)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home_tickets.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home_tickets.py
@@ -1,4 +1,4 @@
-"""Handing out tickets, and telling what became of one."""
+"""Issues tickets, and settles the outcome of the request sent with a ticket."""
 
 from __future__ import annotations
 
@@ -37,12 +37,12 @@
     from fuchsiagap_node.core.state import NodeState
 
 _LEAVING_RETRY_AFTER_MS = 100.0
-# On top of the wait for a run: the way to the home and back.
+# Allowed for the round trip to the home, on top of the wait for a run.
 _ROUND_TRIP_MS = 500.0
 
 
 def register(state: NodeState) -> None:
-    """Take questions of other nodes about tickets whose home is here."""
+    """Register the handler of settlement requests from other nodes."""
 
     async def on_settle(_peer: str, msg: SettleMessage) -> Outcome:
         return await _settle_here(state, msg.ticket, msg.remaining)
@@ -51,20 +51,20 @@
 
 
 def issue_batch(state: NodeState, count: int) -> tuple[Ticket, ...] | NotIssued:
-    """Hand out tickets whose home is this node.
+    """Issue tickets whose home is this node.
 
     Parameters
     ----------
     state : NodeState
         The node.
     count : int
-        How many are wanted; fewer may be given.
+        Number of tickets requested; fewer may be issued.
 
     Returns
     -------
     tuple of Ticket or NotIssued
-        The tickets, or when to come back. A node that leaves, or that others do not
-        know yet, gives none.
+        The tickets, or the time after which to retry. A node issues none while it is
+        leaving or before other nodes know it.
     """
     window = state.tickets.own
     if state.leaving or window.frozen or not state.tickets.issuing:
@@ -72,7 +72,8 @@
     issued = window.issue(count)
     if not isinstance(issued, NotIssued):
         state.telemetry.metrics.count(Counter.TICKETS_ISSUED, amount=len(issued))
-        # Under the first ticket's root, since batches are as many as calls.
+        # Recorded under the first ticket only, since there may be as many batches as
+        # calls.
         state.telemetry.ring.record(
             EventKind.TICKETS_ISSUED, root_id=str(issued[0]), count=len(issued)
         )
@@ -80,11 +81,11 @@
 
 
 def issue_private_ticket(state: NodeState) -> Ticket | None:
-    """Return a ticket for an idempotent root request that came without one.
+    """Issue a ticket for an idempotent root request that was sent without one.
 
-    It makes this node the home of the chain's non-idempotent calls, so that they run
-    once although nodes may repeat what is above them. It says nothing about another
-    request of the caller.
+    It makes this node the home of the request's non-idempotent nested calls, so that
+    they run at most once although nodes may repeat their parent calls. It does not
+    detect a repetition of the root request by the caller.
 
     Parameters
     ----------
@@ -94,7 +95,8 @@
     Returns
     -------
     Ticket or None
-        None if no ticket can be issued now; then those calls are refused.
+        None if no ticket can be issued now; the non-idempotent nested calls are then
+        refused.
     """
     issued = state.tickets.own.issue(1)
     return None if isinstance(issued, NotIssued) else issued[0]
@@ -103,12 +105,12 @@
 async def settle(
     state: NodeState, ticket: Ticket, method: str, path: str, remaining: Milliseconds
 ) -> Outcome:
-    """Tell what became of a request; one that was not started never will be.
+    """Return the outcome of a request, and burn its ticket if it was not started.
 
     Parameters
     ----------
     state : NodeState
-        The node that was asked.
+        The node that received the settlement request.
     ticket : Ticket
         The request's ticket.
     method, path : str
@@ -125,7 +127,7 @@
     name, _, target = rest.partition("/")
     route = state.book.route_for(ServiceName(team, name), method, f"/{target}")
     if route is None or route.idempotent:
-        detail = "only the ticket of a request that may run once can be settled"
+        detail = "only tickets of requests of non-idempotent routes can be settled"
         return Unknown(Reason.BAD_REQUEST, detail=detail)
     return await settle_ticket(state, ticket, remaining)
 
@@ -133,12 +135,14 @@
 async def settle_ticket(
     state: NodeState, ticket: Ticket, remaining: Milliseconds
 ) -> Outcome:
-    """Tell what became of the non-idempotent request that a ticket was sent with.
+    """Return the outcome of the non-idempotent request that was sent with a ticket.
+
+    An unused ticket is burnt: a request with it is refused from now on.
 
     Parameters
     ----------
     state : NodeState
-        The node that was asked.
+        The node that received the settlement request.
     ticket : Ticket
         The request's ticket.
     remaining : float
@@ -153,7 +157,9 @@
     if isinstance(home, LocalHome):
         return await _settle_here(state, ticket, remaining)
     if isinstance(home, UnknownHome):
-        return Unknown(home.reason, detail=f"nobody answers for ticket {ticket}")
+        return Unknown(
+            home.reason, detail=f"no known node is the home of ticket {ticket}"
+        )
     return await _settle_at(state, home.address, ticket, remaining)
 
 
@@ -173,13 +179,13 @@
 ) -> Outcome:
     window = state.tickets.window_of(ticket)
     if window is None:
-        detail = f"{state.node} does not know the life that issued {ticket}"
+        detail = f"{state.node} has no records of the node incarnation of {ticket}"
         return Unknown(Reason.TICKET_FORGOTTEN, detail=detail)
     deadline = state.clock.now() + remaining
     match window.settle(ticket.sequence):
         case InProgress(record):
             outcome = as_repeated(await await_run_end(state, record, deadline), 0)
-            # Since it was asked about, a run that was refused is not started again.
+            # The ticket is settled now, so a refused run must not be started again.
             return (
                 _burnt_refusal(state, ticket)
                 if isinstance(outcome, Refused)
@@ -191,11 +197,11 @@
             return _burnt_refusal(state, ticket)
         case Forgotten(detail):
             return Unknown(Reason.TICKET_FORGOTTEN, detail=detail)
-    # The window is handed over, or was.
+    # The hand-over of the window has begun or is complete.
     with trio.move_on_after(remaining / MS_PER_S):
         await window.hand_over_ended.wait()
     if window.handed_to is None:
-        return Unknown(Reason.LEAVING, detail=f"{state.node} is leaving")
+        return Unknown(Reason.LEAVING, detail=f"{state.node} is shutting down")
     return await _settle_at(state, window.handed_to.address, ticket, remaining)
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/relay.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/relay.py
@@ -1,4 +1,4 @@
-"""The way of a non-idempotent call to the home of its ticket."""
+"""Relays a non-idempotent call to the home of its ticket."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def register(state: NodeState) -> None:
-    """Take non-idempotent calls whose ticket this node has issued or taken over."""
+    """Register the handler of non-idempotent calls whose home is this node."""
 
     async def on_call(_peer: str, msg: HomeCallMessage) -> Outcome:
         head = head_from_wire(msg.head, state.clock.now())
@@ -42,30 +42,30 @@
 async def relay_to_home(
     state: NodeState, head: CallHead, body: bytes, first_copy: bool = False
 ) -> Outcome:
-    """Have the home of a call's ticket run it at most once.
+    """Send a call to the home of its ticket, which runs it at most once.
 
     Parameters
     ----------
     state : NodeState
         The node.
     head : CallHead
-        A non-idempotent call.
+        Head of a non-idempotent call.
     body : bytes
-        The whole body.
+        The complete request body.
     first_copy : bool, default=False
-        Whether the caller says that it sent no copy of the request before.
+        Whether the caller marked the request as its first copy.
 
     Returns
     -------
     Answered, Refused or Unknown
-        `Refused` only if the home has surely not started it.
+        `Refused` only if the home certainly did not run the call.
     """
     ticket = head.ticket
     if ticket is None:
         return refuse_without_ticket(head)
     home = find_home(state, ticket)
     if isinstance(home, UnknownHome):
-        detail = f"no node is known that answers for ticket {ticket}"
+        detail = f"no known node is the home of ticket {ticket}"
         return Unknown(home.reason, head.allowance, detail=detail)
     if isinstance(home, LocalHome):
         return await at_home(state, head, body, _make_run(state, head, body))
@@ -86,7 +86,7 @@
         if not _is_rerun(state, head):
             return await dispatch(state, head, body)
         if head.allowance < 1:
-            detail = "the request's allowance of extra attempts is used up"
+            detail = "the request has no extra attempts left"
             return Refused(Reason.OVERLOAD, detail=detail)
         return await dispatch(state, head.with_allowance(head.allowance - 1), body)
 
@@ -94,9 +94,10 @@
 
 
 def _is_rerun(state: NodeState, head: CallHead) -> bool:
-    """Return whether a child was refused before and comes again by a repeat above.
+    """Return whether a refused child is run again because its parent is repeated.
 
-    A successor was not told which children were refused, so there a repeat counts.
+    A hand-over does not include which children were refused, so the successor takes
+    each child of a repeated parent as run again.
     """
     tickets, ticket = state.tickets, head.ticket
     if ticket is None or not head.child_key:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/serve.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/serve.py
@@ -1,4 +1,4 @@
-"""A call at the node beside the chosen backend server: admission, run, answer."""
+"""Runs calls on the backend server of this node, subject to admission control."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def register(state: NodeState) -> None:
-    """Take calls that other nodes send for the backend server of this one."""
+    """Register the handler of calls from other nodes for the local backend server."""
 
     async def on_call(_peer: str, msg: CallMessage) -> Outcome:
         return await serve(state, head_from_wire(msg.head, state.clock.now()), msg.body)
@@ -42,14 +42,14 @@
     state : NodeState
         The node.
     head : CallHead
-        The call; its deadline is on this process's clock.
+        Head of the call; its deadline is on the clock of this process.
     body : bytes
-        The whole request body.
+        The complete request body.
 
     Returns
     -------
     Answered, Refused or Unknown
-        With the load of this instance and the unused allowance.
+        The outcome, with the load report of this instance and the unused allowance.
     """
     received = state.clock.now()
     backend_time = _BackendTime()
@@ -64,7 +64,13 @@
 
 @dataclass(slots=True)
 class _BackendTime:
-    """Milliseconds that the backend server had a call."""
+    """Time that a call spent at the backend server.
+
+    Parameters
+    ----------
+    elapsed : float
+        Milliseconds; 0 until the call has ended there.
+    """
 
     elapsed: Milliseconds = 0.0
 
@@ -83,7 +89,7 @@
                 call_notes.note_expired(state.telemetry, head)
             return _with_load(state, head, admission, head.allowance)
         if state.leaving:
-            # It waited while the drain began; the backend server gets no new work.
+            # A drain began while the call was queued; it must not start any more.
             refusal = _leaving_refusal(state, head)
             state.gate.leave(admission, refusal)
             return _with_load(state, head, refusal, head.allowance)
@@ -93,7 +99,7 @@
         state.calls.n_queued -= 1
         state.calls.notify_if_idle()
     call_notes.note_admitted(state.telemetry, head, admission.waited)
-    outcome: Outcome = Unknown(Reason.CANCELLED, detail="the caller left")
+    outcome: Outcome = Unknown(Reason.CANCELLED, detail="the caller cancelled the call")
     try:
         outcome = await _run(state, call, body, backend_time)
     finally:
@@ -105,7 +111,7 @@
 
 def _refusal(state: NodeState, head: CallHead) -> Refused | None:
     if head.service != state.cfg.service:
-        detail = f"{head.service} is not served here, {state.cfg.service} is"
+        detail = f"this node does not serve {head.service}, but {state.cfg.service}"
         return Refused(Reason.NO_BACKEND, allowance=head.allowance, detail=detail)
     if state.leaving:
         return _leaving_refusal(state, head)
@@ -113,7 +119,7 @@
         call_notes.note_expired(state.telemetry, head)
         return Refused(Reason.DEADLINE, allowance=head.allowance)
     if head.call_id in state.calls.serving:
-        detail = f"call {head.call_id} runs here already"
+        detail = f"call {head.call_id} is already in progress here"
         return Refused(Reason.BAD_REQUEST, allowance=head.allowance, detail=detail)
     return None
 
@@ -123,7 +129,7 @@
         Reason.LEAVING,
         retry_after=_LEAVING_RETRY_AFTER_MS,
         allowance=head.allowance,
-        detail=f"node {state.node} is leaving",
+        detail=f"node {state.node} is shutting down",
     )
 
 
@@ -135,15 +141,17 @@
     remaining = head.deadline - started
     if remaining <= 0:
         call_notes.note_expired(state.telemetry, head)
-        return Refused(Reason.DEADLINE, detail="the deadline passed in the queue")
+        return Refused(Reason.DEADLINE, detail="the deadline expired in the queue")
     if state.leaving:
         state.telemetry.violation(
             Invariant.WORK_AFTER_LEAVING,
-            f"{state.node} is leaving, and its backend server gets a new call",
+            f"{state.node} is leaving but sends a new call to its backend server",
             head.call_id,
             head.root_id,
         )
-    outcome: Outcome = Unknown(Reason.DEADLINE, detail="the deadline passed")
+    outcome: Outcome = Unknown(
+        Reason.DEADLINE, detail="the deadline expired at the backend server"
+    )
     try:
         with trio.move_on_after(remaining / MS_PER_S):
             outcome = await state.backend.send(head, body, remaining)
@@ -161,6 +169,6 @@
 def _with_load(
     state: NodeState, head: CallHead, outcome: Outcome, allowance: int
 ) -> Outcome:
-    # One copy for both changes: copies are dear here.
+    # One copy of the outcome for both changes, as copies are expensive on this path.
     load = state.gate.report(head.route)
     return replace(outcome, allowance=allowance, load=load)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/__init__.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/__init__.py
@@ -1,1 +1,1 @@
-"""The graceful shutdown of a node, and what it hands to another one."""
+"""Graceful shutdown of a node, and the hand-over of its tickets."""
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/handover.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/handover.py
@@ -1,12 +1,12 @@
-"""Handing the tickets of a stopping node to another one.
+"""Hands the ticket windows of a stopping node over to a successor.
 
-The window is frozen first, for good: nothing starts here any more, whatever becomes
-of the hand-over. The successor answers for it only once it has the whole window. So
-at no time may two nodes start a run.
+Each window is frozen first, permanently: no run of its tickets starts here any more,
+even if the hand-over fails. The successor becomes the home only once it has received
+the whole window. So two nodes can never both start runs of the same window.
 
 See Also
 --------
-fuchsiagap_node.core.drain.takeover : The successor's side.
+fuchsiagap_node.core.drain.takeover : The receiving end.
 """
 
 from __future__ import annotations
@@ -47,14 +47,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HandOverCompleted:
-    """The successor answers for every window.
+    """The successor is now the home of all windows.
 
     Parameters
     ----------
     successor : str
-        Name of the node that has the tickets of the node's own life.
+        Name of the node that took over the tickets issued by this node.
     n_windows : int
-        Windows handed over: the node's own, and those it had taken over.
+        Number of windows handed over: the node's own and those adopted earlier.
     """
 
     successor: str
@@ -63,15 +63,15 @@
 
 @dataclass(frozen=True, slots=True)
 class HandOverFailed:
-    """At least one window was not handed over, as far as is known.
+    """At least one window was not, or not certainly, handed over.
 
     Parameters
     ----------
     detail : str
-        What happened, for people.
+        Description of the failure for logs.
     may_try_another : bool
-        Whether another peer may be tried. It may not once the last message of a
-        window was sent: that peer may answer for it.
+        Whether another peer may be tried. False once the last message of a window may
+        have arrived, since that peer may now be its home.
     """
 
     detail: str
@@ -81,19 +81,19 @@
 async def hand_over(
     state: NodeState, peer_address: str
 ) -> HandOverCompleted | HandOverFailed:
-    """Hand all windows of this node to another one, and wait for its runs to end.
+    """Hand all windows over to a peer, and send the outcomes of runs in progress.
 
     Parameters
     ----------
     state : NodeState
-        The stopping node. Its windows stay frozen, also after a failure.
+        The stopping node. Its windows stay frozen even after a failure.
     peer_address : str
         ``IP:PORT`` of the successor.
 
     Returns
     -------
     HandOverCompleted or HandOverFailed
-        After a failure another peer may be tried if the result says so.
+        The result, once the runs in progress of all windows handed over have ended.
     """
     windows = state.tickets.windows()
     for window in windows:
@@ -105,7 +105,9 @@
         window.hand_over_ended.set()
     await _send_late_outcomes(state, windows)
     if failed is not None:
-        _LOG.warning("tickets were not handed to %s: %s", peer_address, failed.detail)
+        _LOG.warning(
+            "hand-over of tickets to %s failed: %s", peer_address, failed.detail
+        )
         return failed
     successor = state.tickets.own.handed_to
     assert successor is not None
@@ -120,7 +122,7 @@
     if window.handed_to is not None:
         return None
     if window.maybe_handed:
-        detail = "the last message of an earlier hand-over was sent"
+        detail = "an earlier hand-over of the window may have succeeded"
         return HandOverFailed(detail, may_try_another=False)
     reply = await _request(
         state, address, HandOverBegin(window.life, window.low, window.next)
@@ -197,13 +199,14 @@
 async def _send_late_outcomes(
     state: NodeState, windows: tuple[TicketWindow, ...]
 ) -> None:
-    """Send what becomes of the runs that were in progress at the hand-over."""
+    """Send the outcomes of the runs that were in progress at the hand-over."""
     async with trio.open_nursery() as nursery:
         for window in windows:
             if window.handed_to is None:
                 continue
             for record in window.frozen_runs:
-                # A run of another node that goes on is told by `takeover`.
+                # The outcome of an adopted run still in progress at its node arrives
+                # at `takeover.take_late_outcome`, which forwards it.
                 if record.last is not None or not record.elsewhere:
                     nursery.start_soon(_send_late_outcome, state, window, record)
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/stopping.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/stopping.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: no new work, every request in progress ends, then stop."""
+"""Graceful shutdown: refuse new work, finish requests in progress, then leave."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def register(state: NodeState) -> None:
-    """Take the word of other nodes that they are leaving.
+    """Register the handler of notices that another node is leaving.
 
     Parameters
     ----------
@@ -37,27 +37,28 @@
 
 
 async def drain(state: NodeState, reason: str) -> None:
-    """Leave without cutting a request; returns when the process may exit.
+    """Leave without interrupting a request; return when the process may exit.
 
     Parameters
     ----------
     state : NodeState
-        The node, whose other tasks go on running meanwhile.
+        The node; its other tasks must keep running meanwhile.
     reason : str
-        Why, for people.
+        Reason of the shutdown, for the event ring.
 
     Notes
     -----
-    New work is refused from the first step on, truthfully, so it does not matter
-    whom the notices do not reach. Nothing here waits for the platform. There is no
-    time limit but the deadlines of the calls.
+    New work is refused from the first step on and callers may retry it elsewhere, so
+    notices that do not arrive do no harm. No step waits for the platform. The only
+    time limits on requests in progress are their own deadlines.
     """
     membership = state.membership
     state.telemetry.ring.record(EventKind.DRAIN_STARTED, reason=reason)
     state.leaving = True
     state.gate.refuse_waiting(Reason.LEAVING)
     await _announce(state, membership.describe_self(MemberState.LEAVING))
-    # Before the requests end, since holders of tickets could start new ones for long.
+    # Before the wait for requests in progress, since callers with unused tickets could
+    # otherwise keep starting new runs.
     successor = await _hand_over_tickets(state)
     if successor:
         incarnation = state.tickets.own.incarnation
@@ -65,13 +66,13 @@
     await _wait_until_idle(state)
     await _announce(state, membership.describe_self(MemberState.LEFT))
     await sleep_ms(membership.cfg.drain_linger)
-    # What came meanwhile, such as a question about a ticket, has its answer too.
+    # Requests that arrived since, such as settlements of tickets, are answered too.
     await _wait_until_idle(state)
     state.telemetry.ring.record(EventKind.DRAIN_FINISHED, successor=successor)
 
 
 async def _announce(state: NodeState, update: Member) -> None:
-    """Tell every linked node and the neighbours; wait only for what gets through."""
+    """Send an update to linked nodes, and to other neighbours within a time limit."""
     msg = Leaving(update)
     await state.peers.notify_linked(msg)
     linked = set(state.peers.linked())
@@ -83,19 +84,19 @@
 
 
 async def _hand_over_tickets(state: NodeState) -> str:
-    """Hand the tickets to another node, and wait for the runs; return its name."""
+    """Hand the tickets over; return the successor's name, or an empty string."""
     for member in _successors(state):
         result = await hand_over(state, member.address)
         if isinstance(result, HandOverCompleted):
             return member.node
-        _LOG.info("%s did not take the tickets: %s", member.node, result.detail)
+        _LOG.info("hand-over of tickets to %s failed: %s", member.node, result.detail)
         if not result.may_try_another:
             break
     return ""
 
 
 def _successors(state: NodeState) -> list[Member]:
-    """Return nodes that may take the tickets, those of the own data centre first."""
+    """Return candidate successors, those of the same data centre first."""
     membership = state.membership
     self_member = membership.self_member
     candidates = [
@@ -111,7 +112,7 @@
 
 
 async def _wait_until_idle(state: NodeState) -> None:
-    """Wait until no request is in progress here and no run of a ticket goes on."""
+    """Wait until no request and no local run of a ticket is in progress."""
     while state.calls.has_calls():
         state.calls.idle = trio.Event()
         await state.calls.idle.wait()
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/takeover.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/takeover.py
@@ -1,8 +1,11 @@
-"""Taking over the tickets of a node that stops.
+"""Takes over the ticket windows of a stopping node.
+
+`begin`, `add_part`, `end` and `take_late_outcome` each handle one message of a
+hand-over, and return an error text or an empty string on success.
 
 See Also
 --------
-fuchsiagap_node.core.drain.handover : The stopping node's side.
+fuchsiagap_node.core.drain.handover : The sending end.
 """
 
 from __future__ import annotations
@@ -32,7 +35,7 @@
 
 
 def register(state: NodeState) -> None:
-    """Take the messages of a hand-over."""
+    """Register the handlers of the messages of a hand-over."""
 
     async def on_begin(_peer: str, msg: HandOverBegin) -> HandOverReply:
         return _reply(state, begin(state, msg))
@@ -57,12 +60,12 @@
 
 
 def begin(state: NodeState, msg: HandOverBegin) -> str:
-    """Make room for a window; return why not, or an empty text."""
+    """Begin to receive a window, in place of the oldest if too many are incoming."""
     tickets = state.tickets
     if state.leaving:
-        return f"{state.node} is leaving too"
+        return f"{state.node} is shutting down too"
     if tickets.answered_for(msg.life):
-        return f"{state.node} answered for {msg.life} before"
+        return f"{state.node} was the home of {msg.life} before"
     tickets.incoming.pop(msg.life, None)
     while len(tickets.incoming) >= _MAX_INCOMING_WINDOWS:
         del tickets.incoming[next(iter(tickets.incoming))]
@@ -76,17 +79,17 @@
 
 
 def add_part(state: NodeState, msg: HandOverPart) -> str:
-    """Add a part to a window; a fault ends the hand-over."""
+    """Add a part to an incoming window; an error aborts the hand-over."""
     incoming = state.tickets.incoming.get(msg.life)
     if incoming is None:
-        return f"no hand-over of {msg.life} is under way"
+        return f"no hand-over of {msg.life} is in progress"
     if msg.number != incoming.n_parts:
         del state.tickets.incoming[msg.life]
         return f"expected part {incoming.n_parts}, got {msg.number}"
     for page in msg.pages:
         if not put_page(incoming.window, page):
             del state.tickets.incoming[msg.life]
-            return f"page {page.number} has {len(page.bits)} bytes"
+            return f"page {page.number} has an invalid size: {len(page.bits)} bytes"
     for record in msg.records:
         put_record(incoming.window, record)
     incoming.n_parts += 1
@@ -94,29 +97,29 @@
 
 
 def end(state: NodeState, peer: str, msg: HandOverEnd) -> str:
-    """Answer for the window from now on, if it is whole."""
+    """Become the home of the window's tickets, if all parts were received."""
     incoming = state.tickets.incoming.pop(msg.life, None)
     if incoming is None:
-        return f"no hand-over of {msg.life} is under way"
+        return f"no hand-over of {msg.life} is in progress"
     if incoming.n_parts != msg.n_parts:
-        return f"{incoming.n_parts} parts came, {msg.n_parts} were sent"
+        return f"received {incoming.n_parts} of {msg.n_parts} parts"
     if state.leaving or not state.tickets.adopt(incoming.window):
-        return f"{state.node} cannot answer for {msg.life} now"
+        return f"{state.node} cannot take over {msg.life} now"
     ring = state.telemetry.ring
     ring.record(EventKind.TICKETS_TAKEN_OVER, of=msg.life.node, peer=peer)
-    _LOG.info("answering for the tickets of %s", msg.life)
+    _LOG.info("took over the tickets of %s", msg.life)
     return ""
 
 
 async def take_late_outcome(state: NodeState, msg: LateOutcome) -> str:
-    """Note what became of a run that was in progress at the hand-over."""
+    """Record the outcome of a run that was in progress at the hand-over."""
     window = state.tickets.adopted.get(msg.life)
     if window is None:
-        return f"{state.node} does not answer for {msg.life}"
+        return f"{state.node} is not the home of {msg.life}"
     record = window.records.get(run_key(msg.sequence, msg.child_key))
     if record is None or not record.elsewhere or record.outcome is not None:
-        # A run of this node is another one, started since.
-        return "no run of another node is in progress"
+        # The record, if any, is of a run that this node started later.
+        return "no handed-over run with this key is in progress"
     record.burn |= msg.burn
     window.finish(record, msg.outcome)
     if window.handed_to is not None:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/dispatch_fleet.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/dispatch_fleet.py
@@ -1,4 +1,4 @@
-"""A few nodes with real dispatch and serve over fake links, gates and backends."""
+"""Nodes with the real `dispatch` and `serve` over fake links, gates and backends."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class FakeGate:
-    """Admits every call, unless `refuse` says otherwise."""
+    """Admits every call for which the fleet's `refuse` returns None."""
 
     def __init__(self, fleet, node):
         self.fleet, self.node = fleet, node
@@ -51,7 +51,7 @@
 
 
 class FakeBackend:
-    """Counts each attempt it is given, and runs the fleet's program."""
+    """Records each attempt it receives, and runs the fleet's `program`."""
 
     def __init__(self, fleet, node):
         self.fleet, self.node = fleet, node
@@ -62,10 +62,11 @@
 
 
 class Fleet:
-    """Nodes by name, and what goes wrong between them.
+    """Nodes by name, with injected failures.
 
-    Set `refuse`, `lose` and `program` to bring failures about: `lose` returns
-    "before" or "after" for a message that does not arrive, or whose reply does not.
+    Tests set `refuse`, which returns the reason of a refusal or None; `lose`, which
+    returns "before" for a message to be lost and "after" for a lost reply; and
+    `program`, which backend servers run.
     """
 
     def __init__(self, services, n_instances=3, seed=0, retries=AMPLE_RETRIES):
@@ -129,7 +130,7 @@
         return LinkLost(sent=True) if lost == "after" else outcome
 
     async def call(self, head, entry=None):
-        """Dispatch a root call at its entry node."""
+        """Dispatch a root call at an entry node, by default the first."""
         state = self.states[entry or next(iter(self.states))]
         return await dispatch(state, head, b"")
 
@@ -139,7 +140,7 @@
 
 
 async def call_child(state, head, service, **changes):
-    """Make a call of a backend server's own, as the entry does for it."""
+    """Make a nested call of a backend server, as `entry` does."""
     child = replace(
         head,
         call_id=f"{head.call_id}>{service}-{state.rng.getrandbits(32):x}",
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/test_attempts_bound.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/test_attempts_bound.py
@@ -1,4 +1,4 @@
-"""Attempts of one request stay within the calls of its tree plus the allowance."""
+"""The attempts of a request do not exceed the calls of its tree plus its allowance."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def fan_out(n_children, service="results", at="certs"):
-    """Return a program that calls so many children side by side."""
+    """Return a program that makes `n_children` concurrent nested calls."""
 
     async def program(state, head):
         if head.service.name != at:
@@ -36,7 +36,7 @@
 
 
 async def chain(state, head):
-    """Call the next service twice, side by side, down to the last."""
+    """Call the next service of `SERVICES` twice concurrently, down to the last."""
     at = SERVICES.index(head.service.name)
     if at + 1 == len(SERVICES):
         return Answered(200, (), b"")
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/test_dispatch.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch: who gets an attempt, what is retried, what is told."""
+"""Dispatch: choice of the instance, retries and the outcome returned."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
             fleet.load = a_load(level_priority=2, level_cohort=0)
             await fleet.call(a_head(), "results-0")
             levels = fleet.states["results-0"].levels
-            # The first that would be refused passes, to bring a fresh report back.
+            # The first call that would be refused is sent as a probe, to get a new report.
             priorities = (5, 5, 1)
             return [levels.refusal(a_head(priority=p)) for p in priorities]
 
@@ -83,7 +83,7 @@
             load = a_load(level_priority=2, level_cohort=0)
             levels = fleet.states["results-0"].levels
             levels.learn(a_head().service, "certs/read", "certs-0", load)
-            # One call a while passes as a probe; this was the one.
+            # One call per interval is sent as a probe; this is the one.
             self.assertIsNone(levels.refusal(a_head(priority=5)))
 
         outcome = self.dispatch(a_head(priority=5), report_level)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/test_home.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/test_home.py
@@ -1,4 +1,4 @@
-"""A non-idempotent call runs at most once, whatever its copies and its home do."""
+"""A non-idempotent call runs at most once, under repetition and failures of nodes."""
 
 from __future__ import annotations
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/test_home_tickets.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/test_home_tickets.py
@@ -1,4 +1,4 @@
-"""Asking for the state of a ticket makes sure that "not run" stays true."""
+"""Settlement of tickets: a request reported as not run never runs later."""
 
 from __future__ import annotations
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/test_serve_telemetry.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/test_serve_telemetry.py
@@ -1,4 +1,4 @@
-"""What the node beside a backend server notes of a call."""
+"""Events and metrics of calls at the node that serves them."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
         self.fleet = None
 
     def serve(self, prepare, head=None, give_up_s=60.0):
-        """Serve one call, and keep the node's state."""
+        """Serve one call, cancelled after `give_up_s`; return its outcome."""
 
         async def run():
             self.fleet = Fleet(["certs"], n_instances=1)
@@ -125,7 +125,7 @@
 
 
 class _LeavingAfterCheck(CallTable):
-    """The node begins to leave after the last look at `leaving`."""
+    """Makes the node leave between the last check of `leaving` and the run."""
 
     def __init__(self, state):
         super().__init__()
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/ticket_case.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/ticket_case.py
@@ -1,4 +1,4 @@
-"""A test over a few nodes that share tickets, under the virtual clock."""
+"""Base class of tests with several ticket nodes under the virtual clock."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class TicketCase(TestCase):
-    """Nodes ``a``, ``b`` and ``c``; a run takes 100 ms unless the test says so."""
+    """Starts nodes ``a``, ``b`` and ``c``; a run takes 100 ms by default."""
 
     cfg = TicketSettings()
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/drain/test_handover.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/drain/test_handover.py
@@ -1,4 +1,4 @@
-"""At a planned stop the tickets go on at another node; half of them never do."""
+"""Hand-over of tickets at a planned stop: complete, or without any effect."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     async def stop(
         self, name: str, successor: str
     ) -> HandOverCompleted | HandOverFailed:
-        """Stop a node as a drain does."""
+        """Hand the tickets over and stop the node, as a drain does."""
         state = self.node(name)
         state.leaving = True
         result = await hand_over(state, f"{successor}:1")
@@ -130,7 +130,7 @@
         self.run_scenario(scenario, runner)
 
     def test_a_late_refusal_does_not_undo_a_run_of_the_successor(self) -> None:
-        """Found by the randomised run with seed 208."""
+        """The outcome arrives when the successor has started a run of its own."""
 
         async def runner(head: CallHead, _body: bytes) -> Outcome:
             await trio.sleep(0.1)
@@ -163,7 +163,7 @@
         self.run_scenario(scenario, runner)
 
     def test_a_run_forgotten_during_the_hand_over_is_handed_over(self) -> None:
-        """Found by the randomised run with seed 521."""
+        """The record is dropped after the pages that would mark the ticket were sent."""
 
         async def runner(head: CallHead, _body: bytes) -> Outcome:
             self.backends.ran(head)
@@ -292,7 +292,7 @@
             outcome = await self.at("b", ticket)
             self.assertEqual(Reason.TICKET_FORGOTTEN, outcome.reason)
             end = HandOverEnd(ticket.life, n_parts=3)
-            self.assertIn("0 parts came, 3", takeover.end(new, "a", end))
+            self.assertIn("received 0 of 3 parts", takeover.end(new, "a", end))
             self.assertIsInstance(await self.at("b", ticket), Unknown)
             self.assertIsInstance(await hand_over(old, "b:1"), HandOverCompleted)
             self.assertEqual(FIRST_RUN_BODY, (await self.at("b", ticket)).body)
@@ -300,7 +300,7 @@
         self.run_scenario(scenario)
 
     async def at(self, name: str, ticket: Any) -> Outcome:
-        """Send a copy to a node as if it were the home."""
+        """Send a copy of the request to a node as if it were the home."""
         head = self.head(ticket)
         state = self.node(name)
         return await at_home(state, head, b"", self.net.run_of(head, b""))
@@ -337,7 +337,7 @@
         async def scenario(net: TicketNet) -> None:
             self.node("b").leaving = True
             result = await hand_over(self.node("a"), "b:1")
-            self.assertEqual(HandOverFailed("b is leaving too", True), result)
+            self.assertEqual(HandOverFailed("b is shutting down too", True), result)
 
         self.run_scenario(scenario)
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/drain/test_stopping.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/drain/test_stopping.py
@@ -22,7 +22,7 @@
 
 
 class Load:
-    """An open loop of callers' requests, and what became of each."""
+    """An open-loop load of requests that keeps their outcomes."""
 
     def __init__(self, fleet, per_s):
         self.fleet = fleet
@@ -74,9 +74,9 @@
             self.assertGreater(len(load.outcomes), 150)
             others = [o for o in load.outcomes if not isinstance(o, Answered)]
             self.assertEqual([], others)
-            # Callers met nodes that were leaving, and true refusals only.
+            # Some requests reached leaving nodes, which refused them before any run.
             self.assertGreater(fleet.refusals[Reason.LEAVING], 0)
-            # A run that was refused below and had no effect may be made again.
+            # A run that a nested refusal ended without effect may be repeated.
             self.assertEqual([], double_runs(fleet.runs()))
 
         run_fleet(test)
@@ -152,7 +152,7 @@
             ended = fleet.request_drain("certs-0")
             left = MemberState.LEFT
             await fleet.until(lambda: node.membership.self_member.state is left)
-            # A question about a ticket, which another node takes long to answer.
+            # Stands for a ticket settlement that another node is slow to answer.
             node.calls.n_responding += 1
             await trio.sleep(2.0)
             self.assertFalse(ended.is_set())
