--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/dispatch.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/dispatch.py
@@ -107,10 +107,10 @@
     if repeat and not allowance.take():
         return _no_allowance_refusal(head)
     state.budget.record_call(head.service)
-    outcome, maybe_executed = await _run_attempts(
+    outcome, earlier_may_have_run = await _run_attempts(
         state, head, body, instance, allowance, repeat
     )
-    if maybe_executed and isinstance(outcome, Refused):
+    if earlier_may_have_run and isinstance(outcome, Refused):
         # The last attempt did not run, but an earlier one may have.
         return Unknown(outcome.reason, load=outcome.load, detail=outcome.detail)
     return outcome
@@ -127,33 +127,35 @@
     """Return the last attempt's outcome, and whether an earlier one may have run."""
     tried: frozenset[str] = frozenset()
     n_sent = n_retries = 0
-    maybe_executed = False
+    earlier_may_have_run = False
     while True:
         attempt = attempt_head(head, n_sent, repeat)
         outcome = await send_attempt(state, attempt, body, instance, allowance)
         n_sent += 1
         tried |= {instance.node}
         if not _may_retry(head, outcome):
-            return outcome, maybe_executed
+            return outcome, earlier_may_have_run
         wait = backoff(state.budget.cfg, n_retries, state.rng)
         if not _has_time(state, head, wait):
             return _record_denial(
                 state, attempt, outcome, RetryDenial.DEADLINE
-            ), maybe_executed
+            ), earlier_may_have_run
         if wait > 0.0:
             await sleep_ms(wait)
         next_instance = state.router.choose(head.service, tried)
         if next_instance is None:
             return _record_denial(
                 state, attempt, outcome, RetryDenial.NO_INSTANCE
-            ), maybe_executed
+            ), earlier_may_have_run
         if not _was_not_sent(outcome):
             denial = _charge_retry(state, head, allowance)
             if denial is not None:
-                return _record_denial(state, attempt, outcome, denial), maybe_executed
+                return _record_denial(
+                    state, attempt, outcome, denial
+                ), earlier_may_have_run
             n_retries += 1
             repeat = repeat or may_have_run(outcome)
-        maybe_executed = maybe_executed or isinstance(outcome, Unknown)
+        earlier_may_have_run = earlier_may_have_run or isinstance(outcome, Unknown)
         _record_retry(state, attempt, outcome, next_instance)
         instance = next_instance
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/handover.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/handover.py
@@ -124,19 +124,19 @@
     if window.maybe_handed:
         detail = "an earlier hand-over of the window may have succeeded"
         return HandOverFailed(detail, may_try_another=False)
-    reply = await _request(
+    reply = await _send_message(
         state, address, HandOverBegin(window.life, window.low, window.next)
     )
     n_parts = 0
     for part in _parts(window, state.tickets.cfg.chunk_bytes):
         if not isinstance(reply, HandOverReply) or not reply.accepted:
             break
-        reply = await _request(state, address, part)
+        reply = await _send_message(state, address, part)
         n_parts += 1
     if isinstance(reply, HandOverReply) and reply.accepted:
         window.maybe_handed = True
-        reply = await _request(state, address, HandOverEnd(window.life, n_parts))
-        if _was_not_accepted(reply):
+        reply = await _send_message(state, address, HandOverEnd(window.life, n_parts))
+        if _is_certainly_rejected(reply):
             window.maybe_handed = False
     if not isinstance(reply, HandOverReply) or not reply.accepted:
         return HandOverFailed(reply.detail, may_try_another=not window.maybe_handed)
@@ -144,7 +144,7 @@
     return None
 
 
-async def _request(
+async def _send_message(
     state: NodeState, address: str, msg: object
 ) -> HandOverReply | LinkLost | Refused:
     reply: object = LinkLost(sent=True, detail=f"no reply from {address}")
@@ -155,7 +155,7 @@
     return LinkLost(sent=True, detail=f"{address} replied {reply!r:.60}")
 
 
-def _was_not_accepted(reply: HandOverReply | LinkLost | Refused) -> bool:
+def _is_certainly_rejected(reply: HandOverReply | LinkLost | Refused) -> bool:
     if isinstance(reply, HandOverReply):
         return not reply.accepted
     return isinstance(reply, Refused) or not reply.sent
@@ -224,4 +224,4 @@
     msg = LateOutcome(
         window.life, copy.sequence, copy.child_key, record.burn, record.last
     )
-    await _request(state, window.handed_to.address, msg)
+    await _send_message(state, window.handed_to.address, msg)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/test_dispatch.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/test_dispatch.py
@@ -69,7 +69,7 @@
             fleet.load = a_load(level_priority=2, level_cohort=0)
             await fleet.call(a_head(), "results-0")
             levels = fleet.states["results-0"].levels
-            # The first call that would be refused is sent as a probe, to get a new report.
+            # The first call that would be refused is sent as a probe of the level.
             priorities = (5, 5, 1)
             return [levels.refusal(a_head(priority=p)) for p in priorities]
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/drain/test_handover.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/drain/test_handover.py
@@ -163,7 +163,7 @@
         self.run_scenario(scenario, runner)
 
     def test_a_run_forgotten_during_the_hand_over_is_handed_over(self) -> None:
-        """The record is dropped after the pages that would mark the ticket were sent."""
+        """The record is dropped after the pages that mark used tickets were sent."""
 
         async def runner(head: CallHead, _body: bytes) -> Outcome:
             self.backends.ran(head)
