--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/drain/test_stopping.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/drain/test_stopping.py
@@ -1,3 +1,5 @@
+"""Graceful shutdown of the nodes of a fleet, under load and with failed links."""
+
 import random
 
 import trio
