--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/attempts.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/attempts.py
@@ -38,9 +38,9 @@
 
 
 def may_have_run(outcome: Outcome) -> bool:
-    """Return whether another attempt may repeat work of the attempt with this outcome.
+    """Return whether an attempt that ended with this outcome may have done work.
 
-    A backend server may make calls of its own before it refuses a call.
+    A backend server may make nested calls before it refuses a call.
     """
     if isinstance(outcome, Refused):
         return outcome.reason is Reason.BACKEND_REFUSED
@@ -50,6 +50,8 @@
 def attempt_head(head: CallHead, n_sent: int, repeat: bool) -> CallHead:
     """Return the head of an attempt, with a call id unique to the attempt.
 
+    The first attempt keeps the id of the call; each later one adds its number to it.
+
     Parameters
     ----------
     head : CallHead
@@ -171,7 +173,7 @@
     if outcome.allowance > share:
         state.telemetry.violation(
             Invariant.ATTEMPTS_ABOVE_BOUND,
-            f"{outcome.allowance} extra attempts returned of a share of {share}",
+            f"{outcome.allowance} extra attempts returned, but only {share} lent",
             head.call_id,
             head.root_id,
         )
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/calls.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/calls.py
@@ -35,7 +35,22 @@
     _ordinals: ChildOrdinals = field(default_factory=ChildOrdinals)
 
     def next_child_key(self, given: str, service: ServiceName, route: str) -> str:
-        """Return the key of the next child call; see `child_key`."""
+        """Return the key of the next child call; one without a given key is counted.
+
+        Parameters
+        ----------
+        given : str
+            Key chosen by the backend server; empty if there is none.
+        service : ServiceName
+            The called service.
+        route : str
+            The route of the called service.
+
+        Returns
+        -------
+        str
+            The key; see `child_key`.
+        """
         return child_key(self.head.child_key, given, service, route, self._ordinals)
 
 
@@ -45,10 +60,11 @@
 
     Parameters
     ----------
-    serving : dict
+    serving : dict of str to CallInProgress
         Calls in progress at the backend server, by call id.
     n_entered : int
-        Number of calls that entered at this node and have no outcome yet.
+        Number of calls from external callers and from the local backend server that
+        entered at this node and have no outcome yet.
     n_queued : int
         Number of calls that wait for admission to the backend server.
     n_responding : int
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/dispatch.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/dispatch.py
@@ -45,7 +45,7 @@
     DEADLINE = "deadline"
     NO_INSTANCE = "no-instance"
     ALLOWANCE = "allowance"
-    LEVEL = "level"
+    LEVEL = "level"  # outside the admission level reported by the service
     BUDGET = "budget"
 
 
@@ -98,7 +98,10 @@
 async def _dispatch_within_allowance(
     state: NodeState, head: CallHead, body: bytes, allowance: Allowance
 ) -> Outcome:
-    """Send the attempts of a call; a possible repeat takes one extra attempt first."""
+    """Send a call, and charge its retries to `allowance`.
+
+    A call that may repeat earlier work is charged one extra attempt in advance.
+    """
     instance = state.router.choose(head.service)
     if instance is None:
         return _no_instance_refusal(head)
@@ -161,7 +164,7 @@
 
 
 def _early_refusal(state: NodeState, head: CallHead) -> Refused | None:
-    """Refuse a call that would miss its deadline or be refused by its service."""
+    """Return a refusal if the call would miss its deadline or not be admitted."""
     if not _has_time(state, head, 0.0):
         call_notes.note_expired(state.telemetry, head)
         return Refused(
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/entry.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/entry.py
@@ -35,6 +35,7 @@
     from fuchsiagap_node.core.state import NodeState
 
 _ID_BITS = 64
+# Values of the header `call_headers.REPEAT`.
 _FIRST_COPY = "0"
 _REPEATED_COPY = "1"
 _MAX_ROOT_ID_LENGTH = 64
@@ -77,8 +78,8 @@
     """Run a request as a call at an instance of its service, and return its outcome.
 
     A request without a parent call is a root request; with one, it is a nested call of
-    the local backend server. Cancelling the task cancels the call at all nodes, but
-    for a run at the home of its ticket, which goes on.
+    the local backend server. Cancelling the task cancels the call at all nodes,
+    except a run at the home of its ticket, which continues.
 
     Parameters
     ----------
@@ -189,7 +190,10 @@
 async def _run_with_share(
     state: NodeState, parent: CallInProgress, head: CallHead, body: bytes
 ) -> Outcome:
-    """Run a non-idempotent child with a share of its parent's allowance."""
+    """Run a non-idempotent child with a share of its parent's allowance.
+
+    Its home may be another node, which cannot use the allowance kept here.
+    """
     # Half of what is left, so that concurrent children can get extra attempts too.
     share = parent.allowance.lend_up_to((parent.allowance.remaining + 1) // 2)
     outcome: Outcome | None = None
@@ -345,7 +349,7 @@
             Reason.STARTING, retry_after=_STARTING_RETRY_AFTER_MS, detail=detail
         )
     detail = (
-        f"{req.method} {req.target!r:.80}: no route; service {req.service!s:.80} is in"
-        " no team's settings; expected a path /TEAM/SERVICE/... of a known service"
+        f"{req.method} {req.target!r:.80}: no route; the team of {req.service!s:.80}"
+        " has no settings in force; expected a path /TEAM/SERVICE/... of a known team"
     )
     return Refused(Reason.NO_ROUTE, detail=detail)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home.py
@@ -43,6 +43,7 @@
     from fuchsiagap.core.tickets.window import TicketWindow
     from fuchsiagap_node.core.state import NodeState
 
+# Dispatches one call and returns its outcome.
 Run: TypeAlias = "Callable[[], Awaitable[Outcome]]"
 
 _TICKET_HINT = "obtain a ticket with POST /tickets and send it as Idempotency-Key"
@@ -83,15 +84,16 @@
     Returns
     -------
     Answered, Refused or Unknown
-        The outcome of this run or of an earlier one, at the deadline of the call at the
-        latest.
+        The outcome of this run or of an earlier one.
+        ``Unknown(TICKET_IN_PROGRESS)`` if the run has not ended by the deadline of the
+        call.
     """
     ticket = head.ticket
     if ticket is None:
         return refuse_without_ticket(head)
     window = state.tickets.window_of(ticket)
     if window is None:
-        detail = f"{state.node} has no records of the node incarnation of {ticket}"
+        detail = f"{state.node} has no records of the incarnation that issued {ticket}"
         return _forgotten(state, head, detail)
     runs = state.tickets.runs
     if runs is None:
@@ -191,6 +193,7 @@
         return outcome_of_relay(head, reply, first_copy=False)
     detail = f"{state.node} is shutting down, and no node took over its tickets"
     if window.maybe_handed:
+        # The successor may hold the window, and may have run the call.
         return Unknown(Reason.LEAVING, head.allowance, detail=detail)
     return Refused(Reason.LEAVING, allowance=head.allowance, detail=detail)
 
@@ -227,7 +230,9 @@
 
 
 def check_not_started(state: NodeState, ticket: Ticket) -> None:
-    """Report a violation if a ticket to be reported as not run was started here.
+    """Report a violation if the root request of a burnt ticket was started here.
+
+    Callers are told that the request of a burnt ticket was not run.
 
     Parameters
     ----------
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home_lookup.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home_lookup.py
@@ -47,8 +47,8 @@
     reason: Reason
 
 
-# Hand-overs followed from one successor to the next. Nodes that have left stay in the
-# member list for a limited time, so longer chains are not expected.
+# Maximum number of hand-overs followed from one successor to the next. Nodes that have
+# left stay in the member list for a limited time, so longer chains are not expected.
 _MAX_HAND_OVERS = 8
 Home: TypeAlias = LocalHome | RemoteHome | UnknownHome
 
@@ -95,7 +95,7 @@
     head : CallHead
         Head of the call.
     reply : object
-        What `Peers.ask` returned.
+        Result of `Peers.ask`.
     first_copy : bool
         Whether the caller marked the request as its first copy.
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home_tickets.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home_tickets.py
@@ -72,8 +72,8 @@
     issued = window.issue(count)
     if not isinstance(issued, NotIssued):
         state.telemetry.metrics.count(Counter.TICKETS_ISSUED, amount=len(issued))
-        # Recorded under the first ticket only, since there may be as many batches as
-        # calls.
+        # The root id puts the event into the buffer of call events. Batches may be as
+        # frequent as calls and would displace the events of the node itself.
         state.telemetry.ring.record(
             EventKind.TICKETS_ISSUED, root_id=str(issued[0]), count=len(issued)
         )
@@ -179,7 +179,7 @@
 ) -> Outcome:
     window = state.tickets.window_of(ticket)
     if window is None:
-        detail = f"{state.node} has no records of the node incarnation of {ticket}"
+        detail = f"{state.node} has no records of the incarnation that issued {ticket}"
         return Unknown(Reason.TICKET_FORGOTTEN, detail=detail)
     deadline = state.clock.now() + remaining
     match window.settle(ticket.sequence):
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/relay.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/relay.py
@@ -96,8 +96,8 @@
 def _is_rerun(state: NodeState, head: CallHead) -> bool:
     """Return whether a refused child is run again because its parent is repeated.
 
-    A hand-over does not include which children were refused, so the successor takes
-    each child of a repeated parent as run again.
+    A hand-over does not include which children were refused, so the successor treats
+    every child of a repeated parent as run again.
     """
     tickets, ticket = state.tickets, head.ticket
     if ticket is None or not head.child_key:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/handover.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/handover.py
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandOverFailed:
-    """At least one window was not, or not certainly, handed over.
+    """The hand-over of at least one window failed, or its result is unknown.
 
     Parameters
     ----------
@@ -93,7 +93,8 @@
     Returns
     -------
     HandOverCompleted or HandOverFailed
-        The result, once the runs in progress of all windows handed over have ended.
+        The result. It is returned when the runs in progress of the windows handed over
+        have ended and their outcomes have been sent.
     """
     windows = state.tickets.windows()
     for window in windows:
@@ -189,6 +190,7 @@
 
 
 def _estimate_size(record: RecordCopy) -> int:
+    # 100 bytes are assumed for the fixed fields.
     size = 100 + len(record.child_key)
     if isinstance(record.outcome, Answered):
         size += len(record.outcome.body)
@@ -205,8 +207,8 @@
             if window.handed_to is None:
                 continue
             for record in window.frozen_runs:
-                # The outcome of an adopted run still in progress at its node arrives
-                # at `takeover.take_late_outcome`, which forwards it.
+                # The outcome of an adopted run still in progress at the node that
+                # started it arrives at `takeover.take_late_outcome`, which forwards it.
                 if record.last is not None or not record.elsewhere:
                     nursery.start_soon(_send_late_outcome, state, window, record)
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/stopping.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/stopping.py
@@ -65,6 +65,7 @@
         await _announce(state, membership.describe_hand_over(successor, incarnation))
     await _wait_until_idle(state)
     await _announce(state, membership.describe_self(MemberState.LEFT))
+    # This node forwards calls with its tickets until others know the successor.
     await sleep_ms(membership.cfg.drain_linger)
     # Requests that arrived since, such as settlements of tickets, are answered too.
     await _wait_until_idle(state)
@@ -89,7 +90,7 @@
         result = await hand_over(state, member.address)
         if isinstance(result, HandOverCompleted):
             return member.node
-        _LOG.info("hand-over of tickets to %s failed: %s", member.node, result.detail)
+        _LOG.info("%s did not take over the tickets: %s", member.node, result.detail)
         if not result.may_try_another:
             break
     return ""
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/takeover.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/takeover.py
@@ -60,7 +60,7 @@
 
 
 def begin(state: NodeState, msg: HandOverBegin) -> str:
-    """Begin to receive a window, in place of the oldest if too many are incoming."""
+    """Begin to receive a window; drop the oldest incoming one if there are too many."""
     tickets = state.tickets
     if state.leaving:
         return f"{state.node} is shutting down too"
@@ -112,13 +112,16 @@
 
 
 async def take_late_outcome(state: NodeState, msg: LateOutcome) -> str:
-    """Record the outcome of a run that was in progress at the hand-over."""
+    """Record the outcome of a run that was in progress at the hand-over.
+
+    It is forwarded if this node has handed the window over in turn.
+    """
     window = state.tickets.adopted.get(msg.life)
     if window is None:
         return f"{state.node} is not the home of {msg.life}"
     record = window.records.get(run_key(msg.sequence, msg.child_key))
     if record is None or not record.elsewhere or record.outcome is not None:
-        # The record, if any, is of a run that this node started later.
+        # The record, if any, has its outcome or is of a run that this node started.
         return "no handed-over run with this key is in progress"
     record.burn |= msg.burn
     window.finish(record, msg.outcome)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/test_attempts_bound.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/test_attempts_bound.py
@@ -69,14 +69,14 @@
     def test_refused_child_is_retried_while_siblings_hold_shares(self):
         async def run(seed):
             fleet = Fleet(["certs", "results"], 4, seed)
-            unlucky = random.Random(seed).randrange(N_CHILDREN)
+            refused_index = random.Random(seed).randrange(N_CHILDREN)
             children = []
 
             def refuse(node, head):
                 if head.service.name == "certs":
                     return None
                 children.append(head.call_id)
-                return Reason.OVERLOAD if len(children) == unlucky + 1 else None
+                return Reason.OVERLOAD if len(children) == refused_index + 1 else None
 
             fleet.program = fan_out(N_CHILDREN)
             fleet.refuse = refuse
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/drain/test_handover.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/drain/test_handover.py
@@ -1,4 +1,4 @@
-"""Hand-over of tickets at a planned stop: complete, or without any effect."""
+"""Hand-over of tickets at a planned stop; a successor uses only complete windows."""
 
 from __future__ import annotations
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/drain/test_stopping.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/drain/test_stopping.py
@@ -78,7 +78,7 @@
             self.assertEqual([], others)
             # Some requests reached leaving nodes, which refused them before any run.
             self.assertGreater(fleet.refusals[Reason.LEAVING], 0)
-            # A run that a nested refusal ended without effect may be repeated.
+            # A run may be repeated if it had no effect, as a nested call was refused.
             self.assertEqual([], double_runs(fleet.runs()))
 
         run_fleet(test)
