--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/config.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/config.py
@@ -16,15 +16,15 @@
 from fuchsiagap.core.settings.keys import read_entries, unknown, with_defaults
 from fuchsiagap.core.telemetry.telemetry import TelemetrySettings
 from fuchsiagap.core.tickets.settings import TicketSettings
-from fuchsiagap_node.core.config_keys import NODE_TABLES
+from fuchsiagap_node.core.config_schema import NODE_SCHEMAS
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
     from fuchsiagap.core.clock import Milliseconds
 
-_ANY_HOST = ("0.0.0.0", "[::]")
-_FLAG = "--set"
+_WILDCARD_HOSTS = ("0.0.0.0", "[::]")
+_OVERRIDE_FLAG = "--set"
 
 
 @dataclass(frozen=True, slots=True)
@@ -248,27 +248,27 @@
     faults = list(ini.faults)
     sections = {section.name: section for section in ini.sections}
     for section in ini.sections:
-        if section.name not in NODE_TABLES:
-            expected = unknown(section.name, list(NODE_TABLES), "a section of these")
+        if section.name not in NODE_SCHEMAS:
+            expected = unknown(section.name, list(NODE_SCHEMAS), "a section of these")
             faults.append(Fault(path, section.name, "", "", expected, section.line))
-    found: dict[str, dict[str, Any]] = {}
-    for name, table in NODE_TABLES.items():
+    section_values: dict[str, dict[str, Any]] = {}
+    for name, schema in NODE_SCHEMAS.items():
         section = sections.get(name, Section(name, 0, ()))
-        given = read_entries(path, table, section, faults)
-        found[name] = with_defaults(path, table, section, given, faults)
-    faults.extend(_clashes(path, found))
+        parsed = read_entries(path, schema, section, faults)
+        section_values[name] = with_defaults(path, schema, section, parsed, faults)
+    faults.extend(_find_address_conflicts(path, section_values))
     if faults:
         return ConfigFaults(path, tuple(sorted(faults, key=lambda f: f.line)))
-    backend = BackendConfig(**found["backend"])
+    backend = BackendConfig(**section_values["backend"])
     return NodeConfig(
-        **found["node"],
-        listen=ListenConfig(**found["listen"]),
+        **section_values["node"],
+        listen=ListenConfig(**section_values["listen"]),
         backend=backend,
-        platform=PlatformConfig(**found["platform"]),
-        peers=PeersConfig(**found["peers"]),
-        limits=LimitsConfig(**found["limits"]),
-        admin=AdminConfig(**found["admin"]),
-        telemetry=TelemetrySettings(**found["telemetry"]),
+        platform=PlatformConfig(**section_values["platform"]),
+        peers=PeersConfig(**section_values["peers"]),
+        limits=LimitsConfig(**section_values["limits"]),
+        admin=AdminConfig(**section_values["admin"]),
+        telemetry=TelemetrySettings(**section_values["telemetry"]),
         gate=GateSettings(start_limit=backend.slots),
     )
 
@@ -296,35 +296,37 @@
     lines = {section.name: section.line for section in ini.sections}
     faults = list(ini.faults)
     for item in overrides:
-        place, equals, value = item.partition("=")
-        name, dot, key = place.strip().partition(".")
+        location, equals, value = item.partition("=")
+        name, dot, key = location.strip().partition(".")
         key = key.replace("_", " ").lower()
         if not (equals and dot and name and key):
-            faults.append(Fault(_FLAG, "", "", item, "SECTION.KEY=VALUE"))
+            faults.append(Fault(_OVERRIDE_FLAG, "", "", item, "SECTION.KEY=VALUE"))
             continue
-        entries.setdefault(name, {})[key] = Entry(key, value.strip(), 0, _FLAG)
+        entries.setdefault(name, {})[key] = Entry(key, value.strip(), 0, _OVERRIDE_FLAG)
     sections = tuple(
-        Section(name, lines.get(name, 0), tuple(held.values()))
-        for name, held in entries.items()
+        Section(name, lines.get(name, 0), tuple(section_entries.values()))
+        for name, section_entries in entries.items()
     )
     return IniText(sections, tuple(faults))
 
 
-def _clashes(path: str, found: dict[str, dict[str, Any]]) -> list[Fault]:
+def _find_address_conflicts(
+    path: str, section_values: dict[str, dict[str, Any]]
+) -> list[Fault]:
     """Find addresses that cannot work together."""
     faults = []
-    taken: dict[str, str] = {}
-    for key, address in found["listen"].items():
-        if key == "peers" and address.startswith(_ANY_HOST):
+    key_by_address: dict[str, str] = {}
+    for key, address in section_values["listen"].items():
+        if key == "peers" and address.startswith(_WILDCARD_HOSTS):
             expected = "an address that other nodes can dial"
             faults.append(Fault(path, "listen", key, address, expected))
-        if address in taken and not address.endswith(":0"):
-            expected = f"another address than that of {taken[address]!r}"
+        if address in key_by_address and not address.endswith(":0"):
+            expected = f"another address than that of {key_by_address[address]!r}"
             faults.append(Fault(path, "listen", key, address, expected))
-        taken.setdefault(address, key)
-    backend = found["backend"].get("address", "")
-    if backend in taken:
-        expected = f"another address than [listen] {taken[backend]}"
+        key_by_address.setdefault(address, key)
+    backend = section_values["backend"].get("address", "")
+    if backend in key_by_address:
+        expected = f"another address than [listen] {key_by_address[backend]}"
         faults.append(Fault(path, "backend", "address", backend, expected))
     if backend.endswith(":0"):
         expected = "a port from 1 to 65535"
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/config_keys.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/config_schema.py
@@ -5,7 +5,7 @@
 from fuchsiagap.core.settings import values
 from fuchsiagap.core.settings.keys import Key, SectionTable
 
-NODE_TABLE = SectionTable(
+NODE_SCHEMA = SectionTable(
     "[node]",
     "Who this node is.",
     (
@@ -26,7 +26,7 @@
     ),
 )
 
-LISTEN_TABLE = SectionTable(
+LISTEN_SCHEMA = SectionTable(
     "[listen]",
     "Where the node listens, by IP number. Port 0 takes a free one.",
     (
@@ -41,7 +41,7 @@
     ),
 )
 
-BACKEND_TABLE = SectionTable(
+BACKEND_SCHEMA = SectionTable(
     "[backend]",
     "The backend server on the same host.",
     (
@@ -63,7 +63,7 @@
     ),
 )
 
-PLATFORM_TABLE = SectionTable(
+PLATFORM_SCHEMA = SectionTable(
     "[platform]",
     "The platform's object API.",
     (
@@ -85,7 +85,7 @@
     ),
 )
 
-PEERS_TABLE = SectionTable(
+PEERS_SCHEMA = SectionTable(
     "[peers]",
     "Other nodes.",
     (
@@ -99,7 +99,7 @@
     ),
 )
 
-LIMITS_TABLE = SectionTable(
+LIMITS_SCHEMA = SectionTable(
     "[limits]",
     "What callers and other nodes may hold. Beyond a limit a call is refused, with"
     " the limit's name.",
@@ -143,7 +143,7 @@
     ),
 )
 
-ADMIN_TABLE = SectionTable(
+ADMIN_SCHEMA = SectionTable(
     "[admin]",
     "The operators' API.",
     (
@@ -157,7 +157,7 @@
     ),
 )
 
-TELEMETRY_TABLE = SectionTable(
+TELEMETRY_SCHEMA = SectionTable(
     "[telemetry]",
     "What the node keeps of its own past, in memory.",
     (
@@ -170,13 +170,13 @@
     ),
 )
 
-NODE_TABLES = {
-    "node": NODE_TABLE,
-    "listen": LISTEN_TABLE,
-    "backend": BACKEND_TABLE,
-    "platform": PLATFORM_TABLE,
-    "peers": PEERS_TABLE,
-    "limits": LIMITS_TABLE,
-    "admin": ADMIN_TABLE,
-    "telemetry": TELEMETRY_TABLE,
+NODE_SCHEMAS = {
+    "node": NODE_SCHEMA,
+    "listen": LISTEN_SCHEMA,
+    "backend": BACKEND_SCHEMA,
+    "platform": PLATFORM_SCHEMA,
+    "peers": PEERS_SCHEMA,
+    "limits": LIMITS_SCHEMA,
+    "admin": ADMIN_SCHEMA,
+    "telemetry": TELEMETRY_SCHEMA,
 }
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin.py
@@ -6,9 +6,9 @@
 
 from quart_trio import QuartTrio
 
-from fuchsiagap_node.core.edges.admin_node import add_node
-from fuchsiagap_node.core.edges.admin_reply import add_error_replies
-from fuchsiagap_node.core.edges.admin_settings import add_settings
+from fuchsiagap_node.core.edges.admin_node import add_node_routes
+from fuchsiagap_node.core.edges.admin_reply import add_error_handlers
+from fuchsiagap_node.core.edges.admin_settings import add_settings_routes
 
 if TYPE_CHECKING:
     from fuchsiagap_node.core.state import NodeState
@@ -28,7 +28,7 @@
         The application, to be served on the admin address.
     """
     app = QuartTrio(__name__)
-    add_error_replies(app)
-    add_settings(app, state)
-    add_node(app, state)
+    add_error_handlers(app)
+    add_settings_routes(app, state)
+    add_node_routes(app, state)
     return app
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_node.py
@@ -17,9 +17,9 @@
     bad_request,
     bearer_token,
     error_reply,
+    integer_query_argument,
     json_body,
     json_reply,
-    number_argument,
 )
 from fuchsiagap_node.core.edges.admin_status import node_status
 from fuchsiagap_node.core.edges.metrics_text import CONTENT_TYPE, metrics_text
@@ -34,7 +34,7 @@
 MAX_SETTLE_WAIT_MS = 30_000
 
 
-def add_node(app: QuartTrio, state: NodeState) -> None:
+def add_node_routes(app: QuartTrio, state: NodeState) -> None:
     """Add the paths that are about the node itself."""
 
     @app.get("/v1/status")
@@ -48,7 +48,7 @@
         if token is None:
             return error_reply(UNAUTHORIZED)
         if not is_operators(state, token):
-            return error_reply(_NOT_OPERATORS)
+            return error_reply(_NOT_OPERATORS_TOKEN)
         state.request_drain()
         return json_reply({"node": state.node, "draining": True}, 202)
 
@@ -58,24 +58,24 @@
 
     @app.get("/v1/events")
     async def events() -> Response:
-        return _events(state)
+        return _list_events(state)
 
     @app.get("/v1/tickets/<text>")
     async def ticket(text: str) -> Response:
         found = parse_ticket(text)
         if isinstance(found, MalformedTicket):
-            return error_reply(_bad_ticket(found))
-        return json_reply(_home(state, found))
+            return error_reply(_malformed_ticket_error(found))
+        return json_reply(_describe_home(state, found))
 
     @app.post("/v1/tickets/<text>/settle")
     async def settle_ticket(text: str) -> Response:
         found = parse_ticket(text)
         if isinstance(found, MalformedTicket):
-            return error_reply(_bad_ticket(found))
-        return await _settle(state, found)
+            return error_reply(_malformed_ticket_error(found))
+        return await _settle_at_home(state, found)
 
 
-_NOT_OPERATORS = AdminError(
+_NOT_OPERATORS_TOKEN = AdminError(
     403,
     "forbidden",
     "the token is not that of the operators",
@@ -84,9 +84,9 @@
 )
 
 
-def _events(state: NodeState) -> Response:
-    after = number_argument("after", 0)
-    limit = number_argument("limit", MAX_EVENTS_PER_PAGE)
+def _list_events(state: NodeState) -> Response:
+    after = integer_query_argument("after", 0)
+    limit = integer_query_argument("limit", MAX_EVENTS_PER_PAGE)
     if isinstance(after, AdminError):
         return error_reply(after)
     if isinstance(limit, AdminError):
@@ -105,9 +105,9 @@
     )
 
 
-def _home(state: NodeState, ticket: Ticket) -> dict[str, Any]:
+def _describe_home(state: NodeState, ticket: Ticket) -> dict[str, Any]:
     home = home_of(state, ticket)
-    shown: dict[str, Any] = {
+    description: dict[str, Any] = {
         "ticket": str(ticket),
         "node": ticket.node,
         "incarnation": ticket.incarnation,
@@ -116,13 +116,13 @@
         "address": state.cfg.peer_address,
     }
     if isinstance(home, HomeAt):
-        shown |= {"home": "elsewhere", "address": home.address}
+        description |= {"home": "elsewhere", "address": home.address}
     elif isinstance(home, HomeGone):
-        shown |= {"home": "gone", "address": "", "reason": home.reason.value}
-    return shown
+        description |= {"home": "gone", "address": "", "reason": home.reason.value}
+    return description
 
 
-async def _settle(state: NodeState, ticket: Ticket) -> Response:
+async def _settle_at_home(state: NodeState, ticket: Ticket) -> Response:
     token = bearer_token()
     if token is None:
         return error_reply(UNAUTHORIZED)
@@ -139,12 +139,12 @@
         return error_reply(bad_request(f"wait_ms={wait!r:.40}", expected))
     team = path.removeprefix("/").partition("/")[0]
     if holder_here(state, team, token) is None:
-        return error_reply(_not_of_team(team))
+        return error_reply(_wrong_team_error(team))
     outcome = await settle(state, ticket, method.upper(), path, float(wait))
-    return json_reply({"ticket": str(ticket), **_outcome(outcome)})
+    return json_reply({"ticket": str(ticket), **_describe_outcome(outcome)})
 
 
-def _outcome(outcome: Outcome) -> dict[str, Any]:
+def _describe_outcome(outcome: Outcome) -> dict[str, Any]:
     if isinstance(outcome, Answered):
         n_bytes = len(outcome.body)
         return {"outcome": "answered", "status": outcome.status, "body_bytes": n_bytes}
@@ -152,11 +152,11 @@
     return {"outcome": name, "reason": outcome.reason.value, "detail": outcome.detail}
 
 
-def _bad_ticket(fault: MalformedTicket) -> AdminError:
+def _malformed_ticket_error(fault: MalformedTicket) -> AdminError:
     return bad_request(str(fault), "NODE.INCARNATION.SEQUENCE")
 
 
-def _not_of_team(team: str) -> AdminError:
+def _wrong_team_error(team: str) -> AdminError:
     return AdminError(
         403,
         "forbidden",
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_reply.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_reply.py
@@ -35,7 +35,7 @@
         What would have been valid.
     next : str
         What to do now.
-    more : dict, optional
+    extra_fields : dict, optional
         Further fields, as of a conflict.
     """
 
@@ -44,7 +44,7 @@
     detail: str
     expected: str
     next: str
-    more: dict[str, Any] | None = None
+    extra_fields: dict[str, Any] | None = None
 
 
 UNAUTHORIZED = AdminError(
@@ -70,7 +70,7 @@
         "expected": error.expected,
         "next": error.next,
     }
-    reply = json_reply(fields | (error.more or {}), error.status)
+    reply = json_reply(fields | (error.extra_fields or {}), error.status)
     if error.status == 401:
         reply.headers["www-authenticate"] = "Bearer"
     return reply
@@ -102,37 +102,37 @@
     return AdminError(400, "bad-request", detail, expected, "mend the request")
 
 
-def not_found(detail: str, expected: str, what_next: str) -> AdminError:
+def not_found(detail: str, expected: str, next_step: str) -> AdminError:
     """Return the error of something that is not there."""
-    return AdminError(404, "not-found", detail, expected, what_next)
+    return AdminError(404, "not-found", detail, expected, next_step)
 
 
-def number_argument(name: str, default: int) -> int | AdminError:
+def integer_query_argument(name: str, default: int) -> int | AdminError:
     """Return a whole number from the query."""
-    given = request.args.get(name)
-    if given is None:
+    raw_value = request.args.get(name)
+    if raw_value is None:
         return default
-    if given.isascii() and given.isdigit() and len(given) <= 19:
-        return int(given)
-    return bad_request(f"{name}={given[:40]!r}", f"a whole number as {name}")
+    if raw_value.isascii() and raw_value.isdigit() and len(raw_value) <= 19:
+        return int(raw_value)
+    return bad_request(f"{name}={raw_value[:40]!r}", f"a whole number as {name}")
 
 
-def add_error_replies(app: QuartTrio) -> None:
+def add_error_handlers(app: QuartTrio) -> None:
     """Have the framework's own errors replied to in the same form."""
     app.config["MAX_CONTENT_LENGTH"] = MAX_BODY_BYTES
     app.config["BODY_TIMEOUT"] = BODY_TIMEOUT_S
 
     @app.errorhandler(HTTPException)
-    async def reply_http(exc: HTTPException) -> Response:
+    async def handle_http_exception(exc: HTTPException) -> Response:
         status = exc.code or 500
-        expected, what_next = _ADVICE.get(status, _OTHER_ADVICE)
+        expected, next_step = _ADVICE_BY_STATUS.get(status, _DEFAULT_ADVICE)
         detail = f"{request.method} {request.path}: {exc.description}"
         error = exc.name.lower().replace(" ", "-")
-        return error_reply(AdminError(status, error, detail, expected, what_next))
+        return error_reply(AdminError(status, error, detail, expected, next_step))
 
 
-_OTHER_ADVICE = ("a request as in docs/admin-api.md", "see docs/admin-api.md")
-_ADVICE = {
+_DEFAULT_ADVICE = ("a request as in docs/admin-api.md", "see docs/admin-api.md")
+_ADVICE_BY_STATUS = {
     404: ("a path as in docs/admin-api.md", "check the path and its version, /v1"),
     405: ("a method as in docs/admin-api.md", "check the method"),
     408: (f"the body within {BODY_TIMEOUT_S} s", "send the request again"),
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_settings.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_settings.py
@@ -47,10 +47,10 @@
     from fuchsiagap_node.core.state import NodeState
 
 
-_FIELDS = frozenset({"text", "expected_version", "change_id", "repeat"})
+_CHANGE_FIELDS = frozenset({"text", "expected_version", "change_id", "repeat"})
 
 
-def add_settings(app: QuartTrio, state: NodeState) -> None:
+def add_settings_routes(app: QuartTrio, state: NodeState) -> None:
     """Add the paths below ``/v1/settings``."""
 
     @app.get("/v1/settings")
@@ -59,45 +59,45 @@
 
     @app.get("/v1/settings/<team>")
     async def get(team: str) -> Response:
-        found = await _authorised_text(state, team)
-        if isinstance(found, AdminError):
-            return error_reply(found)
-        return json_reply(_described(found))
+        result = await _read_authorized_text(state, team)
+        if isinstance(result, AdminError):
+            return error_reply(result)
+        return json_reply(_describe_text(result))
 
     @app.get("/v1/settings/<team>/history")
     async def history(team: str) -> Response:
-        found = await _authorised_text(state, team)
-        if isinstance(found, AdminError):
-            return error_reply(found)
-        return json_reply(_history(found))
+        result = await _read_authorized_text(state, team)
+        if isinstance(result, AdminError):
+            return error_reply(result)
+        return json_reply(_describe_history(result))
 
     @app.post("/v1/settings/<team>/check")
     async def check(team: str) -> Response:
-        refused = _refusal(state, team)
+        refused = _authorization_error(state, team)
         if refused is not None:
             return error_reply(refused)
-        text = await _body_text()
+        text = await _read_body_text()
         if isinstance(text, AdminError):
             return error_reply(text)
-        return json_reply(_checked(team, text))
+        return json_reply(_check_text(team, text))
 
     @app.post("/v1/settings/<team>/diff")
     async def diff(team: str) -> Response:
-        found = await _authorised_text(state, team)
-        if isinstance(found, AdminError):
-            return error_reply(found)
-        text = await _body_text()
+        result = await _read_authorized_text(state, team)
+        if isinstance(result, AdminError):
+            return error_reply(result)
+        text = await _read_body_text()
         if isinstance(text, AdminError):
             return error_reply(text)
-        return json_reply(_compared(found, text))
+        return json_reply(_compare_text(result, text))
 
     @app.put("/v1/settings/<team>")
     async def put(team: str) -> Response:
-        return await _change(state, team)
+        return await _change_settings(state, team)
 
     @app.delete("/v1/settings/<team>")
     async def delete(team: str) -> Response:
-        return await _change(state, team)
+        return await _change_settings(state, team)
 
 
 def settings_overview(state: NodeState) -> dict[str, Any]:
@@ -112,7 +112,7 @@
         {
             "team": invalid.team,
             "version": invalid.version,
-            "faults": [_fault(fault) for fault in invalid.faults.faults],
+            "faults": [_describe_fault(fault) for fault in invalid.faults.faults],
         }
         for invalid in book.rejected()
     ]
@@ -127,17 +127,17 @@
     }
 
 
-def _refusal(state: NodeState, team: str) -> AdminError | None:
+def _authorization_error(state: NodeState, team: str) -> AdminError | None:
     """Refuse a request without a token of the team or of the operators."""
     token = bearer_token()
     if token is None:
         return UNAUTHORIZED
-    return None if holder_here(state, team, token) else _forbidden(team)
+    return None if holder_here(state, team, token) else _forbidden_error(team)
 
 
-async def _authorised_text(state: NodeState, team: str) -> TeamText | AdminError:
+async def _read_authorized_text(state: NodeState, team: str) -> TeamText | AdminError:
     """Return the text the query asks for: in force here, or on the platform."""
-    refused = _refusal(state, team)
+    refused = _authorization_error(state, team)
     if refused is not None:
         return refused
     source = request.args.get("source", "node")
@@ -145,7 +145,7 @@
     if source == "node":
         text = state.book.text(team)
     elif source == "platform":
-        text = await _platform_text(state, team)
+        text = await _read_platform_text(state, team)
     else:
         return bad_request(f"source={source[:40]!r}", "source=node or source=platform")
     if text is None:
@@ -154,14 +154,16 @@
     return text
 
 
-async def _platform_text(state: NodeState, team: str) -> TeamText | AdminError | None:
-    found = await state.platform.get(settings_path(team))
-    if isinstance(found, PlatformUnavailable):
-        return _unavailable(Unavailable(found.detail))
-    return None if isinstance(found, Missing) else watch.text_of(found)
+async def _read_platform_text(
+    state: NodeState, team: str
+) -> TeamText | AdminError | None:
+    result = await state.platform.get(settings_path(team))
+    if isinstance(result, PlatformUnavailable):
+        return _unavailable_error(Unavailable(result.detail))
+    return None if isinstance(result, Missing) else watch.text_of(result)
 
 
-async def _body_text() -> str | AdminError:
+async def _read_body_text() -> str | AdminError:
     body = await json_body()
     if isinstance(body, AdminError):
         return body
@@ -169,7 +171,7 @@
     return text if isinstance(text, str) else bad_request("no text", "text, a string")
 
 
-def _described(text: TeamText) -> dict[str, Any]:
+def _describe_text(text: TeamText) -> dict[str, Any]:
     return {
         "team": text.team,
         "version": text.version,
@@ -178,7 +180,7 @@
     }
 
 
-def _history(text: TeamText) -> dict[str, Any]:
+def _describe_history(text: TeamText) -> dict[str, Any]:
     changes = []
     version = text.version
     for record in read_stored(text.text).records:
@@ -187,31 +189,31 @@
     return {"team": text.team, "version": text.version, "changes": changes}
 
 
-def _checked(team: str, text: str) -> dict[str, Any]:
-    found = parse_team(team, text)
-    faults = found.faults if isinstance(found, SettingsFaults) else ()
-    return {"valid": not faults, "faults": [_fault(fault) for fault in faults]}
+def _check_text(team: str, text: str) -> dict[str, Any]:
+    result = parse_team(team, text)
+    faults = result.faults if isinstance(result, SettingsFaults) else ()
+    return {"valid": not faults, "faults": [_describe_fault(fault) for fault in faults]}
 
 
-def _compared(held: TeamText, text: str) -> dict[str, Any]:
-    old = str(_described(held)["text"])
-    there = f"{held.team} version {held.version}"
+def _compare_text(current: TeamText, text: str) -> dict[str, Any]:
+    old = str(_describe_text(current)["text"])
+    label = f"{current.team} version {current.version}"
     return {
-        "team": held.team,
-        "version": held.version,
-        "diff": difference(old, text, there, "text given"),
-        **_checked(held.team, text),
+        "team": current.team,
+        "version": current.version,
+        "diff": difference(old, text, label, "text given"),
+        **_check_text(current.team, text),
     }
 
 
-async def _change(state: NodeState, team: str) -> Response:
+async def _change_settings(state: NodeState, team: str) -> Response:
     token = bearer_token()
     if token is None:
         return error_reply(UNAUTHORIZED)
     body = await json_body()
     if isinstance(body, AdminError):
         return error_reply(body)
-    fault = _body_fault(body)
+    fault = _find_body_error(body)
     if fault is not None:
         return error_reply(fault)
     expected = body.get("expected_version")
@@ -230,10 +232,10 @@
     return _change_reply(result, change_id)
 
 
-def _body_fault(body: dict[str, Any]) -> AdminError | None:
-    unknown = body.keys() - _FIELDS
+def _find_body_error(body: dict[str, Any]) -> AdminError | None:
+    unknown = body.keys() - _CHANGE_FIELDS
     if unknown:
-        expected = f"{', '.join(sorted(_FIELDS))} only"
+        expected = f"{', '.join(sorted(_CHANGE_FIELDS))} only"
         return bad_request(f"unknown fields {sorted(unknown)}", expected)
     version = body.get("expected_version")
     if version is not None and (type(version) is not int or version < 0):
@@ -252,17 +254,17 @@
 
 
 def _change_reply(result: WriteResult, change_id: str) -> Response:
-    more = {"change_id": change_id}
+    extra_fields = {"change_id": change_id}
     if isinstance(result, Accepted):
-        return json_reply(asdict(result) | more)
+        return json_reply(asdict(result) | extra_fields)
     if isinstance(result, Conflict):
-        return error_reply(_conflict(result, more))
+        return error_reply(_conflict_error(result, extra_fields))
     if isinstance(result, Invalid):
-        return error_reply(_invalid(result, more))
+        return error_reply(_invalid_error(result, extra_fields))
     if isinstance(result, Forbidden):
-        return error_reply(_forbidden(result.team))
+        return error_reply(_forbidden_error(result.team))
     if isinstance(result, Unavailable):
-        return error_reply(_unavailable(result))
+        return error_reply(_unavailable_error(result))
     return error_reply(
         AdminError(
             504,
@@ -273,12 +275,12 @@
             "send the same request again, to any node, with this change_id, this"
             " expected_version and repeat = true: it finds out, and the change cannot"
             " take effect twice",
-            more | {"expected_version": result.expected_version},
+            extra_fields | {"expected_version": result.expected_version},
         )
     )
 
 
-def _conflict(conflict: Conflict, more: dict[str, Any]) -> AdminError:
+def _conflict_error(conflict: Conflict, extra_fields: dict[str, Any]) -> AdminError:
     return AdminError(
         409,
         "conflict",
@@ -286,23 +288,23 @@
         + (f", made by {conflict.by}" if conflict.by else ""),
         f"version {conflict.expected_version}, for which the text was written",
         f"look at diff, merge, and put with expected_version {conflict.version}",
-        asdict(conflict) | more,
+        asdict(conflict) | extra_fields,
     )
 
 
-def _invalid(invalid: Invalid, more: dict[str, Any]) -> AdminError:
-    faults = [_fault(fault) for fault in invalid.faults.faults]
+def _invalid_error(invalid: Invalid, extra_fields: dict[str, Any]) -> AdminError:
+    faults = [_describe_fault(fault) for fault in invalid.faults.faults]
     return AdminError(
         422,
         "invalid-settings",
         str(invalid.faults),
         "a valid text; see docs/settings.md",
         "mend every fault; nothing was changed",
-        {"faults": faults} | more,
+        {"faults": faults} | extra_fields,
     )
 
 
-def _forbidden(team: str) -> AdminError:
+def _forbidden_error(team: str) -> AdminError:
     return AdminError(
         403,
         "forbidden",
@@ -313,7 +315,7 @@
     )
 
 
-def _unavailable(unavailable: Unavailable) -> AdminError:
+def _unavailable_error(unavailable: Unavailable) -> AdminError:
     return AdminError(
         503,
         "platform-unavailable",
@@ -323,5 +325,5 @@
     )
 
 
-def _fault(fault: Any) -> dict[str, Any]:
+def _describe_fault(fault: Any) -> dict[str, Any]:
     return asdict(fault) | {"message": str(fault)}
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_status.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_status.py
@@ -32,22 +32,22 @@
         See ``docs/admin-api.md``.
     """
     status = {
-        "node": _node(state),
-        "backend": _backend(state),
-        "levels": _levels(state),
+        "node": _describe_node(state),
+        "backend": _describe_backend(state),
+        "levels": _route_levels(state),
         "limits": asdict(state.cfg.limits),
-        "calls": _calls(state),
+        "calls": _count_calls(state),
         "settings": settings_overview(state),
         "platform": {"up": state.book.standing.platform_up},
         "unreachable_data_centres": sorted(state.membership.unreachable),
         "member_counts": _member_counts(state),
     }
     if members:
-        status["members"] = _members(state, team)
+        status["members"] = _group_members(state, team)
     return status
 
 
-def _node(state: NodeState) -> dict[str, Any]:
+def _describe_node(state: NodeState) -> dict[str, Any]:
     cfg = state.cfg
     return {
         "name": cfg.name,
@@ -60,7 +60,7 @@
     }
 
 
-def _backend(state: NodeState) -> dict[str, Any]:
+def _describe_backend(state: NodeState) -> dict[str, Any]:
     gate = state.gate
     return {
         "team": state.cfg.backend.team,
@@ -72,7 +72,7 @@
     }
 
 
-def _levels(state: NodeState) -> list[dict[str, Any]]:
+def _route_levels(state: NodeState) -> list[dict[str, Any]]:
     """Return the admission level of each route of the backend server's service."""
     settings = state.book.team(state.cfg.backend.team)
     service = state.cfg.service
@@ -82,7 +82,7 @@
     return [{"route": route, **asdict(state.gate.report(route))} for route in routes]
 
 
-def _calls(state: NodeState) -> dict[str, int]:
+def _count_calls(state: NodeState) -> dict[str, int]:
     calls = state.calls
     return {"serving": len(calls.serving), "entered": calls.n_entered}
 
@@ -94,19 +94,21 @@
     return counts
 
 
-def _members(state: NodeState, team: str) -> dict[str, dict[str, list[dict[str, Any]]]]:
+def _group_members(
+    state: NodeState, team: str
+) -> dict[str, dict[str, list[dict[str, Any]]]]:
     """Return the members by data centre and team; ``""`` for those without service."""
-    found: dict[str, dict[str, list[dict[str, Any]]]] = {}
+    members_by_data_centre: dict[str, dict[str, list[dict[str, Any]]]] = {}
     for member in sorted(state.membership.members(), key=lambda m: m.node):
         teams = sorted({service.team for service in member.services}) or [""]
         for name in teams:
             if not team or name == team:
-                by_team = found.setdefault(member.data_centre, {})
-                by_team.setdefault(name, []).append(_member(member, name))
-    return found
+                by_team = members_by_data_centre.setdefault(member.data_centre, {})
+                by_team.setdefault(name, []).append(_describe_member(member, name))
+    return members_by_data_centre
 
 
-def _member(member: Member, team: str) -> dict[str, Any]:
+def _describe_member(member: Member, team: str) -> dict[str, Any]:
     return {
         "node": member.node,
         "services": [s.name for s in member.services if s.team == team],
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/backend_http.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/backend_http.py
@@ -14,7 +14,7 @@
 from fuchsiagap_node.core.edges.http_client import (
     ClientResponse,
     HttpPool,
-    NotSendable,
+    InvalidRequest,
     NotSent,
     ResponseTooLarge,
 )
@@ -26,10 +26,10 @@
     from fuchsiagap_node.core.edges.http_server import RawHeaders
 
 _LOAD_TIMEOUT_S = 0.5
-_LOAD_BYTES = 4096
+_MAX_LOAD_BYTES = 4096
 _LOAD_TARGET = "/-/load"
 # Headers of one connection, never passed on (RFC 9110, section 7.6.1).
-_HOP_HEADERS = frozenset(
+_HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "content-length",
@@ -61,30 +61,34 @@
     ) -> Answered | Refused | Unknown:
         """Run one call; see `BackendServer.send`."""
         headers = _request_headers(self.pool.address, head, body, remaining)
-        got = await self.pool.exchange(
+        result = await self.pool.exchange(
             head.method, head.target, headers, body, remaining
         )
-        if isinstance(got, ClientResponse):
-            return _outcome(got)
-        if isinstance(got, NotSent):
-            return Refused(Reason.NO_BACKEND, detail=f"backend server: {got.detail}")
-        if isinstance(got, NotSendable):
-            return Refused(Reason.BAD_REQUEST, detail=f"not sendable: {got.detail}")
-        if isinstance(got, ResponseTooLarge):
-            detail = f"the answer exceeds {got.limit} bytes"
+        if isinstance(result, ClientResponse):
+            return _outcome(result)
+        if isinstance(result, NotSent):
+            return Refused(Reason.NO_BACKEND, detail=f"backend server: {result.detail}")
+        if isinstance(result, InvalidRequest):
+            return Refused(Reason.BAD_REQUEST, detail=f"not sendable: {result.detail}")
+        if isinstance(result, ResponseTooLarge):
+            detail = f"the answer exceeds {result.limit} bytes"
             return Unknown(Reason.TOO_LARGE, detail=detail)
-        reason = Reason.INCOMPLETE_ANSWER if got.begun else Reason.CONNECTION_LOST
-        return Unknown(reason, detail=f"backend server: {got.detail}")
+        reason = (
+            Reason.INCOMPLETE_ANSWER
+            if result.response_started
+            else Reason.CONNECTION_LOST
+        )
+        return Unknown(reason, detail=f"backend server: {result.detail}")
 
     async def load(self) -> BackendLoad | None:
         """Ask for health and load; see `BackendServer.load`."""
         headers = [(b"host", self.pool.address.encode())]
         with trio.move_on_after(_LOAD_TIMEOUT_S):
-            got = await self.pool.exchange(
+            result = await self.pool.exchange(
                 "GET", _LOAD_TARGET, headers, b"", _LOAD_TIMEOUT_S * MS_PER_S
             )
-            if isinstance(got, ClientResponse):
-                return _parse_load(got.status, got.body)
+            if isinstance(result, ClientResponse):
+                return _parse_load(result.status, result.body)
         return None
 
 
@@ -103,11 +107,11 @@
     return HttpBackend(HttpPool(address, connections, body_bytes))
 
 
-def _outcome(got: ClientResponse) -> Answered | Refused:
-    headers = _response_headers(got.headers)
+def _outcome(result: ClientResponse) -> Answered | Refused:
+    headers = _response_headers(result.headers)
     if any(name == call_headers.BACKEND_NOT_RUN for name, _ in headers):
-        return _not_run(got.status, headers)
-    return Answered(got.status, headers, got.body)
+        return _not_run_refusal(result.status, headers)
+    return Answered(result.status, headers, result.body)
 
 
 def _request_headers(
@@ -115,15 +119,17 @@
 ) -> RawHeaders:
     headers = [(b"host", address.encode())]
     for name, value in head.headers:
-        if name not in _HOP_HEADERS and name != "host":
+        if name not in _HOP_BY_HOP_HEADERS and name != "host":
             headers.append((name.encode("latin-1"), value.encode("latin-1")))
-    own = (
+    control_headers = (
         (call_headers.CALL, head.call_id),
         (call_headers.ROOT, head.root_id),
         (call_headers.DEADLINE, f"{remaining:.0f}"),
         (call_headers.PRIORITY, f"{head.priority}"),
     )
-    headers.extend((name.encode(), value.encode("latin-1")) for name, value in own)
+    headers.extend(
+        (name.encode(), value.encode("latin-1")) for name, value in control_headers
+    )
     if body or head.method not in ("GET", "HEAD", "DELETE"):
         headers.append((b"content-length", str(len(body)).encode()))
     return headers
@@ -131,10 +137,10 @@
 
 def _response_headers(raw: RawHeaders) -> Headers:
     pairs = ((n.decode("latin-1"), v.decode("latin-1")) for n, v in raw)
-    return tuple((n, v) for n, v in pairs if n not in _HOP_HEADERS)
+    return tuple((n, v) for n, v in pairs if n not in _HOP_BY_HOP_HEADERS)
 
 
-def _not_run(status: int, headers: Headers) -> Refused:
+def _not_run_refusal(status: int, headers: Headers) -> Refused:
     retry_after = 0.0
     for name, value in headers:
         if name == "retry-after" and value.isascii() and value.isdigit():
@@ -145,7 +151,7 @@
 
 def _parse_load(status: int, content: bytes) -> BackendLoad | None:
     """Return the load, or None for anything that is not what was expected."""
-    if status != 200 or len(content) > _LOAD_BYTES:
+    if status != 200 or len(content) > _MAX_LOAD_BYTES:
         return None
     try:
         value: Any = json.loads(content)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/callers.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/callers.py
@@ -45,7 +45,7 @@
         "upgrade",
     }
 )
-_STATUS_OF_REFUSAL = {
+_STATUS_BY_REASON = {
     Reason.BAD_REQUEST: 400,
     Reason.NO_ROUTE: 404,
     Reason.TOO_LARGE: 413,
@@ -55,7 +55,7 @@
     Reason.TICKET_BURNT: 409,
     Reason.CANCELLED: 409,
 }
-_REASON_OF_STATUS = {
+_REASON_BY_STATUS = {
     413: Reason.TOO_LARGE,
     431: Reason.TOO_LARGE,
     503: Reason.OVERLOAD,
@@ -66,7 +66,7 @@
 
 
 @dataclass(slots=True)
-class _Open:
+class _OpenRequests:
     """What callers hold now."""
 
     n_calls: int = 0
@@ -84,85 +84,94 @@
         Where callers connect.
     """
     limits = state.cfg.limits
-    opened = _Open()
+    open_requests = _OpenRequests()
 
     def reserve(n_bytes: int) -> bool:
-        if n_bytes > 0 and opened.n_body_bytes + n_bytes > limits.open_body_bytes:
+        if (
+            n_bytes > 0
+            and open_requests.n_body_bytes + n_bytes > limits.open_body_bytes
+        ):
             return False
-        opened.n_body_bytes += n_bytes
+        open_requests.n_body_bytes += n_bytes
         return True
 
-    def note_open(change: int) -> None:
+    def add_open_requests(change: int) -> None:
         state.calls.n_responding += change
         state.calls.note_end()
 
     async def handle(req: HttpRequest) -> HttpResponse:
-        if opened.n_calls >= limits.open_calls:
-            return await _refuse_full(state, req)
-        opened.n_calls += 1
+        if open_requests.n_calls >= limits.open_calls:
+            return await _refuse_too_many_open(state, req)
+        open_requests.n_calls += 1
         try:
-            return await _respond(state, req)
+            return await _handle_request(state, req)
         except Exception:
             _LOG.exception("a call failed in the node itself")
             detail = "this node failed; what it had done by then is not known"
-            return _response(Unknown(Reason.NODE_FAILED, detail=detail))
+            return _outcome_response(Unknown(Reason.NODE_FAILED, detail=detail))
         finally:
-            opened.n_calls -= 1
+            open_requests.n_calls -= 1
 
-    cfg = HttpServerSettings(limits.header_bytes, limits.body_bytes, reserve, note_open)
-    await serve_http(listener, cfg, handle, _fault_response)
+    cfg = HttpServerSettings(
+        limits.header_bytes, limits.body_bytes, reserve, add_open_requests
+    )
+    await serve_http(listener, cfg, handle, _error_response)
 
 
-async def _respond(state: NodeState, req: HttpRequest) -> HttpResponse:
+async def _handle_request(state: NodeState, req: HttpRequest) -> HttpResponse:
     if req.target == _TICKETS_PATH:
-        return _tickets(state, req)
+        return _issue_tickets(state, req)
     if req.target.startswith(_SETTLE_PREFIX):
-        return await _settle(state, req)
-    call = _parse(req)
+        return await _settle_ticket(state, req)
+    call = _parse_request(req)
     if isinstance(call, Refused):
-        return _response(call)
-    return _response(await enter(state, call))
+        return _outcome_response(call)
+    return _outcome_response(await enter(state, call))
 
 
-async def _refuse_full(state: NodeState, req: HttpRequest) -> HttpResponse:
+async def _refuse_too_many_open(state: NodeState, req: HttpRequest) -> HttpResponse:
     """Refuse a request because too many are open."""
-    most = state.cfg.limits.open_calls
-    detail = f"{most} calls are open here, the most there may be"
+    limit = state.cfg.limits.open_calls
+    detail = f"{limit} calls are open here, the most there may be"
     refused = Refused(Reason.OVERLOAD, 100.0, detail=detail)
-    call = _parse(req)
+    call = _parse_request(req)
     if isinstance(call, Refused):
-        return _response(call)
-    return _response(await refuse(state, call, refused))
+        return _outcome_response(call)
+    return _outcome_response(await refuse(state, call, refused))
 
 
-def _parse(req: HttpRequest) -> CallRequest | Refused:
-    team, _, rest = req.target.removeprefix("/").partition("/")
-    name, slash, target = rest.partition("/")
+def _parse_request(req: HttpRequest) -> CallRequest | Refused:
+    team, _, service_path = req.target.removeprefix("/").partition("/")
+    name, slash, target = service_path.partition("/")
     if not slash:
-        name, mark, query = name.partition("?")
-        target = mark + query
+        name, question_mark, query = name.partition("?")
+        target = question_mark + query
     if not team or not name or "?" in team:
         detail = f"path {req.target!r:.80}: expected /TEAM/SERVICE/..."
         return Refused(Reason.NO_ROUTE, detail=detail)
-    own: dict[str, str] = {}
+    control_headers: dict[str, str] = {}
     headers: list[tuple[str, str]] = []
     for raw_name, raw_value in req.headers:
         header = raw_name.decode("latin-1")
         value = raw_value.decode("latin-1")
         if header == call_headers.TICKET or header.startswith(call_headers.PREFIX):
-            if header in own:
+            if header in control_headers:
                 detail = f"{header}: expected once, got it twice"
                 return Refused(Reason.BAD_REQUEST, detail=detail)
-            own[header] = value
+            control_headers[header] = value
         elif header not in _CONNECTION_HEADERS:
             headers.append((header, value))
     service = ServiceName(team, name)
-    return CallRequest(service, req.method, f"/{target}", own, tuple(headers), req.body)
+    return CallRequest(
+        service, req.method, f"/{target}", control_headers, tuple(headers), req.body
+    )
 
 
-def _tickets(state: NodeState, req: HttpRequest) -> HttpResponse:
+def _issue_tickets(state: NodeState, req: HttpRequest) -> HttpResponse:
     if req.method != "POST":
-        return _json(405, {"error": f"method {req.method}", "expected": "POST"})
+        return _json_response(
+            405, {"error": f"method {req.method}", "expected": "POST"}
+        )
     try:
         count = json.loads(req.body or b"{}").get("count", 1)
     except (ValueError, AttributeError, RecursionError):
@@ -170,81 +179,87 @@
     if type(count) is not int or count < 1:
         expected = 'a JSON object such as {"count": 16}'
         error = f"body {req.body[:60]!r}"
-        return _json(400, {"error": error, "expected": expected})
+        return _json_response(400, {"error": error, "expected": expected})
     issued = issue_batch(state, count)
     if isinstance(issued, NotIssued):
-        return _response(_no_tickets(issued))
-    return _json(200, {"tickets": [str(ticket) for ticket in issued]})
+        return _outcome_response(_no_tickets_refusal(issued))
+    return _json_response(200, {"tickets": [str(ticket) for ticket in issued]})
 
 
-async def _settle(state: NodeState, req: HttpRequest) -> HttpResponse:
+async def _settle_ticket(state: NodeState, req: HttpRequest) -> HttpResponse:
     """Tell what became of a ticket, so that the caller can be sure."""
     ticket = parse_ticket(req.target.removeprefix(_SETTLE_PREFIX))
     if isinstance(ticket, MalformedTicket):
-        return _response(Refused(Reason.BAD_REQUEST, detail=str(ticket)[:300]))
+        return _outcome_response(Refused(Reason.BAD_REQUEST, detail=str(ticket)[:300]))
     try:
-        asked = json.loads(req.body)
-        method, path, wait = asked["method"], asked["path"], asked.get("wait", 0)
+        query = json.loads(req.body)
+        method, path, wait = query["method"], query["path"], query.get("wait", 0)
     except (ValueError, KeyError, TypeError, AttributeError, RecursionError):
-        return _bad_settle(req)
+        return _bad_settle_request(req)
     if type(method) is not str or type(path) is not str or type(wait) is not int:
-        return _bad_settle(req)
+        return _bad_settle_request(req)
     wait = min(max(wait, 0), _MAX_SETTLE_WAIT_MS)
-    return _response(await settle(state, ticket, method, path, float(wait)))
+    return _outcome_response(await settle(state, ticket, method, path, float(wait)))
 
 
-def _bad_settle(req: HttpRequest) -> HttpResponse:
+def _bad_settle_request(req: HttpRequest) -> HttpResponse:
     expected = (
         'a JSON object such as {"method": "POST", "path": "/TEAM/SERVICE/...",'
         ' "wait": 500} with the wait in ms'
     )
-    return _json(400, {"error": f"body {req.body[:60]!r}", "expected": expected})
+    return _json_response(
+        400, {"error": f"body {req.body[:60]!r}", "expected": expected}
+    )
 
 
-def _no_tickets(fault: NotIssued) -> Refused:
+def _no_tickets_refusal(fault: NotIssued) -> Refused:
     detail = "no more tickets can be handed out here now; ask another node"
     return Refused(Reason.OVERLOAD, retry_after=fault.retry_after, detail=detail)
 
 
-def _fault_response(fault: BadRequest) -> HttpResponse:
+def _error_response(fault: BadRequest) -> HttpResponse:
     """Return the response to bytes that never became a call."""
-    reason = _REASON_OF_STATUS.get(fault.status, Reason.BAD_REQUEST)
-    response = _response(Refused(reason, detail=fault.detail))
+    reason = _REASON_BY_STATUS.get(fault.status, Reason.BAD_REQUEST)
+    response = _outcome_response(Refused(reason, detail=fault.detail))
     return HttpResponse(fault.status, response.headers, response.body, close=True)
 
 
-def _response(outcome: Outcome) -> HttpResponse:
+def _outcome_response(outcome: Outcome) -> HttpResponse:
     if isinstance(outcome, Answered):
-        return _answer(outcome)
-    name = _NAMES[type(outcome)]
-    own = [
+        return _answered_response(outcome)
+    name = _OUTCOME_NAMES[type(outcome)]
+    control_headers = [
         (call_headers.OUTCOME, name),
         (call_headers.REASON, outcome.reason.value),
         (call_headers.ALLOWANCE, str(outcome.allowance)),
     ]
     if isinstance(outcome, Refused):
-        status = _STATUS_OF_REFUSAL.get(outcome.reason, _REFUSED_STATUS)
-        own.extend(_retry_after(outcome))
+        status = _STATUS_BY_REASON.get(outcome.reason, _REFUSED_STATUS)
+        control_headers.extend(_retry_after_headers(outcome))
     else:
         is_late = outcome.reason is Reason.DEADLINE
         status = _UNKNOWN_DEADLINE_STATUS if is_late else _UNKNOWN_STATUS
     value = {"outcome": name, "reason": outcome.reason.value, "detail": outcome.detail}
-    response = _json(status, value, tuple(own))
+    response = _json_response(status, value, tuple(control_headers))
     is_leaving = outcome.reason is Reason.LEAVING
     return HttpResponse(status, response.headers, response.body, close=is_leaving)
 
 
-def _answer(answered: Answered) -> HttpResponse:
-    own: Headers = (
+def _answered_response(answered: Answered) -> HttpResponse:
+    control_headers: Headers = (
         (call_headers.OUTCOME, call_headers.OUTCOME_ANSWERED),
         (call_headers.ALLOWANCE, str(answered.allowance)),
     )
     if answered.repeated:
-        own = (*own, (call_headers.REPEATED, "1"))
-    return HttpResponse(answered.status, _raw(answered.headers + own), answered.body)
+        control_headers = (*control_headers, (call_headers.REPEATED, "1"))
+    return HttpResponse(
+        answered.status,
+        _encode_headers(answered.headers + control_headers),
+        answered.body,
+    )
 
 
-def _retry_after(refused: Refused) -> Headers:
+def _retry_after_headers(refused: Refused) -> Headers:
     if refused.retry_after <= 0:
         return ()
     seconds = math.ceil(refused.retry_after / MS_PER_S)
@@ -254,18 +269,20 @@
     )
 
 
-def _json(status: int, value: dict[str, Any], own: Headers = ()) -> HttpResponse:
-    headers = (*own, ("content-type", "application/json"))
-    return HttpResponse(status, _raw(headers), json.dumps(value).encode())
+def _json_response(
+    status: int, value: dict[str, Any], control_headers: Headers = ()
+) -> HttpResponse:
+    headers = (*control_headers, ("content-type", "application/json"))
+    return HttpResponse(status, _encode_headers(headers), json.dumps(value).encode())
 
 
-def _raw(headers: Headers) -> list[tuple[bytes, bytes]]:
+def _encode_headers(headers: Headers) -> list[tuple[bytes, bytes]]:
     return [
         (name.encode("latin-1"), value.encode("latin-1")) for name, value in headers
     ]
 
 
-_NAMES = {
+_OUTCOME_NAMES = {
     Refused: call_headers.OUTCOME_REFUSED,
     Unknown: call_headers.OUTCOME_UNKNOWN,
 }
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/http_client.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/http_client.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NotSendable:
+class InvalidRequest:
     """The request is no valid HTTP; not a byte of it was written.
 
     Parameters
@@ -77,12 +77,12 @@
     ----------
     detail : str
         Why.
-    begun : bool
+    response_started : bool
         Whether a response began and broke off.
     """
 
     detail: str
-    begun: bool = False
+    response_started: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -98,8 +98,8 @@
     limit: int
 
 
-Exchange: TypeAlias = (
-    ClientResponse | NotSent | NotSendable | NoResponse | ResponseTooLarge
+ExchangeResult: TypeAlias = (
+    ClientResponse | NotSent | InvalidRequest | NoResponse | ResponseTooLarge
 )
 
 
@@ -109,7 +109,7 @@
 
     stream: trio.SocketStream
     http: h11.Connection
-    begun: bool = False
+    response_started: bool = False
 
 
 @dataclass(slots=True, eq=False)
@@ -130,10 +130,10 @@
     connections: int
     body_bytes: int
     _idle: deque[_Conn] = field(default_factory=deque)
-    _free: trio.CapacityLimiter = field(init=False)
+    _limiter: trio.CapacityLimiter = field(init=False)
 
     def __post_init__(self) -> None:
-        self._free = trio.CapacityLimiter(self.connections)
+        self._limiter = trio.CapacityLimiter(self.connections)
 
     async def exchange(
         self,
@@ -142,7 +142,7 @@
         headers: RawHeaders,
         body: bytes,
         wait: Milliseconds,
-    ) -> Exchange:
+    ) -> ExchangeResult:
         """Send a request and wait for the whole response.
 
         Parameters
@@ -158,42 +158,42 @@
 
         Returns
         -------
-        ClientResponse, NotSent, NotSendable, NoResponse or ResponseTooLarge
-            `NotSent` and `NotSendable` only if not a byte was written. Cancelling
+        ClientResponse, NotSent, InvalidRequest, NoResponse or ResponseTooLarge
+            `NotSent` and `InvalidRequest` only if not a byte was written. Cancelling
             closes the connection, by which the server notices.
         """
         http = h11.Connection(h11.CLIENT)
         try:
             data = _request_bytes(http, method, target, headers, body)
         except h11.LocalProtocolError as exc:
-            return NotSendable(str(exc))
+            return InvalidRequest(str(exc))
         borrower = object()
-        if not await self._borrow(borrower, wait):
+        if not await self._acquire(borrower, wait):
             return NotSent(f"all {self.connections} connections are in use")
         try:
-            stream = await self._stream()
+            stream = await self._get_stream()
             if isinstance(stream, NotSent):
                 return stream
-            return await self._run(_Conn(stream, http), data)
+            return await self._send_and_receive(_Conn(stream, http), data)
         finally:
-            self._free.release_on_behalf_of(borrower)
+            self._limiter.release_on_behalf_of(borrower)
 
     async def aclose(self) -> None:
         """Close the idle connections."""
         while self._idle:
             await trio.aclose_forcefully(self._idle.pop().stream)
 
-    async def _borrow(self, borrower: object, wait: Milliseconds) -> bool:
+    async def _acquire(self, borrower: object, wait: Milliseconds) -> bool:
         try:
-            self._free.acquire_on_behalf_of_nowait(borrower)
+            self._limiter.acquire_on_behalf_of_nowait(borrower)
         except trio.WouldBlock:
             with trio.move_on_after(wait / MS_PER_S):
-                await self._free.acquire_on_behalf_of(borrower)
+                await self._limiter.acquire_on_behalf_of(borrower)
                 return True
             return False
         return True
 
-    async def _stream(self) -> trio.SocketStream | NotSent:
+    async def _get_stream(self) -> trio.SocketStream | NotSent:
         while self._idle:
             stream = self._idle.pop().stream
             # Readable and idle means: closed by the server, or off its protocol.
@@ -207,11 +207,11 @@
         except (OSError, trio.TooSlowError) as exc:
             return NotSent(f"no connection to {self.address}: {exc}")
 
-    async def _run(self, conn: _Conn, data: bytes) -> Exchange:
+    async def _send_and_receive(self, conn: _Conn, data: bytes) -> ExchangeResult:
         reusable = False
         try:
             await conn.stream.send_all(data)
-            response = await self._read(conn)
+            response = await self._read_response(conn)
             reusable = (
                 isinstance(response, ClientResponse)
                 and conn.http.our_state is h11.DONE
@@ -219,9 +219,9 @@
                 and not conn.http.trailing_data[0]
             )
         except (trio.BrokenResourceError, trio.ClosedResourceError, OSError) as exc:
-            return NoResponse(f"the connection broke: {exc}", conn.begun)
+            return NoResponse(f"the connection broke: {exc}", conn.response_started)
         except h11.RemoteProtocolError as exc:
-            return NoResponse(f"no whole HTTP response: {exc}", conn.begun)
+            return NoResponse(f"no whole HTTP response: {exc}", conn.response_started)
         finally:
             if reusable:
                 self._idle.append(conn)
@@ -229,7 +229,7 @@
                 await trio.aclose_forcefully(conn.stream)
         return response
 
-    async def _read(self, conn: _Conn) -> Exchange:
+    async def _read_response(self, conn: _Conn) -> ExchangeResult:
         head: h11.Response | None = None
         parts: list[bytes] = []
         n_bytes = 0
@@ -244,7 +244,7 @@
                 parts.append(bytes(event.data))
             elif isinstance(event, h11.Response):
                 head = event
-                conn.begun = True
+                conn.response_started = True
             elif isinstance(event, h11.EndOfMessage):
                 assert head is not None
                 body = b"".join(parts)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/http_server.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/http_server.py
@@ -25,7 +25,7 @@
 _IDLE_TIMEOUT_S = 75.0
 _BODY_TIMEOUT_S = 20.0
 _VERSIONS = (b"1.0", b"1.1")
-_TOO_LARGE = 413
+_CONTENT_TOO_LARGE = 413
 _HEADERS_TOO_LARGE = 431
 _VERSION_NOT_SUPPORTED = 505
 _UNAVAILABLE = 503
@@ -104,7 +104,7 @@
     reserve : callable
         Takes a number of bytes, negative to give them back, for bodies in memory;
         False if there are too many.
-    note_open : callable
+    add_open_requests : callable
         Told 1 when a request begins and -1 when its response is written, so that a
         graceful shutdown can wait for both.
     """
@@ -112,15 +112,15 @@
     header_bytes: int
     body_bytes: int
     reserve: Callable[[int], bool]
-    note_open: Callable[[int], None]
+    add_open_requests: Callable[[int], None]
 
 
 Handler: TypeAlias = Callable[[HttpRequest], Awaitable[HttpResponse]]
-FaultHandler: TypeAlias = Callable[[BadRequest], HttpResponse]
+ErrorHandler: TypeAlias = Callable[[BadRequest], HttpResponse]
 
 
 @dataclass(frozen=True, slots=True)
-class _Cut:
+class _ConnectionEnded:
     """The caller left in the middle of a request, or the connection is idle."""
 
 
@@ -139,54 +139,56 @@
     stream: trio.SocketStream
     cfg: HttpServerSettings
     http: h11.Connection
-    arrived: trio.Event = field(default_factory=trio.Event)
-    room: trio.Event = field(default_factory=trio.Event)
-    ended: bool = False
-    running: trio.CancelScope | None = None
+    data_received: trio.Event = field(default_factory=trio.Event)
+    buffer_drained: trio.Event = field(default_factory=trio.Event)
+    input_ended: bool = False
+    handler_scope: trio.CancelScope | None = None
 
     async def read_ahead(self) -> None:
         """Feed the engine until the caller closes the connection."""
-        while not self.ended:
+        while not self.input_ended:
             try:
                 data = await self.stream.receive_some(_READ_BYTES)
             except (trio.BrokenResourceError, trio.ClosedResourceError):
                 data = b""
-            self.ended = not data
+            self.input_ended = not data
             try:
                 self.http.receive_data(data)
             except h11.RemoteProtocolError:
-                self.ended = True
-            if self.running is not None and self.ended:
-                self.running.cancel()
-            self.arrived.set()
+                self.input_ended = True
+            if self.handler_scope is not None and self.input_ended:
+                self.handler_scope.cancel()
+            self.data_received.set()
             if len(self.http.trailing_data[0]) > _READ_AHEAD_BYTES:
-                self.room = trio.Event()
-                await self.room.wait()
+                self.buffer_drained = trio.Event()
+                await self.buffer_drained.wait()
 
     async def next_event(self, timeout: float) -> object:
-        """Return the next event of the engine, or `_Cut`."""
+        """Return the next event of the engine, or `_ConnectionEnded`."""
         while True:
             event = self.http.next_event()
             if event is not h11.NEED_DATA:
                 return event
-            self.room.set()
-            if self.ended:
-                return _Cut()
+            self.buffer_drained.set()
+            if self.input_ended:
+                return _ConnectionEnded()
             if self.http.they_are_waiting_for_100_continue:
-                go_on = h11.InformationalResponse(status_code=100, headers=[])
-                await self.stream.send_all(self.http.send(go_on) or b"")
-            self.arrived = trio.Event()
+                continue_response = h11.InformationalResponse(
+                    status_code=100, headers=[]
+                )
+                await self.stream.send_all(self.http.send(continue_response) or b"")
+            self.data_received = trio.Event()
             with trio.move_on_after(timeout) as scope:
-                await self.arrived.wait()
+                await self.data_received.wait()
             if scope.cancelled_caught:
-                return _Cut()
+                return _ConnectionEnded()
 
 
 async def serve_http(
     listener: trio.SocketListener,
     cfg: HttpServerSettings,
     handle: Handler,
-    handle_fault: FaultHandler,
+    handle_error: ErrorHandler,
     task_status: trio.TaskStatus[list[trio.SocketListener]] = trio.TASK_STATUS_IGNORED,
 ) -> None:
     """Serve HTTP/1.1 until cancelled.
@@ -199,30 +201,30 @@
         Bounds of each connection.
     handle : callable
         Runs a request; cancelled if the caller leaves.
-    handle_fault : callable
+    handle_error : callable
         Returns the response to bytes that are no request.
     task_status : trio.TaskStatus
         Started once connections are taken.
     """
 
-    async def connect(stream: trio.SocketStream) -> None:
-        await _serve_connection(stream, cfg, handle, handle_fault)
+    async def handle_connection(stream: trio.SocketStream) -> None:
+        await _serve_connection(stream, cfg, handle, handle_error)
 
-    await trio.serve_listeners(connect, [listener], task_status=task_status)
+    await trio.serve_listeners(handle_connection, [listener], task_status=task_status)
 
 
 async def _serve_connection(
     stream: trio.SocketStream,
     cfg: HttpServerSettings,
     handle: Handler,
-    handle_fault: FaultHandler,
+    handle_error: ErrorHandler,
 ) -> None:
     http = h11.Connection(h11.SERVER, max_incomplete_event_size=cfg.header_bytes)
     conn = _Connection(stream, cfg, http)
     try:
         async with stream, trio.open_nursery() as nursery:
             nursery.start_soon(conn.read_ahead)
-            while await _serve_request(conn, handle, handle_fault):
+            while await _serve_request(conn, handle, handle_error):
                 pass
             nursery.cancel_scope.cancel()
     except* (trio.BrokenResourceError, trio.ClosedResourceError):
@@ -234,71 +236,71 @@
 
 
 async def _serve_request(
-    conn: _Connection, handle: Handler, handle_fault: FaultHandler
+    conn: _Connection, handle: Handler, handle_error: ErrorHandler
 ) -> bool:
     """Serve one request; return whether the connection may serve another."""
     head = await _read_head(conn)
-    if isinstance(head, _Cut):
+    if isinstance(head, _ConnectionEnded):
         return False
-    conn.cfg.note_open(1)
+    conn.cfg.add_open_requests(1)
     try:
-        return await _serve_open(conn, head, handle, handle_fault)
+        return await _read_and_respond(conn, head, handle, handle_error)
     finally:
-        conn.cfg.note_open(-1)
+        conn.cfg.add_open_requests(-1)
 
 
-async def _serve_open(
+async def _read_and_respond(
     conn: _Connection,
     head: h11.Request | BadRequest,
     handle: Handler,
-    handle_fault: FaultHandler,
+    handle_error: ErrorHandler,
 ) -> bool:
     if isinstance(head, BadRequest):
-        await _send(conn, handle_fault(head), is_head=False, close=True)
+        await _send_response(conn, handle_error(head), is_head=False, close=True)
         return False
     body = await _read_body(conn, head)
-    if isinstance(body, _Cut):
+    if isinstance(body, _ConnectionEnded):
         return False
     if isinstance(body, BadRequest):
-        await _send(conn, handle_fault(body), is_head=False, close=True)
+        await _send_response(conn, handle_error(body), is_head=False, close=True)
         return False
     method = head.method.decode("ascii")
     target = head.target.decode("latin-1")
     req = HttpRequest(method, target, list(head.headers), body)
     try:
-        response = await _handle(conn, req, handle)
+        response = await _run_handler(conn, req, handle)
     finally:
         conn.cfg.reserve(-len(body))
     if response is None:
         return False
-    await _send(conn, response, is_head=method == "HEAD", close=response.close)
+    await _send_response(conn, response, is_head=method == "HEAD", close=response.close)
     if conn.http.our_state is not h11.DONE or conn.http.their_state is not h11.DONE:
         return False
     conn.http.start_next_cycle()
     return True
 
 
-async def _handle(
+async def _run_handler(
     conn: _Connection, req: HttpRequest, handle: Handler
 ) -> HttpResponse | None:
     """Run a request; None if the caller left."""
     response: HttpResponse | None = None
     with trio.CancelScope() as scope:
-        conn.running = scope
-        if conn.ended:
+        conn.handler_scope = scope
+        if conn.input_ended:
             scope.cancel()
         response = await handle(req)
-    conn.running = None
+    conn.handler_scope = None
     return response
 
 
-async def _read_head(conn: _Connection) -> h11.Request | BadRequest | _Cut:
+async def _read_head(conn: _Connection) -> h11.Request | BadRequest | _ConnectionEnded:
     try:
         event = await conn.next_event(_IDLE_TIMEOUT_S)
     except h11.RemoteProtocolError as exc:
-        return _malformed(exc)
+        return _malformed_request(exc)
     if not isinstance(event, h11.Request):
-        return _Cut()
+        return _ConnectionEnded()
     if event.http_version not in _VERSIONS:
         version = event.http_version.decode("latin-1")
         detail = f"HTTP version {version}: expected 1.0 or 1.1"
@@ -311,7 +313,7 @@
     return event
 
 
-def _declared_bytes(head: h11.Request) -> int:
+def _declared_length(head: h11.Request) -> int:
     """Return the length that the head declares; 0 if it comes in chunks."""
     for name, value in head.headers:
         if name == b"content-length":
@@ -319,13 +321,15 @@
     return 0
 
 
-async def _read_body(conn: _Connection, head: h11.Request) -> bytes | BadRequest | _Cut:
+async def _read_body(
+    conn: _Connection, head: h11.Request
+) -> bytes | BadRequest | _ConnectionEnded:
     """Return the whole body, its bytes reserved."""
-    if _declared_bytes(head) > conn.cfg.body_bytes:
-        return _too_large(conn)
+    if _declared_length(head) > conn.cfg.body_bytes:
+        return _body_too_large(conn)
     parts: list[bytes] = []
     n_bytes = 0
-    fault: BadRequest | _Cut = _Cut()
+    error: BadRequest | _ConnectionEnded = _ConnectionEnded()
     try:
         while True:
             event = await conn.next_event(_BODY_TIMEOUT_S)
@@ -334,29 +338,31 @@
             if not isinstance(event, h11.Data):
                 break
             if n_bytes + len(event.data) > conn.cfg.body_bytes:
-                fault = _too_large(conn)
+                error = _body_too_large(conn)
                 break
             if not conn.cfg.reserve(len(event.data)):
                 detail = "the bodies of all open calls exceed what this node may hold"
-                fault = BadRequest(_UNAVAILABLE, detail)
+                error = BadRequest(_UNAVAILABLE, detail)
                 break
             n_bytes += len(event.data)
             parts.append(bytes(event.data))
     except h11.RemoteProtocolError as exc:
-        fault = _malformed(exc)
+        error = _malformed_request(exc)
     conn.cfg.reserve(-n_bytes)
-    return fault
+    return error
 
 
-def _too_large(conn: _Connection) -> BadRequest:
-    return BadRequest(_TOO_LARGE, f"the body exceeds {conn.cfg.body_bytes} bytes")
+def _body_too_large(conn: _Connection) -> BadRequest:
+    return BadRequest(
+        _CONTENT_TOO_LARGE, f"the body exceeds {conn.cfg.body_bytes} bytes"
+    )
 
 
-def _malformed(exc: h11.RemoteProtocolError) -> BadRequest:
+def _malformed_request(exc: h11.RemoteProtocolError) -> BadRequest:
     return BadRequest(exc.error_status_hint, f"malformed HTTP request: {exc}")
 
 
-async def _send(
+async def _send_response(
     conn: _Connection, response: HttpResponse, *, is_head: bool, close: bool
 ) -> None:
     http = conn.http
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/metrics_text.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/metrics_text.py
@@ -28,11 +28,11 @@
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 
 # Steps between two yields to other tasks; about 0.2 ms.
-_STEPS = 64
+_FLUSH_STEPS_PER_YIELD = 64
 # Samples rendered between two yields; about 1 ms.
-_SAMPLES = 64
-_HEADING = b"# "
-_EVENTS = "fuchsiagap_events"
+_SAMPLES_PER_YIELD = 64
+_COMMENT_PREFIX = b"# "
+_EVENTS_METRIC = "fuchsiagap_events"
 
 
 async def metrics_text(telemetry: Telemetry) -> bytes:
@@ -49,28 +49,28 @@
         Text of the content type `CONTENT_TYPE`; times are in seconds.
     """
     metrics = telemetry.metrics
-    while metrics.flush(_STEPS):
+    while metrics.flush(_FLUSH_STEPS_PER_YIELD):
         await trio.lowlevel.checkpoint()
-    times = await _times(telemetry)
+    summary_families = await _collect_summaries(telemetry)
     # Taken whole, without a yield, since counters change meanwhile.
-    counted = list(_counted(telemetry))
+    value_families = list(_collect_values(telemetry))
     parts: list[bytes] = []
-    for family in (*counted, *times):
-        for start in range(0, len(family.samples), _SAMPLES):
-            parts.append(_rendered(family, start))
+    for family in (*value_families, *summary_families):
+        for start in range(0, len(family.samples), _SAMPLES_PER_YIELD):
+            parts.append(_render_samples(family, start))
             await trio.lowlevel.checkpoint()
     return b"".join(parts)
 
 
-def _rendered(family: Metric, start: int) -> bytes:
+def _render_samples(family: Metric, start: int) -> bytes:
     """Return the text of some samples; the heading stands with the first."""
-    piece = Metric(family.name, family.documentation, family.type)
-    piece.samples = family.samples[start : start + _SAMPLES]
-    text = generate_latest(_Families((piece,)))
+    subset = Metric(family.name, family.documentation, family.type)
+    subset.samples = family.samples[start : start + _SAMPLES_PER_YIELD]
+    text = generate_latest(_Families((subset,)))
     if start == 0:
         return text
     lines = text.splitlines(keepends=True)
-    return b"".join(line for line in lines if not line.startswith(_HEADING))
+    return b"".join(line for line in lines if not line.startswith(_COMMENT_PREFIX))
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,15 +84,15 @@
         return iter(self.families)
 
 
-def _counted(telemetry: Telemetry) -> Iterator[Metric]:
+def _collect_values(telemetry: Telemetry) -> Iterator[Metric]:
     metrics = telemetry.metrics
-    yield from _labelled(CounterMetricFamily, COUNTERS, metrics.counters())
-    yield from _labelled(GaugeMetricFamily, GAUGES, metrics.gauges())
-    yield _events(telemetry)
+    yield from _labelled_families(CounterMetricFamily, COUNTERS, metrics.counters())
+    yield from _labelled_families(GaugeMetricFamily, GAUGES, metrics.gauges())
+    yield _collect_events(telemetry)
 
 
-def _labelled(
-    make: type[CounterMetricFamily] | type[GaugeMetricFamily],
+def _labelled_families(
+    family_type: type[CounterMetricFamily] | type[GaugeMetricFamily],
     table: Mapping[Any, MetricSpec],
     values: Iterable[tuple[str, str, float]],
 ) -> Iterator[Metric]:
@@ -100,12 +100,12 @@
     for name, label, value in values:
         spec = table[name]
         if name not in families:
-            families[name] = make(name, spec.help, labels=spec.labels)
+            families[name] = family_type(name, spec.help, labels=spec.labels)
         families[name].add_metric([label] if spec.labels else [], value)
     return iter(families.values())
 
 
-async def _times(telemetry: Telemetry) -> list[Metric]:
+async def _collect_summaries(telemetry: Telemetry) -> list[Metric]:
     families: dict[Measure, SummaryMetricFamily] = {}
     for summary in telemetry.metrics.summaries():
         measure = summary.measure
@@ -119,9 +119,9 @@
     return list(families.values())
 
 
-def _events(telemetry: Telemetry) -> Metric:
+def _collect_events(telemetry: Telemetry) -> Metric:
     family = CounterMetricFamily(
-        _EVENTS, "Events recorded for the time line.", labels=("kind",)
+        _EVENTS_METRIC, "Events recorded for the time line.", labels=("kind",)
     )
     for kind, count in telemetry.ring.counts.items():
         if count:
@@ -132,8 +132,8 @@
 def _add_summary(family: SummaryMetricFamily, summary: Summary) -> None:
     labels = [summary.route, summary.outcome]
     family.add_metric(labels, summary.count, summary.total / MS_PER_S)
-    named = dict(zip(MEASURES[summary.measure].labels, labels, strict=True))
+    label_values = dict(zip(MEASURES[summary.measure].labels, labels, strict=True))
     for quantile, value in summary.quantiles:
         family.add_sample(
-            family.name, {**named, "quantile": f"{quantile:g}"}, value / MS_PER_S
+            family.name, {**label_values, "quantile": f"{quantile:g}"}, value / MS_PER_S
         )
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/peer_websocket.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/peer_websocket.py
@@ -36,8 +36,8 @@
 _HANDSHAKE_TIMEOUT_S = 5.0
 # A frame begun is finished even if its sender is cancelled, within this time.
 _FINISH_TIMEOUT_S = 5.0
-_SWITCHING = 101
-_BROKEN = (trio.BrokenResourceError, trio.ClosedResourceError, OSError)
+_SWITCHING_PROTOCOLS = 101
+_CONNECTION_ERRORS = (trio.BrokenResourceError, trio.ClosedResourceError, OSError)
 
 
 def _library_logger() -> logging.Logger:
@@ -61,82 +61,84 @@
 
     stream: trio.SocketStream
     protocol: Protocol
-    _arrived: deque[bytes] = field(default_factory=deque)
-    _sending: trio.Lock = field(default_factory=trio.Lock)
-    _fault: str = ""
+    _received_frames: deque[bytes] = field(default_factory=deque)
+    _send_lock: trio.Lock = field(default_factory=trio.Lock)
+    _close_reason: str = ""
 
     async def send(self, frame: bytes) -> LinkClosed | None:
         """Hand a frame to the connection; it goes whole or not at all."""
-        if self._fault or self.protocol.state is not State.OPEN:
-            return LinkClosed(self._fault or "the link is closing")
+        if self._close_reason or self.protocol.state is not State.OPEN:
+            return LinkClosed(self._close_reason or "the link is closing")
         self.protocol.send_binary(frame)
         return await self._flush()
 
     async def receive(self) -> bytes | LinkClosed:
         """Wait for the next frame; anything but whole binary messages closes it."""
         # Some may have come in one piece with the handshake.
-        self._take_events()
-        while not self._arrived:
-            if self._fault:
-                return LinkClosed(self._fault)
+        self._collect_frames()
+        while not self._received_frames:
+            if self._close_reason:
+                return LinkClosed(self._close_reason)
             try:
                 data = await self.stream.receive_some(_READ_BYTES)
-            except _BROKEN as exc:
-                self._fault = f"the connection broke: {exc}"
+            except _CONNECTION_ERRORS as exc:
+                self._close_reason = f"the connection broke: {exc}"
                 continue
-            self._take(data)
+            self._feed(data)
             closed = await self._flush()
             if closed is not None:
                 return closed
-        return self._arrived.popleft()
+        return self._received_frames.popleft()
 
     async def aclose(self) -> None:
         """Close the connection."""
-        if not self._fault and self.protocol.state is State.OPEN:
+        if not self._close_reason and self.protocol.state is State.OPEN:
             self.protocol.send_close()
             with trio.move_on_after(_FINISH_TIMEOUT_S):
                 await self._flush()
-        self._fault = self._fault or "the link was closed"
+        self._close_reason = self._close_reason or "the link was closed"
         await trio.aclose_forcefully(self.stream)
 
-    def _take(self, data: bytes) -> None:
+    def _feed(self, data: bytes) -> None:
         if not data:
-            self._fault = "the other node closed the connection"
+            self._close_reason = "the other node closed the connection"
             return
         self.protocol.receive_data(data)
-        self._take_events()
+        self._collect_frames()
         if self.protocol.parser_exc is not None:
-            self._fault = f"no websocket frame: {self.protocol.parser_exc}"
+            self._close_reason = f"no websocket frame: {self.protocol.parser_exc}"
 
-    def _take_events(self) -> None:
+    def _collect_frames(self) -> None:
         for event in self.protocol.events_received():
             assert isinstance(event, Frame)
             if event.opcode is Opcode.BINARY and event.fin:
-                self._arrived.append(bytes(event.data))
+                self._received_frames.append(bytes(event.data))
             elif event.opcode is Opcode.CLOSE:
-                self._fault = "the other node closed the link"
+                self._close_reason = "the other node closed the link"
             elif event.opcode in (Opcode.TEXT, Opcode.BINARY, Opcode.CONT):
-                self._fault = f"expected whole binary messages, got {event.opcode.name}"
+                self._close_reason = (
+                    f"expected whole binary messages, got {event.opcode.name}"
+                )
 
     async def _flush(self) -> LinkClosed | None:
         data = b"".join(self.protocol.data_to_send())
         if not data:
             return None
         try:
-            self._sending.acquire_nowait()
+            self._send_lock.acquire_nowait()
         except trio.WouldBlock:
-            await self._sending.acquire()
+            await self._send_lock.acquire()
         try:
-            await _send_whole(self.stream, data)
-        except _BROKEN as exc:
-            self._fault = f"the connection broke: {exc}"
-            return LinkClosed(self._fault)
+            await _send_whole_frame(self.stream, data)
+        except _CONNECTION_ERRORS as exc:
+            self._close_reason = f"the connection broke: {exc}"
+            return LinkClosed(self._close_reason)
         finally:
-            self._sending.release()
+            self._send_lock.release()
         return None
 
 
-async def _send_whole(stream: trio.SocketStream, data: bytes) -> None:
+async def _send_whole_frame(stream: trio.SocketStream, data: bytes) -> None:
     """Send all of the data, or none of it if cancelled before the first byte.
 
     Raises
@@ -147,14 +149,14 @@
     n_sent = await stream.socket.send(data)
     if n_sent == len(data):
         return
-    with trio.CancelScope(shield=True, deadline=_soon()) as scope:
+    with trio.CancelScope(shield=True, deadline=_finish_deadline()) as scope:
         await stream.send_all(memoryview(data)[n_sent:])
     if scope.cancelled_caught:
         await trio.aclose_forcefully(stream)
         raise trio.BrokenResourceError("the other node does not read")
 
 
-def _soon() -> float:
+def _finish_deadline() -> float:
     return trio.current_time() + _FINISH_TIMEOUT_S
 
 
@@ -174,7 +176,7 @@
         except (OSError, ValueError) as exc:
             return DialFailed(address, str(exc))
         try:
-            return await _shake_hands(stream, address)
+            return await _client_handshake(stream, address)
         except BaseException:
             await trio.aclose_forcefully(stream)
             raise
@@ -182,7 +184,7 @@
     return dial
 
 
-async def _shake_hands(
+async def _client_handshake(
     stream: trio.SocketStream, address: str
 ) -> WebsocketLink | DialFailed:
     protocol = ClientProtocol(
@@ -194,7 +196,7 @@
     try:
         await stream.send_all(b"".join(protocol.data_to_send()))
         response = await _first_event(stream, protocol)
-    except _BROKEN as exc:
+    except _CONNECTION_ERRORS as exc:
         response = str(exc)
     if not isinstance(response, Response) or protocol.state is not State.OPEN:
         await trio.aclose_forcefully(stream)
@@ -221,7 +223,7 @@
 
 async def serve_links(
     listeners: list[trio.SocketListener],
-    take: Callable[[Link], Awaitable[None]],
+    serve_link: Callable[[Link], Awaitable[None]],
     task_status: trio.TaskStatus[list[trio.SocketListener]] = trio.TASK_STATUS_IGNORED,
 ) -> None:
     """Take links from other nodes until cancelled.
@@ -237,19 +239,19 @@
     """
 
     async def handle(stream: trio.SocketStream) -> None:
-        link = await _accept(stream)
+        link = await _server_handshake(stream)
         if link is None:
             await trio.aclose_forcefully(stream)
             return
         try:
-            await take(link)
+            await serve_link(link)
         finally:
             await trio.aclose_forcefully(stream)
 
     await trio.serve_listeners(handle, listeners, task_status=task_status)
 
 
-async def _accept(stream: trio.SocketStream) -> WebsocketLink | None:
+async def _server_handshake(stream: trio.SocketStream) -> WebsocketLink | None:
     """Answer the handshake; None if there is none in time."""
     protocol = ServerProtocol(max_size=MAX_FRAME_BYTES, logger=_library_logger())
     with trio.move_on_after(_HANDSHAKE_TIMEOUT_S):
@@ -260,8 +262,8 @@
             response = protocol.accept(request)
             protocol.send_response(response)
             await stream.send_all(b"".join(protocol.data_to_send()))
-        except (*_BROKEN, InvalidHandshake, InvalidMessage):
+        except (*_CONNECTION_ERRORS, InvalidHandshake, InvalidMessage):
             return None
-        if response.status_code == _SWITCHING:
+        if response.status_code == _SWITCHING_PROTOCOLS:
             return WebsocketLink(stream, protocol)
     return None
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/platform_http.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/platform_http.py
@@ -31,9 +31,9 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-DELETED = "object-deleted"
-MAX_BODY = 64 * 1024 * 1024
-_NOT_SENT = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
+DELETED_HEADER = "object-deleted"
+MAX_BODY_BYTES = 64 * 1024 * 1024
+_NOT_SENT_ERRORS = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,7 +68,7 @@
     body: bytes
 
 
-_Exchange: TypeAlias = _Reply | PlatformUnavailable
+_ExchangeResult: TypeAlias = _Reply | PlatformUnavailable
 
 
 @asynccontextmanager
@@ -112,28 +112,30 @@
 
     async def get(self, path: str) -> StoredObject | Missing | PlatformUnavailable:
         """Read one object; a deleted one comes as a tombstone."""
-        reply = await self._exchange("GET", _url(path))
+        reply = await self._exchange("GET", _object_url(path))
         if isinstance(reply, PlatformUnavailable):
             return reply
         if reply.status == httpx.codes.NOT_FOUND:
             return Missing(path)
         if reply.status == httpx.codes.OK:
-            return _stored(path, reply, changing=False)
-        return _unexpected(reply, changing=False)
+            return _parse_stored(path, reply, is_write=False)
+        return _unexpected_status(reply, is_write=False)
 
     async def list(self, prefix: str) -> tuple[StoredObject, ...] | PlatformUnavailable:
         """Read all objects under a prefix, tombstones included."""
-        return _objects(await self._exchange("GET", f"/objects?prefix={quote(prefix)}"))
+        return _parse_objects(
+            await self._exchange("GET", f"/objects?prefix={quote(prefix)}")
+        )
 
     async def put(
         self, path: str, value: bytes, expected_version: int | None
     ) -> PutResult:
         """Write if the version is the expected one."""
-        return await self._change("PUT", path, value, expected_version)
+        return await self._write("PUT", path, value, expected_version)
 
     async def delete(self, path: str, expected_version: int | None) -> PutResult:
         """Leave a tombstone, under the same condition as `put`."""
-        return await self._change("DELETE", path, b"", expected_version)
+        return await self._write("DELETE", path, b"", expected_version)
 
     async def watch(
         self, prefix: str, after_version: int
@@ -143,7 +145,7 @@
         while True:
             query = f"prefix={quote(prefix)}&after={after_version}&wait_ms={wait:.0f}"
             reply = await self._exchange("GET", f"/objects?{query}", wait=wait)
-            changes = _objects(reply)
+            changes = _parse_objects(reply)
             if isinstance(changes, PlatformUnavailable):
                 yield changes
                 return
@@ -151,22 +153,22 @@
                 after_version = max(after_version, change.version)
                 yield change
 
-    async def _change(
+    async def _write(
         self, method: str, path: str, value: bytes, expected_version: int | None
     ) -> PutResult:
-        headers = _condition(expected_version)
-        reply = await self._exchange(method, _url(path), value, headers)
+        headers = _condition_headers(expected_version)
+        reply = await self._exchange(method, _object_url(path), value, headers)
         if isinstance(reply, PlatformUnavailable):
             return reply
         if reply.status == httpx.codes.OK:
-            stored = _stored(path, reply, changing=True)
+            stored = _parse_stored(path, reply, is_write=True)
             if isinstance(stored, PlatformUnavailable):
                 return stored
             deleted = method == "DELETE"
             return StoredObject(path, stored.version, value, deleted)
         if reply.status == httpx.codes.PRECONDITION_FAILED:
-            return _conflict(path, reply)
-        return _unexpected(reply, changing=True)
+            return _parse_conflict(path, reply)
+        return _unexpected_status(reply, is_write=True)
 
     async def _exchange(
         self,
@@ -175,26 +177,31 @@
         content: bytes | None = None,
         headers: dict[str, str] | None = None,
         wait: Milliseconds = 0.0,
-    ) -> _Exchange:
-        changing = method != "GET"
-        # The library's timeouts are for each read and write; `limit` is over all.
-        limit = (self._cfg.timeout + wait) / MS_PER_S
-        timeout = httpx.Timeout(self._cfg.timeout / MS_PER_S, read=limit)
+    ) -> _ExchangeResult:
+        is_write = method != "GET"
+        # The library's timeouts are for each read and write; `total_timeout_s`
+        # is over all.
+        total_timeout_s = (self._cfg.timeout + wait) / MS_PER_S
+        timeout = httpx.Timeout(self._cfg.timeout / MS_PER_S, read=total_timeout_s)
         try:
-            with trio.fail_after(limit):
+            with trio.fail_after(total_timeout_s):
                 async with self._client.stream(
                     method, url, content=content, headers=headers, timeout=timeout
                 ) as response:
                     body = await _read_bounded(response)
-        except _NOT_SENT as exc:
-            return PlatformUnavailable(maybe_applied=False, detail=_detail(exc))
+        except _NOT_SENT_ERRORS as exc:
+            return PlatformUnavailable(
+                maybe_applied=False, detail=_describe_exception(exc)
+            )
         except (httpx.HTTPError, trio.TooSlowError, _TooLarge) as exc:
-            return PlatformUnavailable(maybe_applied=changing, detail=_detail(exc))
+            return PlatformUnavailable(
+                maybe_applied=is_write, detail=_describe_exception(exc)
+            )
         return _Reply(response.status_code, response.headers, body)
 
 
 class _TooLarge(Exception):
-    """A body was longer than `MAX_BODY`."""
+    """A body was longer than `MAX_BODY_BYTES`."""
 
 
 async def _read_bounded(response: httpx.Response) -> bytes:
@@ -203,16 +210,16 @@
     async for piece in response.aiter_raw():
         pieces.append(piece)
         size += len(piece)
-        if size > MAX_BODY:
-            raise _TooLarge(f"a body of more than {MAX_BODY} bytes")
+        if size > MAX_BODY_BYTES:
+            raise _TooLarge(f"a body of more than {MAX_BODY_BYTES} bytes")
     return b"".join(pieces)
 
 
-def _url(path: str) -> str:
+def _object_url(path: str) -> str:
     return f"/objects{quote(path)}"
 
 
-def _condition(expected_version: int | None) -> dict[str, str]:
+def _condition_headers(expected_version: int | None) -> dict[str, str]:
     if expected_version is None:
         return {}
     if expected_version == 0:
@@ -220,49 +227,51 @@
     return {"if-match": f'"{expected_version}"'}
 
 
-def _stored(
-    path: str, reply: _Reply, *, changing: bool
+def _parse_stored(
+    path: str, reply: _Reply, *, is_write: bool
 ) -> StoredObject | PlatformUnavailable:
-    tag = reply.headers.get("etag", "").strip('"')
-    if not tag.isdecimal():
-        detail = f'{path}: etag {tag!r}; expected a version such as "17"'
-        return PlatformUnavailable(maybe_applied=changing, detail=detail)
-    return StoredObject(path, int(tag), reply.body, DELETED in reply.headers)
+    etag = reply.headers.get("etag", "").strip('"')
+    if not etag.isdecimal():
+        detail = f'{path}: etag {etag!r}; expected a version such as "17"'
+        return PlatformUnavailable(maybe_applied=is_write, detail=detail)
+    return StoredObject(path, int(etag), reply.body, DELETED_HEADER in reply.headers)
 
 
-def _conflict(path: str, reply: _Reply) -> Conflict | PlatformUnavailable:
+def _parse_conflict(path: str, reply: _Reply) -> Conflict | PlatformUnavailable:
     if "etag" not in reply.headers:
         return Conflict(None)
-    current = _stored(path, reply, changing=False)
+    current = _parse_stored(path, reply, is_write=False)
     if isinstance(current, PlatformUnavailable):
         return current
     return Conflict(current)
 
 
-def _unexpected(reply: _Reply, *, changing: bool) -> PlatformUnavailable:
+def _unexpected_status(reply: _Reply, *, is_write: bool) -> PlatformUnavailable:
     # A client error is said before anything is changed; a server error may not be.
-    maybe_applied = changing and reply.status >= httpx.codes.INTERNAL_SERVER_ERROR
+    maybe_applied = is_write and reply.status >= httpx.codes.INTERNAL_SERVER_ERROR
     detail = f"status {reply.status}: {reply.body[:200]!r}"
     return PlatformUnavailable(maybe_applied, detail)
 
 
-def _objects(reply: _Exchange) -> tuple[StoredObject, ...] | PlatformUnavailable:
+def _parse_objects(
+    reply: _ExchangeResult,
+) -> tuple[StoredObject, ...] | PlatformUnavailable:
     if isinstance(reply, PlatformUnavailable):
         return reply
     if reply.status != httpx.codes.OK:
-        return _unexpected(reply, changing=False)
+        return _unexpected_status(reply, is_write=False)
     try:
         entries = json.loads(reply.body)["objects"]
-        return tuple(_entry(entry) for entry in entries)
+        return tuple(_parse_entry(entry) for entry in entries)
     except (ValueError, KeyError, TypeError, binascii.Error) as exc:
-        return PlatformUnavailable(maybe_applied=False, detail=_detail(exc))
+        return PlatformUnavailable(maybe_applied=False, detail=_describe_exception(exc))
 
 
-def _entry(entry: Any) -> StoredObject:
+def _parse_entry(entry: Any) -> StoredObject:
     value = base64.b64decode(entry["value"], validate=True)
     path, version = str(entry["path"]), int(entry["version"])
     return StoredObject(path, version, value, bool(entry["deleted"]))
 
 
-def _detail(exc: Exception) -> str:
+def _describe_exception(exc: Exception) -> str:
     return f"{type(exc).__name__}: {exc}"
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/gossip.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/gossip.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from fuchsiagap_node.core import digest
+from fuchsiagap_node.core import member_digest
 from fuchsiagap_node.core.gossip import heartbeat, probe, reach, routes, spread, sync
 
 if TYPE_CHECKING:
@@ -38,7 +38,7 @@
     tasks = (
         routes.run,
         spread.run,
-        digest.run,
+        member_digest.run,
         sync.run,
         reach.run,
         heartbeat.send,
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/logs.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/logs.py
@@ -42,9 +42,9 @@
 
     def format(self, record: logging.LogRecord) -> str:
         """Return the line of a record; values passed as `extra` are its fields."""
-        when = datetime.fromtimestamp(record.created, UTC)
+        created_at = datetime.fromtimestamp(record.created, UTC)
         line: dict[str, object] = {
-            "time": when.isoformat(timespec="milliseconds"),
+            "time": created_at.isoformat(timespec="milliseconds"),
             "level": record.levelname.lower(),
             "process": self._process,
             "logger": record.name,
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/digest.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/member_digest.py
@@ -26,16 +26,16 @@
 MAX_DIGEST_BYTES = 16 * 1024 * 1024
 
 _LOG = logging.getLogger(__name__)
-_FIRST_PAUSE_MS = 500.0
-_LONGEST_PAUSE_MS = 10_000.0
-_JITTER = 0.2
+_INITIAL_RETRY_DELAY_MS = 500.0
+_MAX_RETRY_DELAY_MS = 10_000.0
+_JITTER_SHARE = 0.2
 
 
 @dataclass(slots=True)
-class _Relay:
+class _RelayState:
     """What this node remembers as a relay."""
 
-    last_announcements: float = float("-inf")
+    announcements_read_at: float = float("-inf")
 
 
 async def run(state: NodeState) -> None:
@@ -46,16 +46,16 @@
     state : NodeState
         The node.
     """
-    await _start(state)
-    relay = _Relay()
+    await _announce_and_read(state)
+    relay_state = _RelayState()
     announced = state.membership.self_member
     while True:
-        await _pause(state, state.membership.cfg.digest_interval)
-        if _is_other_life(announced, state.membership.self_member):
+        await _sleep_with_jitter(state, state.membership.cfg.digest_interval)
+        if _has_identity_changed(announced, state.membership.self_member):
             announced = state.membership.self_member
             await _announce(state)
         if state.membership.name in relays(state):
-            await _work_as_relay(state, relay)
+            await _run_relay_step(state, relay_state)
 
 
 def relays(state: NodeState) -> tuple[str, ...]:
@@ -90,26 +90,26 @@
     return MalformedFrame(f"expected Updates, got {type(msg).__name__}")
 
 
-async def _start(state: NodeState) -> None:
+async def _announce_and_read(state: NodeState) -> None:
     """Announce this node and learn of others, however long the platform is away."""
-    pause = _FIRST_PAUSE_MS
+    retry_delay = _INITIAL_RETRY_DELAY_MS
     announced = False
     while True:
         announced = announced or await _announce(state)
-        if await _learn(state) and announced:
+        if await _read_members(state) and announced:
             return
-        await _pause(state, pause)
-        pause = min(2 * pause, _LONGEST_PAUSE_MS)
+        await _sleep_with_jitter(state, retry_delay)
+        retry_delay = min(2 * retry_delay, _MAX_RETRY_DELAY_MS)
 
 
 async def _announce(state: NodeState) -> bool:
-    me = state.membership.self_member
-    path = f"{ANNOUNCE_PREFIX}{me.data_centre}/{me.node}"
-    put = await state.platform.put(path, encode_members((me,)), None)
+    local_member = state.membership.self_member
+    path = f"{ANNOUNCE_PREFIX}{local_member.data_centre}/{local_member.node}"
+    put = await state.platform.put(path, encode_members((local_member,)), None)
     return isinstance(put, StoredObject)
 
 
-async def _learn(state: NodeState) -> bool:
+async def _read_members(state: NodeState) -> bool:
     """Read the digests, or the announcements if there are no digests yet."""
     digests = await _read_all(state, MEMBERS_PREFIX)
     if digests is None:
@@ -130,7 +130,7 @@
     found = await state.platform.list(prefix)
     if isinstance(found, PlatformUnavailable):
         return None
-    read: dict[str, tuple[StoredObject, tuple[Member, ...]]] = {}
+    members_by_path: dict[str, tuple[StoredObject, tuple[Member, ...]]] = {}
     for stored in found:
         members = () if stored.deleted else decode_members(stored.value)
         if isinstance(members, MalformedFrame):
@@ -138,15 +138,17 @@
             members = ()
         # Others read the same; only what they do not know shows in the hashes.
         state.membership.merge(members, spread=False)
-        read[stored.path] = (stored, members)
-    return read
+        members_by_path[stored.path] = (stored, members)
+    return members_by_path
 
 
-async def _work_as_relay(state: NodeState, relay: _Relay) -> None:
+async def _run_relay_step(state: NodeState, relay_state: _RelayState) -> None:
     now = state.clock.now()
-    due = relay.last_announcements + state.membership.cfg.announce_interval
-    if now >= due and await _tend_announcements(state):
-        relay.last_announcements = now
+    read_due_at = (
+        relay_state.announcements_read_at + state.membership.cfg.announce_interval
+    )
+    if now >= read_due_at and await _process_announcements(state):
+        relay_state.announcements_read_at = now
     digests = await _read_all(state, MEMBERS_PREFIX)
     if digests is not None:
         await _write_digest(state, digests)
@@ -156,27 +158,27 @@
     state: NodeState, digests: dict[str, tuple[StoredObject, tuple[Member, ...]]]
 ) -> None:
     membership = state.membership
-    own = membership.self_member.data_centre
-    path = f"{MEMBERS_PREFIX}{own}"
-    stored, written = digests.get(path, (None, ()))
-    live = tuple(
-        _without_suspicion(member)
+    data_centre = membership.self_member.data_centre
+    path = f"{MEMBERS_PREFIX}{data_centre}"
+    stored, stored_members = digests.get(path, (None, ()))
+    live_members = tuple(
+        _as_alive(member)
         for member in sorted(membership.members(), key=lambda m: m.node)
-        if member.data_centre == own and not member.gone
+        if member.data_centre == data_centre and not member.gone
     )
-    if {_identity(m) for m in live} == {_identity(m) for m in written}:
+    if {_identity(m) for m in live_members} == {_identity(m) for m in stored_members}:
         return
     version = 0 if stored is None else stored.version
-    put = await state.platform.put(path, encode_members(live), version)
+    put = await state.platform.put(path, encode_members(live_members), version)
     if isinstance(put, Conflict):
         # Another relay wrote; the next look shows whether its digest lacks anything.
-        _LOG.debug("digest of %s was written by another relay", own)
+        _LOG.debug("digest of %s was written by another relay", data_centre)
 
 
-async def _tend_announcements(state: NodeState) -> bool:
+async def _process_announcements(state: NodeState) -> bool:
     """Learn of nodes nobody knows, and delete announcements of those gone."""
-    own = state.membership.self_member.data_centre
-    found = await _read_all(state, f"{ANNOUNCE_PREFIX}{own}/")
+    data_centre = state.membership.self_member.data_centre
+    found = await _read_all(state, f"{ANNOUNCE_PREFIX}{data_centre}/")
     if found is None:
         return False
     for stored, members in found.values():
@@ -185,7 +187,7 @@
     return True
 
 
-def _without_suspicion(member: Member) -> Member:
+def _as_alive(member: Member) -> Member:
     if member.state is MemberState.SUSPECT:
         return replace(member, state=MemberState.ALIVE)
     return member
@@ -195,9 +197,9 @@
     return member.node, member.incarnation, member.address, member.services
 
 
-def _is_other_life(announced: Member, me: Member) -> bool:
-    return _identity(announced) != _identity(me)
+def _has_identity_changed(announced: Member, local_member: Member) -> bool:
+    return _identity(announced) != _identity(local_member)
 
 
-async def _pause(state: NodeState, duration: float) -> None:
-    await sleep_ms(duration * state.rng.uniform(1 - _JITTER, 1 + _JITTER))
+async def _sleep_with_jitter(state: NodeState, duration: float) -> None:
+    await sleep_ms(duration * state.rng.uniform(1 - _JITTER_SHARE, 1 + _JITTER_SHARE))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/node.py
@@ -38,9 +38,9 @@
     from fuchsiagap_node.core.config import NodeConfig
     from fuchsiagap_node.core.ports import BackendServer, Dial, Link, Platform
 
-    Take: TypeAlias = Callable[[Link], Awaitable[None]]
+    ServeLink: TypeAlias = Callable[[Link], Awaitable[None]]
 
-_PARTS = (
+_HANDLER_MODULES = (
     serve,
     relay,
     home_tickets,
@@ -51,9 +51,9 @@
     state_events,
 )
 _TASKS = (home.run, gossip.run, settings_sync.run, state_events.run)
-_LOAD_POLL_MS = 1_000.0
-_IDLE_STEPS = 50
-_IDLE_FACTOR = 5.0
+_LOAD_POLL_INTERVAL_MS = 1_000.0
+_STEPS_BEFORE_IDLE = 50
+_IDLE_INTERVAL_FACTOR = 5.0
 # Replies to a node that no longer reads must not hold up the stop for ever.
 _REPLIES_TIMEOUT_S = 10.0
 
@@ -85,7 +85,7 @@
     rng: random.Random
     incarnation: int
     dial: Callable[[trio.Nursery], Dial]
-    listen: Callable[[Take], Awaitable[None]]
+    listen: Callable[[ServeLink], Awaitable[None]]
     backend: BackendServer
     platform: Platform
 
@@ -115,12 +115,12 @@
     """
     async with trio.open_nursery() as nursery:
         state = make_state(cfg, ports, nursery)
-        _register(state)
-        for task in (*_TASKS, _step_gate, _poll_load):
+        _register_handlers(state)
+        for task in (*_TASKS, _step_gate, _poll_backend_load):
             nursery.start_soon(task, state)
         assert isinstance(state.peers, LinkPeers)
         nursery.start_soon(ports.listen, state.peers.take)
-        nursery.start_soon(_issue_once_joined, state)
+        nursery.start_soon(_enable_tickets_once_joined, state)
         if edges is not None:
             nursery.start_soon(edges, state)
         state.telemetry.ring.record(EventKind.PROCESS_STARTED)
@@ -128,12 +128,12 @@
         await state.drain_requested.wait()
         await drain.drain(state, "requested")
         await _until_quiet(state.peers, state.calls)
-        _check_idle(state)
+        _report_unfinished_calls(state)
         state.telemetry.ring.record(EventKind.PROCESS_STOPPED)
         nursery.cancel_scope.cancel()
 
 
-async def _issue_once_joined(state: NodeState) -> None:
+async def _enable_tickets_once_joined(state: NodeState) -> None:
     """Hand out tickets only once other nodes can find their home."""
     state.tickets.issuing = False
     await gossip.until_joined(state)
@@ -151,7 +151,7 @@
         await calls.idle.wait()
 
 
-def _check_idle(state: NodeState) -> None:
+def _report_unfinished_calls(state: NodeState) -> None:
     """Report calls that the end of the process would cut."""
     calls = state.calls
     if calls.busy():
@@ -184,13 +184,13 @@
     handlers = Handlers()
     hello = Hello(cfg.name, ports.incarnation, cfg.data_centre, cfg.peer_address)
 
-    def note_link(peer: Hello, is_up: bool) -> None:
+    def record_link_change(peer: Hello, is_up: bool) -> None:
         kind = EventKind.LINK_UP if is_up else EventKind.LINK_DOWN
         telemetry.ring.record(kind, peer=peer.node)
 
     wire = make_wire(cfg, hello, handlers, telemetry)
     dial = ports.dial(nursery)
-    peers = LinkPeers(LinkSettings(), wire, dial, nursery, note_link)
+    peers = LinkPeers(LinkSettings(), wire, dial, nursery, record_link_change)
     membership = Membership(
         cfg.membership, cfg.self_member(ports.incarnation), clock, rng
     )
@@ -216,9 +216,9 @@
     )
 
 
-def _register(state: NodeState) -> None:
-    for part in _PARTS:
-        part.register(state)
+def _register_handlers(state: NodeState) -> None:
+    for module in _HANDLER_MODULES:
+        module.register(state)
 
 
 async def _step_gate(state: NodeState) -> None:
@@ -229,14 +229,18 @@
     """
     n_idle = 0
     while True:
-        pause = state.cfg.gate.step_ms
-        await sleep_ms(pause if n_idle < _IDLE_STEPS else pause * _IDLE_FACTOR)
+        interval_ms = state.cfg.gate.step_ms
+        await sleep_ms(
+            interval_ms
+            if n_idle < _STEPS_BEFORE_IDLE
+            else interval_ms * _IDLE_INTERVAL_FACTOR
+        )
         state.gate.step()
         is_idle = state.gate.in_flight == 0 and state.gate.n_waiting == 0
         n_idle = n_idle + 1 if is_idle else 0
 
 
-async def _poll_load(state: NodeState) -> None:
+async def _poll_backend_load(state: NodeState) -> None:
     """Ask the backend server for its load; it may lag or mislead."""
     was_up: bool | None = None
     while True:
@@ -248,4 +252,4 @@
             kind = EventKind.BACKEND_UP if is_up else EventKind.BACKEND_DOWN
             state.telemetry.ring.record(kind)
             was_up = is_up
-        await sleep_ms(_LOAD_POLL_MS)
+        await sleep_ms(_LOAD_POLL_INTERVAL_MS)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/process.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/process.py
@@ -24,12 +24,12 @@
     import random
 
     from fuchsiagap_node.core.config import NodeConfig
-    from fuchsiagap_node.core.node import Take
+    from fuchsiagap_node.core.node import ServeLink
     from fuchsiagap_node.core.state import NodeState
 
 _LOG = logging.getLogger(__name__)
 _BACKLOG = 1024
-_KEEP_ALIVE_S = 75.0
+_KEEP_ALIVE_TIMEOUT_S = 75.0
 # A graceful shutdown ends when the calls in progress have ended, not before.
 _GRACEFUL_TIMEOUT_S = 3600.0
 
@@ -75,11 +75,11 @@
     CannotListen or None
         None after a graceful shutdown.
     """
-    sockets = _bind(cfg)
+    sockets = _bind_sockets(cfg)
     if isinstance(sockets, CannotListen):
         return sockets
-    bound = (sockets.callers, sockets.peers, sockets.admin)
-    cfg = cfg.with_addresses(*map(_address, bound))
+    bound_sockets = (sockets.callers, sockets.peers, sockets.admin)
+    cfg = cfg.with_addresses(*map(_format_address, bound_sockets))
     _LOG.info(
         "node %s: callers %s, peers %s, operators %s",
         cfg.name,
@@ -91,12 +91,12 @@
         cfg.backend.address, cfg.backend.connections, cfg.limits.body_bytes
     )
 
-    async def listen(take: Take) -> None:
-        await serve_links([_listener(sockets.peers)], take)
+    async def listen(serve_link: ServeLink) -> None:
+        await serve_links([_make_listener(sockets.peers)], serve_link)
 
     async def edges(state: NodeState) -> None:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(serve_callers, state, _listener(sockets.callers))
+            nursery.start_soon(serve_callers, state, _make_listener(sockets.callers))
             nursery.start_soon(_serve_admin, state, sockets.admin)
 
     platform_cfg = PlatformHttpSettings(
@@ -115,18 +115,18 @@
         )
         async with trio.open_nursery() as nursery:
             state: NodeState = await nursery.start(run_node, cfg, ports, edges)
-            await _stop_when_asked(state, stop)
+            await _wait_for_drain_request(state, stop)
     return None
 
 
-async def _stop_when_asked(state: NodeState, stop: trio.Event) -> None:
+async def _wait_for_drain_request(state: NodeState, stop: trio.Event) -> None:
     async with trio.open_nursery() as nursery:
 
-        async def forward() -> None:
+        async def forward_signal() -> None:
             await stop.wait()
             state.request_drain()
 
-        nursery.start_soon(forward)
+        nursery.start_soon(forward_signal)
         await state.drain_requested.wait()
         nursery.cancel_scope.cancel()
 
@@ -142,30 +142,32 @@
     config.errorlog = None
     config.include_server_header = False
     config.include_date_header = False
-    config.keep_alive_timeout = _KEEP_ALIVE_S
+    config.keep_alive_timeout = _KEEP_ALIVE_TIMEOUT_S
     config.graceful_timeout = _GRACEFUL_TIMEOUT_S
     config.backlog = _BACKLOG
     return config
 
 
-def _bind(cfg: NodeConfig) -> _Sockets | CannotListen:
-    bound: list[socket.socket] = []
+def _bind_sockets(cfg: NodeConfig) -> _Sockets | CannotListen:
+    bound_sockets: list[socket.socket] = []
     for address in (cfg.listen.callers, cfg.peer_address, cfg.listen.admin):
         host, _, port = address.rpartition(":")
         try:
-            bound.append(socket.create_server((host, int(port)), backlog=_BACKLOG))
+            bound_sockets.append(
+                socket.create_server((host, int(port)), backlog=_BACKLOG)
+            )
         except OSError as exc:
-            for sock in bound:
+            for sock in bound_sockets:
                 sock.close()
             return CannotListen(f"cannot listen at {address}: {exc}")
-    return _Sockets(*bound)
+    return _Sockets(*bound_sockets)
 
 
-def _listener(sock: socket.socket) -> trio.SocketListener:
+def _make_listener(sock: socket.socket) -> trio.SocketListener:
     sock.setblocking(False)
     return trio.SocketListener(trio.socket.from_stdlib_socket(sock))
 
 
-def _address(sock: socket.socket) -> str:
+def _format_address(sock: socket.socket) -> str:
     host, port = sock.getsockname()[:2]
     return f"{host}:{port}"
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/state.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/state.py
@@ -29,7 +29,7 @@
     from fuchsiagap_node.core.ports import BackendServer, Peers, Platform
 
 
-async def _not_registered(head: CallHead, body: bytes) -> Outcome:
+async def _serve_unregistered(head: CallHead, body: bytes) -> Outcome:
     raise RuntimeError(f"nothing serves calls yet: {head.call_id}, {len(body)} bytes")
 
 
@@ -102,7 +102,7 @@
     drain_requested: trio.Event = field(default_factory=trio.Event)
     leaving: bool = False
     serve: Callable[[CallHead, bytes], Awaitable[Outcome]] = field(
-        default=_not_registered
+        default=_serve_unregistered
     )
 
     @property
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/state_events.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/state_events.py
@@ -19,11 +19,11 @@
 
 # Level and limit move ten times a second under overload; a look a second keeps the
 # time line readable and the ring long.
-LOOK_MS = 1_000.0
+POLL_INTERVAL_MS = 1_000.0
 # Overload has ended when all calls have been admitted for so long.
-CALM_MS = 5_000.0
+OVERLOAD_END_DELAY_MS = 5_000.0
 # A limit that moved by less than this share is not worth an event.
-_NOTED_SHARE = 0.1
+_MIN_LIMIT_CHANGE_SHARE = 0.1
 
 _Level = tuple[int, int]
 _ALL_ADMITTED: _Level = (LEAST_PRIORITY, N_COHORTS - 1)
@@ -33,8 +33,10 @@
     """Have gauges set when they are read, and changes of members recorded."""
     state.telemetry.metrics.add_source(lambda: set_gauges(state))
 
-    def note_member(before: Member | None, now: Member) -> None:
-        if before is not None and _life(before) == _life(now):
+    def record_member_change(before: Member | None, now: Member) -> None:
+        if before is not None and _incarnation_and_state(
+            before
+        ) == _incarnation_and_state(now):
             return
         state.telemetry.ring.record(
             EventKind.MEMBER_CHANGED,
@@ -44,24 +46,24 @@
             incarnation=now.incarnation,
         )
 
-    state.membership.on_change(note_member)
+    state.membership.on_change(record_member_change)
 
 
-def _life(member: Member) -> tuple[int, MemberState]:
+def _incarnation_and_state(member: Member) -> tuple[int, MemberState]:
     return member.incarnation, member.state
 
 
 async def run(state: NodeState) -> None:
     """Look at level and limit again and again, and record what changed."""
-    seen = _Seen(level=_ALL_ADMITTED, limit=state.gate.limit)
+    recorded = _LastRecorded(level=_ALL_ADMITTED, limit=state.gate.limit)
     while True:
-        await sleep_ms(LOOK_MS)
-        _note_limit(state, seen)
-        _note_level(state, seen)
+        await sleep_ms(POLL_INTERVAL_MS)
+        _record_limit_change(state, recorded)
+        _record_level_change(state, recorded)
 
 
 @dataclass(slots=True)
-class _Seen:
+class _LastRecorded:
     """What was recorded last.
 
     Parameters
@@ -70,46 +72,58 @@
         The strictest level of all routes.
     limit : int
         The concurrency limit.
-    overloaded_at : float or None
+    last_overload_at : float or None
         When some calls were last not admitted; None if overload has ended.
     """
 
     level: _Level
     limit: int
-    overloaded_at: Milliseconds | None = None
+    last_overload_at: Milliseconds | None = None
 
 
-def _note_limit(state: NodeState, seen: _Seen) -> None:
+def _record_limit_change(state: NodeState, recorded: _LastRecorded) -> None:
     limit = state.gate.limit
-    if abs(limit - seen.limit) < _NOTED_SHARE * seen.limit or limit == seen.limit:
+    if (
+        abs(limit - recorded.limit) < _MIN_LIMIT_CHANGE_SHARE * recorded.limit
+        or limit == recorded.limit
+    ):
         return
-    state.telemetry.ring.record(EventKind.LIMIT_CHANGED, limit=limit, before=seen.limit)
-    seen.limit = limit
+    state.telemetry.ring.record(
+        EventKind.LIMIT_CHANGED, limit=limit, before=recorded.limit
+    )
+    recorded.limit = limit
 
 
-def _note_level(state: NodeState, seen: _Seen) -> None:
-    level, route = min(_levels(state))
+def _record_level_change(state: NodeState, recorded: _LastRecorded) -> None:
+    level, route = min(_route_levels(state))
     record = state.telemetry.ring.record
     now = state.clock.now()
-    if level != seen.level:
+    if level != recorded.level:
         record(EventKind.LEVEL_CHANGED, route=route, priority=level[0], cohort=level[1])
-        seen.level = level
+        recorded.level = level
     if level < _ALL_ADMITTED:
-        if seen.overloaded_at is None:
+        if recorded.last_overload_at is None:
             record(EventKind.OVERLOAD_STARTED, route=route)
-        seen.overloaded_at = now
-    elif seen.overloaded_at is not None and now - seen.overloaded_at >= CALM_MS:
+        recorded.last_overload_at = now
+    elif (
+        recorded.last_overload_at is not None
+        and now - recorded.last_overload_at >= OVERLOAD_END_DELAY_MS
+    ):
         record(EventKind.OVERLOAD_ENDED)
-        seen.overloaded_at = None
+        recorded.last_overload_at = None
 
 
-def _levels(state: NodeState) -> list[tuple[_Level, str]]:
+def _route_levels(state: NodeState) -> list[tuple[_Level, str]]:
     """Return the level of each route of the backend server's service."""
     service = state.cfg.service
     settings = state.book.team(service.team)
     routes = [service.name]
     if settings is not None:
-        routes += [one.route for one in settings.routes if one.service == service]
+        routes += [
+            route_settings.route
+            for route_settings in settings.routes
+            if route_settings.service == service
+        ]
     levels = []
     for route in routes:
         load = state.gate.report(route)
@@ -123,7 +137,7 @@
     gauge(Gauge.IN_FLIGHT, state.gate.in_flight)
     gauge(Gauge.LIMIT, state.gate.limit)
     gauge(Gauge.QUEUED, state.gate.n_waiting)
-    for (priority, cohort), route in _levels(state):
+    for (priority, cohort), route in _route_levels(state):
         gauge(Gauge.LEVEL, priority + (cohort + 1) / N_COHORTS, route)
     counts = Counter(member.state for member in state.membership.members())
     for member_state in MemberState:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/main.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/main.py
@@ -32,7 +32,7 @@
 _LOG = logging.getLogger(__name__)
 
 
-def _load(path: str, overrides: list[str]) -> NodeConfig | ConfigFaults | str:
+def _load_config(path: str, overrides: list[str]) -> NodeConfig | ConfigFaults | str:
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as exc:
@@ -44,7 +44,7 @@
     if len(argv) > 1 or _CONFIG.value is None:
         print("usage: fuchsiagap-node --config FILE [--set section.key=value]")
         return EXIT_BAD_SETTINGS
-    cfg = _load(_CONFIG.value, list(_SET.value))
+    cfg = _load_config(_CONFIG.value, list(_SET.value))
     if isinstance(cfg, (ConfigFaults, str)):
         print(cfg, file=sys.stderr)
         return EXIT_BAD_SETTINGS
@@ -53,7 +53,7 @@
         return 0
     set_up_logs(cfg.name)
     _tune_garbage_collection()
-    return trio.run(_until_stopped, cfg)
+    return trio.run(_run_until_stopped, cfg)
 
 
 def _tune_garbage_collection() -> None:
@@ -66,7 +66,7 @@
     gc.set_threshold(*_GC_THRESHOLDS)
 
 
-async def _until_stopped(cfg: NodeConfig) -> int:
+async def _run_until_stopped(cfg: NodeConfig) -> int:
     """Run the node; SIGTERM and SIGINT are graceful shutdowns."""
     stop = trio.Event()
     async with trio.open_nursery() as nursery:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_admin.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_admin.py
@@ -22,11 +22,11 @@
 
     from fuchsiagap_node.core.state import NodeState
 
-TEAM = "/v1/settings/salt-fog"
+TEAM_PATH = "/v1/settings/salt-fog"
 TOKEN = "salt-fog-token"
 TEXT = f"[team]\ntokens = ops {digest_of(TOKEN)}\n[certs]\npriority = 2\n"
-DOWN = PlatformFaults(outage=True)
-FIELDS = {"error", "detail", "expected", "next"}
+OUTAGE = PlatformFaults(outage=True)
+ERROR_FIELDS = {"error", "detail", "expected", "next"}
 
 
 class Client:
@@ -61,42 +61,49 @@
             async with open_settings_fleet(seed=1) as fleet:
                 state = fleet.add("certs-1")
                 await fleet.until(lambda: state.book.standing.complete)
-                ask = Client(state)
+                client = Client(state)
                 if prepared:
                     body = {"text": TEXT, "expected_version": 0, "change_id": "first"}
-                    status, _ = await ask("PUT", TEAM, body, OPERATORS_TOKEN)
+                    status, _ = await client("PUT", TEAM_PATH, body, OPERATORS_TOKEN)
                     self.assertEqual(200, status)
-                await main(ask, state, fleet)
+                await main(client, state, fleet)
 
         run_virtual(run)
 
-    def check_error(self, found: tuple[int, dict[str, Any]], status: int) -> None:
-        self.assertEqual(status, found[0], found)
-        for name in FIELDS:
-            self.assertTrue(found[1][name], name)
+    def check_error(self, response: tuple[int, dict[str, Any]], status: int) -> None:
+        self.assertEqual(status, response[0], response)
+        for name in ERROR_FIELDS:
+            self.assertTrue(response[1][name], name)
 
     def test_put_get_history_diff_and_delete(self) -> None:
-        async def main(ask: Client, state: NodeState, _fleet: SettingsFleet) -> None:
-            _, held = await ask("GET", TEAM, token=TOKEN)
-            self.assertEqual((TEXT, False), (held["text"], held["deleted"]))
+        async def main(client: Client, state: NodeState, _fleet: SettingsFleet) -> None:
+            _, stored = await client("GET", TEAM_PATH, token=TOKEN)
+            self.assertEqual((TEXT, False), (stored["text"], stored["deleted"]))
             text = TEXT.replace("priority = 2", "priority = 5")
-            _, compared = await ask("POST", f"{TEAM}/diff", {"text": text}, TOKEN)
+            _, compared = await client(
+                "POST", f"{TEAM_PATH}/diff", {"text": text}, TOKEN
+            )
             self.assertIn("+priority = 5", compared["diff"])
             self.assertTrue(compared["valid"])
-            body = {"text": text, "expected_version": held["version"]}
-            status, made = await ask("PUT", TEAM, body, TOKEN)
-            self.assertEqual((200, made["version"]), (status, made["current"]))
-            _, there = await ask("GET", f"{TEAM}?source=platform", token=TOKEN)
-            self.assertEqual((made["version"], text), (there["version"], there["text"]))
-            _, history = await ask("GET", f"{TEAM}/history", token=TOKEN)
+            body = {"text": text, "expected_version": stored["version"]}
+            status, accepted = await client("PUT", TEAM_PATH, body, TOKEN)
+            self.assertEqual((200, accepted["version"]), (status, accepted["current"]))
+            _, on_platform = await client(
+                "GET", f"{TEAM_PATH}?source=platform", token=TOKEN
+            )
+            self.assertEqual(
+                (accepted["version"], text),
+                (on_platform["version"], on_platform["text"]),
+            )
+            _, history = await client("GET", f"{TEAM_PATH}/history", token=TOKEN)
             changes = [(c["version"], c["by"]) for c in history["changes"]]
-            expected = [(made["version"], "ops"), (held["version"], "operators")]
+            expected = [(accepted["version"], "ops"), (stored["version"], "operators")]
             self.assertEqual(expected, changes)
-            body = {"expected_version": made["version"], "change_id": "gone"}
-            status, gone = await ask("DELETE", TEAM, body, TOKEN)
+            body = {"expected_version": accepted["version"], "change_id": "gone"}
+            status, gone = await client("DELETE", TEAM_PATH, body, TOKEN)
             self.assertEqual(200, status)
             self.assertIsNone(state.book.team("salt-fog"))
-            _, teams = await ask("GET", "/v1/settings")
+            _, teams = await client("GET", "/v1/settings")
             shown = {"team": "salt-fog", "version": gone["version"], "deleted": True}
             self.assertEqual([shown], teams["teams"])
 
@@ -105,12 +112,12 @@
     def test_the_loser_of_a_race_gets_the_winners_version_and_a_difference(
         self,
     ) -> None:
-        async def main(ask: Client, state: NodeState, _fleet: SettingsFleet) -> None:
+        async def main(client: Client, state: NodeState, _fleet: SettingsFleet) -> None:
             text = TEXT.replace("priority = 2", "priority = 5")
             body = {"text": text, "expected_version": 0, "change_id": "late"}
-            found = await ask("PUT", TEAM, body, TOKEN)
-            self.check_error(found, 409)
-            conflict = found[1]
+            response = await client("PUT", TEAM_PATH, body, TOKEN)
+            self.check_error(response, 409)
+            conflict = response[1]
             self.assertEqual(dict(state.book.vector())["salt-fog"], conflict["version"])
             self.assertEqual((TEXT, "operators"), (conflict["text"], conflict["by"]))
             self.assertIn("-priority = 2", conflict["diff"])
@@ -118,32 +125,34 @@
         self.run_admin(main)
 
     def test_an_invalid_text_gets_every_fault(self) -> None:
-        async def main(ask: Client, _state: NodeState, _fleet: SettingsFleet) -> None:
+        async def main(
+            client: Client, _state: NodeState, _fleet: SettingsFleet
+        ) -> None:
             body = {"text": "[team]\nweight = 9\n[a/b]\n"}
-            found = await ask("PUT", TEAM, body, TOKEN)
-            self.check_error(found, 422)
-            self.assertEqual([2, 3], [f["line"] for f in found[1]["faults"]])
-            status, checked = await ask("POST", f"{TEAM}/check", body, TOKEN)
+            response = await client("PUT", TEAM_PATH, body, TOKEN)
+            self.check_error(response, 422)
+            self.assertEqual([2, 3], [f["line"] for f in response[1]["faults"]])
+            status, checked = await client("POST", f"{TEAM_PATH}/check", body, TOKEN)
             self.assertEqual((200, False), (status, checked["valid"]))
             self.assertIn("[team] weight = '9'", checked["faults"][0]["message"])
 
         self.run_admin(main)
 
     def test_tokens_are_asked_for_and_teams_kept_apart(self) -> None:
-        async def main(ask: Client, state: NodeState, _fleet: SettingsFleet) -> None:
+        async def main(client: Client, state: NodeState, _fleet: SettingsFleet) -> None:
             body = {"text": f"[team]\ntokens = ops {digest_of('dakar-token')}\n"}
             dakar = "/v1/settings/dakar"
-            self.check_error(await ask("PUT", dakar, body, TOKEN), 403)
-            status, _ = await ask("PUT", dakar, body, OPERATORS_TOKEN)
+            self.check_error(await client("PUT", dakar, body, TOKEN), 403)
+            status, _ = await client("PUT", dakar, body, OPERATORS_TOKEN)
             self.assertEqual(200, status)
             before = state.book.vector()
-            guarded = [
-                ("PUT", TEAM, body),
-                ("DELETE", TEAM, {}),
-                ("GET", TEAM, None),
-                ("GET", f"{TEAM}/history", None),
-                ("POST", f"{TEAM}/diff", body),
-                ("POST", f"{TEAM}/check", body),
+            guarded_requests = [
+                ("PUT", TEAM_PATH, body),
+                ("DELETE", TEAM_PATH, {}),
+                ("GET", TEAM_PATH, None),
+                ("GET", f"{TEAM_PATH}/history", None),
+                ("POST", f"{TEAM_PATH}/diff", body),
+                ("POST", f"{TEAM_PATH}/check", body),
                 ("POST", "/v1/drain", None),
                 (
                     "POST",
@@ -151,46 +160,48 @@
                     {"method": "POST", "path": "/salt-fog/certs/issue"},
                 ),
             ]
-            for method, path, given in guarded:
-                self.check_error(await ask(method, path, given), 401)
+            for method, path, request_body in guarded_requests:
+                self.check_error(await client(method, path, request_body), 401)
                 for token in ("dakar-token", "x", digest_of(TOKEN), "t" * 600):
-                    found = await ask(method, path, given, token)
-                    self.check_error(found, 401 if len(token) > 512 else 403)
-            self.check_error(await ask("POST", "/v1/drain", None, TOKEN), 403)
+                    response = await client(method, path, request_body, token)
+                    self.check_error(response, 401 if len(token) > 512 else 403)
+            self.check_error(await client("POST", "/v1/drain", None, TOKEN), 403)
             self.assertEqual(before, state.book.vector())
             self.assertFalse(state.drain_requested.is_set())
 
         self.run_admin(main)
 
     def test_malformed_requests_get_clear_errors(self) -> None:
-        async def main(ask: Client, _state: NodeState, _fleet: SettingsFleet) -> None:
+        async def main(
+            client: Client, _state: NodeState, _fleet: SettingsFleet
+        ) -> None:
             big = b'{"text": "' + b"#" * MAX_BODY_BYTES + b'"}'
             for method, path, body, status in (
                 ("GET", "/v1/nothing", None, 404),
                 ("GET", "/", None, 404),
-                ("POST", TEAM, {}, 405),
-                ("PUT", TEAM, b"", 400),
-                ("PUT", TEAM, b"{", 400),
-                ("PUT", TEAM, b"\xff", 400),
-                ("PUT", TEAM, b"[" * 100_000, 400),
-                ("PUT", TEAM, [], 400),
-                ("PUT", TEAM, {}, 400),
-                ("PUT", TEAM, {"text": 7}, 400),
-                ("PUT", TEAM, {"text": "", "txt": ""}, 400),
-                ("PUT", TEAM, {"text": "", "expected_version": -1}, 400),
-                ("PUT", TEAM, {"text": "", "expected_version": True}, 400),
-                ("PUT", TEAM, {"text": "", "expected_version": "1"}, 400),
-                ("PUT", TEAM, {"text": "", "change_id": ""}, 400),
-                ("PUT", TEAM, {"text": "", "repeat": "yes"}, 400),
-                ("PUT", TEAM, {"text": "", "repeat": True}, 400),
-                ("PUT", TEAM, {"text": "", "change_id": "a b"}, 400),
-                ("PUT", TEAM, {"text": "", "change_id": "a" * 65}, 400),
-                ("PUT", TEAM, {"text": "\ud800"}, 422),
+                ("POST", TEAM_PATH, {}, 405),
+                ("PUT", TEAM_PATH, b"", 400),
+                ("PUT", TEAM_PATH, b"{", 400),
+                ("PUT", TEAM_PATH, b"\xff", 400),
+                ("PUT", TEAM_PATH, b"[" * 100_000, 400),
+                ("PUT", TEAM_PATH, [], 400),
+                ("PUT", TEAM_PATH, {}, 400),
+                ("PUT", TEAM_PATH, {"text": 7}, 400),
+                ("PUT", TEAM_PATH, {"text": "", "txt": ""}, 400),
+                ("PUT", TEAM_PATH, {"text": "", "expected_version": -1}, 400),
+                ("PUT", TEAM_PATH, {"text": "", "expected_version": True}, 400),
+                ("PUT", TEAM_PATH, {"text": "", "expected_version": "1"}, 400),
+                ("PUT", TEAM_PATH, {"text": "", "change_id": ""}, 400),
+                ("PUT", TEAM_PATH, {"text": "", "repeat": "yes"}, 400),
+                ("PUT", TEAM_PATH, {"text": "", "repeat": True}, 400),
+                ("PUT", TEAM_PATH, {"text": "", "change_id": "a b"}, 400),
+                ("PUT", TEAM_PATH, {"text": "", "change_id": "a" * 65}, 400),
+                ("PUT", TEAM_PATH, {"text": "\ud800"}, 422),
                 ("PUT", "/v1/settings/Salt_Fog", {"text": ""}, 422),
                 ("PUT", "/v1/settings/..", {"text": ""}, 422),
-                ("PUT", TEAM, big, 413),
-                ("POST", f"{TEAM}/check", {"text": None}, 400),
-                ("GET", f"{TEAM}?source=moon", None, 400),
+                ("PUT", TEAM_PATH, big, 413),
+                ("POST", f"{TEAM_PATH}/check", {"text": None}, 400),
+                ("GET", f"{TEAM_PATH}?source=moon", None, 400),
                 ("GET", "/v1/settings/nobody", None, 404),
                 ("GET", "/v1/events?after=-1", None, 400),
                 ("GET", "/v1/events?limit=x", None, 400),
@@ -204,105 +215,107 @@
                 ),
             ):
                 with self.subTest(method=method, path=path, body=str(body)[:40]):
-                    found = await ask(method, path, body, OPERATORS_TOKEN)
-                    self.check_error(found, status)
+                    response = await client(method, path, body, OPERATORS_TOKEN)
+                    self.check_error(response, status)
 
         self.run_admin(main)
 
     def test_a_body_that_stalls_is_given_up(self) -> None:
-        async def main(_ask: Client, state: NodeState, _fleet: SettingsFleet) -> None:
+        async def main(
+            _client: Client, state: NodeState, _fleet: SettingsFleet
+        ) -> None:
             client = admin_app(state).test_client()
             headers = {"authorization": f"Bearer {TOKEN}", "content-length": "50"}
             started = trio.current_time()
-            async with client.request(TEAM, method="PUT", headers=headers) as conn:
+            async with client.request(TEAM_PATH, method="PUT", headers=headers) as conn:
                 await conn.send(b'{"text": ')
                 await trio.sleep(60)
                 res = await conn.as_response()
             self.assertEqual(408, res.status_code)
-            self.assertEqual(FIELDS, set(json.loads(await res.get_data())))
+            self.assertEqual(ERROR_FIELDS, set(json.loads(await res.get_data())))
             self.assertLess(trio.current_time() - started, 70)
 
         self.run_admin(main)
 
     def test_the_platform_down_is_said_and_nothing_is_changed(self) -> None:
-        async def main(ask: Client, state: NodeState, fleet: SettingsFleet) -> None:
+        async def main(client: Client, state: NodeState, fleet: SettingsFleet) -> None:
             before = state.book.vector()
-            fleet.store.set_faults(DOWN)
-            self.check_error(await ask("PUT", TEAM, {"text": TEXT}, TOKEN), 503)
-            found = await ask("GET", f"{TEAM}?source=platform", token=TOKEN)
-            self.check_error(found, 503)
-            status, held = await ask("GET", TEAM, token=TOKEN)
-            self.assertEqual((200, TEXT), (status, held["text"]))
+            fleet.store.set_faults(OUTAGE)
+            self.check_error(await client("PUT", TEAM_PATH, {"text": TEXT}, TOKEN), 503)
+            response = await client("GET", f"{TEAM_PATH}?source=platform", token=TOKEN)
+            self.check_error(response, 503)
+            status, stored = await client("GET", TEAM_PATH, token=TOKEN)
+            self.assertEqual((200, TEXT), (status, stored["text"]))
             self.assertEqual(before, state.book.vector())
             await fleet.until(lambda: state.book.standing.platform_up is False)
-            status, shown = await ask("GET", "/v1/status")
+            status, shown = await client("GET", "/v1/status")
             self.assertEqual((200, False), (status, shown["platform"]["up"]))
 
         self.run_admin(main)
 
     def test_an_open_change_says_how_to_settle_it(self) -> None:
-        async def main(ask: Client, _state: NodeState, fleet: SettingsFleet) -> None:
+        async def main(client: Client, _state: NodeState, fleet: SettingsFleet) -> None:
             fleet.store.set_faults(PlatformFaults(lose_answers=1.0))
             body: dict[str, object] = {
                 "text": TEXT + "timeout = 2s\n",
                 "change_id": "open",
             }
-            found = await ask("PUT", TEAM, body, TOKEN)
-            self.check_error(found, 504)
+            response = await client("PUT", TEAM_PATH, body, TOKEN)
+            self.check_error(response, 504)
             for named in ("change_id", "expected_version", "repeat = true"):
-                self.assertIn(named, found[1]["next"])
+                self.assertIn(named, response[1]["next"])
             # A repeat that does not get through leaves it open.
-            fleet.store.set_faults(DOWN)
-            version = found[1]["expected_version"]
+            fleet.store.set_faults(OUTAGE)
+            version = response[1]["expected_version"]
             body |= {"repeat": True, "expected_version": version}
-            self.check_error(await ask("PUT", TEAM, body, TOKEN), 504)
+            self.check_error(await client("PUT", TEAM_PATH, body, TOKEN), 504)
             fleet.store.set_faults(PlatformFaults())
-            status, made = await ask("PUT", TEAM, body, TOKEN)
-            self.assertEqual((200, "open"), (status, made["change_id"]))
+            status, accepted = await client("PUT", TEAM_PATH, body, TOKEN)
+            self.assertEqual((200, "open"), (status, accepted["change_id"]))
 
         self.run_admin(main)
 
     def test_status_shows_members_by_data_centre_and_team(self) -> None:
-        async def main(ask: Client, _state: NodeState, fleet: SettingsFleet) -> None:
+        async def main(client: Client, _state: NodeState, fleet: SettingsFleet) -> None:
             fleet.add("certs-2", "hall-b", ["certs-1:7000"])
             node = fleet.nodes["certs-1"]
             await fleet.until(lambda: len(node.membership.members()) == 2)
-            _, shown = await ask("GET", "/v1/status")
+            _, shown = await client("GET", "/v1/status")
             [other] = shown["members"]["hall-b"]["salt-fog"]
             self.assertEqual("certs-2:7100", other["admin_address"])
             self.assertEqual({"alive": 2}, shown["member_counts"])
             self.assertEqual("certs", shown["levels"][0]["route"])
             self.assertEqual("certs-1", shown["node"]["name"])
-            _, shown = await ask("GET", "/v1/status?team=dakar")
+            _, shown = await client("GET", "/v1/status?team=dakar")
             self.assertEqual({}, shown["members"])
-            _, shown = await ask("GET", "/v1/status?members=no")
+            _, shown = await client("GET", "/v1/status?members=no")
             self.assertNotIn("members", shown)
 
         self.run_admin(main)
 
     def test_drain_events_metrics_and_tickets(self) -> None:
-        async def main(ask: Client, state: NodeState, _fleet: SettingsFleet) -> None:
-            _, page = await ask("GET", "/v1/events?limit=1000")
+        async def main(client: Client, state: NodeState, _fleet: SettingsFleet) -> None:
+            _, page = await client("GET", "/v1/events?limit=1000")
             kinds = [event["kind"] for event in page["events"]]
             self.assertIn("settings-adopted", kinds)
             last = page["events"][-1]["stamp"]
-            _, page = await ask("GET", f"/v1/events?after={last}")
+            _, page = await client("GET", f"/v1/events?after={last}")
             self.assertEqual([], page["events"])
-            _, metrics = await ask("GET", "/v1/metrics")
+            _, metrics = await client("GET", "/v1/metrics")
             adopted = b'fuchsiagap_settings_adopted_total{team="salt-fog"} 1.0'
             self.assertIn(adopted, metrics["raw"])
             [ticket] = state.tickets.own.issue(1)
-            _, home = await ask("GET", f"/v1/tickets/{ticket}")
+            _, home = await client("GET", f"/v1/tickets/{ticket}")
             self.assertEqual("here", home["home"])
-            _, home = await ask("GET", "/v1/tickets/nobody.1.0")
+            _, home = await client("GET", "/v1/tickets/nobody.1.0")
             self.assertEqual(("gone", ""), (home["home"], home["address"]))
             body = {"method": "post", "path": "/salt-fog/certs/issue"}
             path = f"/v1/tickets/{ticket}/settle"
-            _, outcome = await ask("POST", path, body, TOKEN)
+            _, outcome = await client("POST", path, body, TOKEN)
             self.assertEqual(
                 ("refused", "ticket-burnt"), (outcome["outcome"], outcome["reason"])
             )
-            status, _ = await ask("POST", "/v1/drain", None, OPERATORS_TOKEN)
+            status, _ = await client("POST", "/v1/drain", None, OPERATORS_TOKEN)
             self.assertEqual(202, status)
             self.assertTrue(state.drain_requested.is_set())
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_backend_http.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_backend_http.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-_LIMIT_S = 60.0
+_TEST_TIMEOUT_S = 60.0
 _CHUNKED = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
 _OK = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
 
@@ -27,7 +27,7 @@
         self.then_close = then_close
         self.n_connections = 0
         self.requests: list[bytes] = []
-        self.left = trio.Event()
+        self.disconnected = trio.Event()
 
     async def serve(self, stream: trio.SocketStream) -> None:
         self.n_connections += 1
@@ -39,35 +39,37 @@
                     await stream.send_all(reply)
                 if self.then_close or not reply:
                     break
-        self.left.set()
+        self.disconnected.set()
 
 
 class TestHttpBackend(TestCase):
-    def _with(
+    def _run_with(
         self,
         server: Callable[[], _Server],
         use: Callable[[HttpBackend, _Server], Awaitable[None]],
     ) -> None:
         async def main() -> None:
-            made = server()
-            with trio.fail_after(_LIMIT_S):
+            running_server = server()
+            with trio.fail_after(_TEST_TIMEOUT_S):
                 async with trio.open_nursery() as nursery:
                     listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
                     host, port = listeners[0].socket.getsockname()
-                    nursery.start_soon(trio.serve_listeners, made.serve, listeners)
-                    await use(http_backend(f"{host}:{port}", 4, 1000), made)
+                    nursery.start_soon(
+                        trio.serve_listeners, running_server.serve, listeners
+                    )
+                    await use(http_backend(f"{host}:{port}", 4, 1000), running_server)
                     nursery.cancel_scope.cancel()
 
         trio.run(main)
 
     def _outcome_of(self, reply: bytes) -> Outcome:
-        got: list[Outcome] = []
+        outcomes: list[Outcome] = []
 
         async def use(backend: HttpBackend, _server: _Server) -> None:
-            got.append(await backend.send(a_head(), b"body", 5_000.0))
+            outcomes.append(await backend.send(a_head(), b"body", 5_000.0))
 
-        self._with(lambda: _Server(reply, then_close=True), use)
-        return got[0]
+        self._run_with(lambda: _Server(reply, then_close=True), use)
+        return outcomes[0]
 
     def _expect(self, reply: bytes, kind: type, reason: Reason) -> None:
         outcome = self._outcome_of(reply)
@@ -117,7 +119,7 @@
                 self.assertIsInstance(outcome, Unknown)
             self.assertEqual(2, server.n_connections)
 
-        self._with(lambda: _Server(b""), use)
+        self._run_with(lambda: _Server(b""), use)
 
     def test_nobody_listens(self) -> None:
         async def main() -> Outcome:
@@ -139,23 +141,23 @@
                 self.assertIsInstance(outcome, Answered)
             self.assertEqual(1, server.n_connections)
 
-        self._with(lambda: _Server(_OK, _OK, _OK), use)
+        self._run_with(lambda: _Server(_OK, _OK, _OK), use)
 
         async def use_closed(backend: HttpBackend, server: _Server) -> None:
             for number in range(3):
                 outcome = await backend.send(a_head(), b"", 5_000.0)
                 self.assertIsInstance(outcome, Answered)
-                await server.left.wait()
-                server.left = trio.Event()
+                await server.disconnected.wait()
+                server.disconnected = trio.Event()
                 self.assertEqual(number + 1, server.n_connections)
 
-        self._with(lambda: _Server(_OK, _OK, _OK, then_close=True), use_closed)
+        self._run_with(lambda: _Server(_OK, _OK, _OK, then_close=True), use_closed)
 
     def test_cancelled_call_closes_its_connection(self) -> None:
         async def use(backend: HttpBackend, server: _Server) -> None:
             with trio.move_on_after(0.05):
                 await backend.send(a_head(), b"", 5_000.0)
-            await server.left.wait()
+            await server.disconnected.wait()
             self.assertEqual(1, len(server.requests))
 
-        self._with(lambda: _Server(b"HTTP/1.1 200 OK\r\n"), use)
+        self._run_with(lambda: _Server(b"HTTP/1.1 200 OK\r\n"), use)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_http_server.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_http_server.py
@@ -25,7 +25,7 @@
 _HEADER_BYTES = 2048
 _BODY_BYTES = 10_000
 _OPEN_BYTES = 15_000
-_GOOD = b"GET /ok HTTP/1.1\r\nhost: a\r\n\r\n"
+_VALID_REQUEST = b"GET /ok HTTP/1.1\r\nhost: a\r\n\r\n"
 _POST = b"POST /ok HTTP/1.1\r\nhost: a\r\n"
 
 _MALFORMED_LINES = [
@@ -75,7 +75,7 @@
     b"99999999999999999999999\r\n",
     b"\r\n\r\n",
 ]
-_CUT = [
+_TRUNCATED_REQUESTS = [
     b"",
     b"G",
     b"GET / HTTP/1.1\r\n",
@@ -94,20 +94,20 @@
     def __init__(self, nursery: trio.Nursery) -> None:
         self.nursery = nursery
         self.counts: Counter[str] = Counter()
-        self.held = 0
+        self.reserved_bytes = 0
         self.n_open = 0
         self.delay = 0.0
         self.cfg = HttpServerSettings(
-            _HEADER_BYTES, _BODY_BYTES, self._reserve, self._note_open
+            _HEADER_BYTES, _BODY_BYTES, self._reserve, self._add_open_requests
         )
 
     def _reserve(self, n_bytes: int) -> bool:
-        if n_bytes > 0 and self.held + n_bytes > _OPEN_BYTES:
+        if n_bytes > 0 and self.reserved_bytes + n_bytes > _OPEN_BYTES:
             return False
-        self.held += n_bytes
+        self.reserved_bytes += n_bytes
         return True
 
-    def _note_open(self, change: int) -> None:
+    def _add_open_requests(self, change: int) -> None:
         self.n_open += change
 
     async def _handle(self, req: HttpRequest) -> HttpResponse:
@@ -119,17 +119,21 @@
         self.counts["handled"] += 1
         return HttpResponse(200, [], req.body or req.target.encode())
 
-    def _fault(self, fault: BadRequest) -> HttpResponse:
+    def _handle_error(self, fault: BadRequest) -> HttpResponse:
         self.counts["faults"] += 1
         assert fault.detail
         return HttpResponse(fault.status, [], fault.detail.encode(), close=True)
 
     def connect(self) -> trio.StapledStream[Any, Any]:
-        near, far = memory_stream_pair()
+        client, server = memory_stream_pair()
         self.nursery.start_soon(
-            http_server._serve_connection, far, self.cfg, self._handle, self._fault
+            http_server._serve_connection,
+            server,
+            self.cfg,
+            self._handle,
+            self._handle_error,
         )
-        return near
+        return client
 
     async def exchange(self, data: bytes, eof: bool = False) -> bytes:
         stream = self.connect()
@@ -146,7 +150,7 @@
         return received
 
 
-def _take_all(_n_bytes: int) -> bool:
+def _reserve_any(_n_bytes: int) -> bool:
     return True
 
 
@@ -156,15 +160,15 @@
             async with trio.open_nursery() as nursery:
                 server = _Server(nursery)
                 await scenario(server)
-                received = await server.exchange(_GOOD)
+                received = await server.exchange(_VALID_REQUEST)
                 self.assertTrue(received.startswith(b"HTTP/1.1 200 "), received)
                 await trio.sleep(100)
-                self.assertEqual((0, 0), (server.held, server.n_open))
+                self.assertEqual((0, 0), (server.reserved_bytes, server.n_open))
                 nursery.cancel_scope.cancel()
 
         run_virtual(main, limit_s=100_000)
 
-    def _refuses(self, requests: list[bytes]) -> None:
+    def _check_rejected(self, requests: list[bytes]) -> None:
         async def scenario(server: _Server) -> None:
             for number, data in enumerate(requests):
                 received = await server.exchange(data)
@@ -176,21 +180,23 @@
         self._run(scenario)
 
     def test_malformed_request_lines(self) -> None:
-        self._refuses([line + b"host: a\r\n\r\n" for line in _MALFORMED_LINES])
+        self._check_rejected([line + b"host: a\r\n\r\n" for line in _MALFORMED_LINES])
 
     def test_malformed_headers(self) -> None:
-        self._refuses([_POST + line + b"\r\n\r\n" for line in _MALFORMED_HEADERS])
+        self._check_rejected(
+            [_POST + line + b"\r\n\r\n" for line in _MALFORMED_HEADERS]
+        )
 
     def test_malformed_chunks(self) -> None:
         head = _POST + b"transfer-encoding: chunked\r\n\r\n"
-        self._refuses([head + chunk for chunk in _MALFORMED_CHUNKS])
+        self._check_rejected([head + chunk for chunk in _MALFORMED_CHUNKS])
 
     def test_no_host(self) -> None:
-        self._refuses([b"GET / HTTP/1.1\r\n\r\n"])
+        self._check_rejected([b"GET / HTTP/1.1\r\n\r\n"])
 
     def test_cut_requests_never_run(self) -> None:
         async def scenario(server: _Server) -> None:
-            for data in _CUT:
+            for data in _TRUNCATED_REQUESTS:
                 await server.exchange(data, eof=True)
             self.assertEqual(0, server.counts["handled"])
 
@@ -201,14 +207,14 @@
             stream = server.connect()
             await stream.send_all(_POST + b"content-length: 10\r\n\r\nabc")
             await trio.sleep(30)
-            self.assertEqual((0, 0), (server.held, server.n_open))
+            self.assertEqual((0, 0), (server.reserved_bytes, server.n_open))
             self.assertEqual(b"", await stream.receive_some(100))
 
         self._run(scenario)
 
     def test_body_above_the_limit(self) -> None:
         head = _POST + b"content-length: %d\r\n\r\n" % (_BODY_BYTES + 1)
-        self._refuses([head + b"x" * (_BODY_BYTES + 1)])
+        self._check_rejected([head + b"x" * (_BODY_BYTES + 1)])
 
     def test_bodies_of_all_calls_above_the_limit(self) -> None:
         async def scenario(server: _Server) -> None:
@@ -228,7 +234,7 @@
         async def scenario(server: _Server) -> None:
             server.delay = 1000.0
             stream = server.connect()
-            await stream.send_all(_GOOD)
+            await stream.send_all(_VALID_REQUEST)
             await trio.sleep(1.0)
             await stream.aclose()
             await trio.sleep(0.01)
@@ -253,11 +259,15 @@
 
     def test_long_request_sent_ahead_is_answered(self) -> None:
         async def scenario(server: _Server) -> None:
-            server.cfg = replace(server.cfg, body_bytes=10_000_000, reserve=_take_all)
+            server.cfg = replace(
+                server.cfg, body_bytes=10_000_000, reserve=_reserve_any
+            )
             server.delay = 0.5
             stream = server.connect()
             head = _POST + b"content-length: 2000003\r\n\r\n"
-            server.nursery.start_soon(stream.send_all, _GOOD + head + b"x" * 2_000_000)
+            server.nursery.start_soon(
+                stream.send_all, _VALID_REQUEST + head + b"x" * 2_000_000
+            )
             await trio.sleep(1.0)
             await stream.send_all(b"/ok")
             received = b""
@@ -271,13 +281,13 @@
     def test_failing_handler_ends_its_connection_only(self) -> None:
         async def scenario(server: _Server) -> None:
             server.delay = -1.0
-            self.assertEqual(b"", await server.exchange(_GOOD))
+            self.assertEqual(b"", await server.exchange(_VALID_REQUEST))
             server.delay = 0.0
 
         self._run(scenario)
 
     def test_declared_length_above_the_limit_is_refused_at_once(self) -> None:
-        self._refuses([_POST + b"content-length: 70000000\r\n\r\n"])
+        self._check_rejected([_POST + b"content-length: 70000000\r\n\r\n"])
 
     def test_continue_is_sent_for_a_body_that_waits(self) -> None:
         async def scenario(server: _Server) -> None:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_peer_websocket.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_peer_websocket.py
@@ -21,7 +21,7 @@
     from collections.abc import Awaitable, Callable
 
 # Real sockets, so the real clock; none of it waits for time to pass.
-_LIMIT_S = 60.0
+_TEST_TIMEOUT_S = 60.0
 
 
 class _Server:
@@ -29,13 +29,13 @@
 
     def __init__(self) -> None:
         self.address = ""
-        self.reads = trio.Event()
-        self.reads.set()
+        self.may_read = trio.Event()
+        self.may_read.set()
         self.closed: list[str] = []
 
     async def take(self, link: Link) -> None:
         while True:
-            await self.reads.wait()
+            await self.may_read.wait()
             frame = await link.receive()
             if isinstance(frame, LinkClosed):
                 self.closed.append(frame.detail)
@@ -49,7 +49,7 @@
     ) -> None:
         async def main() -> None:
             server = _Server()
-            with trio.fail_after(_LIMIT_S):
+            with trio.fail_after(_TEST_TIMEOUT_S):
                 async with trio.open_nursery() as nursery:
                     listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
                     host, port = listeners[0].socket.getsockname()
@@ -81,7 +81,7 @@
     def test_cancelled_send_leaves_the_frames_whole(self) -> None:
         async def scenario(server: _Server, nursery: trio.Nursery) -> None:
             link = await _dial(server, nursery)
-            server.reads = trio.Event()
+            server.may_read = trio.Event()
             frame = b"x" * (MAX_FRAME_BYTES - 1)
             scopes = [trio.CancelScope() for _ in range(200)]
 
@@ -94,7 +94,7 @@
             await trio.testing.wait_all_tasks_blocked(0.05)
             for scope in scopes[::2]:
                 scope.cancel()
-            server.reads.set()
+            server.may_read.set()
             with trio.move_on_after(1.0):
                 while True:
                     self.assertEqual(frame, await link.receive())
@@ -146,9 +146,9 @@
                 listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
                 host, port = listeners[0].socket.getsockname()
 
-                async def talk(stream: trio.SocketStream, said: bytes = reply) -> None:
+                async def talk(stream: trio.SocketStream, data: bytes = reply) -> None:
                     await stream.receive_some(10_000)
-                    await stream.send_all(said)
+                    await stream.send_all(data)
                     await stream.aclose()
 
                 nursery.start_soon(trio.serve_listeners, talk, listeners)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_platform_http.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_platform_http.py
@@ -129,7 +129,7 @@
         trio.run(with_raw_server, None, use)
 
     def test_bad_answers_become_unavailable(self):
-        bad = (
+        invalid_responses = (
             b"garbage\r\n\r\n",
             b"HTTP/1.1 200 CUT\r\ncontent-length: 9\r\netag: 1\r\n\r\nabc",
             b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}",
@@ -145,6 +145,6 @@
             result = await platform.put(PATH, b"a", 0)
             self.assertTrue(result.maybe_applied)
 
-        for answer in bad:
+        for answer in invalid_responses:
             with self.subTest(answer=answer):
                 trio.run(with_raw_server, answer, use)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_config.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_config.py
@@ -10,7 +10,7 @@
 )
 
 PATH = "node.ini"
-GOOD = """
+VALID_TEXT = """
 [node]
 name = certs-1
 host = host-1
@@ -30,7 +30,7 @@
 """
 
 # What replaces what in the good text, and what each fault must say.
-BAD = (
+INVALID_TEXTS = (
     ("name = certs-1", "name = Certs_1", "[node] name", "lower-case"),
     ("name = certs-1", "", "[node] name", "must be given"),
     ("data centre", "data center", "data center", "did you mean 'data centre'"),
@@ -66,17 +66,17 @@
         return faults
 
     def test_what_is_not_given_has_its_default(self) -> None:
-        cfg = self.parse(GOOD)
+        cfg = self.parse(VALID_TEXT)
         self.assertEqual(ServiceName("salt-fog", "certs"), cfg.service)
         self.assertEqual(64 * 1024 * 1024, cfg.limits.body_bytes)
         self.assertEqual(("127.0.0.1:8101", "127.0.0.1:8102"), cfg.peers.first)
         self.assertEqual((2000.0, ""), (cfg.platform.timeout, cfg.admin.token_digest))
 
     def test_each_fault_names_its_place(self) -> None:
-        for old, new, named, expected in BAD:
+        for old, new, named, expected in INVALID_TEXTS:
             with self.subTest(new=new):
-                self.assertIn(old, GOOD)
-                faults = self.faults(GOOD.replace(old, new, 1))
+                self.assertIn(old, VALID_TEXT)
+                faults = self.faults(VALID_TEXT.replace(old, new, 1))
                 self.assertIn(named, str(faults))
                 self.assertIn(expected, str(faults))
                 self.assertIn(PATH, str(faults))
@@ -89,7 +89,7 @@
 
     def test_a_flag_wins_over_the_file(self) -> None:
         cfg = self.parse(
-            GOOD,
+            VALID_TEXT,
             "node.data_centre=hall-b",
             "limits.open calls = 7",
             "node.name=a",
@@ -99,7 +99,7 @@
         self.assertEqual(7, cfg.limits.open_calls)
 
     def test_a_faulty_flag_is_named(self) -> None:
-        faults = self.faults(GOOD, "node.name=Z", "name", "a.b=c", "x=1")
+        faults = self.faults(VALID_TEXT, "node.name=Z", "name", "a.b=c", "x=1")
         self.assertEqual(4, len(faults.faults))
         self.assertIn("--set: [node] name = 'Z'", str(faults))
         self.assertIn("--set: 'x=1': expected SECTION.KEY=VALUE", str(faults))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_digest.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_member_digest.py
@@ -7,7 +7,7 @@
 
 from fuchsiagap.core.membership.member import Member, MemberState
 from fuchsiagap.core.membership.settings import MembershipSettings
-from fuchsiagap_node.core.digest import decode_members, encode_members, relays
+from fuchsiagap_node.core.member_digest import decode_members, encode_members, relays
 from fuchsiagap_node.core.ports import StoredObject
 from fuchsiagap_node.core.wire.codec import MalformedFrame, decode, encode
 from fuchsiagap_node.core.wire.messages_gossip import Heartbeat, Updates
@@ -15,18 +15,18 @@
 from fuchsiagap_standins.platform import PlatformFaults
 
 HALLS = ("hall-a", "hall-b")
-DIGEST_S = 2.0
+DIGEST_INTERVAL_S = 2.0
 CFG = MembershipSettings(digest_interval=2_000.0, announce_interval=4_000.0)
 
 
-async def stored(fleet, path):
+async def stored_members(fleet, path):
     found = await fleet.store.get(path)
     if not isinstance(found, StoredObject) or found.deleted:
         return None
     return {member.node for member in decode_members(found.value)}
 
 
-def start(fleet, per_hall):
+def start_nodes(fleet, per_hall):
     for i in range(per_hall):
         for hall in HALLS:
             fleet.add(f"certs-{hall[-1]}{i}", hall)
@@ -36,16 +36,18 @@
     def test_it_is_written_by_relays_and_only_when_it_changed(self):
         async def main():
             async with open_fleet(seed=1, cfg=CFG) as fleet:
-                start(fleet, 5)
+                start_nodes(fleet, 5)
                 await fleet.until(fleet.agree)
-                await trio.sleep(6 * DIGEST_S)
+                await trio.sleep(6 * DIGEST_INTERVAL_S)
                 expected = {f"certs-a{i}" for i in range(5)}
-                self.assertEqual(expected, await stored(fleet, "/members/hall-a"))
+                self.assertEqual(
+                    expected, await stored_members(fleet, "/members/hall-a")
+                )
                 views = fleet.nodes.values()
-                named = {relays(n) for n in views if n.name.startswith("certs-a")}
-                self.assertEqual(1, len(named))
+                relay_sets = {relays(n) for n in views if n.name.startswith("certs-a")}
+                self.assertEqual(1, len(relay_sets))
                 before = fleet.store.counts
-                await trio.sleep(15 * DIGEST_S)
+                await trio.sleep(15 * DIGEST_INTERVAL_S)
                 after = fleet.store.counts
                 self.assertEqual(before.writes, after.writes)
                 self.assertEqual(0, after.watches)
@@ -58,14 +60,18 @@
     def test_a_crash_costs_a_few_writes_and_the_announcement_goes(self):
         async def main():
             async with open_fleet(seed=2, cfg=CFG) as fleet:
-                start(fleet, 4)
+                start_nodes(fleet, 4)
                 await fleet.until(fleet.agree)
-                await trio.sleep(6 * DIGEST_S)
+                await trio.sleep(6 * DIGEST_INTERVAL_S)
                 before = fleet.store.counts.writes
                 fleet.crash("certs-a2")
-                await trio.sleep(6 * DIGEST_S)
-                self.assertNotIn("certs-a2", await stored(fleet, "/members/hall-a"))
-                self.assertIsNone(await stored(fleet, "/announce/hall-a/certs-a2"))
+                await trio.sleep(6 * DIGEST_INTERVAL_S)
+                self.assertNotIn(
+                    "certs-a2", await stored_members(fleet, "/members/hall-a")
+                )
+                self.assertIsNone(
+                    await stored_members(fleet, "/announce/hall-a/certs-a2")
+                )
                 self.assertLessEqual(fleet.store.counts.writes - before, 4)
 
         run_virtual(main)
@@ -73,19 +79,21 @@
     def test_a_node_alone_forgets_nobody_by_writing_a_short_digest(self):
         async def main():
             async with open_fleet(seed=3, cfg=CFG) as fleet:
-                start(fleet, 3)
+                start_nodes(fleet, 3)
                 await fleet.until(fleet.agree)
-                await trio.sleep(3 * DIGEST_S)
+                await trio.sleep(3 * DIGEST_INTERVAL_S)
                 fleet.network.cut(
                     {"certs-new:7000"}, {n.address for n in fleet.nodes.values()}
                 )
                 fleet.add("certs-new", "hall-a")
-                await trio.sleep(6 * DIGEST_S)
+                await trio.sleep(6 * DIGEST_INTERVAL_S)
                 fleet.network.heal()
                 await fleet.until(fleet.agree, 5_000.0)
-                await trio.sleep(3 * DIGEST_S)
+                await trio.sleep(3 * DIGEST_INTERVAL_S)
                 expected = {"certs-new", *(f"certs-a{i}" for i in range(3))}
-                self.assertEqual(expected, await stored(fleet, "/members/hall-a"))
+                self.assertEqual(
+                    expected, await stored_members(fleet, "/members/hall-a")
+                )
 
         run_virtual(main)
 
@@ -96,13 +104,15 @@
                 await fleet.store.put("/announce/hall-b/x", zlib.compress(b"x"), None)
                 faults = PlatformFaults(lose_answers=0.3, lose_requests=0.3)
                 fleet.store.set_faults(faults)
-                start(fleet, 3)
+                start_nodes(fleet, 3)
                 await fleet.until(fleet.agree, 20_000.0)
-                await trio.sleep(12 * DIGEST_S)
+                await trio.sleep(12 * DIGEST_INTERVAL_S)
                 fleet.store.set_faults(PlatformFaults())
-                await trio.sleep(6 * DIGEST_S)
+                await trio.sleep(6 * DIGEST_INTERVAL_S)
                 expected = {f"certs-b{i}" for i in range(3)}
-                self.assertEqual(expected, await stored(fleet, "/members/hall-b"))
+                self.assertEqual(
+                    expected, await stored_members(fleet, "/members/hall-b")
+                )
 
         run_virtual(main)
 
@@ -114,7 +124,7 @@
                     first = [f"certs-{hall[-1]}0:7000"]
                     for i in range(3):
                         fleet.add(f"certs-{hall[-1]}{i}", hall, first=first)
-                await trio.sleep(3 * DIGEST_S)
+                await trio.sleep(3 * DIGEST_INTERVAL_S)
                 sizes = {len(n.membership.members()) for n in fleet.nodes.values()}
                 self.assertEqual({3}, sizes)
                 fleet.store.set_faults(PlatformFaults())
@@ -123,7 +133,7 @@
         run_virtual(main)
 
 
-class TestForm(TestCase):
+class TestEncoding(TestCase):
     def test_members_and_messages_come_back_as_they_were(self):
         member = Member("certs-1", 7, "10.0.0.1:1", "hall-a", state=MemberState.LEFT)
         member = replace(member, successor="certs-2", handed_incarnation=9)
@@ -133,11 +143,11 @@
 
     def test_broken_digests_are_faults(self):
         rng = random.Random(1)
-        whole = encode_members((Member("certs-1", 7, "10.0.0.1:1", "hall-a"),))
-        broken = [whole[:i] for i in range(len(whole))]
-        broken += [rng.randbytes(40) for _ in range(50)]
-        broken += [zlib.compress(encode(Heartbeat(1))), zlib.compress(b"\x80")]
-        for value in broken:
+        valid = encode_members((Member("certs-1", 7, "10.0.0.1:1", "hall-a"),))
+        malformed = [valid[:i] for i in range(len(valid))]
+        malformed += [rng.randbytes(40) for _ in range(50)]
+        malformed += [zlib.compress(encode(Heartbeat(1))), zlib.compress(b"\x80")]
+        for value in malformed:
             self.assertIsInstance(decode_members(value), MalformedFrame)
         bomb = zlib.compress(bytes(64 * 1024 * 1024))
         self.assertIn("longer than", decode_members(bomb).detail)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_every_kind.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_names_in_use.py
@@ -14,23 +14,25 @@
 from fuchsiagap.core.telemetry.violations import Invariant
 
 _TABLES = ("event_table.py", "metric_table.py")
-_LOGGED = re.compile(r"LOGGED_KINDS = frozenset\(.*?\n\)", re.DOTALL)
+_LOGGED_KINDS_TEXT = re.compile(r"LOGGED_KINDS = frozenset\(.*?\n\)", re.DOTALL)
 # Judged from outside; see the docstring of `Invariant`.
-_NOT_SEEN_FROM_INSIDE = {Invariant.PRIORITY_INVERSION}
+_CHECKED_EXTERNALLY = {Invariant.PRIORITY_INVERSION}
 
 
 def _sources():
     for package in (fuchsiagap, fuchsiagap_node):
         for path in Path(package.__file__).parent.rglob("*.py"):
             if "tests" not in path.parts and path.name not in _TABLES:
-                yield _LOGGED.sub("", path.read_text(encoding="utf-8"))
+                yield _LOGGED_KINDS_TEXT.sub("", path.read_text(encoding="utf-8"))
 
 
-class TestEveryKind(TestCase):
+class TestNamesInUse(TestCase):
     def test_each_name_has_its_place(self):
         program = "\n".join(_sources())
         for names in (EventKind, Counter, Gauge, Measure, Invariant):
             unused = {
-                one for one in names if f"{names.__name__}.{one.name}" not in program
+                member
+                for member in names
+                if f"{names.__name__}.{member.name}" not in program
             }
-            self.assertEqual(set(), unused - _NOT_SEEN_FROM_INSIDE)
+            self.assertEqual(set(), unused - _CHECKED_EXTERNALLY)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_node_notes.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_node_telemetry.py
@@ -36,7 +36,7 @@
     return node.telemetry.metrics.counted(Counter.VIOLATIONS, invariant)
 
 
-class TestNodeNotes(TestCase):
+class TestNodeTelemetry(TestCase):
     def test_a_request_is_noted_at_each_node_on_its_way(self):
         async def test(fleet):
             nodes = list(fleet.nodes.values())
@@ -97,36 +97,36 @@
 
     def stop_while_busy(self):
         """Stop a node with a call, and return its cut calls and the outcome."""
-        found = []
+        results = []
 
         async def test(fleet):
             async def request():
-                found.append(await fleet.request(ISSUE, 1))
+                results.append(await fleet.request(ISSUE, 1))
 
             states = dict(fleet.nodes)
             fleet.nursery.start_soon(request)
-            busy = None
-            while busy is None:
+            busy_node = None
+            while busy_node is None:
                 await trio.sleep(0.0005)
-                busy = next((n for n, s in states.items() if s.calls.busy()), None)
-            await fleet.request_drain(busy).wait()
-            found.insert(0, violations(states[busy], Invariant.PLANNED_STOP_CUT))
+                busy_node = next((n for n, s in states.items() if s.calls.busy()), None)
+            await fleet.request_drain(busy_node).wait()
+            results.insert(0, violations(states[busy_node], Invariant.PLANNED_STOP_CUT))
             await trio.sleep(5.0)
 
         run_fleet(test)
-        return found
+        return results
 
     def test_a_call_that_comes_after_the_drain_is_not_cut(self):
-        self.patch(drain, "drain", _at_once)
+        self.patch(drain, "drain", _return_immediately)
         n_cut, outcome = self.stop_while_busy()
         self.assertEqual(0, n_cut)
         self.assertIsInstance(outcome, Answered)
 
     def test_a_stop_that_cuts_a_call_is_a_violation(self):
-        self.patch(drain, "drain", _at_once)
-        self.patch(node_module, "_until_quiet", _at_once)
+        self.patch(drain, "drain", _return_immediately)
+        self.patch(node_module, "_until_quiet", _return_immediately)
         self.assertEqual(1, self.stop_while_busy()[0])
 
 
-async def _at_once(*_args):
+async def _return_immediately(*_args):
     """Wait for nothing."""
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_state_events.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_state_events.py
@@ -51,7 +51,7 @@
             for _ in range(100):
                 state.gate.record_downstream_load(ROUTE, below, full)
                 await trio.sleep(0.1)
-            await trio.sleep(2 * state_events.CALM_MS / 1000)
+            await trio.sleep(2 * state_events.OVERLOAD_END_DELAY_MS / 1000)
             self.assertEqual(list(kinds), self.kinds(state, *kinds))
             levels = self.kinds(state, EventKind.LEVEL_CHANGED)
             self.assertGreaterEqual(len(levels), 2)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/test_settings_page.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/test_settings_page.py
@@ -10,7 +10,7 @@
 from fuchsiagap.core.settings.parse import parse_team
 from fuchsiagap.core.settings.table import TEAM_TABLES
 from fuchsiagap.core.settings.values import BadValue
-from fuchsiagap_node.core.config_keys import NODE_TABLES
+from fuchsiagap_node.core.config_schema import NODE_SCHEMAS
 
 if TYPE_CHECKING:
     from types import ModuleType
@@ -30,7 +30,7 @@
 
 
 def _tables() -> list[SectionTable]:
-    return [*TEAM_TABLES, *NODE_TABLES.values()]
+    return [*TEAM_TABLES, *NODE_SCHEMAS.values()]
 
 
 class SettingsPageTest(TestCase):
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/transport.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/transport.py
@@ -117,7 +117,7 @@
     calls = life.state.calls
     calls.n_responding += 1
     try:
-        exchange.response = await callers._respond(life.state, req)
+        exchange.response = await callers._handle_request(life.state, req)
     except trio.Cancelled:
         given_up = exchange.scope.cancel_called
         if life.planned and not life.ended and not given_up:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/view.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/view.py
@@ -13,8 +13,8 @@
 from fuchsiagap.core.membership.member import Member, MemberState
 from fuchsiagap.core.membership.settings import MembershipSettings
 from fuchsiagap.core.membership.table import Membership
-from fuchsiagap_node.core.digest import decode_members, encode_members
 from fuchsiagap_node.core.gossip.neighbours import predecessors, receivers
+from fuchsiagap_node.core.member_digest import decode_members, encode_members
 from fuchsiagap_node.core.wire.codec import decode, encode
 from fuchsiagap_node.core.wire.messages_gossip import Updates
 
--- a/tools/settings_page.py
+++ b/tools/settings_page.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from fuchsiagap.core.settings.table import TEAM_TABLES
-from fuchsiagap_node.core.config_keys import NODE_TABLES
+from fuchsiagap_node.core.config_schema import NODE_SCHEMAS
 
 if TYPE_CHECKING:
     from fuchsiagap.core.settings.keys import Key, SectionTable
@@ -66,7 +66,7 @@
     parts = [HEAD, TEAM_HEAD]
     parts += [_section(table) for table in TEAM_TABLES]
     parts.append(NODE_HEAD)
-    parts += [_section(table) for table in NODE_TABLES.values()]
+    parts += [_section(table) for table in NODE_SCHEMAS.values()]
     return "".join(parts)
 
 
