--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/__init__.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/__init__.py
@@ -1,1 +1,1 @@
-"""The parts of a node; `fuchsiagap_node.core.node` puts them together."""
+"""Components of a node, which `fuchsiagap_node.core.node` assembles."""
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/config.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/config.py
@@ -1,4 +1,4 @@
-"""A node's own settings: one INI file, and flags that override it."""
+"""Settings of a node, read from an INI file and ``--set`` flags that override it."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ListenConfig:
-    """Where the node listens, each as ``IP:PORT``.
+    """Addresses the node listens on.
 
     Parameters
     ----------
     callers, peers, admin : str
-        For callers, other nodes and operators.
+        ``IP:PORT`` for callers, for other nodes and for operators.
     """
 
     callers: str
@@ -49,13 +49,13 @@
     Parameters
     ----------
     team, service : str
-        What it is an instance of.
+        Team and service of which it is an instance.
     address : str
-        ``IP:PORT`` where it listens.
+        ``IP:PORT`` it listens on.
     slots : int
-        Calls it can work on at once; a start value.
+        Calls it can run concurrently; the initial concurrency limit.
     connections : int
-        Most connections to it.
+        Maximum number of connections to it.
     """
 
     team: str
@@ -67,16 +67,16 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformConfig:
-    """The platform's object API.
+    """Address and timeouts of the platform's object API.
 
     Parameters
     ----------
     url : str
-        ``http://IP:PORT``.
+        Base URL as ``http://IP:PORT``.
     timeout : float
-        Milliseconds within which a call has to be answered.
+        Time limit of a request in milliseconds.
     watch_wait : float
-        Milliseconds a watch waits before it asks anew.
+        Time in milliseconds after which an empty watch request ends and is repeated.
     """
 
     url: str
@@ -86,12 +86,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PeersConfig:
-    """Other nodes.
+    """Other nodes to contact at the start.
 
     Parameters
     ----------
     first : tuple of str
-        ``IP:PORT`` of the nodes to ask first.
+        ``IP:PORT`` of the nodes to contact first.
     """
 
     first: tuple[str, ...]
@@ -99,18 +99,20 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitsConfig:
-    """What callers and other nodes may hold.
+    """Resource limits for callers and other nodes.
 
     Parameters
     ----------
     header_bytes, body_bytes : int
-        Of one request or answer.
+        Maximum size of the headers of a request, and of the body of a request or
+        response, in bytes.
     open_calls, open_body_bytes : int
-        Of all callers at one time.
+        Maximum number of open calls of all callers, and total size of their bodies in
+        bytes.
     link_calls : int
-        Calls of one other node that may run here at one time.
+        Maximum number of concurrent calls from one other node.
     link_queue_frames : int
-        Frames that may wait to be sent to one other node.
+        Maximum number of frames queued for sending to one other node.
     """
 
     header_bytes: int
@@ -123,12 +125,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminConfig:
-    """The operators' API.
+    """Settings of the operators' API.
 
     Parameters
     ----------
     token_digest : str
-        SHA-256 of the token that may create teams; empty for nobody.
+        SHA-256 of the operators' token; empty if there is none.
     """
 
     token_digest: str
@@ -136,7 +138,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeConfig:
-    """A node's own settings.
+    """Settings of a node.
 
     Parameters
     ----------
@@ -145,11 +147,11 @@
     host : str
         Name of its host.
     data_centre : str
-        Its data centre.
+        Name of its data centre.
     listen, backend, platform, peers, limits, admin, telemetry
-        One for each section of the INI file.
+        One object for each section of the INI file.
     gate, membership, retries, routing, tickets
-        Settings of the aggregates; tests and benchmarks vary them.
+        Settings of the components; not in the INI file, varied by tests and benchmarks.
     """
 
     name: str
@@ -175,26 +177,26 @@
 
     @property
     def peer_address(self) -> str:
-        """Where other nodes reach this one."""
+        """Address on which other nodes reach this one."""
         return self.listen.peers
 
     def with_addresses(self, callers: str, peers: str, admin: str) -> NodeConfig:
-        """Return the same settings with the addresses that were bound.
+        """Return the same settings with the bound addresses.
 
         Parameters
         ----------
         callers, peers, admin : str
-            ``IP:PORT`` of each, with the port taken where the file says port 0.
+            Bound ``IP:PORT`` of each listener, which differs where the file has port 0.
         """
         return replace(self, listen=ListenConfig(callers, peers, admin))
 
     def self_member(self, incarnation: int) -> Member:
-        """Return this node as it describes itself to others.
+        """Return this node as a member of the cluster.
 
         Parameters
         ----------
         incarnation : int
-            The life of the process.
+            Incarnation of the process.
         """
         return Member(
             node=self.name,
@@ -208,14 +210,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigFaults:
-    """The node's settings are not valid; the node does not start.
+    """Faults of invalid settings, with which the node does not start.
 
     Parameters
     ----------
     path : str
-        The file.
+        Path of the file.
     faults : tuple of Fault
-        Every fault at once; never empty.
+        All faults; never empty.
     """
 
     path: str
@@ -228,21 +230,21 @@
 def parse_node_config(
     text: str, path: str, overrides: Sequence[str] = ()
 ) -> NodeConfig | ConfigFaults:
-    """Read a node's settings.
+    """Parse and validate the settings of a node.
 
     Parameters
     ----------
     text : str
         Text of the INI file.
     path : str
-        The file, for the faults.
+        Path of the file, named in the faults.
     overrides : sequence of str
-        ``SECTION.KEY=VALUE`` items from the command line; they win over the file.
+        ``SECTION.KEY=VALUE`` items from the command line; they override the file.
 
     Returns
     -------
     NodeConfig or ConfigFaults
-        The settings, or every fault at once.
+        The settings, or all faults.
     """
     ini = apply_overrides(read_ini(path, text), overrides)
     faults = list(ini.faults)
@@ -274,20 +276,20 @@
 
 
 def apply_overrides(ini: IniText, overrides: Sequence[str]) -> IniText:
-    """Return an INI text with entries replaced or added.
+    """Return a parsed INI text with entries replaced or added.
 
     Parameters
     ----------
     ini : IniText
-        The text as read.
+        The parsed text.
     overrides : sequence of str
-        ``SECTION.KEY=VALUE`` items; a later one wins over an earlier one. An
-        underscore in a key stands for a space.
+        ``SECTION.KEY=VALUE`` items; a later one overrides an earlier one. An
+        underscore in a key means a space.
 
     Returns
     -------
     IniText
-        With a fault for each item of another form.
+        The text with the overrides, and a fault for each malformed item.
     """
     entries = {
         section.name: {entry.key: entry for entry in section.entries}
@@ -313,7 +315,7 @@
 def _find_address_conflicts(
     path: str, section_values: dict[str, dict[str, Any]]
 ) -> list[Fault]:
-    """Find addresses that cannot work together."""
+    """Return faults for addresses that are unusable or used twice."""
     faults = []
     key_by_address: dict[str, str] = {}
     for key, address in section_values["listen"].items():
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/config_schema.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/config_schema.py
@@ -1,4 +1,4 @@
-"""The keys of a node's own INI file."""
+"""Schema of the INI file of a node."""
 
 from __future__ import annotations
 
@@ -7,35 +7,35 @@
 
 NODE_SCHEMA = SectionTable(
     "[node]",
-    "Who this node is.",
+    "Identity of the node.",
     (
         Key(
             "name",
             values.PLAIN_NAME,
             None,
-            "Name of the node, unlike that of any other node. A restarted node keeps"
-            " its name.",
+            "Name of the node, unique among all nodes. A restarted node keeps its"
+            " name.",
         ),
         Key("host", values.PLAIN_NAME, None, "Name of the host it runs on."),
         Key(
             "data centre",
             values.PLAIN_NAME,
             None,
-            "Data centre of the host. Calls stay in it while they can.",
+            "Data centre of the host. Calls stay in it if possible.",
         ),
     ),
 )
 
 LISTEN_SCHEMA = SectionTable(
     "[listen]",
-    "Where the node listens, by IP number. Port 0 takes a free one.",
+    "Addresses the node listens on, with an IP address. Port 0 binds a free port.",
     (
         Key("callers", values.ADDRESS, None, "For callers and the backend server."),
         Key(
             "peers",
             values.ADDRESS,
             None,
-            "For other nodes, which dial this very address: it cannot be 0.0.0.0.",
+            "For other nodes. They connect to this address, so it cannot be 0.0.0.0.",
         ),
         Key("admin", values.ADDRESS, None, "For operators."),
     ),
@@ -45,20 +45,20 @@
     "[backend]",
     "The backend server on the same host.",
     (
-        Key("team", values.PLAIN_NAME, None, "Team that owns its service."),
-        Key("service", values.PLAIN_NAME, None, "Service it is an instance of."),
-        Key("address", values.ADDRESS, None, "Where it listens."),
+        Key("team", values.PLAIN_NAME, None, "Team that owns the service."),
+        Key("service", values.PLAIN_NAME, None, "Service that it is an instance of."),
+        Key("address", values.ADDRESS, None, "Address it listens on."),
         Key(
             "slots",
             values.integer(1, 100_000),
             "32",
-            "Calls it can work on at once; a start value, the node measures.",
+            "Calls it can run concurrently; the initial limit, which the node adapts.",
         ),
         Key(
             "connections",
             values.integer(1, 100_000),
             "256",
-            "Most connections the node opens to it.",
+            "Maximum number of connections to it.",
         ),
     ),
 )
@@ -67,20 +67,20 @@
     "[platform]",
     "The platform's object API.",
     (
-        Key("url", values.URL, None, "Its address."),
+        Key("url", values.URL, None, "Its base URL."),
         Key(
             "timeout",
             values.duration(10, 60_000),
             "2s",
-            "Within this time each call has to be answered.",
+            "Time limit of each request.",
         ),
         Key(
             "watch wait",
             values.duration(100, 300_000),
             "2s",
-            "How long a watch waits before it asks anew, and so how soon a platform"
-            " that fell silent is noticed. Each time counts as a call, on a few nodes"
-            " of each data centre.",
+            "Time after which a watch request without changes ends and is repeated."
+            " It bounds how long an unresponsive platform goes undetected. Each request"
+            " counts as a call, on a few nodes of each data centre.",
         ),
     ),
 )
@@ -93,52 +93,52 @@
             "first",
             values.ADDRESSES,
             "",
-            "Nodes to ask first, so that a start needs no platform. Name a few of"
-            " each data centre; the node's own address does no harm.",
+            "Nodes to contact first, so that a node can start without the platform."
+            " List a few of each data centre; the node's own address may be among them.",
         ),
     ),
 )
 
 LIMITS_SCHEMA = SectionTable(
     "[limits]",
-    "What callers and other nodes may hold. Beyond a limit a call is refused, with"
-    " the limit's name.",
+    "Resource limits for callers and other nodes. A call beyond a limit is refused,"
+    " and the response names the limit.",
     (
         Key(
             "header bytes",
             values.size(512, 1024 * 1024),
             "16KB",
-            "All headers of a request.",
+            "Maximum size of all headers of a request.",
         ),
         Key(
             "body bytes",
             values.size(0, 64 * 1024 * 1024),
             "64MB",
-            "The body of a request or of an answer.",
+            "Maximum size of the body of a request or response.",
         ),
         Key(
             "open calls",
             values.integer(1, 1_000_000),
             "4096",
-            "Callers' calls at one time.",
+            "Maximum number of open calls of callers.",
         ),
         Key(
             "open body bytes",
             values.size(1024, 64 * 1024 * 1024 * 1024),
             "256MB",
-            "Bodies of requests in memory at one time.",
+            "Maximum total size of request bodies in memory.",
         ),
         Key(
             "link calls",
             values.integer(1, 1_000_000),
             "4096",
-            "Calls of one other node that may run here at one time.",
+            "Maximum number of concurrent calls from one other node.",
         ),
         Key(
             "link queue frames",
             values.integer(1, 1_000_000),
             "1024",
-            "Frames that may wait to be sent to one other node.",
+            "Maximum number of frames queued for sending to one other node.",
         ),
     ),
 )
@@ -151,21 +151,21 @@
             "token digest",
             values.optional(values.DIGEST, ""),
             "",
-            "SHA-256 of the token that may create teams, drain this node and change"
-            " any team's settings. With none, nobody can.",
+            "SHA-256 of the operators' token, which may create teams, drain this node"
+            " and change the settings of any team. If empty, no token may.",
         ),
     ),
 )
 
 TELEMETRY_SCHEMA = SectionTable(
     "[telemetry]",
-    "What the node keeps of its own past, in memory.",
+    "Telemetry that the node keeps in memory.",
     (
         Key(
             "ring size",
             values.integer(64, 10_000_000),
             "20000",
-            "Events kept for the time line; the oldest go first.",
+            "Number of events kept for the timeline; the oldest are dropped first.",
         ),
     ),
 )
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/__init__.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/__init__.py
@@ -1,1 +1,1 @@
-"""The transports: callers, other nodes, the backend server, platform, operators."""
+"""Transports of a node: callers, peers, the backend server, platform and operators."""
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin.py
@@ -1,4 +1,4 @@
-"""The operators' API of a node: HTTP and JSON, described in ``docs/admin-api.md``."""
+"""HTTP API of a node for operators; ``docs/admin-api.md`` describes it."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 
 def admin_app(state: NodeState) -> QuartTrio:
-    """Return the ASGI application for operators.
+    """Return the ASGI application of the operators' API.
 
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of the node.
 
     Returns
     -------
     QuartTrio
-        The application, to be served on the admin address.
+        The application to serve on the admin address.
     """
     app = QuartTrio(__name__)
     add_error_handlers(app)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_node.py
@@ -1,4 +1,4 @@
-"""The node itself in the operators' API: status, drain, tickets, events, metrics."""
+"""Routes of the operators' API for status, drain, tickets, events and metrics."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def add_node_routes(app: QuartTrio, state: NodeState) -> None:
-    """Add the paths that are about the node itself."""
+    """Add the routes for the node's status, drain, metrics, events and tickets."""
 
     @app.get("/v1/status")
     async def status() -> Response:
@@ -62,25 +62,25 @@
 
     @app.get("/v1/tickets/<text>")
     async def ticket(text: str) -> Response:
-        found = parse_ticket(text)
-        if isinstance(found, MalformedTicket):
-            return error_reply(_malformed_ticket_error(found))
-        return json_reply(_describe_home(state, found))
+        parsed = parse_ticket(text)
+        if isinstance(parsed, MalformedTicket):
+            return error_reply(_malformed_ticket_error(parsed))
+        return json_reply(_describe_home(state, parsed))
 
     @app.post("/v1/tickets/<text>/settle")
     async def settle_ticket(text: str) -> Response:
-        found = parse_ticket(text)
-        if isinstance(found, MalformedTicket):
-            return error_reply(_malformed_ticket_error(found))
-        return await _settle_at_home(state, found)
+        parsed = parse_ticket(text)
+        if isinstance(parsed, MalformedTicket):
+            return error_reply(_malformed_ticket_error(parsed))
+        return await _settle_at_home(state, parsed)
 
 
 _NOT_OPERATORS_TOKEN = AdminError(
     403,
     "forbidden",
-    "the token is not that of the operators",
-    "the token whose digest stands in [admin] token digest of the node's settings",
-    "use that token, or stop the node by SIGTERM on its host",
+    "the token is not the operators' token",
+    "the token whose digest is set as [admin] token digest in the node's settings",
+    "use that token, or send SIGTERM to the node on its host",
 )
 
 
@@ -94,11 +94,11 @@
     ring = state.telemetry.ring
     call, root = request.args.get("call", ""), request.args.get("root", "")
     page = ring.since(after, call, root, limit)
-    found = [plain(event) for event in page.events]
+    events = [plain(event) for event in page.events]
     return json_reply(
         {
             "process": ring.process,
-            "events": found,
+            "events": events,
             "overwritten": page.overwritten,
             "more": page.more,
         }
@@ -132,8 +132,8 @@
     method, path = body.get("method"), body.get("path")
     wait = body.get("wait_ms", 0)
     if not isinstance(method, str) or not isinstance(path, str):
-        expected = "method and path of the request, as POST and /TEAM/SERVICE/..."
-        return error_reply(bad_request("no method or no path", expected))
+        expected = "method and path of the request, such as POST and /TEAM/SERVICE/..."
+        return error_reply(bad_request("method or path is missing", expected))
     if type(wait) not in (int, float) or not 0 <= wait <= MAX_SETTLE_WAIT_MS:
         expected = f"wait_ms from 0 to {MAX_SETTLE_WAIT_MS}"
         return error_reply(bad_request(f"wait_ms={wait!r:.40}", expected))
@@ -152,15 +152,15 @@
     return {"outcome": name, "reason": outcome.reason.value, "detail": outcome.detail}
 
 
-def _malformed_ticket_error(fault: MalformedTicket) -> AdminError:
-    return bad_request(str(fault), "NODE.INCARNATION.SEQUENCE")
+def _malformed_ticket_error(error: MalformedTicket) -> AdminError:
+    return bad_request(str(error), "NODE.INCARNATION.SEQUENCE")
 
 
 def _wrong_team_error(team: str) -> AdminError:
     return AdminError(
         403,
         "forbidden",
-        f"the token is none of team {team[:63]!r} and not that of the operators",
-        "a token of the team whose request it was",
+        f"the token is neither a token of team {team[:63]!r} nor the operators' token",
+        "a token of the team that owns the called service",
         "use the team's token",
     )
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_reply.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_reply.py
@@ -1,4 +1,4 @@
-"""Requests and replies of the operators' API: JSON, bounded, with clear errors."""
+"""Request parsing and JSON responses of the operators' API."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminError:
-    """Why a request was not done.
+    """Error response of the operators' API.
 
     Parameters
     ----------
     status : int
         HTTP status.
     error : str
-        A word for programs.
+        Machine-readable error code.
     detail : str
-        What is wrong, with what was passed.
+        What is wrong, with the value that was given.
     expected : str
-        What would have been valid.
+        What would have been a valid request.
     next : str
-        What to do now.
+        What the operator can do next.
     extra_fields : dict, optional
-        Further fields, as of a conflict.
+        Further fields of the response, such as those of a conflict.
     """
 
     status: int
@@ -50,20 +50,20 @@
 UNAUTHORIZED = AdminError(
     401,
     "no-token",
-    "the request bears no token",
+    "the request has no bearer token",
     "the header Authorization: Bearer TOKEN",
-    "repeat the request with a token of the team, or that of the operators",
+    "send the request with a token of the team or with the operators' token",
 )
 
 
 def json_reply(value: dict[str, Any], status: int = 200) -> Response:
-    """Return a JSON response."""
+    """Return a response with a JSON body."""
     text = json.dumps(value, ensure_ascii=False)
     return Response(text, status, content_type=JSON_TYPE)
 
 
 def error_reply(error: AdminError) -> Response:
-    """Return the response of an error."""
+    """Return the response for an error."""
     fields = {
         "error": error.error,
         "detail": error.detail,
@@ -77,7 +77,7 @@
 
 
 def bearer_token() -> str | None:
-    """Return the token of the request at hand; None if it bears none."""
+    """Return the bearer token of the current request; None without a valid one."""
     header = request.headers.get("authorization", "")
     if header[: len(_BEARER)].lower() != _BEARER:
         return None
@@ -86,39 +86,39 @@
 
 
 async def json_body() -> dict[str, Any] | AdminError:
-    """Return the JSON object of the request at hand."""
+    """Return the JSON object in the body of the current request."""
     raw = await request.get_data(cache=False, as_text=False)
     try:
         value = json.loads(raw)
     except (ValueError, RecursionError) as exc:
-        return bad_request(f"the body is no JSON: {exc}", "a JSON object")
+        return bad_request(f"the body is not valid JSON: {exc}", "a JSON object")
     if not isinstance(value, dict):
-        return bad_request("the body is no JSON object", "a JSON object")
+        return bad_request("the body is not a JSON object", "a JSON object")
     return value
 
 
 def bad_request(detail: str, expected: str) -> AdminError:
-    """Return the error of a malformed request."""
-    return AdminError(400, "bad-request", detail, expected, "mend the request")
+    """Return the error for a malformed request."""
+    return AdminError(400, "bad-request", detail, expected, "correct the request")
 
 
 def not_found(detail: str, expected: str, next_step: str) -> AdminError:
-    """Return the error of something that is not there."""
+    """Return the error for an object that does not exist."""
     return AdminError(404, "not-found", detail, expected, next_step)
 
 
 def integer_query_argument(name: str, default: int) -> int | AdminError:
-    """Return a whole number from the query."""
+    """Return a non-negative integer argument of the query string."""
     raw_value = request.args.get(name)
     if raw_value is None:
         return default
     if raw_value.isascii() and raw_value.isdigit() and len(raw_value) <= 19:
         return int(raw_value)
-    return bad_request(f"{name}={raw_value[:40]!r}", f"a whole number as {name}")
+    return bad_request(f"{name}={raw_value[:40]!r}", f"a whole number for {name}")
 
 
 def add_error_handlers(app: QuartTrio) -> None:
-    """Have the framework's own errors replied to in the same form."""
+    """Limit request bodies and return errors of the framework as `AdminError`."""
     app.config["MAX_CONTENT_LENGTH"] = MAX_BODY_BYTES
     app.config["BODY_TIMEOUT"] = BODY_TIMEOUT_S
 
@@ -131,11 +131,11 @@
         return error_reply(AdminError(status, error, detail, expected, next_step))
 
 
-_DEFAULT_ADVICE = ("a request as in docs/admin-api.md", "see docs/admin-api.md")
+_DEFAULT_ADVICE = ("a request described in docs/admin-api.md", "see docs/admin-api.md")
 _ADVICE_BY_STATUS = {
-    404: ("a path as in docs/admin-api.md", "check the path and its version, /v1"),
-    405: ("a method as in docs/admin-api.md", "check the method"),
-    408: (f"the body within {BODY_TIMEOUT_S} s", "send the request again"),
+    404: ("a path listed in docs/admin-api.md", "check the path and its version, /v1"),
+    405: ("a method listed in docs/admin-api.md", "check the method"),
+    408: (f"the whole body within {BODY_TIMEOUT_S} s", "send the request again"),
     413: (f"a body of at most {MAX_BODY_BYTES} bytes", "send a smaller body"),
-    500: ("no such fault", "look at the node's log, and report it"),
+    500: ("no internal error", "check the node's log and report the error"),
 }
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_settings.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_settings.py
@@ -1,4 +1,4 @@
-"""Settings in the operators' API: get, put, delete, check, diff, history."""
+"""Routes of the operators' API for the settings of teams."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 def add_settings_routes(app: QuartTrio, state: NodeState) -> None:
-    """Add the paths below ``/v1/settings``."""
+    """Add the routes below ``/v1/settings``."""
 
     @app.get("/v1/settings")
     async def list_teams() -> Response:
@@ -73,9 +73,9 @@
 
     @app.post("/v1/settings/<team>/check")
     async def check(team: str) -> Response:
-        refused = _authorization_error(state, team)
-        if refused is not None:
-            return error_reply(refused)
+        error = _authorization_error(state, team)
+        if error is not None:
+            return error_reply(error)
         text = await _read_body_text()
         if isinstance(text, AdminError):
             return error_reply(text)
@@ -101,7 +101,7 @@
 
 
 def settings_overview(state: NodeState) -> dict[str, Any]:
-    """Return versions, refused texts and how current they are, as plain values."""
+    """Return versions, rejected texts and synchronization status as JSON values."""
     book = state.book
     teams = []
     for team, version in book.vector():
@@ -128,7 +128,7 @@
 
 
 def _authorization_error(state: NodeState, team: str) -> AdminError | None:
-    """Refuse a request without a token of the team or of the operators."""
+    """Return an error unless the request has a token of the team or the operators."""
     token = bearer_token()
     if token is None:
         return UNAUTHORIZED
@@ -136,10 +136,10 @@
 
 
 async def _read_authorized_text(state: NodeState, team: str) -> TeamText | AdminError:
-    """Return the text the query asks for: in force here, or on the platform."""
-    refused = _authorization_error(state, team)
-    if refused is not None:
-        return refused
+    """Return the settings text from the ``source`` of the query: node or platform."""
+    error = _authorization_error(state, team)
+    if error is not None:
+        return error
     source = request.args.get("source", "node")
     text: TeamText | AdminError | None
     if source == "node":
@@ -149,8 +149,10 @@
     else:
         return bad_request(f"source={source[:40]!r}", "source=node or source=platform")
     if text is None:
-        detail = f"team {team!r} has no settings, as far as this {source} knows"
-        return not_found(detail, "a team that has settings", "see GET /v1/settings")
+        detail = f"the {source} has no settings of team {team!r}"
+        return not_found(
+            detail, "a team that has settings", "list the teams with GET /v1/settings"
+        )
     return text
 
 
@@ -213,9 +215,9 @@
     body = await json_body()
     if isinstance(body, AdminError):
         return error_reply(body)
-    fault = _find_body_error(body)
-    if fault is not None:
-        return error_reply(fault)
+    error = _find_body_error(body)
+    if error is not None:
+        return error_reply(error)
     expected = body.get("expected_version")
     change_id = body.get("change_id", uuid4().hex)
     repeat = body.get("repeat", False)
@@ -248,7 +250,7 @@
     if type(repeat) is not bool:
         return bad_request(f"repeat={repeat!r:.40}", "true or false")
     if repeat and version is None:
-        expected = "the expected_version of the answer that was unsettled"
+        expected = "the expected_version that the unsettled response named"
         return bad_request("repeat without expected_version", expected)
     return None
 
@@ -269,12 +271,12 @@
         AdminError(
             504,
             "unsettled",
-            f"the platform does not say whether the change took effect:"
+            f"the platform did not confirm whether the change took effect:"
             f" {result.detail}",
-            "an answer of the platform",
+            "a response from the platform",
             "send the same request again, to any node, with this change_id, this"
-            " expected_version and repeat = true: it finds out, and the change cannot"
-            " take effect twice",
+            " expected_version and repeat = true: the repeat settles whether the change"
+            " took effect, and the change cannot take effect twice",
             extra_fields | {"expected_version": result.expected_version},
         )
     )
@@ -284,10 +286,10 @@
     return AdminError(
         409,
         "conflict",
-        f"version {conflict.version} stands"
-        + (f", made by {conflict.by}" if conflict.by else ""),
-        f"version {conflict.expected_version}, for which the text was written",
-        f"look at diff, merge, and put with expected_version {conflict.version}",
+        f"the current version is {conflict.version}"
+        + (f", written by {conflict.by}" if conflict.by else ""),
+        f"version {conflict.expected_version}, on which the text is based",
+        f"merge the diff and put with expected_version {conflict.version}",
         asdict(conflict) | extra_fields,
     )
 
@@ -299,7 +301,7 @@
         "invalid-settings",
         str(invalid.faults),
         "a valid text; see docs/settings.md",
-        "mend every fault; nothing was changed",
+        "correct every fault; nothing was changed",
         {"faults": faults} | extra_fields,
     )
 
@@ -308,10 +310,10 @@
     return AdminError(
         403,
         "forbidden",
-        f"the token is none of team {team!r} and not that of the operators",
-        f"a token whose digest stands in [team] tokens of {team!r}",
-        "use the team's token; a token added a moment ago is known here within"
-        " seconds. A new team is created with the token of the operators",
+        f"the token is neither a token of team {team!r} nor the operators' token",
+        f"a token whose digest is listed in [team] tokens of {team!r}",
+        "use the team's token; a new token is accepted here within seconds. A new team"
+        " is created with the operators' token",
     )
 
 
@@ -319,9 +321,9 @@
     return AdminError(
         503,
         "platform-unavailable",
-        f"the platform does not answer: {unavailable.detail}",
-        "the platform to answer",
-        "nothing was changed and what is in force stays; try again later",
+        f"the platform does not respond: {unavailable.detail}",
+        "a response from the platform",
+        "nothing was changed and the current settings stay in force; try again later",
     )
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_status.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_status.py
@@ -1,4 +1,4 @@
-"""What a node knows of itself and of the others, as plain values for operators."""
+"""Status of a node, its backend server and the known members, as JSON values."""
 
 from __future__ import annotations
 
@@ -15,21 +15,24 @@
 def node_status(
     state: NodeState, team: str = "", members: bool = True
 ) -> dict[str, Any]:
-    """Return the status of a node; asks nobody, so it also works when cut off.
+    """Return the status of a node.
+
+    Only local state is read, so the status is available without the platform or
+    other nodes.
 
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of the node.
     team : str, optional
-        Only members that serve this team.
+        Team whose members are listed; all by default.
     members : bool, default=True
-        Whether members are listed.
+        Whether to list members.
 
     Returns
     -------
     dict
-        See ``docs/admin-api.md``.
+        The fields of ``GET /v1/status`` in ``docs/admin-api.md``.
     """
     status = {
         "node": _describe_node(state),
@@ -97,7 +100,7 @@
 def _group_members(
     state: NodeState, team: str
 ) -> dict[str, dict[str, list[dict[str, Any]]]]:
-    """Return the members by data centre and team; ``""`` for those without service."""
+    """Return members by data centre and team; team ``""`` has those without service."""
     members_by_data_centre: dict[str, dict[str, list[dict[str, Any]]]] = {}
     for member in sorted(state.membership.members(), key=lambda m: m.node):
         teams = sorted({service.team for service in member.services}) or [""]
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/backend_http.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/backend_http.py
@@ -1,4 +1,4 @@
-"""Calls to the backend server on this host, over HTTP/1.1 kept alive."""
+"""Calls to the backend server on this host over HTTP/1.1 with keep-alive."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 _LOAD_TIMEOUT_S = 0.5
 _MAX_LOAD_BYTES = 4096
 _LOAD_TARGET = "/-/load"
-# Headers of one connection, never passed on (RFC 9110, section 7.6.1).
+# Hop-by-hop headers are not forwarded (RFC 9110, section 7.6.1).
 _HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
@@ -46,12 +46,12 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpBackend:
-    """The backend server over HTTP; implements `BackendServer`.
+    """Sends calls to the backend server over HTTP; implements `BackendServer`.
 
     Parameters
     ----------
     pool : HttpPool
-        Connections kept alive.
+        Keep-alive connections to the backend server.
     """
 
     pool: HttpPool
@@ -59,7 +59,7 @@
     async def send(
         self, head: CallHead, body: bytes, remaining: Milliseconds
     ) -> Answered | Refused | Unknown:
-        """Run one call; see `BackendServer.send`."""
+        """Run one call on the backend server; see `BackendServer.send`."""
         headers = _request_headers(self.pool.address, head, body, remaining)
         result = await self.pool.exchange(
             head.method, head.target, headers, body, remaining
@@ -69,9 +69,11 @@
         if isinstance(result, NotSent):
             return Refused(Reason.NO_BACKEND, detail=f"backend server: {result.detail}")
         if isinstance(result, InvalidRequest):
-            return Refused(Reason.BAD_REQUEST, detail=f"not sendable: {result.detail}")
+            return Refused(
+                Reason.BAD_REQUEST, detail=f"invalid HTTP request: {result.detail}"
+            )
         if isinstance(result, ResponseTooLarge):
-            detail = f"the answer exceeds {result.limit} bytes"
+            detail = f"the response exceeds {result.limit} bytes"
             return Unknown(Reason.TOO_LARGE, detail=detail)
         reason = (
             Reason.INCOMPLETE_ANSWER
@@ -81,7 +83,7 @@
         return Unknown(reason, detail=f"backend server: {result.detail}")
 
     async def load(self) -> BackendLoad | None:
-        """Ask for health and load; see `BackendServer.load`."""
+        """Request health and load; see `BackendServer.load`."""
         headers = [(b"host", self.pool.address.encode())]
         with trio.move_on_after(_LOAD_TIMEOUT_S):
             result = await self.pool.exchange(
@@ -93,16 +95,16 @@
 
 
 def http_backend(address: str, connections: int, body_bytes: int) -> HttpBackend:
-    """Return the backend server at an address.
+    """Return a client of the backend server at an address.
 
     Parameters
     ----------
     address : str
-        ``IP:PORT``.
+        Address of the backend server as ``IP:PORT``.
     connections : int
-        Most connections to it.
+        Maximum number of connections to it.
     body_bytes : int
-        Largest body of an answer.
+        Maximum size of a response body in bytes.
     """
     return HttpBackend(HttpPool(address, connections, body_bytes))
 
@@ -145,12 +147,12 @@
     for name, value in headers:
         if name == "retry-after" and value.isascii() and value.isdigit():
             retry_after = float(value) * MS_PER_S
-    detail = f"the backend server did not run it (status {status})"
+    detail = f"the backend server did not run the call (status {status})"
     return Refused(Reason.BACKEND_REFUSED, retry_after=retry_after, detail=detail)
 
 
 def _parse_load(status: int, content: bytes) -> BackendLoad | None:
-    """Return the load, or None for anything that is not what was expected."""
+    """Return the reported load; None if the response is not a valid report."""
     if status != 200 or len(content) > _MAX_LOAD_BYTES:
         return None
     try:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/callers.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/callers.py
@@ -1,4 +1,4 @@
-"""Callers over HTTP/1.1: requests become calls, outcomes become responses."""
+"""HTTP/1.1 interface for callers: maps requests to calls and outcomes to responses."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True)
 class _OpenRequests:
-    """What callers hold now."""
+    """Number of open requests of callers and the size of their bodies."""
 
     n_calls: int = 0
     n_body_bytes: int = 0
@@ -79,9 +79,9 @@
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of the node.
     listener : trio.SocketListener
-        Where callers connect.
+        Listening socket for callers.
     """
     limits = state.cfg.limits
     open_requests = _OpenRequests()
@@ -106,8 +106,8 @@
         try:
             return await _handle_request(state, req)
         except Exception:
-            _LOG.exception("a call failed in the node itself")
-            detail = "this node failed; what it had done by then is not known"
+            _LOG.exception("unhandled exception while serving a call")
+            detail = "internal error of this node; the call may have run"
             return _outcome_response(Unknown(Reason.NODE_FAILED, detail=detail))
         finally:
             open_requests.n_calls -= 1
@@ -130,9 +130,9 @@
 
 
 async def _refuse_too_many_open(state: NodeState, req: HttpRequest) -> HttpResponse:
-    """Refuse a request because too many are open."""
+    """Refuse a request because the maximum number of calls is open."""
     limit = state.cfg.limits.open_calls
-    detail = f"{limit} calls are open here, the most there may be"
+    detail = f"{limit} calls are open at this node, the maximum"
     refused = Refused(Reason.OVERLOAD, 100.0, detail=detail)
     call = _parse_request(req)
     if isinstance(call, Refused):
@@ -156,7 +156,7 @@
         value = raw_value.decode("latin-1")
         if header == call_headers.TICKET or header.startswith(call_headers.PREFIX):
             if header in control_headers:
-                detail = f"{header}: expected once, got it twice"
+                detail = f"{header}: expected one value, got two"
                 return Refused(Reason.BAD_REQUEST, detail=detail)
             control_headers[header] = value
         elif header not in _CONNECTION_HEADERS:
@@ -187,7 +187,7 @@
 
 
 async def _settle_ticket(state: NodeState, req: HttpRequest) -> HttpResponse:
-    """Tell what became of a ticket, so that the caller can be sure."""
+    """Settle a ticket: return the final outcome of its call."""
     ticket = parse_ticket(req.target.removeprefix(_SETTLE_PREFIX))
     if isinstance(ticket, MalformedTicket):
         return _outcome_response(Refused(Reason.BAD_REQUEST, detail=str(ticket)[:300]))
@@ -212,16 +212,16 @@
     )
 
 
-def _no_tickets_refusal(fault: NotIssued) -> Refused:
-    detail = "no more tickets can be handed out here now; ask another node"
-    return Refused(Reason.OVERLOAD, retry_after=fault.retry_after, detail=detail)
+def _no_tickets_refusal(not_issued: NotIssued) -> Refused:
+    detail = "this node cannot issue more tickets now; ask another node"
+    return Refused(Reason.OVERLOAD, retry_after=not_issued.retry_after, detail=detail)
 
 
-def _error_response(fault: BadRequest) -> HttpResponse:
-    """Return the response to bytes that never became a call."""
-    reason = _REASON_BY_STATUS.get(fault.status, Reason.BAD_REQUEST)
-    response = _outcome_response(Refused(reason, detail=fault.detail))
-    return HttpResponse(fault.status, response.headers, response.body, close=True)
+def _error_response(error: BadRequest) -> HttpResponse:
+    """Return the response to a request that cannot be parsed into a call."""
+    reason = _REASON_BY_STATUS.get(error.status, Reason.BAD_REQUEST)
+    response = _outcome_response(Refused(reason, detail=error.detail))
+    return HttpResponse(error.status, response.headers, response.body, close=True)
 
 
 def _outcome_response(outcome: Outcome) -> HttpResponse:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/http_client.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/http_client.py
@@ -1,8 +1,9 @@
-"""HTTP/1.1 to the backend server, on `h11` and `trio` alone.
+"""HTTP/1.1 client for the backend server, on `h11` and `trio` alone.
 
-`h11` is the protocol engine under `httpcore`; the pool around it costs more than
-the call path can spend (docs/design/path.md). Connections are kept alive and the one
-used last is used first, so that idle ones grow old and close.
+`h11` is the protocol engine under `httpcore`, whose connection pool costs more time
+than a node may add to a call (docs/design/path.md). Connections are kept alive, and the
+most recently used one is taken first, so that surplus connections stay idle until the
+server closes them.
 """
 
 from __future__ import annotations
@@ -26,16 +27,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientResponse:
-    """A whole response.
+    """A complete response.
 
     Parameters
     ----------
     status : int
         HTTP status.
     headers : list of (bytes, bytes)
-        Names in lower case.
+        Names in lower case and values.
     body : bytes
-        The whole body.
+        The complete body.
     """
 
     status: int
@@ -45,12 +46,12 @@
 
 @dataclass(frozen=True, slots=True)
 class NotSent:
-    """Not a byte of the request was written.
+    """No connection was available; no byte of the request was written.
 
     Parameters
     ----------
     detail : str
-        Why.
+        Reason, for error messages.
     """
 
     detail: str
@@ -58,12 +59,12 @@
 
 @dataclass(frozen=True, slots=True)
 class InvalidRequest:
-    """The request is no valid HTTP; not a byte of it was written.
+    """The request is not valid HTTP; no byte of it was written.
 
     Parameters
     ----------
     detail : str
-        What is wrong with it.
+        What is invalid.
     """
 
     detail: str
@@ -71,14 +72,14 @@
 
 @dataclass(frozen=True, slots=True)
 class NoResponse:
-    """The request was written, at least in part, and no whole response came.
+    """The request was at least partly written, without a complete response.
 
     Parameters
     ----------
     detail : str
-        Why.
+        Reason, for error messages.
     response_started : bool
-        Whether a response began and broke off.
+        Whether the head of a response was received before the connection failed.
     """
 
     detail: str
@@ -87,12 +88,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseTooLarge:
-    """The response exceeds the limit.
+    """The response body exceeds the limit.
 
     Parameters
     ----------
     limit : int
-        Bytes.
+        Maximum size of the body in bytes.
     """
 
     limit: int
@@ -105,7 +106,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Conn:
-    """One connection to the server."""
+    """A connection to the server with the state of its current exchange."""
 
     stream: trio.SocketStream
     http: h11.Connection
@@ -114,16 +115,16 @@
 
 @dataclass(slots=True, eq=False)
 class HttpPool:
-    """Connections to one server.
+    """Pool of connections to one server.
 
     Parameters
     ----------
     address : str
-        ``IP:PORT``.
+        Address of the server as ``IP:PORT``.
     connections : int
-        Most connections at one time; more calls wait.
+        Maximum number of connections in use; further requests wait for one.
     body_bytes : int
-        Largest body of a response.
+        Maximum size of a response body in bytes.
     """
 
     address: str
@@ -143,24 +144,24 @@
         body: bytes,
         wait: Milliseconds,
     ) -> ExchangeResult:
-        """Send a request and wait for the whole response.
+        """Send a request and wait for the complete response.
 
         Parameters
         ----------
         method, target : str
-            HTTP method; path with query.
+            HTTP method, and path with query.
         headers : list of (bytes, bytes)
-            With ``host`` and, for a body, ``content-length``.
+            Headers with ``host`` and, for a body, ``content-length``.
         body : bytes
-            The whole body.
+            The complete body.
         wait : float
-            Milliseconds to wait for a connection.
+            Maximum time to wait for a free connection, in milliseconds.
 
         Returns
         -------
         ClientResponse, NotSent, InvalidRequest, NoResponse or ResponseTooLarge
-            `NotSent` and `InvalidRequest` only if not a byte was written. Cancelling
-            closes the connection, by which the server notices.
+            `NotSent` and `InvalidRequest` only if no byte was written. Cancelling
+            closes the connection, which tells the server that the request is cancelled.
         """
         http = h11.Connection(h11.CLIENT)
         try:
@@ -196,7 +197,8 @@
     async def _get_stream(self) -> trio.SocketStream | NotSent:
         while self._idle:
             stream = self._idle.pop().stream
-            # Readable and idle means: closed by the server, or off its protocol.
+            # An idle connection is readable only if the server closed it or sent
+            # unexpected data; it cannot be used again.
             if not stream.socket.is_readable():
                 return stream
             await trio.aclose_forcefully(stream)
@@ -219,9 +221,11 @@
                 and not conn.http.trailing_data[0]
             )
         except (trio.BrokenResourceError, trio.ClosedResourceError, OSError) as exc:
-            return NoResponse(f"the connection broke: {exc}", conn.response_started)
+            return NoResponse(f"connection failed: {exc}", conn.response_started)
         except h11.RemoteProtocolError as exc:
-            return NoResponse(f"no whole HTTP response: {exc}", conn.response_started)
+            return NoResponse(
+                f"incomplete or malformed HTTP response: {exc}", conn.response_started
+            )
         finally:
             if reusable:
                 self._idle.append(conn)
@@ -250,7 +254,7 @@
                 body = b"".join(parts)
                 return ClientResponse(head.status_code, list(head.headers), body)
             elif not isinstance(event, h11.InformationalResponse):
-                return NoResponse("the connection closed before the response")
+                return NoResponse("connection closed before the response")
 
 
 def _request_bytes(
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/http_server.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/http_server.py
@@ -1,10 +1,10 @@
-"""HTTP/1.1 for callers, on `h11` and `trio` alone.
+"""HTTP/1.1 server for callers, on `h11` and `trio` alone.
 
-`h11` is the protocol engine under `hypercorn`. The server around it costs more
-than the whole time that a node may add to a call (docs/design/path.md), so that the
-call path drives the engine itself: one task for each connection, which reads a
-request, runs it and writes the response; and one that reads ahead, so that a caller
-who leaves is noticed at once.
+`h11` is the protocol engine under `hypercorn`. `hypercorn` itself takes more time than
+a node may add to a call in total (docs/design/path.md), so this module drives the
+engine directly, with two tasks per connection. One reads a request, runs it and writes
+the response. The other reads ahead, so that a caller's disconnect is detected at once
+while its request runs.
 """
 
 from __future__ import annotations
@@ -33,18 +33,18 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """A whole request.
+    """A complete request.
 
     Parameters
     ----------
     method : str
         HTTP method.
     target : str
-        Path with query, as it was sent.
+        Path with query, as sent by the caller.
     headers : list of (bytes, bytes)
-        Names in lower case.
+        Names in lower case and values.
     body : bytes
-        The whole body.
+        The complete body.
     """
 
     method: str
@@ -55,18 +55,18 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """A whole response.
+    """A complete response.
 
     Parameters
     ----------
     status : int
         HTTP status.
     headers : list of (bytes, bytes)
-        Without ``content-length``, which the server sets.
+        Names and values without ``content-length``, which the server sets.
     body : bytes
-        The whole body.
+        The complete body.
     close : bool
-        Whether the connection ends with this response.
+        Whether the server closes the connection after this response.
     """
 
     status: int
@@ -77,14 +77,14 @@
 
 @dataclass(frozen=True, slots=True)
 class BadRequest:
-    """The bytes are no request that is taken.
+    """A request that is malformed or exceeds a limit.
 
     Parameters
     ----------
     status : int
-        HTTP status that says why.
+        HTTP status of the response.
     detail : str
-        What was wrong and what was expected.
+        What is wrong and what is expected.
     """
 
     status: int
@@ -93,20 +93,20 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpServerSettings:
-    """Bounds of one connection.
+    """Limits of the server and functions that track open requests.
 
     Parameters
     ----------
     header_bytes : int
-        Request line and headers.
+        Maximum size of the request line and all headers, in bytes.
     body_bytes : int
-        Body of a request.
+        Maximum size of a request body, in bytes.
     reserve : callable
-        Takes a number of bytes, negative to give them back, for bodies in memory;
-        False if there are too many.
+        Reserves memory for a number of body bytes, or releases it if the number is
+        negative. Returns False if the limit over all requests would be exceeded.
     add_open_requests : callable
-        Told 1 when a request begins and -1 when its response is written, so that a
-        graceful shutdown can wait for both.
+        Called with 1 once the head of a request is read and with -1 once its response
+        is written, so that a graceful shutdown can wait for open requests.
     """
 
     header_bytes: int
@@ -121,19 +121,29 @@
 
 @dataclass(frozen=True, slots=True)
 class _ConnectionEnded:
-    """The caller left in the middle of a request, or the connection is idle."""
+    """The caller disconnected, or sent nothing within the time limit."""
 
 
 @dataclass(slots=True, eq=False)
 class _Connection:
-    """The state of one connection.
+    """State of one connection, shared by its two tasks.
 
     Parameters
     ----------
     stream : trio.SocketStream
         The connection.
     cfg : HttpServerSettings
-        Bounds.
+        Limits.
+    http : h11.Connection
+        Protocol state.
+    data_received : trio.Event
+        Set when data or the end of the input was passed to `http`.
+    buffer_drained : trio.Event
+        Set when all data passed to `http` has been parsed.
+    input_ended : bool
+        Whether the caller closed the connection or sent data that `http` rejected.
+    handler_scope : trio.CancelScope or None
+        Cancels the running handler; None while none runs.
     """
 
     stream: trio.SocketStream
@@ -145,7 +155,7 @@
     handler_scope: trio.CancelScope | None = None
 
     async def read_ahead(self) -> None:
-        """Feed the engine until the caller closes the connection."""
+        """Pass received data to `http`; cancel the handler when the input ends."""
         while not self.input_ended:
             try:
                 data = await self.stream.receive_some(_READ_BYTES)
@@ -164,7 +174,7 @@
                 await self.buffer_drained.wait()
 
     async def next_event(self, timeout: float) -> object:
-        """Return the next event of the engine, or `_ConnectionEnded`."""
+        """Return the next event of `http`, or `_ConnectionEnded` after `timeout` s."""
         while True:
             event = self.http.next_event()
             if event is not h11.NEED_DATA:
@@ -196,15 +206,15 @@
     Parameters
     ----------
     listener : trio.SocketListener
-        Where callers connect.
+        Listening socket for callers.
     cfg : HttpServerSettings
-        Bounds of each connection.
+        Limits of each connection.
     handle : callable
-        Runs a request; cancelled if the caller leaves.
+        Runs a request; cancelled if the caller disconnects.
     handle_error : callable
-        Returns the response to bytes that are no request.
+        Returns the response to a malformed or too large request.
     task_status : trio.TaskStatus
-        Started once connections are taken.
+        Reports the start once connections are accepted.
     """
 
     async def handle_connection(stream: trio.SocketStream) -> None:
@@ -228,11 +238,11 @@
                 pass
             nursery.cancel_scope.cancel()
     except* (trio.BrokenResourceError, trio.ClosedResourceError):
-        # The caller is gone; there is nobody to tell.
+        # The caller disconnected, so no response can be sent.
         pass
     except* Exception:
-        # A fault of the program must not end the calls of other connections.
-        _LOG.exception("a connection of a caller failed")
+        # An unexpected exception must not cancel the requests of other connections.
+        _LOG.exception("unhandled exception on a caller's connection")
 
 
 async def _serve_request(
@@ -283,7 +293,7 @@
 async def _run_handler(
     conn: _Connection, req: HttpRequest, handle: Handler
 ) -> HttpResponse | None:
-    """Run a request; None if the caller left."""
+    """Run a request; return None if the caller disconnected meanwhile."""
     response: HttpResponse | None = None
     with trio.CancelScope() as scope:
         conn.handler_scope = scope
@@ -305,7 +315,7 @@
         version = event.http_version.decode("latin-1")
         detail = f"HTTP version {version}: expected 1.0 or 1.1"
         return BadRequest(_VERSION_NOT_SUPPORTED, detail)
-    # The engine bounds only what it has not parsed yet.
+    # `h11` limits only the size of data that it has not parsed yet.
     n_bytes = sum(len(name) + len(value) for name, value in event.headers)
     if n_bytes + len(event.target) > conn.cfg.header_bytes:
         detail = f"request line and headers exceed {conn.cfg.header_bytes} bytes"
@@ -314,7 +324,7 @@
 
 
 def _declared_length(head: h11.Request) -> int:
-    """Return the length that the head declares; 0 if it comes in chunks."""
+    """Return the declared length of the body; 0 for a chunked body."""
     for name, value in head.headers:
         if name == b"content-length":
             return int(value)
@@ -324,7 +334,7 @@
 async def _read_body(
     conn: _Connection, head: h11.Request
 ) -> bytes | BadRequest | _ConnectionEnded:
-    """Return the whole body, its bytes reserved."""
+    """Return the complete body, with memory reserved for it."""
     if _declared_length(head) > conn.cfg.body_bytes:
         return _body_too_large(conn)
     parts: list[bytes] = []
@@ -341,7 +351,9 @@
                 error = _body_too_large(conn)
                 break
             if not conn.cfg.reserve(len(event.data)):
-                detail = "the bodies of all open calls exceed what this node may hold"
+                detail = (
+                    "the bodies of all open calls exceed the memory limit of this node"
+                )
                 error = BadRequest(_UNAVAILABLE, detail)
                 break
             n_bytes += len(event.data)
@@ -378,7 +390,7 @@
             data += http.send(h11.Data(data=response.body)) or b""
         data += http.send(h11.EndOfMessage()) or b""
     except h11.LocalProtocolError:
-        # The engine gave up on this caller: nothing can be said to it any more.
+        # `h11` is in an error state for this connection; no response can be sent.
         return
     with trio.move_on_after(_IDLE_TIMEOUT_S):
         await conn.stream.send_all(data)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/metrics_text.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/metrics_text.py
@@ -1,4 +1,4 @@
-"""The metrics of a node in the text format that monitoring systems read."""
+"""Metrics of a node in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -27,32 +27,32 @@
 
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 
-# Steps between two yields to other tasks; about 0.2 ms.
+# Flush steps between two yields to other tasks; 64 take about 0.2 ms.
 _FLUSH_STEPS_PER_YIELD = 64
-# Samples rendered between two yields; about 1 ms.
+# Samples rendered between two yields to other tasks; 64 take about 1 ms.
 _SAMPLES_PER_YIELD = 64
 _COMMENT_PREFIX = b"# "
 _EVENTS_METRIC = "fuchsiagap_events"
 
 
 async def metrics_text(telemetry: Telemetry) -> bytes:
-    """Return the metrics of a process, and let other tasks run meanwhile.
+    """Return the metrics of a process, yielding to other tasks meanwhile.
 
     Parameters
     ----------
     telemetry : Telemetry
-        Of the process.
+        Telemetry of the process.
 
     Returns
     -------
     bytes
-        Text of the content type `CONTENT_TYPE`; times are in seconds.
+        Text of content type `CONTENT_TYPE`, with times in seconds.
     """
     metrics = telemetry.metrics
     while metrics.flush(_FLUSH_STEPS_PER_YIELD):
         await trio.lowlevel.checkpoint()
     summary_families = await _collect_summaries(telemetry)
-    # Taken whole, without a yield, since counters change meanwhile.
+    # Counters are copied without a yield, since other tasks change them.
     value_families = list(_collect_values(telemetry))
     parts: list[bytes] = []
     for family in (*value_families, *summary_families):
@@ -63,7 +63,7 @@
 
 
 def _render_samples(family: Metric, start: int) -> bytes:
-    """Return the text of some samples; the heading stands with the first."""
+    """Return the text of one batch of samples, with comments only in the first."""
     subset = Metric(family.name, family.documentation, family.type)
     subset.samples = family.samples[start : start + _SAMPLES_PER_YIELD]
     text = generate_latest(_Families((subset,)))
@@ -75,12 +75,12 @@
 
 @dataclass(frozen=True, slots=True)
 class _Families(Collector):
-    """Metric families, as the library takes them."""
+    """Adapter that passes metric families to the exposition library."""
 
     families: tuple[Metric, ...]
 
     def collect(self) -> Iterator[Metric]:
-        """Yield the families."""
+        """Yield the metric families."""
         return iter(self.families)
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/peer_websocket.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/peer_websocket.py
@@ -1,8 +1,8 @@
 """Links between nodes over websockets.
 
-The protocol part of `websockets` is driven on trio streams without a task of its own:
-that halves the CPU of a round trip against the library's trio side, on which every
-message passes two more tasks (docs/design/path.md).
+The sans-I/O protocol of `websockets` runs directly on trio streams, without a task of
+its own. This halves the CPU time of a round trip compared with the trio interface of
+the library, where every message passes through two more tasks (docs/design/path.md).
 """
 
 from __future__ import annotations
@@ -30,11 +30,11 @@
 
     from fuchsiagap_node.core.ports import Dial, Link
 
-# Larger than any frame: `peers.frames` cuts messages into pieces of 64 KiB.
+# Larger than any valid frame, since `peers.frames` splits messages into 64 KiB.
 MAX_FRAME_BYTES = 128 * 1024
 _READ_BYTES = 64 * 1024
 _HANDSHAKE_TIMEOUT_S = 5.0
-# A frame begun is finished even if its sender is cancelled, within this time.
+# Time in which a partly written frame is completed even if its sender is cancelled.
 _FINISH_TIMEOUT_S = 5.0
 _SWITCHING_PROTOCOLS = 101
 _CONNECTION_ERRORS = (trio.BrokenResourceError, trio.ClosedResourceError, OSError)
@@ -42,7 +42,8 @@
 
 def _library_logger() -> logging.Logger:
     logger = logging.getLogger("websockets")
-    # Each open and close of a link would be a line; the time line has them.
+    # Otherwise the library logs each open and close of a link, which the event ring
+    # already records.
     logger.setLevel(logging.CRITICAL)
     return logger
 
@@ -56,7 +57,7 @@
     stream : trio.SocketStream
         The connection.
     protocol : Protocol
-        Its state, after the handshake.
+        Websocket protocol state, after the handshake.
     """
 
     stream: trio.SocketStream
@@ -66,15 +67,15 @@
     _close_reason: str = ""
 
     async def send(self, frame: bytes) -> LinkClosed | None:
-        """Hand a frame to the connection; it goes whole or not at all."""
+        """Write a frame to the connection, completely or not at all."""
         if self._close_reason or self.protocol.state is not State.OPEN:
             return LinkClosed(self._close_reason or "the link is closing")
         self.protocol.send_binary(frame)
         return await self._flush()
 
     async def receive(self) -> bytes | LinkClosed:
-        """Wait for the next frame; anything but whole binary messages closes it."""
-        # Some may have come in one piece with the handshake.
+        """Wait for the next frame; close on anything but whole binary messages."""
+        # Frames can arrive together with the handshake.
         self._collect_frames()
         while not self._received_frames:
             if self._close_reason:
@@ -82,7 +83,7 @@
             try:
                 data = await self.stream.receive_some(_READ_BYTES)
             except _CONNECTION_ERRORS as exc:
-                self._close_reason = f"the connection broke: {exc}"
+                self._close_reason = f"connection failed: {exc}"
                 continue
             self._feed(data)
             closed = await self._flush()
@@ -91,7 +92,7 @@
         return self._received_frames.popleft()
 
     async def aclose(self) -> None:
-        """Close the connection."""
+        """Send a close frame if the link is open, and close the connection."""
         if not self._close_reason and self.protocol.state is State.OPEN:
             self.protocol.send_close()
             with trio.move_on_after(_FINISH_TIMEOUT_S):
@@ -101,12 +102,14 @@
 
     def _feed(self, data: bytes) -> None:
         if not data:
-            self._close_reason = "the other node closed the connection"
+            self._close_reason = "the peer closed the connection"
             return
         self.protocol.receive_data(data)
         self._collect_frames()
         if self.protocol.parser_exc is not None:
-            self._close_reason = f"no websocket frame: {self.protocol.parser_exc}"
+            self._close_reason = (
+                f"malformed websocket frame: {self.protocol.parser_exc}"
+            )
 
     def _collect_frames(self) -> None:
         for event in self.protocol.events_received():
@@ -114,10 +117,10 @@
             if event.opcode is Opcode.BINARY and event.fin:
                 self._received_frames.append(bytes(event.data))
             elif event.opcode is Opcode.CLOSE:
-                self._close_reason = "the other node closed the link"
+                self._close_reason = "the peer closed the link"
             elif event.opcode in (Opcode.TEXT, Opcode.BINARY, Opcode.CONT):
                 self._close_reason = (
-                    f"expected whole binary messages, got {event.opcode.name}"
+                    f"expected unfragmented binary messages, got {event.opcode.name}"
                 )
 
     async def _flush(self) -> LinkClosed | None:
@@ -131,7 +134,7 @@
         try:
             await _send_whole_frame(self.stream, data)
         except _CONNECTION_ERRORS as exc:
-            self._close_reason = f"the connection broke: {exc}"
+            self._close_reason = f"connection failed: {exc}"
             return LinkClosed(self._close_reason)
         finally:
             self._send_lock.release()
@@ -139,12 +142,12 @@
 
 
 async def _send_whole_frame(stream: trio.SocketStream, data: bytes) -> None:
-    """Send all of the data, or none of it if cancelled before the first byte.
+    """Send all of the data, or nothing if cancelled before the first byte.
 
     Raises
     ------
     trio.BrokenResourceError, OSError
-        If the connection broke, or the rest could not be sent in time.
+        If the connection failed, or the remaining data was not sent in time.
     """
     n_sent = await stream.socket.send(data)
     if n_sent == len(data):
@@ -153,7 +156,7 @@
         await stream.send_all(memoryview(data)[n_sent:])
     if scope.cancelled_caught:
         await trio.aclose_forcefully(stream)
-        raise trio.BrokenResourceError("the other node does not read")
+        raise trio.BrokenResourceError("the peer does not read from the link")
 
 
 def _finish_deadline() -> float:
@@ -161,12 +164,12 @@
 
 
 def websocket_dial(_nursery: trio.Nursery) -> Dial:
-    """Return a `Dial` over websockets.
+    """Return a function that opens links over websockets.
 
     Returns
     -------
     callable
-        Opens a link to ``IP:PORT``.
+        `Dial` function that opens a link to ``IP:PORT``.
     """
 
     async def dial(address: str) -> WebsocketLink | DialFailed:
@@ -200,21 +203,21 @@
         response = str(exc)
     if not isinstance(response, Response) or protocol.state is not State.OPEN:
         await trio.aclose_forcefully(stream)
-        detail = f"no websocket handshake: {protocol.handshake_exc or response}"
+        detail = f"websocket handshake failed: {protocol.handshake_exc or response}"
         return DialFailed(address, detail)
     return WebsocketLink(stream, protocol)
 
 
 async def _first_event(stream: trio.SocketStream, protocol: Protocol) -> object | str:
-    """Return the request or response of the handshake, or why there is none."""
+    """Return the handshake request or response, or the reason why there is none."""
     while True:
         data = await stream.receive_some(_READ_BYTES)
         if not data:
-            return "the connection was closed"
+            return "connection closed"
         protocol.receive_data(data)
         events = protocol.events_received()
         if events:
-            # What follows the handshake stays with the protocol's events.
+            # Events after the handshake stay queued in the protocol.
             protocol.events.extend(events[1:])
             return events[0]
         if protocol.parser_exc is not None or protocol.handshake_exc is not None:
@@ -226,16 +229,16 @@
     serve_link: Callable[[Link], Awaitable[None]],
     task_status: trio.TaskStatus[list[trio.SocketListener]] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Take links from other nodes until cancelled.
+    """Accept links from other nodes until cancelled.
 
     Parameters
     ----------
     listeners : list of trio.SocketListener
-        Where other nodes dial.
-    take : callable
+        Listening sockets for other nodes.
+    serve_link : callable
         Serves one link until it closes.
     task_status : trio.TaskStatus
-        Started once links are taken.
+        Reports the start once links are accepted.
     """
 
     async def handle(stream: trio.SocketStream) -> None:
@@ -252,7 +255,7 @@
 
 
 async def _server_handshake(stream: trio.SocketStream) -> WebsocketLink | None:
-    """Answer the handshake; None if there is none in time."""
+    """Complete the handshake; return None if it fails or times out."""
     protocol = ServerProtocol(max_size=MAX_FRAME_BYTES, logger=_library_logger())
     with trio.move_on_after(_HANDSHAKE_TIMEOUT_S):
         try:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/platform_http.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/platform_http.py
@@ -1,8 +1,9 @@
-"""The platform over HTTP.
+"""HTTP client of the platform's object API.
 
-The protocol: ``GET``, ``PUT`` and ``DELETE`` of ``/objects/PATH``, the version in
-``ETag``, ``If-Match`` and ``If-None-Match: *`` for conditional updates, and
-``GET /objects?prefix=…`` to list, with ``after=VERSION`` to wait for changes.
+Objects are read and written by ``GET``, ``PUT`` and ``DELETE`` of ``/objects/PATH``.
+The version is in ``ETag``, and ``If-Match`` or ``If-None-Match: *`` makes an update
+conditional. ``GET /objects?prefix=…`` lists objects, and with ``after=VERSION`` it
+waits for changes.
 """
 
 from __future__ import annotations
@@ -38,19 +39,20 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformHttpSettings:
-    """How a node talks to the platform.
+    """Address and timeouts of the platform client.
 
     Parameters
     ----------
     url : str
-        Base URL by IP number, for example ``http://127.0.0.1:8000``.
+        Base URL with an IP address, for example ``http://127.0.0.1:8000``.
     timeout : float
-        Milliseconds within which each call has to be answered whole.
+        Time limit of each request with its response, in milliseconds; for a watch
+        request, in addition to `watch_wait`.
     watch_wait : float
-        Milliseconds a watch waits before it asks anew; the platform counts each
-        time as one call.
+        Time in milliseconds after which the platform ends an empty watch request and
+        the watch sends the next one. Each counts as one call at the platform.
     max_connections : int
-        Connections at most; each running watch holds one.
+        Maximum number of connections; each running watch holds one.
     """
 
     url: str
@@ -61,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Reply:
-    """One HTTP response, whole."""
+    """A complete HTTP response."""
 
     status: int
     headers: httpx.Headers
@@ -73,19 +75,19 @@
 
 @asynccontextmanager
 async def open_platform(cfg: PlatformHttpSettings) -> AsyncIterator[HttpPlatform]:
-    """Open the platform's API; its connections close at the end of the block.
+    """Open a client of the platform; its connections close at the end of the block.
 
     Parameters
     ----------
     cfg : PlatformHttpSettings
-        Where it is and how long to wait.
+        Address and timeouts.
 
     Yields
     ------
     HttpPlatform
-        The API; nothing has been sent yet.
+        The client; it has not sent anything yet.
     """
-    # The library writes a line for each call.
+    # At the default level `httpx` logs a line for each request.
     logging.getLogger("httpx").setLevel(logging.WARNING)
     timeout = httpx.Timeout(cfg.timeout / MS_PER_S)
     limits = httpx.Limits(max_connections=cfg.max_connections)
@@ -96,14 +98,14 @@
 
 
 class HttpPlatform:
-    """The platform's object API over HTTP; implements `ports.Platform`.
+    """Client of the platform's object API; implements `ports.Platform`.
 
     Parameters
     ----------
     cfg : PlatformHttpSettings
-        Timeouts.
+        Address and timeouts.
     client : httpx.AsyncClient
-        With the platform as base URL.
+        HTTP client with the platform as base URL.
     """
 
     def __init__(self, cfg: PlatformHttpSettings, client: httpx.AsyncClient) -> None:
@@ -111,7 +113,7 @@
         self._client = client
 
     async def get(self, path: str) -> StoredObject | Missing | PlatformUnavailable:
-        """Read one object; a deleted one comes as a tombstone."""
+        """Read one object; a deleted object is returned as a tombstone."""
         reply = await self._exchange("GET", _object_url(path))
         if isinstance(reply, PlatformUnavailable):
             return reply
@@ -122,7 +124,7 @@
         return _unexpected_status(reply, is_write=False)
 
     async def list(self, prefix: str) -> tuple[StoredObject, ...] | PlatformUnavailable:
-        """Read all objects under a prefix, tombstones included."""
+        """Read all objects under a prefix, including tombstones."""
         return _parse_objects(
             await self._exchange("GET", f"/objects?prefix={quote(prefix)}")
         )
@@ -130,17 +132,17 @@
     async def put(
         self, path: str, value: bytes, expected_version: int | None
     ) -> PutResult:
-        """Write if the version is the expected one."""
+        """Write an object if its version is the expected one."""
         return await self._write("PUT", path, value, expected_version)
 
     async def delete(self, path: str, expected_version: int | None) -> PutResult:
-        """Leave a tombstone, under the same condition as `put`."""
+        """Replace an object with a tombstone, under the same condition as `put`."""
         return await self._write("DELETE", path, b"", expected_version)
 
     async def watch(
         self, prefix: str, after_version: int
     ) -> AsyncIterator[StoredObject | PlatformUnavailable]:
-        """Yield each change under a prefix; ends after a `PlatformUnavailable`."""
+        """Yield each change under a prefix; end after a `PlatformUnavailable`."""
         wait = self._cfg.watch_wait
         while True:
             query = f"prefix={quote(prefix)}&after={after_version}&wait_ms={wait:.0f}"
@@ -179,8 +181,8 @@
         wait: Milliseconds = 0.0,
     ) -> _ExchangeResult:
         is_write = method != "GET"
-        # The library's timeouts are for each read and write; `total_timeout_s`
-        # is over all.
+        # The timeouts of `httpx` apply to each read and write; `total_timeout_s`
+        # limits the whole exchange.
         total_timeout_s = (self._cfg.timeout + wait) / MS_PER_S
         timeout = httpx.Timeout(self._cfg.timeout / MS_PER_S, read=total_timeout_s)
         try:
@@ -201,7 +203,7 @@
 
 
 class _TooLarge(Exception):
-    """A body was longer than `MAX_BODY_BYTES`."""
+    """A response body exceeds `MAX_BODY_BYTES`."""
 
 
 async def _read_bounded(response: httpx.Response) -> bytes:
@@ -211,7 +213,7 @@
         pieces.append(piece)
         size += len(piece)
         if size > MAX_BODY_BYTES:
-            raise _TooLarge(f"a body of more than {MAX_BODY_BYTES} bytes")
+            raise _TooLarge(f"response body exceeds {MAX_BODY_BYTES} bytes")
     return b"".join(pieces)
 
 
@@ -247,7 +249,7 @@
 
 
 def _unexpected_status(reply: _Reply, *, is_write: bool) -> PlatformUnavailable:
-    # A client error is said before anything is changed; a server error may not be.
+    # With a client error the platform changed nothing; with a server error it may have.
     maybe_applied = is_write and reply.status >= httpx.codes.INTERNAL_SERVER_ERROR
     detail = f"status {reply.status}: {reply.body[:200]!r}"
     return PlatformUnavailable(maybe_applied, detail)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/logs.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/logs.py
@@ -1,11 +1,11 @@
-"""Structured logs: one JSON object a line, and lines only for changes of state.
+"""Structured logs with one JSON object per line, only for changes of state.
 
-What happens often is counted instead; what changes a state is recorded as an event,
-and the ring of events writes the line.
+Frequent occurrences are counted in metrics instead. Changes of state are recorded as
+events, and the event ring logs them.
 
 See Also
 --------
-fuchsiagap.core.telemetry.events.LOGGED_KINDS : the changes of state.
+fuchsiagap.core.telemetry.events.LOGGED_KINDS : Events that are logged.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
     Parameters
     ----------
     process : str
-        Name of the process, in each line.
+        Name of the process, written in each line.
 
     Examples
     --------
@@ -41,7 +41,7 @@
         self._process = process
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the line of a record; values passed as `extra` are its fields."""
+        """Return a record as JSON, with a field for each value passed as `extra`."""
         created_at = datetime.fromtimestamp(record.created, UTC)
         line: dict[str, object] = {
             "time": created_at.isoformat(timespec="milliseconds"),
@@ -60,16 +60,16 @@
 def set_up_logs(
     process: str, level: str = "info", stream: TextIO | None = None
 ) -> None:
-    """Send the program's logs to a stream, as JSON lines.
+    """Write the logs of the packages in `LOGGER_NAMES` to a stream as JSON lines.
 
     Parameters
     ----------
     process : str
         Name of the process.
     level : str, default="info"
-        Lowest level that is written.
+        Lowest level to write.
     stream : text stream, optional
-        Where to; standard error by default.
+        Output stream; standard error by default.
     """
     handler = logging.StreamHandler(stream or sys.stderr)
     handler.setFormatter(JsonFormatter(process))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/member_digest.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/member_digest.py
@@ -1,8 +1,9 @@
-"""Members on the platform: announcements, and a digest for each data centre.
+"""Discovery of members through the platform.
 
-A few nodes of each data centre write its digest, when it changed and at a bounded
-rate. Who they are each node works out for itself; if two views differ for a while,
-more or other nodes write, which does no harm.
+Each node writes an announcement of itself. A few nodes of each data centre, its
+relays, write a digest of its live members, only when it changed and at a bounded rate.
+Each node computes the relays from its own view of the members. While views differ, more
+or other nodes write, which is harmless since updates of a digest are conditional.
 """
 
 from __future__ import annotations
@@ -33,18 +34,18 @@
 
 @dataclass(slots=True)
 class _RelayState:
-    """What this node remembers as a relay."""
+    """State of this node as a relay."""
 
     announcements_read_at: float = float("-inf")
 
 
 async def run(state: NodeState) -> None:
-    """Announce this node, read the digests, and write one if it is a relay.
+    """Announce this node, read the digests, and write one while it is a relay.
 
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of the node.
     """
     await _announce_and_read(state)
     relay_state = _RelayState()
@@ -59,7 +60,7 @@
 
 
 def relays(state: NodeState) -> tuple[str, ...]:
-    """Return the nodes of the own data centre that write its digest."""
+    """Return the nodes that write the digest of the local data centre."""
     membership = state.membership
     nodes = membership.rings.nodes(membership.self_member.data_centre)
     ranked = sorted(nodes, key=lambda node: ring_position("relay", node))
@@ -67,21 +68,21 @@
 
 
 def encode_members(members: tuple[Member, ...]) -> bytes:
-    """Return the stored form of members."""
+    """Encode members for storage on the platform."""
     return zlib.compress(encode(Updates(members)))
 
 
 def decode_members(value: bytes) -> tuple[Member, ...] | MalformedFrame:
-    """Return the members that a stored value stands for."""
+    """Decode members from a value stored on the platform."""
     unpacker = zlib.decompressobj()
     try:
         data = unpacker.decompress(value, MAX_DIGEST_BYTES)
     except zlib.error as exc:
-        return MalformedFrame(f"the digest is not compressed data: {exc}")
+        return MalformedFrame(f"the digest is not zlib data: {exc}")
     if unpacker.unconsumed_tail:
         return MalformedFrame(f"the digest is longer than {MAX_DIGEST_BYTES} bytes")
     if not unpacker.eof:
-        return MalformedFrame("the digest is cut short")
+        return MalformedFrame("the digest is truncated")
     msg = decode(data)
     if isinstance(msg, Updates):
         return msg.members
@@ -91,7 +92,7 @@
 
 
 async def _announce_and_read(state: NodeState) -> None:
-    """Announce this node and learn of others, however long the platform is away."""
+    """Announce this node and read other members; retry until both succeed."""
     retry_delay = _INITIAL_RETRY_DELAY_MS
     announced = False
     while True:
@@ -110,7 +111,7 @@
 
 
 async def _read_members(state: NodeState) -> bool:
-    """Read the digests, or the announcements if there are no digests yet."""
+    """Read the digests, and the announcements if no other member is known yet."""
     digests = await _read_all(state, MEMBERS_PREFIX)
     if digests is None:
         return False
@@ -126,7 +127,7 @@
 async def _read_all(
     state: NodeState, prefix: str
 ) -> dict[str, tuple[StoredObject, tuple[Member, ...]]] | None:
-    """Read and merge all members under a prefix; None if the platform is away."""
+    """Read and merge all members under a prefix; None without the platform."""
     found = await state.platform.list(prefix)
     if isinstance(found, PlatformUnavailable):
         return None
@@ -136,7 +137,8 @@
         if isinstance(members, MalformedFrame):
             _LOG.warning("%s is malformed: %s", stored.path, members.detail)
             members = ()
-        # Others read the same; only what they do not know shows in the hashes.
+        # Not spread by gossip, since other nodes read the same objects. Members that
+        # they still lack show in a comparison of membership hashes.
         state.membership.merge(members, spread=False)
         members_by_path[stored.path] = (stored, members)
     return members_by_path
@@ -158,27 +160,27 @@
     state: NodeState, digests: dict[str, tuple[StoredObject, tuple[Member, ...]]]
 ) -> None:
     membership = state.membership
-    data_centre = membership.self_member.data_centre
-    path = f"{MEMBERS_PREFIX}{data_centre}"
+    local_data_centre = membership.self_member.data_centre
+    path = f"{MEMBERS_PREFIX}{local_data_centre}"
     stored, stored_members = digests.get(path, (None, ()))
     live_members = tuple(
         _as_alive(member)
         for member in sorted(membership.members(), key=lambda m: m.node)
-        if member.data_centre == data_centre and not member.gone
+        if member.data_centre == local_data_centre and not member.gone
     )
     if {_identity(m) for m in live_members} == {_identity(m) for m in stored_members}:
         return
     version = 0 if stored is None else stored.version
     put = await state.platform.put(path, encode_members(live_members), version)
     if isinstance(put, Conflict):
-        # Another relay wrote; the next look shows whether its digest lacks anything.
-        _LOG.debug("digest of %s was written by another relay", data_centre)
+        # The next step reads the digest of the other relay and completes it if needed.
+        _LOG.debug("digest of %s was written by another relay", local_data_centre)
 
 
 async def _process_announcements(state: NodeState) -> bool:
-    """Learn of nodes nobody knows, and delete announcements of those gone."""
-    data_centre = state.membership.self_member.data_centre
-    found = await _read_all(state, f"{ANNOUNCE_PREFIX}{data_centre}/")
+    """Merge announced members and delete announcements of members that are gone."""
+    local_data_centre = state.membership.self_member.data_centre
+    found = await _read_all(state, f"{ANNOUNCE_PREFIX}{local_data_centre}/")
     if found is None:
         return False
     for stored, members in found.values():
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/node.py
@@ -1,4 +1,4 @@
-"""A node put together: its aggregates, its tasks, its start and its stop."""
+"""Assembly of a node: state, tasks, start and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -54,27 +54,27 @@
 _LOAD_POLL_INTERVAL_MS = 1_000.0
 _STEPS_BEFORE_IDLE = 50
 _IDLE_INTERVAL_FACTOR = 5.0
-# Replies to a node that no longer reads must not hold up the stop for ever.
+# Bounds the wait for replies to a peer that no longer reads, so that the shutdown
+# completes.
 _REPLIES_TIMEOUT_S = 10.0
 
 
 @dataclass(frozen=True, slots=True)
 class NodePorts:
-    """What a node meets outside, real or fake.
+    """External interfaces of a node, real or fake.
 
     Parameters
     ----------
     clock : Clock
-        The one clock.
+        Source of all times.
     rng : random.Random
         Source of all random choices.
     incarnation : int
-        The life of this process.
+        Incarnation of this process.
     dial : callable
-        Returns a `Dial` whose connections live in the nursery it gets.
+        Takes a nursery and returns a `Dial` whose connections live in that nursery.
     listen : callable
-        Serves each link of another node with the function it gets, until
-        cancelled.
+        Takes a function and runs it for each link from another node, until cancelled.
     backend : BackendServer
         The backend server on this host.
     platform : Platform
@@ -96,18 +96,18 @@
     edges: Callable[[NodeState], Awaitable[None]] | None = None,
     task_status: trio.TaskStatus[NodeState] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Run a node until it has left gracefully.
+    """Run a node until its graceful shutdown is complete.
 
     Parameters
     ----------
     cfg : NodeConfig
-        The node's own settings, its addresses final.
+        Settings of the node, with bound addresses.
     ports : NodePorts
-        What it meets outside.
+        External interfaces.
     edges : callable, optional
         Serves callers and operators until cancelled.
     task_status : trio.TaskStatus
-        Started with the state once the node takes calls.
+        Reports the state once the node accepts calls.
 
     See Also
     --------
@@ -134,14 +134,14 @@
 
 
 async def _enable_tickets_once_joined(state: NodeState) -> None:
-    """Hand out tickets only once other nodes can find their home."""
+    """Issue tickets only once other nodes can look up their home, this node."""
     state.tickets.issuing = False
     await gossip.until_joined(state)
     state.tickets.issuing = True
 
 
 async def _until_quiet(peers: LinkPeers, calls: CallTable) -> None:
-    """Wait until replies are written, and what came in meanwhile is answered."""
+    """Wait until replies are written and calls received meanwhile have ended."""
     while True:
         with trio.move_on_after(_REPLIES_TIMEOUT_S):
             await peers.wait_idle()
@@ -152,32 +152,32 @@
 
 
 def _report_unfinished_calls(state: NodeState) -> None:
-    """Report calls that the end of the process would cut."""
+    """Report a violation if calls are in progress, which the exit would interrupt."""
     calls = state.calls
     if calls.busy():
         detail = (
-            f"{len(calls.serving)} served, {calls.n_queued} waiting,"
-            f" {calls.n_entered} entered, {calls.n_responding} being answered"
+            f"{len(calls.serving)} running, {calls.n_queued} queued,"
+            f" {calls.n_entered} entered, {calls.n_responding} with an open response"
         )
         state.telemetry.violation(Invariant.PLANNED_STOP_CUT, detail)
 
 
 def make_state(cfg: NodeConfig, ports: NodePorts, nursery: trio.Nursery) -> NodeState:
-    """Return the state of a node whose links live in a nursery.
+    """Build the state of a node.
 
     Parameters
     ----------
     cfg : NodeConfig
-        The node's own settings.
+        Settings of the node.
     ports : NodePorts
-        What it meets outside.
+        External interfaces.
     nursery : trio.Nursery
-        Where the links' tasks run.
+        Nursery for the tasks of links.
 
     Returns
     -------
     NodeState
-        Nothing runs yet.
+        The state; no task runs yet.
     """
     clock, rng = ports.clock, ports.rng
     telemetry = make_telemetry(cfg.telemetry, cfg.name, clock)
@@ -222,10 +222,10 @@
 
 
 async def _step_gate(state: NodeState) -> None:
-    """Let the gate adjust limit and level at its own interval.
+    """Update the limit and the level of the gate periodically.
 
-    A gate without calls is looked at less often: at rest each wake costs as much as
-    the step.
+    The interval is longer without calls, since each wake-up then costs as much as the
+    step itself.
     """
     n_idle = 0
     while True:
@@ -241,7 +241,7 @@
 
 
 async def _poll_backend_load(state: NodeState) -> None:
-    """Ask the backend server for its load; it may lag or mislead."""
+    """Poll the load of the backend server, which may be outdated or wrong."""
     was_up: bool | None = None
     while True:
         load = await state.backend.load()
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/ports.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/ports.py
@@ -1,6 +1,6 @@
-"""What a node needs from outside, as narrow interfaces.
+"""Interfaces of a node to external systems.
 
-Real transports stand in `edges`; tests and benchmarks pass small fakes.
+`edges` has the implementations on real transports; tests and benchmarks use fakes.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkClosed:
-    """The link is closed; nothing more will come or go.
+    """The link is closed; no more frames can be sent or received.
 
     Parameters
     ----------
     detail : str
-        Why, for people.
+        Reason, for error messages.
     """
 
     detail: str = ""
@@ -31,14 +31,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DialFailed:
-    """No link could be opened.
+    """A link could not be opened.
 
     Parameters
     ----------
     address : str
         ``IP:PORT`` that was dialled.
     detail : str
-        Why, for people.
+        Reason, for error messages.
     """
 
     address: str
@@ -46,41 +46,41 @@
 
 
 class Link(Protocol):
-    """A link to another node: whole frames, in order, both ways."""
+    """Bidirectional link to another node that transfers frames in order."""
 
     async def send(self, frame: bytes) -> LinkClosed | None:
-        """Hand a frame to the link, whole; `LinkClosed` if it may not arrive.
+        """Send a frame; return `LinkClosed` if it may not arrive.
 
-        Several tasks may send at once. Cancelling sends the frame whole or not at
-        all.
+        Several tasks may send concurrently. A cancelled call sends the frame completely
+        or not at all.
         """
 
     async def receive(self) -> bytes | LinkClosed:
         """Wait for the next frame."""
 
     async def aclose(self) -> None:
-        """Close the link at once."""
+        """Close the link."""
 
 
 class Dial(Protocol):
-    """Open a link to the node that listens at an address."""
+    """Function that opens a link to the node at an address."""
 
     async def __call__(self, address: str) -> Link | DialFailed:
-        """Dial ``IP:PORT``."""
+        """Open a link to ``IP:PORT``."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoredObject:
-    """An object of the platform.
+    """An object stored on the platform.
 
     Parameters
     ----------
     path : str
         Absolute path, for example ``/settings/salt-fog``.
     version : int
-        Version the platform gave; it grows with each change of any object.
+        Version assigned by the platform; it increases with each change of any object.
     value : bytes
-        Up to a megabyte; empty for a tombstone.
+        Content of up to a megabyte; empty for a tombstone.
     deleted : bool
         Whether the object was deleted at this version.
     """
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Missing:
-    """There is no object at the path and never was."""
+    """No object has ever existed at the path."""
 
     path: str
 
@@ -105,7 +105,7 @@
     Parameters
     ----------
     current : StoredObject or None
-        The object as it stands; None if there is none.
+        The current object; None if there is none.
     """
 
     current: StoredObject | None
@@ -113,14 +113,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformUnavailable:
-    """The platform did not answer, or with an error.
+    """The platform did not respond or returned an error.
 
     Parameters
     ----------
     maybe_applied : bool
-        Whether a change that was asked for may have taken effect.
+        Whether a requested change may have taken effect.
     detail : str
-        For people.
+        Reason, for error messages.
     """
 
     maybe_applied: bool
@@ -131,48 +131,48 @@
 
 
 class Platform(Protocol):
-    """The platform's object API."""
+    """Object API of the platform."""
 
     async def get(self, path: str) -> StoredObject | Missing | PlatformUnavailable:
-        """Read one object; a deleted one comes as a tombstone."""
+        """Read one object; a deleted object is returned as a tombstone."""
 
     async def list(self, prefix: str) -> tuple[StoredObject, ...] | PlatformUnavailable:
-        """Read all objects under a prefix, tombstones included."""
+        """Read all objects under a prefix, including tombstones."""
 
     async def put(
         self, path: str, value: bytes, expected_version: int | None
     ) -> PutResult:
-        """Write if the version is the expected one.
+        """Write an object if its version is the expected one.
 
-        0 means "no object yet"; None writes whatever the version.
+        Version 0 means that no object exists yet; None writes unconditionally.
         """
 
     async def delete(self, path: str, expected_version: int | None) -> PutResult:
-        """Leave a tombstone, under the same condition as `put`."""
+        """Replace an object with a tombstone, under the same condition as `put`."""
 
     def watch(
         self, prefix: str, after_version: int
     ) -> AsyncIterator[StoredObject | PlatformUnavailable]:
         """Yield each change under a prefix with a version above `after_version`.
 
-        Ends after a `PlatformUnavailable`; the user starts it again.
+        Ends after a `PlatformUnavailable`; the caller starts it again.
         """
 
 
 @dataclass(frozen=True, slots=True)
 class BackendLoad:
-    """What the backend server says of itself; it may lag or mislead.
+    """Load reported by the backend server, which may be outdated or wrong.
 
     Parameters
     ----------
     healthy : bool
-        Its health endpoint's word.
+        Reported health.
     slots : int
-        Concurrent calls it says it can serve; 0 if it says nothing.
+        Reported number of calls that it can run concurrently; 0 if not reported.
     in_flight : int
-        Calls it says it is working on.
+        Reported number of running calls.
     draining : bool
-        Whether it wants no new work.
+        Whether it accepts no new calls.
     """
 
     healthy: bool
@@ -182,53 +182,53 @@
 
 
 class BackendServer(Protocol):
-    """The backend server on the node's own host."""
+    """The backend server on the host of the node."""
 
     async def send(
         self, head: CallHead, body: bytes, remaining: Milliseconds
     ) -> Answered | Refused | Unknown:
         """Run one call. Cancelling the task cancels the call.
 
-        `Refused` only if the call provably was not handed over, or if the backend
-        server says by ``fuchsiagap-not-run`` that it did not run it.
+        Returns `Refused` only if the call certainly was not sent, or if the backend
+        server reports by ``fuchsiagap-not-run`` that it did not run the call.
         """
 
     async def load(self) -> BackendLoad | None:
-        """Ask for its health and load; None if there is no answer."""
+        """Request health and load; return None without a valid response."""
 
 
 class Peers(Protocol):
-    """Asking and telling other nodes, by address."""
+    """Requests and notifications to other nodes, by address."""
 
     def drop(self, address: str) -> None:
-        """Close the link to a node that is dead; asks on it end with `LinkLost`."""
+        """Close the link to a dead node; pending requests on it end with `LinkLost`."""
 
     def linked(self) -> tuple[str, ...]:
-        """Return the addresses of the links that are up."""
+        """Return the addresses of all open links."""
 
     async def notify_linked(self, message: object) -> None:
-        """Send a message that has no reply on every link that is up."""
+        """Send a message without a reply on every open link."""
 
     async def ask(self, address: str, message: object) -> object:
-        """Send a message and wait for its reply; `LinkLost` if there is none.
+        """Send a request message and wait for its reply; return `LinkLost` without one.
 
-        Cancelling the task cancels the work at the other node.
+        Cancelling the task cancels the request at the other node.
         """
 
     async def notify(self, address: str, message: object) -> None:
-        """Send a message that has no reply; it may get lost."""
+        """Send a message without a reply; it may be lost."""
 
 
 @dataclass(frozen=True, slots=True)
 class LinkLost:
-    """No reply came.
+    """No reply arrived, since the link failed or could not be opened.
 
     Parameters
     ----------
     sent : bool
         Whether the message may have reached the other node.
     detail : str
-        For people.
+        Reason, for error messages.
     """
 
     sent: bool
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/process.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/process.py
@@ -1,4 +1,4 @@
-"""A node as a process: its sockets, its HTTP servers, its real ways out."""
+"""Run a node as a process with real sockets, HTTP servers and clients."""
 
 from __future__ import annotations
 
@@ -30,18 +30,19 @@
 _LOG = logging.getLogger(__name__)
 _BACKLOG = 1024
 _KEEP_ALIVE_TIMEOUT_S = 75.0
-# A graceful shutdown ends when the calls in progress have ended, not before.
+# So long that a graceful shutdown ends with the requests in progress, not with this
+# timeout.
 _GRACEFUL_TIMEOUT_S = 3600.0
 
 
 @dataclass(frozen=True, slots=True)
 class CannotListen:
-    """An address is taken or not this host's.
+    """An address is in use or does not belong to this host.
 
     Parameters
     ----------
     detail : str
-        Which one, and what the system says.
+        The address and the error of the operating system.
     """
 
     detail: str
@@ -49,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Sockets:
-    """The sockets of a node, bound before anything starts."""
+    """Listening sockets of a node, bound before any task starts."""
 
     callers: socket.socket
     peers: socket.socket
@@ -59,16 +60,16 @@
 async def run_process(
     cfg: NodeConfig, rng: random.Random, stop: trio.Event
 ) -> CannotListen | None:
-    """Run a node with real transports until it has left gracefully.
+    """Run a node with real transports until its graceful shutdown is complete.
 
     Parameters
     ----------
     cfg : NodeConfig
-        The node's own settings.
+        Settings of the node.
     rng : random.Random
         Source of all random choices.
     stop : trio.Event
-        Set by a signal; starts the graceful shutdown.
+        Set by a signal handler to start the graceful shutdown.
 
     Returns
     -------
@@ -81,7 +82,7 @@
     bound_sockets = (sockets.callers, sockets.peers, sockets.admin)
     cfg = cfg.with_addresses(*map(_format_address, bound_sockets))
     _LOG.info(
-        "node %s: callers %s, peers %s, operators %s",
+        "node %s listens on %s for callers, %s for peers, %s for operators",
         cfg.name,
         cfg.listen.callers,
         cfg.listen.peers,
@@ -159,7 +160,7 @@
         except OSError as exc:
             for sock in bound_sockets:
                 sock.close()
-            return CannotListen(f"cannot listen at {address}: {exc}")
+            return CannotListen(f"cannot listen on {address}: {exc}")
     return _Sockets(*bound_sockets)
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/state.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/state.py
@@ -1,4 +1,4 @@
-"""The state of a node: its settings, its aggregates and its ways out."""
+"""State of a node that its tasks share."""
 
 from __future__ import annotations
 
@@ -30,35 +30,37 @@
 
 
 async def _serve_unregistered(head: CallHead, body: bytes) -> Outcome:
-    raise RuntimeError(f"nothing serves calls yet: {head.call_id}, {len(body)} bytes")
+    raise RuntimeError(
+        f"no handler is registered for calls: {head.call_id}, {len(body)} bytes"
+    )
 
 
 @dataclass(slots=True, eq=False)
 class NodeState:
-    """All that the tasks of a node share.
+    """State of a node that its tasks share.
 
     Parameters
     ----------
     cfg : NodeConfig
-        The node's own settings.
+        Settings of the node.
     incarnation : int
-        The life of this process, in milliseconds since the epoch at its start.
+        Incarnation of this process: milliseconds since the epoch at its start.
     clock : Clock
-        The one clock.
+        Source of all times.
     rng : random.Random
         Source of all random choices.
     book : SettingsBook
         Settings of all teams.
     gate : Gate
-        Admission of calls to the backend server beside this node.
+        Admission control for calls to the local backend server.
     levels : ReportedLevels
-        Admission levels of the services that this node calls.
+        Admission levels reported by the services that this node calls.
     router : Router
-        Choice of backend servers.
+        Selects instances for calls.
     budget : RetryBudget
         Retry budgets of the services that this node calls.
     membership : Membership
-        The other nodes.
+        View of all members, including this node.
     tickets : Tickets
         Tickets whose home is this node.
     telemetry : Telemetry
@@ -68,17 +70,17 @@
     platform : Platform
         The platform's object API.
     peers : Peers
-        Asking and telling other nodes; set when the links run.
+        Requests and notifications to other nodes.
     handlers : Handlers
-        Who answers which message.
+        Handlers of messages from other nodes, by message type.
     calls : CallTable
         Calls in progress.
     drain_requested : trio.Event
-        Set by a signal or by an operator.
+        Set to start the graceful shutdown.
     leaving : bool
-        Whether new work is refused.
+        Whether new calls are refused.
     serve : callable
-        Runs a call on the backend server of this node, if it is admitted; put in by
+        Runs a call on the local backend server if it is admitted; set by
         `callpath.serve.register`.
     """
 
@@ -116,5 +118,5 @@
         return self.cfg.name
 
     def request_drain(self) -> None:
-        """Ask for a graceful shutdown."""
+        """Request a graceful shutdown."""
         self.drain_requested.set()
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/state_events.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/state_events.py
@@ -1,4 +1,4 @@
-"""Notice what changes at a node, and tell operators: gauges, levels, limit, members."""
+"""Gauges of a node, and events for changes of level, limit and members."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
     from fuchsiagap.core.membership.member import Member
     from fuchsiagap_node.core.state import NodeState
 
-# Level and limit move ten times a second under overload; a look a second keeps the
-# time line readable and the ring long.
+# Level and limit change ten times a second under overload. Sampling them once a second
+# keeps the timeline readable and the event ring from filling up.
 POLL_INTERVAL_MS = 1_000.0
-# Overload has ended when all calls have been admitted for so long.
+# Overload has ended when all calls have been admitted for this long.
 OVERLOAD_END_DELAY_MS = 5_000.0
-# A limit that moved by less than this share is not worth an event.
+# Changes of the limit below this share are not recorded.
 _MIN_LIMIT_CHANGE_SHARE = 0.1
 
 _Level = tuple[int, int]
@@ -30,7 +30,7 @@
 
 
 def register(state: NodeState) -> None:
-    """Have gauges set when they are read, and changes of members recorded."""
+    """Set gauges whenever they are read, and record changes of members as events."""
     state.telemetry.metrics.add_source(lambda: set_gauges(state))
 
     def record_member_change(before: Member | None, now: Member) -> None:
@@ -54,7 +54,7 @@
 
 
 async def run(state: NodeState) -> None:
-    """Look at level and limit again and again, and record what changed."""
+    """Record changes of level and limit periodically."""
     recorded = _LastRecorded(level=_ALL_ADMITTED, limit=state.gate.limit)
     while True:
         await sleep_ms(POLL_INTERVAL_MS)
@@ -64,16 +64,16 @@
 
 @dataclass(slots=True)
 class _LastRecorded:
-    """What was recorded last.
+    """Values recorded last.
 
     Parameters
     ----------
     level : tuple of int
-        The strictest level of all routes.
+        Lowest admission level of all routes, as priority and cohort.
     limit : int
         The concurrency limit.
     last_overload_at : float or None
-        When some calls were last not admitted; None if overload has ended.
+        Time in milliseconds when calls were last refused; None without overload.
     """
 
     level: _Level
@@ -114,7 +114,7 @@
 
 
 def _route_levels(state: NodeState) -> list[tuple[_Level, str]]:
-    """Return the level of each route of the backend server's service."""
+    """Return the admission level of each route of the backend server's service."""
     service = state.cfg.service
     settings = state.book.team(service.team)
     routes = [service.name]
@@ -132,7 +132,7 @@
 
 
 def set_gauges(state: NodeState) -> None:
-    """Set the gauges to what the node is now."""
+    """Set all gauges to the current state of the node."""
     gauge = state.telemetry.metrics.gauge
     gauge(Gauge.IN_FLIGHT, state.gate.in_flight)
     gauge(Gauge.LIMIT, state.gate.limit)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/main.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/main.py
@@ -1,4 +1,4 @@
-"""The binary ``fuchsiagap-node``."""
+"""Command ``fuchsiagap-node``, which runs a node."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 
 def _tune_garbage_collection() -> None:
-    """Keep what the start made out of each collection, and collect less often.
+    """Exclude start-up objects from garbage collection, and collect less often.
 
     A full collection stops all calls; see docs/design/path.md.
     """
@@ -67,7 +67,7 @@
 
 
 async def _run_until_stopped(cfg: NodeConfig) -> int:
-    """Run the node; SIGTERM and SIGINT are graceful shutdowns."""
+    """Run the node until it fails to start or SIGTERM or SIGINT has shut it down."""
     stop = trio.Event()
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_watch_signals, stop)
@@ -86,7 +86,7 @@
 
 
 def run() -> None:
-    """Entry point of the binary."""
+    """Entry point of the command."""
     app.run(_main)
 
 
