--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/config_schema.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/config_schema.py
@@ -94,7 +94,7 @@
             values.ADDRESSES,
             "",
             "Nodes to contact first, so that a node can start without the platform."
-            " List a few of each data centre; the node's own address may be among them.",
+            " List a few of each data centre; the node's own address is ignored.",
         ),
     ),
 )
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_node.py
@@ -94,11 +94,11 @@
     ring = state.telemetry.ring
     call, root = request.args.get("call", ""), request.args.get("root", "")
     page = ring.since(after, call, root, limit)
-    events = [plain(event) for event in page.events]
+    event_dicts = [plain(event) for event in page.events]
     return json_reply(
         {
             "process": ring.process,
-            "events": events,
+            "events": event_dicts,
             "overwritten": page.overwritten,
             "more": page.more,
         }
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_settings.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_settings.py
@@ -149,7 +149,7 @@
     else:
         return bad_request(f"source={source[:40]!r}", "source=node or source=platform")
     if text is None:
-        detail = f"the {source} has no settings of team {team!r}"
+        detail = f"team {team!r} has no settings according to the {source}"
         return not_found(
             detail, "a team that has settings", "list the teams with GET /v1/settings"
         )
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_admin.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_admin.py
@@ -30,7 +30,7 @@
 
 
 class Client:
-    """Asks one node's API in memory."""
+    """Sends requests to the API of one node in memory."""
 
     def __init__(self, state: NodeState) -> None:
         self._client = admin_app(state).test_client()
@@ -109,9 +109,7 @@
 
         self.run_admin(main)
 
-    def test_the_loser_of_a_race_gets_the_winners_version_and_a_difference(
-        self,
-    ) -> None:
+    def test_conflicting_change_gets_the_current_version_and_a_diff(self) -> None:
         async def main(client: Client, state: NodeState, _fleet: SettingsFleet) -> None:
             text = TEXT.replace("priority = 2", "priority = 5")
             body = {"text": text, "expected_version": 0, "change_id": "late"}
@@ -124,7 +122,7 @@
 
         self.run_admin(main)
 
-    def test_an_invalid_text_gets_every_fault(self) -> None:
+    def test_invalid_text_gets_every_fault(self) -> None:
         async def main(
             client: Client, _state: NodeState, _fleet: SettingsFleet
         ) -> None:
@@ -138,7 +136,7 @@
 
         self.run_admin(main)
 
-    def test_tokens_are_asked_for_and_teams_kept_apart(self) -> None:
+    def test_each_team_needs_its_own_token(self) -> None:
         async def main(client: Client, state: NodeState, _fleet: SettingsFleet) -> None:
             body = {"text": f"[team]\ntokens = ops {digest_of('dakar-token')}\n"}
             dakar = "/v1/settings/dakar"
@@ -171,7 +169,7 @@
 
         self.run_admin(main)
 
-    def test_malformed_requests_get_clear_errors(self) -> None:
+    def test_malformed_requests_get_complete_errors(self) -> None:
         async def main(
             client: Client, _state: NodeState, _fleet: SettingsFleet
         ) -> None:
@@ -220,7 +218,7 @@
 
         self.run_admin(main)
 
-    def test_a_body_that_stalls_is_given_up(self) -> None:
+    def test_stalled_body_times_out(self) -> None:
         async def main(
             _client: Client, state: NodeState, _fleet: SettingsFleet
         ) -> None:
@@ -237,7 +235,7 @@
 
         self.run_admin(main)
 
-    def test_the_platform_down_is_said_and_nothing_is_changed(self) -> None:
+    def test_platform_outage_is_reported_and_changes_nothing(self) -> None:
         async def main(client: Client, state: NodeState, fleet: SettingsFleet) -> None:
             before = state.book.vector()
             fleet.store.set_faults(OUTAGE)
@@ -253,7 +251,7 @@
 
         self.run_admin(main)
 
-    def test_an_open_change_says_how_to_settle_it(self) -> None:
+    def test_unsettled_change_names_how_to_settle_it(self) -> None:
         async def main(client: Client, _state: NodeState, fleet: SettingsFleet) -> None:
             fleet.store.set_faults(PlatformFaults(lose_answers=1.0))
             body: dict[str, object] = {
@@ -264,7 +262,7 @@
             self.check_error(response, 504)
             for named in ("change_id", "expected_version", "repeat = true"):
                 self.assertIn(named, response[1]["next"])
-            # A repeat that does not get through leaves it open.
+            # A repeat during an outage leaves the change unsettled.
             fleet.store.set_faults(OUTAGE)
             version = response[1]["expected_version"]
             body |= {"repeat": True, "expected_version": version}
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_backend_http.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_backend_http.py
@@ -1,4 +1,4 @@
-"""Backend servers that refuse, break off, send too much, or close idle connections."""
+"""Backend servers that refuse calls, send invalid responses or close connections."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class _Server:
-    """Answers each request on a connection with the next of its replies."""
+    """Server that sends the next of its replies to each received piece of data."""
 
     def __init__(self, *replies: bytes, then_close: bool = False) -> None:
         self.replies = list(replies)
@@ -76,7 +76,7 @@
         self.assertIsInstance(outcome, kind, reply)
         self.assertEqual(reason, getattr(outcome, "reason", None), reply)
 
-    def test_whole_answers(self) -> None:
+    def test_complete_responses(self) -> None:
         for reply in (
             _OK,
             _CHUNKED + b"2\r\nok\r\n0\r\n\r\n",
@@ -86,7 +86,7 @@
             assert isinstance(outcome, Answered)
             self.assertEqual(b"ok", outcome.body)
 
-    def test_answers_that_break_off(self) -> None:
+    def test_incomplete_responses(self) -> None:
         for reply in (
             b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nok",
             _CHUNKED + b"2\r\nok\r\n",
@@ -94,24 +94,24 @@
         ):
             self._expect(reply, Unknown, Reason.INCOMPLETE_ANSWER)
 
-    def test_no_answer(self) -> None:
+    def test_no_response(self) -> None:
         for reply in (b"", b"HTTP/1.1 200 OK\r\n", b"\x00\x01 nonsense\r\n\r\n"):
             self._expect(reply, Unknown, Reason.CONNECTION_LOST)
 
-    def test_answer_above_the_limit(self) -> None:
+    def test_response_above_the_size_limit(self) -> None:
         reply = b"HTTP/1.1 200 OK\r\ncontent-length: 2000\r\n\r\n" + b"x" * 2000
         self._expect(reply, Unknown, Reason.TOO_LARGE)
 
-    def test_server_that_says_it_did_not_run(self) -> None:
+    def test_call_that_the_server_did_not_run_is_refused(self) -> None:
         reply = b"HTTP/1.1 503 X\r\nfuchsiagap-not-run: 1\r\ncontent-length: 0\r\n\r\n"
         self._expect(reply, Refused, Reason.BACKEND_REFUSED)
 
-    def test_connection_that_breaks_in_the_middle_of_writing(self) -> None:
+    def test_connection_closed_during_the_request_gives_unknown(self) -> None:
         async def use(backend: HttpBackend, server: _Server) -> None:
             body = b"x" * 50_000_000
             for is_reused in (False, True):
                 if is_reused:
-                    # The next connection is kept alive, and breaks in its second use.
+                    # The next connection is kept alive and closes in its second use.
                     server.replies = [_OK, b""]
                     outcome = await backend.send(a_head(), b"", 5_000.0)
                     self.assertIsInstance(outcome, Answered)
@@ -121,7 +121,7 @@
 
         self._run_with(lambda: _Server(b""), use)
 
-    def test_nobody_listens(self) -> None:
+    def test_call_without_listener_is_refused(self) -> None:
         async def main() -> Outcome:
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
             host, port = listeners[0].socket.getsockname()
@@ -134,7 +134,7 @@
         self.assertEqual(Reason.NO_BACKEND, getattr(outcome, "reason", None))
         self.assertIsInstance(outcome, Refused)
 
-    def test_connection_is_kept_and_a_closed_one_is_not_used(self) -> None:
+    def test_connection_is_reused_unless_the_server_closed_it(self) -> None:
         async def use(backend: HttpBackend, server: _Server) -> None:
             for _ in range(3):
                 outcome = await backend.send(a_head(), b"", 5_000.0)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_http_server.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_http_server.py
@@ -1,4 +1,4 @@
-"""Requests that are malformed, cut short, too large or stalled."""
+"""HTTP server with malformed, truncated, too large and stalled requests."""
 
 from __future__ import annotations
 
@@ -89,7 +89,7 @@
 
 
 class _Server:
-    """A server on streams in memory."""
+    """HTTP server on in-memory streams."""
 
     def __init__(self, nursery: trio.Nursery) -> None:
         self.nursery = nursery
@@ -191,10 +191,10 @@
         head = _POST + b"transfer-encoding: chunked\r\n\r\n"
         self._check_rejected([head + chunk for chunk in _MALFORMED_CHUNKS])
 
-    def test_no_host(self) -> None:
+    def test_missing_host_header(self) -> None:
         self._check_rejected([b"GET / HTTP/1.1\r\n\r\n"])
 
-    def test_cut_requests_never_run(self) -> None:
+    def test_truncated_requests_are_not_run(self) -> None:
         async def scenario(server: _Server) -> None:
             for data in _TRUNCATED_REQUESTS:
                 await server.exchange(data, eof=True)
@@ -202,7 +202,7 @@
 
         self._run(scenario)
 
-    def test_stalled_request_is_given_up(self) -> None:
+    def test_stalled_request_times_out(self) -> None:
         async def scenario(server: _Server) -> None:
             stream = server.connect()
             await stream.send_all(_POST + b"content-length: 10\r\n\r\nabc")
@@ -212,11 +212,11 @@
 
         self._run(scenario)
 
-    def test_body_above_the_limit(self) -> None:
+    def test_body_above_the_size_limit(self) -> None:
         head = _POST + b"content-length: %d\r\n\r\n" % (_BODY_BYTES + 1)
         self._check_rejected([head + b"x" * (_BODY_BYTES + 1)])
 
-    def test_bodies_of_all_calls_above_the_limit(self) -> None:
+    def test_bodies_of_all_calls_above_the_memory_limit(self) -> None:
         async def scenario(server: _Server) -> None:
             server.delay = 5.0
             data = _POST + b"content-length: 9000\r\n\r\n" + b"x" * 9000
@@ -230,7 +230,7 @@
 
         self._run(scenario)
 
-    def test_caller_who_leaves_cancels_its_call(self) -> None:
+    def test_disconnect_of_the_caller_cancels_the_call(self) -> None:
         async def scenario(server: _Server) -> None:
             server.delay = 1000.0
             stream = server.connect()
@@ -243,7 +243,7 @@
 
         self._run(scenario)
 
-    def test_requests_sent_ahead_are_answered_in_order(self) -> None:
+    def test_pipelined_requests_are_answered_in_order(self) -> None:
         async def scenario(server: _Server) -> None:
             stream = server.connect()
             server.delay = 0.5
@@ -257,7 +257,7 @@
 
         self._run(scenario)
 
-    def test_long_request_sent_ahead_is_answered(self) -> None:
+    def test_large_pipelined_request_is_answered(self) -> None:
         async def scenario(server: _Server) -> None:
             server.cfg = replace(
                 server.cfg, body_bytes=10_000_000, reserve=_reserve_any
@@ -278,7 +278,7 @@
 
         self._run(scenario)
 
-    def test_failing_handler_ends_its_connection_only(self) -> None:
+    def test_exception_in_a_handler_closes_only_its_connection(self) -> None:
         async def scenario(server: _Server) -> None:
             server.delay = -1.0
             self.assertEqual(b"", await server.exchange(_VALID_REQUEST))
@@ -286,10 +286,10 @@
 
         self._run(scenario)
 
-    def test_declared_length_above_the_limit_is_refused_at_once(self) -> None:
+    def test_declared_length_above_the_limit_is_refused_before_the_body(self) -> None:
         self._check_rejected([_POST + b"content-length: 70000000\r\n\r\n"])
 
-    def test_continue_is_sent_for_a_body_that_waits(self) -> None:
+    def test_continue_is_sent_before_the_body(self) -> None:
         async def scenario(server: _Server) -> None:
             stream = server.connect()
             head = _POST + b"expect: 100-continue\r\ncontent-length: 3\r\n\r\n"
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_metrics_text.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_metrics_text.py
@@ -1,4 +1,4 @@
-"""The text format carries every metric, and labels cannot break it."""
+"""Metrics in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
             for sample in family.samples
         }
 
-    def test_every_metric_has_a_meaning_and_is_written(self) -> None:
+    def test_every_metric_is_written(self) -> None:
         metrics = self.telemetry.metrics
         for counter in Counter:
             metrics.count(counter, "x" if COUNTERS[counter].labels else "")
@@ -53,12 +53,12 @@
         half = samples["fuchsiagap_latency_seconds", ("0.5", "answered", "r")]
         self.assertLess(abs(half - 2.0), 0.02)
 
-    def test_labels_with_quotes_and_line_ends_survive(self) -> None:
+    def test_labels_with_quotes_and_newlines_are_escaped(self) -> None:
         label = 'a"b\\c\nd'
         self.telemetry.metrics.count(Counter.CALLS, label)
         self.assertEqual(1.0, self.samples()["fuchsiagap_calls_total", (label,)])
 
-    def test_others_work_while_a_long_text_is_written(self) -> None:
+    def test_other_tasks_run_while_a_long_text_is_written(self) -> None:
         metrics = self.telemetry.metrics
         for number in range(50):
             metrics.observe(Measure.LATENCY, f"r{number}", "answered", 1.0)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_peer_websocket.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_peer_websocket.py
@@ -1,4 +1,4 @@
-"""Websocket links that break, get no websockets, or whose sender is cancelled."""
+"""Websocket links with malformed data, failed handshakes and cancelled senders."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-# Real sockets, so the real clock; none of it waits for time to pass.
+# The tests use real sockets and so the real clock, but do not depend on timing.
 _TEST_TIMEOUT_S = 60.0
 
 
 class _Server:
-    """Takes links and echoes what comes, until told to stop reading."""
+    """Accepts links and echoes frames while `may_read` is set."""
 
     def __init__(self) -> None:
         self.address = ""
@@ -63,7 +63,7 @@
 
         trio.run(main)
 
-    def test_frames_come_back_whole_and_in_order(self) -> None:
+    def test_frames_arrive_unchanged_and_in_order(self) -> None:
         async def scenario(server: _Server, nursery: trio.Nursery) -> None:
             link = await _dial(server, nursery)
             frames = [bytes([n]) * (n * 1000) for n in range(1, 60)]
@@ -78,7 +78,7 @@
 
         self._run(scenario)
 
-    def test_cancelled_send_leaves_the_frames_whole(self) -> None:
+    def test_cancelled_send_does_not_truncate_frames(self) -> None:
         async def scenario(server: _Server, nursery: trio.Nursery) -> None:
             link = await _dial(server, nursery)
             server.may_read = trio.Event()
@@ -101,7 +101,7 @@
 
         self._run(scenario)
 
-    def test_what_is_no_websocket_closes_its_connection_only(self) -> None:
+    def test_connection_without_handshake_is_closed(self) -> None:
         async def scenario(server: _Server, nursery: trio.Nursery) -> None:
             for data in (
                 b"",
@@ -121,7 +121,7 @@
 
         self._run(scenario)
 
-    def test_wrong_frames_close_the_link(self) -> None:
+    def test_invalid_frames_close_the_link(self) -> None:
         async def scenario(server: _Server, nursery: trio.Nursery) -> None:
             for number, data in enumerate(
                 (
@@ -140,7 +140,7 @@
 
         self._run(scenario)
 
-    def test_server_that_speaks_something_else_is_no_link(self) -> None:
+    def test_dial_fails_without_a_websocket_handshake(self) -> None:
         async def scenario(server: _Server, nursery: trio.Nursery) -> None:
             for reply in (b"", b"HTTP/1.1 200 OK\r\n\r\n", b"\x00" * 50):
                 listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_platform_http.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_platform_http.py
@@ -1,4 +1,4 @@
-"""The platform over HTTP, against the stand-in on a loopback socket."""
+"""Platform client against a fake platform on a loopback socket."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 async def with_raw_server(answer, use, timeout=300.0):
-    """Run `use` against a server that sends raw bytes after each request."""
+    """Run `use` with a server that sends raw bytes after each request."""
 
     async def handle(stream):
         async with stream:
@@ -54,7 +54,7 @@
 
 
 class PlatformHttpTest(TestCase):
-    def test_objects_come_back_as_they_were_put(self):
+    def test_objects_are_read_as_written(self):
         async def use(store, platform):
             self.assertEqual(Missing(PATH), await platform.get(PATH))
             stored = await platform.put(PATH, b"\x00\xff", 0)
@@ -68,7 +68,7 @@
 
         trio.run(with_platform, use)
 
-    def test_conflict_brings_the_current_object(self):
+    def test_conflict_returns_the_current_object(self):
         async def use(store, platform):
             self.assertEqual(Conflict(None), await platform.put(PATH, b"", 7))
             stored = await platform.put(PATH, b"a", 0)
@@ -77,7 +77,7 @@
 
         trio.run(with_platform, use)
 
-    def test_watch_waits_and_ends_with_an_outage(self):
+    def test_watch_yields_changes_and_ends_with_an_outage(self):
         async def use(store, platform):
             first = await platform.put("/a/1", b"", None)
             seen = []
@@ -97,7 +97,7 @@
 
         trio.run(with_platform, use)
 
-    def test_slow_change_may_have_been_applied(self):
+    def test_timed_out_change_may_have_been_applied(self):
         async def use(store, platform):
             faults = replace(store.faults, latency=60_000.0, patience=60_000.0)
             store.set_faults(faults)
@@ -108,9 +108,9 @@
 
         trio.run(with_platform, use, 200.0)
 
-    def test_nobody_listening_applies_nothing(self):
+    def test_refused_connection_applies_nothing(self):
         async def main():
-            # A bound socket that does not listen keeps its port from others.
+            # A bound socket without listen() reserves the port and refuses connections.
             with trio.socket.socket() as sock:
                 await sock.bind(("127.0.0.1", 0))
                 url = f"http://127.0.0.1:{sock.getsockname()[1]}"
@@ -120,7 +120,7 @@
 
         trio.run(main)
 
-    def test_connection_lost_before_the_answer_leaves_it_open(self):
+    def test_change_may_be_applied_if_the_connection_closes_before_the_response(self):
         async def use(platform):
             for _ in range(2):
                 result = await platform.put(PATH, b"a", 0)
@@ -128,7 +128,7 @@
 
         trio.run(with_raw_server, None, use)
 
-    def test_bad_answers_become_unavailable(self):
+    def test_invalid_responses_are_unavailable(self):
         invalid_responses = (
             b"garbage\r\n\r\n",
             b"HTTP/1.1 200 CUT\r\ncontent-length: 9\r\netag: 1\r\n\r\nabc",
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_config.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_config.py
@@ -29,7 +29,7 @@
 first = 127.0.0.1:8101, 127.0.0.1:8102
 """
 
-# What replaces what in the good text, and what each fault must say.
+# Replaced part of the valid text, its replacement, and two parts of the fault text.
 INVALID_TEXTS = (
     ("name = certs-1", "name = Certs_1", "[node] name", "lower-case"),
     ("name = certs-1", "", "[node] name", "must be given"),
@@ -65,14 +65,14 @@
         assert isinstance(faults, ConfigFaults), text
         return faults
 
-    def test_what_is_not_given_has_its_default(self) -> None:
+    def test_missing_keys_have_defaults(self) -> None:
         cfg = self.parse(VALID_TEXT)
         self.assertEqual(ServiceName("salt-fog", "certs"), cfg.service)
         self.assertEqual(64 * 1024 * 1024, cfg.limits.body_bytes)
         self.assertEqual(("127.0.0.1:8101", "127.0.0.1:8102"), cfg.peers.first)
         self.assertEqual((2000.0, ""), (cfg.platform.timeout, cfg.admin.token_digest))
 
-    def test_each_fault_names_its_place(self) -> None:
+    def test_each_fault_names_its_location_and_the_expected_value(self) -> None:
         for old, new, named, expected in INVALID_TEXTS:
             with self.subTest(new=new):
                 self.assertIn(old, VALID_TEXT)
@@ -81,13 +81,13 @@
                 self.assertIn(expected, str(faults))
                 self.assertIn(PATH, str(faults))
 
-    def test_every_fault_comes_at_once(self) -> None:
+    def test_all_faults_are_reported_together(self) -> None:
         faults = self.faults("[node]\nname = X\n[lisen]\n")
         missing = [f for f in faults.faults if "must be given" in f.expected]
         self.assertEqual(9, len(missing))
         self.assertEqual(11, len(faults.faults))
 
-    def test_a_flag_wins_over_the_file(self) -> None:
+    def test_flags_override_the_file(self) -> None:
         cfg = self.parse(
             VALID_TEXT,
             "node.data_centre=hall-b",
@@ -98,7 +98,7 @@
         self.assertEqual(("certs-9", "hall-b"), (cfg.name, cfg.data_centre))
         self.assertEqual(7, cfg.limits.open_calls)
 
-    def test_a_faulty_flag_is_named(self) -> None:
+    def test_faults_of_flags_name_the_flag(self) -> None:
         faults = self.faults(VALID_TEXT, "node.name=Z", "name", "a.b=c", "x=1")
         self.assertEqual(4, len(faults.faults))
         self.assertIn("--set: [node] name = 'Z'", str(faults))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_logs.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs are JSON lines, and only changes of state get one."""
+"""Logs as JSON lines, only for changes of state."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     def lines(self) -> list[dict[str, object]]:
         return [json.loads(line) for line in self.stream.getvalue().splitlines()]
 
-    def test_a_change_of_state_gets_one_line_and_a_call_gets_none(self) -> None:
+    def test_changes_of_state_are_logged_and_calls_are_not(self) -> None:
         clock = Clock(now=lambda: 0.0, wall=lambda: 0.0)
         ring = make_telemetry(TelemetrySettings(), "node-a", clock).ring
         ring.record(EventKind.CALL_RECEIVED, "c1", "r1")
@@ -38,7 +38,7 @@
         self.assertEqual("platform-down", line["event"])
         self.assertEqual("node-a", line["process"])
 
-    def test_exception_and_odd_values_stay_within_one_line(self) -> None:
+    def test_exceptions_and_unserializable_values_are_logged_in_one_line(self) -> None:
         logger = logging.getLogger("fuchsiagap_node.test")
         try:
             raise ValueError("a\nb")
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_member_digest.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_member_digest.py
@@ -33,7 +33,7 @@
 
 
 class TestDigest(TestCase):
-    def test_it_is_written_by_relays_and_only_when_it_changed(self):
+    def test_relays_write_the_digest_only_when_it_changed(self):
         async def main():
             async with open_fleet(seed=1, cfg=CFG) as fleet:
                 start_nodes(fleet, 5)
@@ -51,13 +51,13 @@
                 after = fleet.store.counts
                 self.assertEqual(before.writes, after.writes)
                 self.assertEqual(0, after.watches)
-                # Two relays in each hall, a list or two each time they look.
+                # Two relays per data centre, with one or two list calls per interval.
                 n_relays = 2 * len(HALLS)
                 self.assertLess(after.reads - before.reads, n_relays * 15 * 2)
 
         run_virtual(main)
 
-    def test_a_crash_costs_a_few_writes_and_the_announcement_goes(self):
+    def test_a_crash_costs_few_writes_and_deletes_the_announcement(self):
         async def main():
             async with open_fleet(seed=2, cfg=CFG) as fleet:
                 start_nodes(fleet, 4)
@@ -76,7 +76,7 @@
 
         run_virtual(main)
 
-    def test_a_node_alone_forgets_nobody_by_writing_a_short_digest(self):
+    def test_members_are_kept_after_an_isolated_node_writes_the_digest(self):
         async def main():
             async with open_fleet(seed=3, cfg=CFG) as fleet:
                 start_nodes(fleet, 3)
@@ -97,7 +97,7 @@
 
         run_virtual(main)
 
-    def test_lost_answers_and_broken_digests_stop_nothing(self):
+    def test_lost_responses_and_malformed_digests_are_recovered_from(self):
         async def main():
             async with open_fleet(seed=4, cfg=CFG) as fleet:
                 await fleet.store.put("/members/hall-b", b"no digest", None)
@@ -116,7 +116,7 @@
 
         run_virtual(main)
 
-    def test_data_centres_that_never_met_find_each_other_by_the_platform(self):
+    def test_data_centres_discover_each_other_through_the_platform(self):
         async def main():
             async with open_fleet(seed=5, cfg=CFG) as fleet:
                 fleet.store.set_faults(PlatformFaults(outage=True))
@@ -134,14 +134,14 @@
 
 
 class TestEncoding(TestCase):
-    def test_members_and_messages_come_back_as_they_were(self):
+    def test_members_and_messages_round_trip(self):
         member = Member("certs-1", 7, "10.0.0.1:1", "hall-a", state=MemberState.LEFT)
         member = replace(member, successor="certs-2", handed_incarnation=9)
         self.assertEqual((member,), decode_members(encode_members((member,))))
         for msg in (Updates((member,)), Heartbeat(1 << 63, (member,))):
             self.assertEqual(msg, decode(encode(msg)))
 
-    def test_broken_digests_are_faults(self):
+    def test_malformed_digests_are_rejected(self):
         rng = random.Random(1)
         valid = encode_members((Member("certs-1", 7, "10.0.0.1:1", "hall-a"),))
         malformed = [valid[:i] for i in range(len(valid))]
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_names_in_use.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_names_in_use.py
@@ -1,4 +1,4 @@
-"""What the operators' pages name is recorded, counted or reported by the program."""
+"""Every declared event, metric and invariant is used by the program."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 _TABLES = ("event_table.py", "metric_table.py")
 _LOGGED_KINDS_TEXT = re.compile(r"LOGGED_KINDS = frozenset\(.*?\n\)", re.DOTALL)
-# Judged from outside; see the docstring of `Invariant`.
+# Not checked by the program itself; see the docstring of `Invariant`.
 _CHECKED_EXTERNALLY = {Invariant.PRIORITY_INVERSION}
 
 
@@ -27,7 +27,7 @@
 
 
 class TestNamesInUse(TestCase):
-    def test_each_name_has_its_place(self):
+    def test_each_name_is_used(self):
         program = "\n".join(_sources())
         for names in (EventKind, Counter, Gauge, Measure, Invariant):
             unused = {
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_node_telemetry.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_node_telemetry.py
@@ -1,4 +1,4 @@
-"""What nodes of a fleet note of calls, of stray answers and of a stop that cuts."""
+"""Events, metrics and violations recorded by the nodes of a fleet."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class TestNodeTelemetry(TestCase):
-    def test_a_request_is_noted_at_each_node_on_its_way(self):
+    def test_a_request_is_recorded_at_each_node_on_its_path(self):
         async def test(fleet):
             nodes = list(fleet.nodes.values())
             self.assertIsInstance(await fleet.request(ISSUE, 1), Answered)
@@ -67,7 +67,7 @@
 
         run_fleet(test)
 
-    def test_a_request_that_names_no_service_is_counted_as_refused(self):
+    def test_a_request_without_route_is_counted_as_refused(self):
         async def test(fleet):
             node = fleet.entry()
             nobody = ServiceName("no-team", "nobody")
@@ -78,7 +78,7 @@
 
         run_fleet(test)
 
-    def test_an_answer_that_was_not_asked_for_is_a_violation(self):
+    def test_an_unsolicited_reply_is_a_violation(self):
         async def test(fleet):
             node = fleet.entry()
             link = await fleet.network.dial_from("10.0.9.9:1")(node.cfg.peer_address)
@@ -96,7 +96,7 @@
         run_fleet(test)
 
     def stop_while_busy(self):
-        """Stop a node with a call, and return its cut calls and the outcome."""
+        """Stop a node during a call; return the violations and the outcome."""
         results = []
 
         async def test(fleet):
@@ -116,17 +116,17 @@
         run_fleet(test)
         return results
 
-    def test_a_call_that_comes_after_the_drain_is_not_cut(self):
+    def test_a_call_received_after_the_drain_is_not_interrupted(self):
         self.patch(drain, "drain", _return_immediately)
         n_cut, outcome = self.stop_while_busy()
         self.assertEqual(0, n_cut)
         self.assertIsInstance(outcome, Answered)
 
-    def test_a_stop_that_cuts_a_call_is_a_violation(self):
+    def test_a_stop_that_interrupts_a_call_is_a_violation(self):
         self.patch(drain, "drain", _return_immediately)
         self.patch(node_module, "_until_quiet", _return_immediately)
         self.assertEqual(1, self.stop_while_busy()[0])
 
 
 async def _return_immediately(*_args):
-    """Wait for nothing."""
+    """Return without waiting."""
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_state_events.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_state_events.py
@@ -1,4 +1,4 @@
-"""What changes at a node is recorded once, and gauges follow."""
+"""Events for changes of state, and gauges."""
 
 from __future__ import annotations
 
@@ -39,17 +39,19 @@
         events = state.telemetry.ring.since().events
         return [event.kind for event in events if event.kind in kinds]
 
-    def test_overload_starts_once_and_ends_after_a_calm(self) -> None:
+    def test_overload_starts_once_and_ends_after_a_delay(self) -> None:
         kinds = (EventKind.OVERLOAD_STARTED, EventKind.OVERLOAD_ENDED)
 
         async def use(fleet: SettingsFleet, state: NodeState) -> None:
-            below = a_service("results")
-            state.gate.record_downstream_load(ROUTE, below, a_load(level_priority=2))
+            downstream = a_service("results")
+            state.gate.record_downstream_load(
+                ROUTE, downstream, a_load(level_priority=2)
+            )
             await trio.sleep(1.5)
             self.assertEqual([EventKind.OVERLOAD_STARTED], self.kinds(state, *kinds))
             full = a_load(level_priority=9, level_cohort=127)
             for _ in range(100):
-                state.gate.record_downstream_load(ROUTE, below, full)
+                state.gate.record_downstream_load(ROUTE, downstream, full)
                 await trio.sleep(0.1)
             await trio.sleep(2 * state_events.OVERLOAD_END_DELAY_MS / 1000)
             self.assertEqual(list(kinds), self.kinds(state, *kinds))
@@ -58,7 +60,7 @@
 
         self.with_node(use)
 
-    def test_a_member_is_recorded_when_its_state_changes_and_not_before(self) -> None:
+    def test_a_member_is_recorded_only_when_its_state_changes(self) -> None:
         async def use(fleet: SettingsFleet, state: NodeState) -> None:
             fleet.add("certs-2", first=["certs-1:7000"])
             await trio.sleep(10)
