--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/http_server.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/http_server.py
@@ -21,6 +21,7 @@
 
 _LOG = logging.getLogger(__name__)
 _READ_BYTES = 64 * 1024
+# Received data that may wait for parsing before reading pauses.
 _READ_AHEAD_BYTES = 256 * 1024
 _IDLE_TIMEOUT_S = 75.0
 _BODY_TIMEOUT_S = 20.0
@@ -324,7 +325,7 @@
 
 
 def _declared_length(head: h11.Request) -> int:
-    """Return the declared length of the body; 0 for a chunked body."""
+    """Return the declared length of the body; 0 if none is declared."""
     for name, value in head.headers:
         if name == b"content-length":
             return int(value)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/member_digest.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/member_digest.py
@@ -111,7 +111,10 @@
 
 
 async def _read_members(state: NodeState) -> bool:
-    """Read the digests, and the announcements if no other member is known yet."""
+    """Read the digests, and the announcements if no other member is known yet.
+
+    Returns False if the platform is unavailable.
+    """
     digests = await _read_all(state, MEMBERS_PREFIX)
     if digests is None:
         return False
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/ports.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/ports.py
@@ -46,7 +46,7 @@
 
 
 class Link(Protocol):
-    """Bidirectional link to another node that transfers frames in order."""
+    """Bidirectional link to another node that transfers whole frames in order."""
 
     async def send(self, frame: bytes) -> LinkClosed | None:
         """Send a frame; return `LinkClosed` if it may not arrive.
