--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/config.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/config.py
@@ -130,7 +130,7 @@
     Parameters
     ----------
     token_digest : str
-        SHA-256 of the operators' token; empty if there is none.
+        Hexadecimal SHA-256 of the operators' token; empty if there is none.
     """
 
     token_digest: str
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/config_schema.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/config_schema.py
@@ -79,8 +79,9 @@
             values.duration(100, 300_000),
             "2s",
             "Time after which a watch request without changes ends and is repeated."
-            " It bounds how long an unresponsive platform goes undetected. Each request"
-            " counts as a call, on a few nodes of each data centre.",
+            " It bounds how long an unresponsive platform goes undetected. Only a few"
+            " nodes of each data centre watch; each of their requests counts as a call"
+            " at the platform.",
         ),
     ),
 )
@@ -152,7 +153,8 @@
             values.optional(values.DIGEST, ""),
             "",
             "SHA-256 of the operators' token, which may create teams, drain this node"
-            " and change the settings of any team. If empty, no token may.",
+            " and change the settings of any team. If empty, no token has these"
+            " rights.",
         ),
     ),
 )
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_reply.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_reply.py
@@ -77,7 +77,7 @@
 
 
 def bearer_token() -> str | None:
-    """Return the bearer token of the current request; None without a valid one."""
+    """Return the bearer token of the current request; None if missing or too long."""
     header = request.headers.get("authorization", "")
     if header[: len(_BEARER)].lower() != _BEARER:
         return None
@@ -86,7 +86,7 @@
 
 
 async def json_body() -> dict[str, Any] | AdminError:
-    """Return the JSON object in the body of the current request."""
+    """Return the JSON object in the body of the current request, or an error."""
     raw = await request.get_data(cache=False, as_text=False)
     try:
         value = json.loads(raw)
@@ -108,7 +108,7 @@
 
 
 def integer_query_argument(name: str, default: int) -> int | AdminError:
-    """Return a non-negative integer argument of the query string."""
+    """Return a non-negative integer argument of the query string, or an error."""
     raw_value = request.args.get(name)
     if raw_value is None:
         return default
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_settings.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_settings.py
@@ -136,7 +136,10 @@
 
 
 async def _read_authorized_text(state: NodeState, team: str) -> TeamText | AdminError:
-    """Return the settings text from the ``source`` of the query: node or platform."""
+    """Return the settings text of a team if the request is authorized.
+
+    The query argument ``source`` selects the copy of the node or of the platform.
+    """
     error = _authorization_error(state, team)
     if error is not None:
         return error
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_status.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_status.py
@@ -100,7 +100,7 @@
 def _group_members(
     state: NodeState, team: str
 ) -> dict[str, dict[str, list[dict[str, Any]]]]:
-    """Return members by data centre and team; team ``""`` has those without service."""
+    """Return members by data centre and team; ``""`` has members without service."""
     members_by_data_centre: dict[str, dict[str, list[dict[str, Any]]]] = {}
     for member in sorted(state.membership.members(), key=lambda m: m.node):
         teams = sorted({service.team for service in member.services}) or [""]
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/backend_http.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/backend_http.py
@@ -105,6 +105,11 @@
         Maximum number of connections to it.
     body_bytes : int
         Maximum size of a response body in bytes.
+
+    Returns
+    -------
+    HttpBackend
+        The client; it connects with the first request.
     """
     return HttpBackend(HttpPool(address, connections, body_bytes))
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/callers.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/callers.py
@@ -33,6 +33,7 @@
 _TICKETS_PATH = "/tickets"
 _SETTLE_PREFIX = "/tickets/"
 _MAX_SETTLE_WAIT_MS = 60_000
+# Headers that apply only to the connection of the caller and are not forwarded.
 _CONNECTION_HEADERS = frozenset(
     {
         "connection",
@@ -218,7 +219,7 @@
 
 
 def _error_response(error: BadRequest) -> HttpResponse:
-    """Return the response to a request that cannot be parsed into a call."""
+    """Return the response to a request that is malformed or exceeds a limit."""
     reason = _REASON_BY_STATUS.get(error.status, Reason.BAD_REQUEST)
     response = _outcome_response(Refused(reason, detail=error.detail))
     return HttpResponse(error.status, response.headers, response.body, close=True)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/http_client.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/http_client.py
@@ -106,7 +106,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Conn:
-    """A connection to the server with the state of its current exchange."""
+    """A connection to the server with the protocol state of one exchange."""
 
     stream: trio.SocketStream
     http: h11.Connection
@@ -197,8 +197,8 @@
     async def _get_stream(self) -> trio.SocketStream | NotSent:
         while self._idle:
             stream = self._idle.pop().stream
-            # An idle connection is readable only if the server closed it or sent
-            # unexpected data; it cannot be used again.
+            # An idle connection is readable if the server closed it or sent unexpected
+            # data. In both cases it cannot be used again.
             if not stream.socket.is_readable():
                 return stream
             await trio.aclose_forcefully(stream)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/http_server.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/http_server.py
@@ -3,7 +3,7 @@
 `h11` is the protocol engine under `hypercorn`. `hypercorn` itself takes more time than
 a node may add to a call in total (docs/design/path.md), so this module drives the
 engine directly, with two tasks per connection. One reads a request, runs it and writes
-the response. The other reads ahead, so that a caller's disconnect is detected at once
+the response. The other reads ahead, so that the disconnect of a caller is detected
 while its request runs.
 """
 
@@ -21,9 +21,11 @@
 
 _LOG = logging.getLogger(__name__)
 _READ_BYTES = 64 * 1024
-# Received data that may wait for parsing before reading pauses.
+# Amount of unparsed data at which reading from the connection pauses.
 _READ_AHEAD_BYTES = 256 * 1024
+# Limits each wait for more data of a request head, and the sending of a response.
 _IDLE_TIMEOUT_S = 75.0
+# Limits each wait for more data of a body, not the time for the whole body.
 _BODY_TIMEOUT_S = 20.0
 _VERSIONS = (b"1.0", b"1.1")
 _CONTENT_TOO_LARGE = 413
@@ -175,7 +177,11 @@
                 await self.buffer_drained.wait()
 
     async def next_event(self, timeout: float) -> object:
-        """Return the next event of `http`, or `_ConnectionEnded` after `timeout` s."""
+        """Return the next event of `http`.
+
+        Returns `_ConnectionEnded` if the input ended, or if no data was received for
+        `timeout` seconds.
+        """
         while True:
             event = self.http.next_event()
             if event is not h11.NEED_DATA:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/peer_websocket.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/peer_websocket.py
@@ -30,7 +30,8 @@
 
     from fuchsiagap_node.core.ports import Dial, Link
 
-# Larger than any valid frame, since `peers.frames` splits messages into 64 KiB.
+# Larger than any valid frame, since `peers.frames` splits messages into frames of
+# 64 KiB.
 MAX_FRAME_BYTES = 128 * 1024
 _READ_BYTES = 64 * 1024
 _HANDSHAKE_TIMEOUT_S = 5.0
@@ -74,7 +75,10 @@
         return await self._flush()
 
     async def receive(self) -> bytes | LinkClosed:
-        """Wait for the next frame; close on anything but whole binary messages."""
+        """Wait for the next frame.
+
+        The link ends on any message other than an unfragmented binary one.
+        """
         # Frames can arrive together with the handshake.
         self._collect_frames()
         while not self._received_frames:
@@ -166,6 +170,11 @@
 def websocket_dial(_nursery: trio.Nursery) -> Dial:
     """Return a function that opens links over websockets.
 
+    Parameters
+    ----------
+    _nursery : trio.Nursery
+        Not used, since a link needs no task; required by `NodePorts.dial`.
+
     Returns
     -------
     callable
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/member_digest.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/member_digest.py
@@ -24,6 +24,7 @@
 
 MEMBERS_PREFIX = "/members/"
 ANNOUNCE_PREFIX = "/announce/"
+# Maximum size after decompression; bounds the memory for a malformed digest.
 MAX_DIGEST_BYTES = 16 * 1024 * 1024
 
 _LOG = logging.getLogger(__name__)
@@ -34,7 +35,13 @@
 
 @dataclass(slots=True)
 class _RelayState:
-    """State of this node as a relay."""
+    """State of this node as a relay.
+
+    Parameters
+    ----------
+    announcements_read_at : float
+        Time in milliseconds when announcements were last read; -inf before the first.
+    """
 
     announcements_read_at: float = float("-inf")
 
@@ -130,7 +137,10 @@
 async def _read_all(
     state: NodeState, prefix: str
 ) -> dict[str, tuple[StoredObject, tuple[Member, ...]]] | None:
-    """Read and merge all members under a prefix; None without the platform."""
+    """Read and merge all members under a prefix; None if the platform is unavailable.
+
+    The result has each object with its members, by path.
+    """
     found = await state.platform.list(prefix)
     if isinstance(found, PlatformUnavailable):
         return None
@@ -140,8 +150,8 @@
         if isinstance(members, MalformedFrame):
             _LOG.warning("%s is malformed: %s", stored.path, members.detail)
             members = ()
-        # Not spread by gossip, since other nodes read the same objects. Members that
-        # they still lack show in a comparison of membership hashes.
+        # Not spread by gossip, since other nodes read the same objects. A comparison of
+        # membership hashes finds members that another node still lacks.
         state.membership.merge(members, spread=False)
         members_by_path[stored.path] = (stored, members)
     return members_by_path
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/node.py
@@ -52,6 +52,7 @@
 )
 _TASKS = (home.run, gossip.run, settings_sync.run, state_events.run)
 _LOAD_POLL_INTERVAL_MS = 1_000.0
+# Gate steps without calls after which `_IDLE_INTERVAL_FACTOR` applies.
 _STEPS_BEFORE_IDLE = 50
 _IDLE_INTERVAL_FACTOR = 5.0
 # Bounds the wait for replies to a peer that no longer reads, so that the shutdown
@@ -134,7 +135,10 @@
 
 
 async def _enable_tickets_once_joined(state: NodeState) -> None:
-    """Issue tickets only once other nodes can look up their home, this node."""
+    """Enable the issuing of tickets once this node has joined the cluster.
+
+    Only then can other nodes look up the home of these tickets, which is this node.
+    """
     state.tickets.issuing = False
     await gossip.until_joined(state)
     state.tickets.issuing = True
@@ -241,7 +245,7 @@
 
 
 async def _poll_backend_load(state: NodeState) -> None:
-    """Poll the load of the backend server, which may be outdated or wrong."""
+    """Poll the load that the backend server reports, which may be outdated or wrong."""
     was_up: bool | None = None
     while True:
         load = await state.backend.load()
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/ports.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/ports.py
@@ -93,7 +93,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Missing:
-    """No object has ever existed at the path."""
+    """No object has ever existed at the path.
+
+    Parameters
+    ----------
+    path : str
+        Absolute path.
+    """
 
     path: str
 
@@ -189,12 +195,14 @@
     ) -> Answered | Refused | Unknown:
         """Run one call. Cancelling the task cancels the call.
 
+        `remaining` is the time until the deadline of the call, in milliseconds.
+
         Returns `Refused` only if the call certainly was not sent, or if the backend
         server reports by ``fuchsiagap-not-run`` that it did not run the call.
         """
 
     async def load(self) -> BackendLoad | None:
-        """Request health and load; return None without a valid response."""
+        """Request health and load; return None if there is no valid response."""
 
 
 class Peers(Protocol):
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/process.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/process.py
@@ -30,8 +30,8 @@
 _LOG = logging.getLogger(__name__)
 _BACKLOG = 1024
 _KEEP_ALIVE_TIMEOUT_S = 75.0
-# So long that a graceful shutdown ends with the requests in progress, not with this
-# timeout.
+# Long enough that a graceful shutdown ends when the requests in progress have ended,
+# not at this timeout.
 _GRACEFUL_TIMEOUT_S = 3600.0
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/state.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/state.py
@@ -78,7 +78,7 @@
     drain_requested : trio.Event
         Set to start the graceful shutdown.
     leaving : bool
-        Whether new calls are refused.
+        Whether new calls are refused because the node shuts down.
     serve : callable
         Runs a call on the local backend server if it is admitted; set by
         `callpath.serve.register`.
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/state_events.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/state_events.py
@@ -22,9 +22,10 @@
 POLL_INTERVAL_MS = 1_000.0
 # Overload has ended when all calls have been admitted for this long.
 OVERLOAD_END_DELAY_MS = 5_000.0
-# Changes of the limit below this share are not recorded.
+# Smaller changes of the limit, as a share of the limit recorded last, are not recorded.
 _MIN_LIMIT_CHANGE_SHARE = 0.1
 
+# Priority and cohort.
 _Level = tuple[int, int]
 _ALL_ADMITTED: _Level = (LEAST_PRIORITY, N_COHORTS - 1)
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_http_server.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_http_server.py
@@ -24,6 +24,7 @@
 
 _HEADER_BYTES = 2048
 _BODY_BYTES = 10_000
+# Limit of the bodies of all open requests together.
 _OPEN_BYTES = 15_000
 _VALID_REQUEST = b"GET /ok HTTP/1.1\r\nhost: a\r\n\r\n"
 _POST = b"POST /ok HTTP/1.1\r\nhost: a\r\n"
@@ -119,10 +120,10 @@
         self.counts["handled"] += 1
         return HttpResponse(200, [], req.body or req.target.encode())
 
-    def _handle_error(self, fault: BadRequest) -> HttpResponse:
-        self.counts["faults"] += 1
-        assert fault.detail
-        return HttpResponse(fault.status, [], fault.detail.encode(), close=True)
+    def _handle_error(self, error: BadRequest) -> HttpResponse:
+        self.counts["errors"] += 1
+        assert error.detail
+        return HttpResponse(error.status, [], error.detail.encode(), close=True)
 
     def connect(self) -> trio.StapledStream[Any, Any]:
         client, server = memory_stream_pair()
@@ -160,6 +161,7 @@
             async with trio.open_nursery() as nursery:
                 server = _Server(nursery)
                 await scenario(server)
+                # Other connections still work, and no memory stays reserved.
                 received = await server.exchange(_VALID_REQUEST)
                 self.assertTrue(received.startswith(b"HTTP/1.1 200 "), received)
                 await trio.sleep(100)
@@ -174,7 +176,7 @@
                 received = await server.exchange(data)
                 status = received.partition(b" ")[2][:1]
                 self.assertIn(status, (b"4", b"5"), (data[:60], received))
-                self.assertEqual(number + 1, server.counts["faults"], data[:60])
+                self.assertEqual(number + 1, server.counts["errors"], data[:60])
             self.assertEqual(0, server.counts["handled"])
 
         self._run(scenario)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_peer_websocket.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_peer_websocket.py
@@ -33,7 +33,7 @@
         self.may_read.set()
         self.closed: list[str] = []
 
-    async def take(self, link: Link) -> None:
+    async def echo(self, link: Link) -> None:
         while True:
             await self.may_read.wait()
             frame = await link.receive()
@@ -54,8 +54,9 @@
                     listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
                     host, port = listeners[0].socket.getsockname()
                     server.address = f"{host}:{port}"
-                    nursery.start_soon(serve_links, listeners, server.take)
+                    nursery.start_soon(serve_links, listeners, server.echo)
                     await scenario(server, nursery)
+                    # Other links still work.
                     link = await _dial(server, nursery)
                     await link.send(b"next")
                     self.assertEqual(b"next", await link.receive())
@@ -146,12 +147,14 @@
                 listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
                 host, port = listeners[0].socket.getsockname()
 
-                async def talk(stream: trio.SocketStream, data: bytes = reply) -> None:
+                async def respond(
+                    stream: trio.SocketStream, data: bytes = reply
+                ) -> None:
                     await stream.receive_some(10_000)
                     await stream.send_all(data)
                     await stream.aclose()
 
-                nursery.start_soon(trio.serve_listeners, talk, listeners)
+                nursery.start_soon(trio.serve_listeners, respond, listeners)
                 dialled = await websocket_dial(nursery)(f"{host}:{port}")
                 self.assertIsInstance(dialled, DialFailed)
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_platform_http.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_platform_http.py
@@ -31,7 +31,11 @@
 
 
 async def with_raw_server(answer, use, timeout=300.0):
-    """Run `use` with a server that sends raw bytes after each request."""
+    """Run `use` with a server that sends raw bytes after each request.
+
+    The server closes the connection after a response with the reason phrase ``CUT``,
+    and without a response if `answer` is None.
+    """
 
     async def handle(stream):
         async with stream:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_node_telemetry.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_node_telemetry.py
@@ -118,8 +118,8 @@
 
     def test_a_call_received_after_the_drain_is_not_interrupted(self):
         self.patch(drain, "drain", _return_immediately)
-        n_cut, outcome = self.stop_while_busy()
-        self.assertEqual(0, n_cut)
+        n_violations, outcome = self.stop_while_busy()
+        self.assertEqual(0, n_violations)
         self.assertIsInstance(outcome, Answered)
 
     def test_a_stop_that_interrupts_a_call_is_a_violation(self):
