--- a/packages/fuchsiagap-node/src/fuchsiagap_node/main.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/main.py
@@ -22,8 +22,8 @@
 
 EXIT_BAD_SETTINGS = 2
 EXIT_CANNOT_LISTEN = 3
-# Allocations that start a collection of the youngest generation, and collections of a
-# generation that start one of the next older.
+# Net allocations that start a collection of the youngest generation, and collections of
+# a generation that start one of the next older.
 _GC_THRESHOLDS = (20_000, 20, 50)
 
 _CONFIG = flags.DEFINE_string("config", None, "INI file with the node's settings")
