--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home_tickets.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home_tickets.py
@@ -38,7 +38,7 @@
     async def on_settle(_peer: str, msg: SettleMessage) -> Outcome:
         return await _settle_here(state, msg.ticket, msg.remaining)
 
-    state.handlers.on_ask(SettleMessage, on_settle)
+    state.handlers.on_request(SettleMessage, on_settle)
 
 
 def issue_batch(state: NodeState, count: int) -> tuple[Ticket, ...] | NotIssued:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/relay.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/relay.py
@@ -31,7 +31,7 @@
         run = _run_of(state, head, msg.body)
         return await at_home(state, head, msg.body, run)
 
-    state.handlers.on_ask(HomeCallMessage, on_call)
+    state.handlers.on_request(HomeCallMessage, on_call)
 
 
 async def send_home(
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/serve.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/serve.py
@@ -30,7 +30,7 @@
     async def on_call(_peer: str, msg: CallMessage) -> Outcome:
         return await serve(state, head_from_wire(msg.head, state.clock.now()), msg.body)
 
-    state.handlers.on_ask(CallMessage, on_call)
+    state.handlers.on_request(CallMessage, on_call)
     state.serve = partial(serve, state)
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/stopping.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/stopping.py
@@ -33,7 +33,7 @@
     async def on_leaving(peer: str, msg: Leaving) -> None:
         state.membership.apply(msg.member, peer)
 
-    state.handlers.on_notice(Leaving, on_leaving)
+    state.handlers.on_notification(Leaving, on_leaving)
 
 
 async def drain(state: NodeState, reason: str) -> None:
@@ -77,7 +77,7 @@
     linked = set(state.peers.linked())
     with trio.move_on_after(state.membership.cfg.drain_notice / MS_PER_S):
         async with trio.open_nursery() as nursery:
-            for member in neighbours.receivers(state.membership):
+            for member in neighbours.gossip_targets(state.membership):
                 if member.address not in linked:
                     nursery.start_soon(state.peers.notify, member.address, msg)
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/takeover.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/takeover.py
@@ -46,10 +46,10 @@
     async def on_late(_peer: str, msg: LateOutcome) -> HandOverReply:
         return _reply(state, await take_late_outcome(state, msg))
 
-    state.handlers.on_ask(HandOverBegin, on_begin)
-    state.handlers.on_ask(HandOverPart, on_part)
-    state.handlers.on_ask(HandOverEnd, on_end)
-    state.handlers.on_ask(LateOutcome, on_late)
+    state.handlers.on_request(HandOverBegin, on_begin)
+    state.handlers.on_request(HandOverPart, on_part)
+    state.handlers.on_request(HandOverEnd, on_end)
+    state.handlers.on_request(LateOutcome, on_late)
 
 
 def _reply(state: NodeState, fault: str) -> HandOverReply:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_node.py
@@ -23,7 +23,7 @@
 )
 from fuchsiagap_node.core.edges.admin_status import node_status
 from fuchsiagap_node.core.edges.metrics_text import CONTENT_TYPE, metrics_text
-from fuchsiagap_node.core.settings.write import holder_here, is_operators
+from fuchsiagap_node.core.settings.write import find_local_holder, is_operators_token
 
 if TYPE_CHECKING:
     from quart_trio import QuartTrio
@@ -47,7 +47,7 @@
         token = bearer_token()
         if token is None:
             return error_reply(UNAUTHORIZED)
-        if not is_operators(state, token):
+        if not is_operators_token(state, token):
             return error_reply(_NOT_OPERATORS)
         state.request_drain()
         return json_reply({"node": state.node, "draining": True}, 202)
@@ -138,7 +138,7 @@
         expected = f"wait_ms from 0 to {MAX_SETTLE_WAIT_MS}"
         return error_reply(bad_request(f"wait_ms={wait!r:.40}", expected))
     team = path.removeprefix("/").partition("/")[0]
-    if holder_here(state, team, token) is None:
+    if find_local_holder(state, team, token) is None:
         return error_reply(_not_of_team(team))
     outcome = await settle(state, ticket, method.upper(), path, float(wait))
     return json_reply({"ticket": str(ticket), **_outcome(outcome)})
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_settings.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_settings.py
@@ -37,7 +37,7 @@
     Unavailable,
     WriteResult,
     delete_settings,
-    holder_here,
+    find_local_holder,
     put_settings,
 )
 
@@ -132,7 +132,7 @@
     token = bearer_token()
     if token is None:
         return UNAUTHORIZED
-    return None if holder_here(state, team, token) else _forbidden(team)
+    return None if find_local_holder(state, team, token) else _forbidden(team)
 
 
 async def _authorised_text(state: NodeState, team: str) -> TeamText | AdminError:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/gossip.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/gossip.py
@@ -7,7 +7,14 @@
 import trio
 
 from fuchsiagap_node.core import digest
-from fuchsiagap_node.core.gossip import heartbeat, probe, reach, routes, spread, sync
+from fuchsiagap_node.core.gossip import (
+    heartbeat,
+    probe,
+    reachability,
+    router_updates,
+    spread,
+    sync,
+)
 
 if TYPE_CHECKING:
     from fuchsiagap_node.core.state import NodeState
@@ -36,11 +43,11 @@
         The node, with its links up.
     """
     tasks = (
-        routes.run,
+        router_updates.run,
         spread.run,
         digest.run,
         sync.run,
-        reach.run,
+        reachability.run,
         heartbeat.send,
         heartbeat.watch,
     )
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/heartbeat.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/heartbeat.py
@@ -26,7 +26,7 @@
 
 _LOG = logging.getLogger(__name__)
 _JITTER = 0.1
-_SHORTEST_PAUSE_MS = 10.0
+_MIN_PAUSE_MS = 10.0
 
 
 def register(state: NodeState) -> None:
@@ -44,11 +44,11 @@
         same = msg.hash == membership.hash
         membership.contacts.note(peer, same, state.clock.now())
         membership.clear_suspicion(peer)
-        doubts = neighbours.doubts_about(membership, peer)
-        if doubts:
-            await state.peers.notify(doubts[0].address, Updates(doubts))
+        claims = neighbours.claims_to_refute(membership, peer)
+        if claims:
+            await state.peers.notify(claims[0].address, Updates(claims))
 
-    state.handlers.on_notice(Heartbeat, on_heartbeat)
+    state.handlers.on_notification(Heartbeat, on_heartbeat)
 
 
 async def send(state: NodeState) -> None:
@@ -60,13 +60,13 @@
         The node.
     """
     interval = state.membership.cfg.heartbeat_interval
-    busy: set[str] = set()
+    in_progress: set[str] = set()
     async with trio.open_nursery() as nursery:
         while True:
             for member in neighbours.successors(state.membership):
                 # A link that stalls gets no second heartbeat behind the first.
-                if member.node not in busy:
-                    nursery.start_soon(_send_one, state, member, busy)
+                if member.node not in in_progress:
+                    nursery.start_soon(_send_one, state, member, in_progress)
             await sleep_ms(interval * state.rng.uniform(1 - _JITTER, 1 + _JITTER))
 
 
@@ -79,12 +79,12 @@
         The node.
     """
     membership = state.membership
-    watched = _Watched()
+    watched_nodes = _WatchedNodes()
     async with trio.open_nursery() as nursery:
         while True:
             started = state.clock.now()
-            watched.follow(membership, started)
-            pause = watched.pause(membership, started)
+            watched_nodes.refresh(membership, started)
+            pause = watched_nodes.pause(membership, started)
             await sleep_ms(pause)
             now = state.clock.now()
             if now - started > pause + membership.cfg.stall_slack:
@@ -95,19 +95,19 @@
             if membership.superseded and not state.leaving:
                 _LOG.warning("another process took over the name %s", state.name)
                 state.request_drain()
-            for member in watched.silent(membership, now):
-                nursery.start_soon(_probe_one, state, member, watched)
+            for member in watched_nodes.find_silent(membership, now):
+                nursery.start_soon(_probe_one, state, member, watched_nodes)
 
 
 @dataclass(slots=True)
-class _Watched:
+class _WatchedNodes:
     """The nodes that are watched, worked out anew when the view changes."""
 
     version: int = -1
     members: tuple[Member, ...] = ()
     probing: set[str] = field(default_factory=set)
 
-    def follow(self, membership: Membership, now: Milliseconds) -> None:
+    def refresh(self, membership: Membership, now: Milliseconds) -> None:
         """Watch whom the view says.
 
         Those that are new are probed at once: if a rack is lost, the nodes that watched
@@ -120,30 +120,30 @@
         heard = membership.contacts.heard
         for node in heard.keys() - {member.node for member in self.members}:
             del heard[node]
-        overdue = now - _longest_silence(membership.cfg)
+        overdue = now - _max_silence(membership.cfg)
         for member in self.members:
             heard.setdefault(member.node, overdue)
 
     def pause(self, membership: Membership, now: Milliseconds) -> Milliseconds:
         """Return when to look again: when silence or a suspicion may be too long."""
         due = membership.next_deadline()
-        for member in self._in_question():
+        for member in self._unsuspected():
             silence = membership.contacts.silence(member.node, now)
-            due = min(due, now - silence + _longest_silence(membership.cfg))
+            due = min(due, now - silence + _max_silence(membership.cfg))
         # A suspicion that comes in meanwhile lasts longer than the longest pause.
         longest = membership.cfg.suspicion / 3
-        return min(max(due - now, _SHORTEST_PAUSE_MS), longest)
+        return min(max(due - now, _MIN_PAUSE_MS), longest)
 
-    def silent(self, membership: Membership, now: Milliseconds) -> list[Member]:
+    def find_silent(self, membership: Membership, now: Milliseconds) -> list[Member]:
         """Return those to be probed."""
-        longest = _longest_silence(membership.cfg)
+        longest = _max_silence(membership.cfg)
         return [
             member
-            for member in self._in_question()
+            for member in self._unsuspected()
             if membership.contacts.silence(member.node, now) >= longest
         ]
 
-    def _in_question(self) -> list[Member]:
+    def _unsuspected(self) -> list[Member]:
         return [
             member
             for member in self.members
@@ -152,25 +152,27 @@
         ]
 
 
-def _longest_silence(cfg: MembershipSettings) -> Milliseconds:
+def _max_silence(cfg: MembershipSettings) -> Milliseconds:
     return cfg.heartbeat_interval * (1 + _JITTER) + cfg.heartbeat_slack
 
 
-async def _send_one(state: NodeState, member: Member, busy: set[str]) -> None:
+async def _send_one(state: NodeState, member: Member, in_progress: set[str]) -> None:
     membership = state.membership
-    doubts = neighbours.doubts_about(membership, member.node)
-    busy.add(member.node)
+    claims = neighbours.claims_to_refute(membership, member.node)
+    in_progress.add(member.node)
     try:
         with trio.move_on_after(membership.cfg.heartbeat_interval / MS_PER_S):
-            msg = Heartbeat(membership.hash, doubts)
+            msg = Heartbeat(membership.hash, claims)
             await state.peers.notify(member.address, msg)
     finally:
-        busy.discard(member.node)
+        in_progress.discard(member.node)
 
 
-async def _probe_one(state: NodeState, member: Member, watched: _Watched) -> None:
-    watched.probing.add(member.node)
+async def _probe_one(
+    state: NodeState, member: Member, watched_nodes: _WatchedNodes
+) -> None:
+    watched_nodes.probing.add(member.node)
     try:
         await probe(state, member)
     finally:
-        watched.probing.discard(member.node)
+        watched_nodes.probing.discard(member.node)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/joining.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/joining.py
@@ -14,7 +14,7 @@
 _POLL_MS = 20.0
 
 
-async def until_joined(state: NodeState) -> bool:
+async def wait_until_joined(state: NodeState) -> bool:
     """Wait until other nodes know this one; not for long if there are none.
 
     A ticket that is used through another node is looked up there by the name of the
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/neighbours.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/neighbours.py
@@ -20,22 +20,22 @@
     On each ring the next node; beyond one that is suspected, the one after it too, so
     that the loss of neighbouring nodes is noticed at once and not one by one.
     """
-    return _beside(membership, membership.rings.after)
+    return _ring_neighbours(membership, membership.rings.after)
 
 
 def predecessors(membership: Membership) -> tuple[Member, ...]:
     """Return the nodes from which this node expects heartbeats; see `successors`."""
-    return _beside(membership, membership.rings.before)
+    return _ring_neighbours(membership, membership.rings.before)
 
 
-def receivers(membership: Membership) -> tuple[Member, ...]:
+def gossip_targets(membership: Membership) -> tuple[Member, ...]:
     """Return the nodes to which this node passes changes on.
 
     The next ones on the rings of its own data centre, where links are open already,
     and one node in each of a few other data centres.
     """
     found = {member.node: member for member in successors(membership)}
-    for data_centre in _told_data_centres(membership):
+    for data_centre in _target_data_centres(membership):
         for member in in_data_centre(membership, data_centre, count=1):
             found[member.node] = member
     return tuple(found.values())
@@ -58,7 +58,7 @@
     return tuple(member for member in members if member is not None)
 
 
-def doubts_about(membership: Membership, node: str) -> tuple[Member, ...]:
+def claims_to_refute(membership: Membership, node: str) -> tuple[Member, ...]:
     """Return what a node has to refute, if anything."""
     known = membership.get(node)
     if known is None or known.state not in (MemberState.SUSPECT, MemberState.DEAD):
@@ -66,13 +66,13 @@
     return (known,)
 
 
-def _beside(
+def _ring_neighbours(
     membership: Membership, walk: Callable[[str, int, str], Iterator[str]]
 ) -> tuple[Member, ...]:
-    me = membership.self_member
+    self_member = membership.self_member
     found: dict[str, Member] = {}
     for ring in range(membership.cfg.n_rings):
-        for node in walk(me.data_centre, ring, me.node):
+        for node in walk(self_member.data_centre, ring, self_member.node):
             member = membership.get(node)
             if member is None:
                 continue
@@ -82,7 +82,7 @@
     return tuple(found.values())
 
 
-def _told_data_centres(membership: Membership) -> tuple[str, ...]:
+def _target_data_centres(membership: Membership) -> tuple[str, ...]:
     """Return the data centres to which this node passes changes on.
 
     The next one, so that a chain joins them all; and some that differ from node to
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/probe.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/probe.py
@@ -21,7 +21,7 @@
     from fuchsiagap_node.core.state import NodeState
 
 # A helper's probe takes a probe's timeout; its word has to come back too.
-_INDIRECT_TIMEOUTS = 1.5
+_INDIRECT_TIMEOUT_FACTOR = 1.5
 
 
 def register(state: NodeState) -> None:
@@ -36,15 +36,15 @@
 
     async def on_ping(peer: str, msg: Ping) -> Ack:
         membership.merge(msg.updates, peer)
-        doubts = neighbours.doubts_about(membership, peer)
-        return Ack(membership.name, membership.hash, doubts)
+        claims = neighbours.claims_to_refute(membership, peer)
+        return Ack(membership.name, membership.hash, claims)
 
     async def on_ping_request(_peer: str, msg: PingRequest) -> PingReport:
         ack = await ping(state, msg.target, msg.address)
         return PingReport(reached=ack is not None)
 
-    state.handlers.on_ask(Ping, on_ping)
-    state.handlers.on_ask(PingRequest, on_ping_request)
+    state.handlers.on_request(Ping, on_ping)
+    state.handlers.on_request(PingRequest, on_ping_request)
 
 
 async def ping(state: NodeState, target: str, address: str) -> Ack | None:
@@ -65,10 +65,10 @@
         Its reply; None if there was none in time, or from another node.
     """
     membership = state.membership
-    doubts = neighbours.doubts_about(membership, target)
+    claims = neighbours.claims_to_refute(membership, target)
     reply: object = None
     with trio.move_on_after(membership.cfg.probe_timeout / MS_PER_S):
-        reply = await state.peers.ask(address, Ping(target, doubts))
+        reply = await state.peers.ask(address, Ping(target, claims))
     if not isinstance(reply, Ack) or reply.node != target:
         return None
     membership.merge(reply.updates, target)
@@ -94,17 +94,17 @@
         Whether it replied to this node or to a helper.
     """
     started = state.clock.now()
-    timeout = _INDIRECT_TIMEOUTS * state.membership.cfg.probe_timeout
-    reached = await _first_reply(state, member, timeout)
+    timeout = _INDIRECT_TIMEOUT_FACTOR * state.membership.cfg.probe_timeout
+    reached = await _probe_all_paths(state, member, timeout)
     if reached:
         # Others hear from it: only the link between the two may be cut.
         state.membership.contacts.heard[member.node] = state.clock.now()
-    elif not stalled(state, started, timeout):
+    elif not was_paused(state, started, timeout):
         state.membership.suspect(member.node, member.incarnation)
     return reached
 
 
-def stalled(state: NodeState, started: Milliseconds, expected: Milliseconds) -> bool:
+def was_paused(state: NodeState, started: Milliseconds, expected: Milliseconds) -> bool:
     """Whether this process itself was paused, so that its timeouts mean nothing.
 
     Parameters
@@ -120,38 +120,40 @@
     return taken > expected + state.membership.cfg.stall_slack
 
 
-async def _first_reply(state: NodeState, member: Member, timeout: Milliseconds) -> bool:
+async def _probe_all_paths(
+    state: NodeState, member: Member, timeout: Milliseconds
+) -> bool:
     reached = False
     with trio.move_on_after(timeout / MS_PER_S):
         async with trio.open_nursery() as nursery:
 
-            async def note(is_reached: bool) -> None:
+            async def report(is_reached: bool) -> None:
                 nonlocal reached
                 if is_reached:
                     reached = True
                     nursery.cancel_scope.cancel()
 
-            async def directly() -> None:
+            async def probe_directly() -> None:
                 ack = await ping(state, member.node, member.address)
-                await note(ack is not None)
+                await report(ack is not None)
 
-            async def through(helper: Member) -> None:
+            async def probe_through(helper: Member) -> None:
                 request = PingRequest(member.node, member.address)
                 reply = await state.peers.ask(helper.address, request)
-                await note(isinstance(reply, PingReport) and reply.reached)
+                await report(isinstance(reply, PingReport) and reply.reached)
 
-            nursery.start_soon(directly)
-            for helper in _helpers(state, member):
-                nursery.start_soon(through, helper)
+            nursery.start_soon(probe_directly)
+            for helper in _choose_helpers(state, member):
+                nursery.start_soon(probe_through, helper)
     return reached
 
 
-def _helpers(state: NodeState, member: Member) -> list[Member]:
+def _choose_helpers(state: NodeState, member: Member) -> list[Member]:
     """Return a few nodes to probe for this one, linked already if possible."""
     membership = state.membership
-    fit = [
+    candidates = [
         other
-        for other in neighbours.receivers(membership)
+        for other in neighbours.gossip_targets(membership)
         if other.node != member.node and other.state is MemberState.ALIVE
     ]
-    return state.rng.sample(fit, min(membership.cfg.n_indirect, len(fit)))
+    return state.rng.sample(candidates, min(membership.cfg.n_indirect, len(candidates)))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/reach.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/reachability.py
@@ -13,7 +13,7 @@
 
 from fuchsiagap.core.clock import sleep_ms
 from fuchsiagap_node.core.gossip import neighbours
-from fuchsiagap_node.core.gossip.probe import ping, stalled
+from fuchsiagap_node.core.gossip.probe import ping, was_paused
 
 if TYPE_CHECKING:
     from fuchsiagap.core.membership.member import Member
@@ -32,13 +32,13 @@
         The node.
     """
     cfg = state.membership.cfg
-    turn = 0
+    offset = 0
     async with trio.open_nursery() as nursery:
         while True:
             names = neighbours.other_data_centres(state.membership)
             count = min(cfg.n_cross_probes, len(names))
-            due = {names[(turn + i) % len(names)] for i in range(count)}
-            turn += count
+            due = {names[(offset + i) % len(names)] for i in range(count)}
+            offset += count
             for name in sorted(due | state.membership.unreachable):
                 nursery.start_soon(_probe_data_centre, state, name)
             interval = cfg.cross_interval
@@ -53,7 +53,7 @@
     members = neighbours.in_data_centre(membership, data_centre, 1 + cfg.cross_attempts)
     reached = await _any_replies(state, members[:1])
     reached = reached or await _any_replies(state, members[1:])
-    if not reached and stalled(state, started, 2 * cfg.probe_timeout):
+    if not reached and was_paused(state, started, 2 * cfg.probe_timeout):
         return
     if membership.set_reachable(data_centre, reached or not members):
         _LOG.info("data centre %s reachable: %s", data_centre, reached)
@@ -65,12 +65,12 @@
 async def _any_replies(state: NodeState, members: tuple[Member, ...]) -> bool:
     reached = False
 
-    async def one(member: Member) -> None:
+    async def ping_member(member: Member) -> None:
         nonlocal reached
         if await ping(state, member.node, member.address) is not None:
             reached = True
 
     async with trio.open_nursery() as nursery:
         for member in members:
-            nursery.start_soon(one, member)
+            nursery.start_soon(ping_member, member)
     return reached
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/routes.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/router_updates.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from fuchsiagap_node.core.state import NodeState
 
-_COLLECT_MS = 10.0
+_COALESCE_MS = 10.0
 
 
 async def run(state: NodeState) -> None:
@@ -30,26 +30,28 @@
         changed.set()
 
     membership.on_instances(wake)
-    used: dict[str, str] = {}
+    previous: dict[str, str] = {}
     while True:
         changed = trio.Event()
         instances = membership.instances()
         state.router.update(instances)
-        now_used = {instance.node: instance.address for instance in instances}
-        _drop_links(state, used, now_used)
-        used = now_used
+        current = {instance.node: instance.address for instance in instances}
+        _drop_links(state, previous, current)
+        previous = current
         await changed.wait()
-        await sleep_ms(_COLLECT_MS)
+        await sleep_ms(_COALESCE_MS)
 
 
-def _drop_links(state: NodeState, used: dict[str, str], now: dict[str, str]) -> None:
+def _drop_links(
+    state: NodeState, previous: dict[str, str], current: dict[str, str]
+) -> None:
     """Close links of nodes that died, so that calls on them end.
 
     A host that vanished sends no sign that its connections are gone.
     """
-    in_use = set(now.values())
-    for node in used.keys() - now.keys():
+    in_use = set(current.values())
+    for node in previous.keys() - current.keys():
         member = state.membership.get(node)
         is_dead = member is not None and member.state is MemberState.DEAD
-        if is_dead and used[node] not in in_use:
-            state.peers.drop(used[node])
+        if is_dead and previous[node] not in in_use:
+            state.peers.drop(previous[node])
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/spread.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/spread.py
@@ -22,9 +22,9 @@
 class _Progress:
     """How far each neighbour has been told."""
 
-    told: dict[str, int] = field(default_factory=dict)
+    last_sent: dict[str, int] = field(default_factory=dict)
     last_round: int = 0
-    busy: set[str] = field(default_factory=set)
+    in_progress: set[str] = field(default_factory=set)
 
 
 def register(state: NodeState) -> None:
@@ -39,7 +39,7 @@
     async def on_updates(peer: str, msg: Updates) -> None:
         state.membership.merge(msg.members, peer)
 
-    state.handlers.on_notice(Updates, on_updates)
+    state.handlers.on_notification(Updates, on_updates)
 
 
 async def run(state: NodeState) -> None:
@@ -65,34 +65,34 @@
         while True:
             changed = trio.Event()
             more = False
-            for member in neighbours.receivers(membership):
-                if member.node not in progress.busy:
-                    more |= _tell(state, progress, nursery, member)
+            for member in neighbours.gossip_targets(membership):
+                if member.node not in progress.in_progress:
+                    more |= _send_changes(state, progress, nursery, member)
             progress.last_round = membership.log.last
-            _forget_others(progress, state)
+            _drop_old_targets(progress, state)
             if not more:
                 await changed.wait()
             await sleep_ms(membership.cfg.flush_delay)
 
 
-def _tell(
+def _send_changes(
     state: NodeState, progress: _Progress, nursery: trio.Nursery, member: Member
 ) -> bool:
     """Start telling a neighbour the next changes; return whether there are more."""
     membership = state.membership
-    is_new = member.node not in progress.told
+    is_new = member.node not in progress.last_sent
     # What went before was for others to tell a node that is a neighbour only now.
-    told = progress.told.setdefault(member.node, progress.last_round)
-    changes = membership.log.after(told)
+    last_sent = progress.last_sent.setdefault(member.node, progress.last_round)
+    changes = membership.log.after(last_sent)
     batch = changes[: membership.cfg.max_updates]
-    words = [membership.get(c.node) for c in batch if c.source != member.node]
+    updates = [membership.get(c.node) for c in batch if c.source != member.node]
     if is_new:
-        words.append(membership.self_member)
+        updates.append(membership.self_member)
     if batch:
-        progress.told[member.node] = batch[-1].number
-    members = tuple(word for word in words if word is not None)
+        progress.last_sent[member.node] = batch[-1].number
+    members = tuple(update for update in updates if update is not None)
     if members:
-        progress.busy.add(member.node)
+        progress.in_progress.add(member.node)
         nursery.start_soon(_send, state, progress, member, Updates(members))
     return len(batch) < len(changes)
 
@@ -104,10 +104,10 @@
         with trio.move_on_after(_SEND_TIMEOUT_S):
             await state.peers.notify(member.address, msg)
     finally:
-        progress.busy.discard(member.node)
+        progress.in_progress.discard(member.node)
 
 
-def _forget_others(progress: _Progress, state: NodeState) -> None:
-    nodes = {member.node for member in neighbours.receivers(state.membership)}
-    for node in progress.told.keys() - nodes:
-        del progress.told[node]
+def _drop_old_targets(progress: _Progress, state: NodeState) -> None:
+    nodes = {member.node for member in neighbours.gossip_targets(state.membership)}
+    for node in progress.last_sent.keys() - nodes:
+        del progress.last_sent[node]
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/sync.py
@@ -17,7 +17,7 @@
 _MAX_MEMBERS = 256
 _MAX_ROUNDS = 256
 _TIMEOUT_S = 1.0
-_DEAD_TRIED_PER_INTERVAL = 3.0
+_DEAD_CONTACTS_PER_INTERVAL = 3.0
 
 
 def register(state: NodeState) -> None:
@@ -30,9 +30,9 @@
     """
 
     async def on_sync(_peer: str, msg: SyncRequest) -> SyncReply:
-        return _reply_to(state, msg)
+        return _make_reply(state, msg)
 
-    state.handlers.on_ask(SyncRequest, on_sync)
+    state.handlers.on_request(SyncRequest, on_sync)
 
 
 async def run(state: NodeState) -> None:
@@ -45,7 +45,7 @@
     """
     contacts = state.membership.contacts
     while True:
-        for address in _addresses(state):
+        for address in _sync_addresses(state):
             if await sync_with(state, address):
                 break
         with trio.move_on_after(_pause_s(state)):
@@ -91,7 +91,7 @@
     return None
 
 
-def _reply_to(state: NodeState, msg: SyncRequest) -> SyncReply:
+def _make_reply(state: NodeState, msg: SyncRequest) -> SyncReply:
     membership = state.membership
     differing = list(membership.differing(msg.digest))
     n_differing = len(differing)
@@ -112,12 +112,12 @@
 async def _send_newer(state: NodeState, address: str, reply: SyncReply) -> None:
     """Send back what this node knows better in the buckets of a reply."""
     membership = state.membership
-    theirs = {member.node: member for member in reply.members}
+    remote_members = {member.node: member for member in reply.members}
     newer = [
         member
         for number in reply.buckets
         for member in membership.bucket(number)
-        if theirs.get(member.node) != member
+        if remote_members.get(member.node) != member
     ]
     size = membership.cfg.max_updates
     for start in range(0, len(newer), size):
@@ -131,13 +131,13 @@
     return interval * state.rng.uniform(0.8, 1.2)
 
 
-def _addresses(state: NodeState) -> list[str]:
+def _sync_addresses(state: NodeState) -> list[str]:
     """Return where to sync now; one that replies is enough."""
     membership = state.membership
     differing = map(membership.get, membership.contacts.take_mismatches())
     found = [member.address for member in differing if member is not None]
-    found += _dead_to_try(state)
-    if not membership.settled or _alone(state):
+    found += _sample_dead(state)
+    if not membership.settled or _is_alone(state):
         found += state.cfg.peers.first
         found += [m.address for m in membership.members() if not m.gone]
     state.rng.shuffle(found)
@@ -145,13 +145,13 @@
     return [address for address in dict.fromkeys(found) if address != own]
 
 
-def _alone(state: NodeState) -> bool:
+def _is_alone(state: NodeState) -> bool:
     membership = state.membership
-    me = membership.self_member.node
-    return all(m.gone or m.node == me for m in membership.members())
+    own_name = membership.self_member.node
+    return all(m.gone or m.node == own_name for m in membership.members())
 
 
-def _dead_to_try(state: NodeState) -> list[str]:
+def _sample_dead(state: NodeState) -> list[str]:
     """Return now and then the address of a dead node, which may be cut off only.
 
     All nodes of a data centre together try a few in each interval.
@@ -162,6 +162,6 @@
         return []
     own = membership.self_member.data_centre
     n_live = len(membership.rings.nodes(own))
-    if state.rng.random() * n_live > _DEAD_TRIED_PER_INTERVAL:
+    if state.rng.random() * n_live > _DEAD_CONTACTS_PER_INTERVAL:
         return []
     return [state.rng.choice(dead).address]
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/node.py
@@ -24,7 +24,7 @@
 from fuchsiagap_node.core.drain import takeover
 from fuchsiagap_node.core.peers.handlers import Handlers
 from fuchsiagap_node.core.peers.links import LinkPeers, LinkSettings
-from fuchsiagap_node.core.peers.wiring import make_wire
+from fuchsiagap_node.core.peers.wiring import make_wire_context
 from fuchsiagap_node.core.settings import sync as settings_sync
 from fuchsiagap_node.core.state import NodeState
 from fuchsiagap_node.core.wire.messages_call import Hello
@@ -119,7 +119,7 @@
         for task in (*_TASKS, _step_gate, _poll_load):
             nursery.start_soon(task, state)
         assert isinstance(state.peers, LinkPeers)
-        nursery.start_soon(ports.listen, state.peers.take)
+        nursery.start_soon(ports.listen, state.peers.serve_link)
         nursery.start_soon(_issue_once_joined, state)
         if edges is not None:
             nursery.start_soon(edges, state)
@@ -136,7 +136,7 @@
 async def _issue_once_joined(state: NodeState) -> None:
     """Hand out tickets only once other nodes can find their home."""
     state.tickets.issuing = False
-    await gossip.until_joined(state)
+    await gossip.wait_until_joined(state)
     state.tickets.issuing = True
 
 
@@ -188,7 +188,7 @@
         kind = EventKind.LINK_UP if is_up else EventKind.LINK_DOWN
         telemetry.ring.record(kind, peer=peer.node)
 
-    wire = make_wire(cfg, hello, handlers, telemetry)
+    wire = make_wire_context(cfg, hello, handlers, telemetry)
     dial = ports.dial(nursery)
     peers = LinkPeers(LinkSettings(), wire, dial, nursery, note_link)
     membership = Membership(
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/frames.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/frames.py
@@ -1,7 +1,7 @@
 """Frames on a link: what a message is for, and pieces of long ones.
 
 A frame is the CBOR array ``[kind, number, time, payload]``. A message longer than
-`PIECE_BYTES` goes in pieces, so that a large body cannot hold the link; the last
+`MAX_FRAGMENT_BYTES` goes in pieces, so that a large body cannot hold the link; the last
 piece bears length and checksum of the whole.
 """
 
@@ -19,18 +19,18 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-PIECE_BYTES = 64 * 1024
+MAX_FRAGMENT_BYTES = 64 * 1024
 
 
-class Kind(IntEnum):
+class FrameKind(IntEnum):
     """What a frame is for."""
 
-    ASK = 1
+    REQUEST = 1
     REPLY = 2
-    NOTICE = 3
+    NOTIFICATION = 3
     CANCEL = 4
-    PIECE = 5
-    LAST_PIECE = 6
+    FRAGMENT = 5
+    LAST_FRAGMENT = 6
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
 
     Parameters
     ----------
-    kind : Kind
+    kind : FrameKind
         What the frame is for.
     number : int
         Matches a reply, a cancellation or a piece with its message; the sender of
@@ -50,7 +50,7 @@
         Plain CBOR values.
     """
 
-    kind: Kind
+    kind: FrameKind
     number: int
     time: int
     payload: Any
@@ -59,19 +59,21 @@
 def encode_frames(frame: Frame) -> Iterator[bytes]:
     """Yield the frame, or its pieces if it is long."""
     data = cbor2.dumps([int(frame.kind), frame.number, frame.time, frame.payload])
-    if len(data) <= PIECE_BYTES:
+    if len(data) <= MAX_FRAGMENT_BYTES:
         yield data
         return
     check = [len(data), zlib.crc32(data)]
-    stream = stream_of(frame.number, is_reply=frame.kind is Kind.REPLY)
-    for start in range(0, len(data), PIECE_BYTES):
-        piece = data[start : start + PIECE_BYTES]
-        last = start + PIECE_BYTES >= len(data)
-        kind = Kind.LAST_PIECE if last else Kind.PIECE
-        yield cbor2.dumps([int(kind), stream, 0, [piece, *check] if last else piece])
+    stream = fragment_stream(frame.number, is_reply=frame.kind is FrameKind.REPLY)
+    for start in range(0, len(data), MAX_FRAGMENT_BYTES):
+        fragment = data[start : start + MAX_FRAGMENT_BYTES]
+        last = start + MAX_FRAGMENT_BYTES >= len(data)
+        kind = FrameKind.LAST_FRAGMENT if last else FrameKind.FRAGMENT
+        yield cbor2.dumps(
+            [int(kind), stream, 0, [fragment, *check] if last else fragment]
+        )
 
 
-def stream_of(number: int, *, is_reply: bool) -> int:
+def fragment_stream(number: int, *, is_reply: bool) -> int:
     """Return the number of a message's pieces.
 
     An ask and the reply to one of the other side may share a number.
@@ -90,13 +92,13 @@
     if type(kind) is not int or type(number) is not int or type(time) is not int:
         return MalformedFrame("kind, number and time must be integers")
     try:
-        return Frame(Kind(kind), number, time, payload)
+        return Frame(FrameKind(kind), number, time, payload)
     except ValueError:
         return MalformedFrame(f"kind {kind} is unknown")
 
 
 @dataclass(slots=True)
-class PieceBuffer:
+class FragmentBuffer:
     """Pieces of messages that are not whole yet.
 
     Parameters
@@ -106,32 +108,32 @@
     """
 
     max_bytes: int
-    _pieces: dict[int, list[bytes]] = field(default_factory=dict)
+    _fragments: dict[int, list[bytes]] = field(default_factory=dict)
     _n_bytes: int = 0
 
     def drop(self, number: int) -> None:
         """Forget the pieces of an ask that its sender has given up."""
-        pieces = self._pieces.pop(stream_of(number, is_reply=False), [])
-        self._n_bytes -= sum(map(len, pieces))
+        fragments = self._fragments.pop(fragment_stream(number, is_reply=False), [])
+        self._n_bytes -= sum(map(len, fragments))
 
     def add(self, frame: Frame) -> Frame | MalformedFrame | None:
         """Take a piece; return the whole frame once it is complete."""
-        last = frame.kind is Kind.LAST_PIECE
+        last = frame.kind is FrameKind.LAST_FRAGMENT
         payload = frame.payload if last else [frame.payload, 0, 0]
         if not isinstance(payload, list) or len(payload) != 3:
             return MalformedFrame("a last piece needs data, length and checksum")
-        piece, length, checksum = payload
-        if not isinstance(piece, bytes):
+        fragment, length, checksum = payload
+        if not isinstance(fragment, bytes):
             return MalformedFrame("a piece must be bytes")
-        self._n_bytes += len(piece)
+        self._n_bytes += len(fragment)
         if self._n_bytes > self.max_bytes:
             return MalformedFrame(f"pieces exceed {self.max_bytes} bytes on the link")
-        pieces = self._pieces.setdefault(frame.number, [])
-        pieces.append(piece)
+        fragments = self._fragments.setdefault(frame.number, [])
+        fragments.append(fragment)
         if not last:
             return None
-        del self._pieces[frame.number]
-        data = b"".join(pieces)
+        del self._fragments[frame.number]
+        data = b"".join(fragments)
         self._n_bytes -= len(data)
         if len(data) != length or zlib.crc32(data) != checksum:
             return MalformedFrame("pieces do not make the message that was sent")
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/handlers.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/handlers.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 from typing import Any, TypeAlias
 
-AskHandler: TypeAlias = Callable[[str, Any], Awaitable[object]]
-NoticeHandler: TypeAlias = Callable[[str, Any], Awaitable[None]]
+RequestHandler: TypeAlias = Callable[[str, Any], Awaitable[object]]
+NotificationHandler: TypeAlias = Callable[[str, Any], Awaitable[None]]
 
 
 @dataclass(slots=True)
@@ -17,10 +17,10 @@
     A handler gets the name of the sending node and the message.
     """
 
-    asks: dict[type, AskHandler] = field(default_factory=dict)
-    notices: dict[type, NoticeHandler] = field(default_factory=dict)
+    request_handlers: dict[type, RequestHandler] = field(default_factory=dict)
+    notification_handlers: dict[type, NotificationHandler] = field(default_factory=dict)
 
-    def on_ask(self, message_type: type, handler: AskHandler) -> None:
+    def on_request(self, message_type: type, handler: RequestHandler) -> None:
         """Register who replies to a message.
 
         Raises
@@ -28,11 +28,11 @@
         ValueError
             If the message has a handler already.
         """
-        if message_type in self.asks:
+        if message_type in self.request_handlers:
             raise ValueError(f"{message_type.__name__} has a handler already")
-        self.asks[message_type] = handler
+        self.request_handlers[message_type] = handler
 
-    def on_notice(self, message_type: type, handler: NoticeHandler) -> None:
+    def on_notification(self, message_type: type, handler: NotificationHandler) -> None:
         """Register who takes a message that has no reply.
 
         Raises
@@ -40,6 +40,6 @@
         ValueError
             If the message has a handler already.
         """
-        if message_type in self.notices:
+        if message_type in self.notification_handlers:
             raise ValueError(f"{message_type.__name__} has a handler already")
-        self.notices[message_type] = handler
+        self.notification_handlers[message_type] = handler
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/links.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/links.py
@@ -8,7 +8,7 @@
 import trio
 
 from fuchsiagap.core.clock import MS_PER_S, Milliseconds
-from fuchsiagap_node.core.peers.conn import PeerConn, Wire
+from fuchsiagap_node.core.peers.conn import PeerConn, WireContext
 from fuchsiagap_node.core.ports import DialFailed, LinkClosed, LinkLost
 
 if TYPE_CHECKING:
@@ -36,7 +36,7 @@
     redial_pause: Milliseconds = 100.0
 
 
-def _no_change(_peer: Hello, _is_up: bool) -> None:
+def _ignore_change(_peer: Hello, _is_up: bool) -> None:
     """Take a change of a link's state and do nothing."""
 
 
@@ -48,7 +48,7 @@
     ----------
     cfg : LinkSettings
         Times of a link.
-    wire : Wire
+    wire : WireContext
         What all links share.
     dial : Dial
         Opens a link to an address.
@@ -59,14 +59,14 @@
     """
 
     cfg: LinkSettings
-    wire: Wire
+    wire: WireContext
     dial: Dial
     nursery: trio.Nursery
-    changed: Callable[[Hello, bool], None] = _no_change
+    on_change: Callable[[Hello, bool], None] = _ignore_change
     _conns: dict[str, PeerConn] = field(default_factory=dict)
-    _all: set[PeerConn] = field(default_factory=set)
-    _locks: dict[str, trio.Lock] = field(default_factory=dict)
-    _down_until: dict[str, float] = field(default_factory=dict)
+    _open_conns: set[PeerConn] = field(default_factory=set)
+    _dial_locks: dict[str, trio.Lock] = field(default_factory=dict)
+    _redial_after: dict[str, float] = field(default_factory=dict)
 
     async def ask(self, address: str, message: object) -> object:
         """Send a message to the node at an address and wait for its reply.
@@ -83,20 +83,20 @@
         object
             The reply, or `LinkLost`.
         """
-        conn = await self._conn(address)
+        conn = await self._get_conn(address)
         if isinstance(conn, LinkLost):
             return conn
         return await conn.ask(message)
 
     async def notify(self, address: str, message: object) -> None:
         """Send a message that has no reply; it may get lost."""
-        conn = await self._conn(address)
+        conn = await self._get_conn(address)
         if not isinstance(conn, LinkLost):
             await conn.notify(message)
 
     async def notify_linked(self, message: object) -> None:
         """Send a message on every link that is up, whoever opened it."""
-        for conn in tuple(self._all):
+        for conn in tuple(self._open_conns):
             if not conn.closed:
                 self.nursery.start_soon(conn.notify, message)
 
@@ -111,25 +111,25 @@
 
     async def wait_idle(self) -> None:
         """Wait until every ask of other nodes has its reply written."""
-        while any(conn.busy() for conn in self._all):
+        while any(conn.has_running_requests() for conn in self._open_conns):
             await trio.sleep(_IDLE_POLL_S)
 
     def linked(self) -> tuple[str, ...]:
         """Return the addresses of the links that are up."""
         return tuple(sorted(a for a, c in self._conns.items() if not c.closed))
 
-    async def take(self, link: Link) -> None:
+    async def serve_link(self, link: Link) -> None:
         """Serve a link that another node opened, until it closes."""
         async with trio.open_nursery() as nursery:
             conn = PeerConn(link, self.wire, nursery)
-            await self._greet_and_run(conn, opened=None)
+            await self._handshake_and_run(conn, handshake_done=None)
             nursery.cancel_scope.cancel()
 
-    async def _conn(self, address: str) -> PeerConn | LinkLost:
+    async def _get_conn(self, address: str) -> PeerConn | LinkLost:
         conn = self._conns.get(address)
         if conn is not None and not conn.closed:
             return conn
-        lock = self._locks.setdefault(address, trio.Lock())
+        lock = self._dial_locks.setdefault(address, trio.Lock())
         async with lock:
             conn = self._conns.get(address)
             if conn is not None and not conn.closed:
@@ -137,27 +137,29 @@
             return await self._open(address)
 
     async def _open(self, address: str) -> PeerConn | LinkLost:
-        if trio.current_time() < self._down_until.get(address, 0.0):
+        if trio.current_time() < self._redial_after.get(address, 0.0):
             return LinkLost(sent=False, detail=f"{address} was down a moment ago")
         conn: PeerConn | LinkClosed | DialFailed = DialFailed(address, "timeout")
         with trio.move_on_after(self.cfg.dial_timeout / MS_PER_S):
-            conn = await self._dial_and_greet(address)
+            conn = await self._dial_and_handshake(address)
         if isinstance(conn, PeerConn):
-            self._down_until.pop(address, None)
+            self._redial_after.pop(address, None)
             return conn
         pause = self.cfg.redial_pause / MS_PER_S
-        self._down_until[address] = trio.current_time() + pause
+        self._redial_after[address] = trio.current_time() + pause
         return LinkLost(sent=False, detail=f"no link to {address}: {conn.detail}")
 
-    async def _dial_and_greet(self, address: str) -> PeerConn | LinkClosed | DialFailed:
+    async def _dial_and_handshake(
+        self, address: str
+    ) -> PeerConn | LinkClosed | DialFailed:
         link = await self.dial(address)
         if isinstance(link, DialFailed):
             return link
-        greeted: trio.Event = trio.Event()
+        handshake_done: trio.Event = trio.Event()
         conn = PeerConn(link, self.wire, self.nursery)
-        self.nursery.start_soon(self._greet_and_run, conn, greeted)
+        self.nursery.start_soon(self._handshake_and_run, conn, handshake_done)
         try:
-            await greeted.wait()
+            await handshake_done.wait()
         except trio.Cancelled:
             conn.closed = True
             self.nursery.start_soon(link.aclose)
@@ -168,25 +170,27 @@
         self._conns[address] = conn
         return conn
 
-    async def _greet_and_run(self, conn: PeerConn, opened: trio.Event | None) -> None:
-        hello = await conn.greet()
+    async def _handshake_and_run(
+        self, conn: PeerConn, handshake_done: trio.Event | None
+    ) -> None:
+        hello = await conn.handshake()
         if isinstance(hello, LinkClosed):
             conn.closed = True
             await conn.link.aclose()
-            if opened is not None:
-                opened.set()
+            if handshake_done is not None:
+                handshake_done.set()
             return
         known = self._conns.get(hello.address)
         if known is None or known.closed:
             self._conns[hello.address] = conn
-        if opened is not None:
-            opened.set()
-        self._all.add(conn)
-        self.changed(hello, True)
+        if handshake_done is not None:
+            handshake_done.set()
+        self._open_conns.add(conn)
+        self.on_change(hello, True)
         try:
             await conn.run()
         finally:
-            self._all.discard(conn)
+            self._open_conns.discard(conn)
             if self._conns.get(hello.address) is conn:
                 del self._conns[hello.address]
-            self.changed(hello, False)
+            self.on_change(hello, False)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/wiring.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/wiring.py
@@ -8,7 +8,7 @@
 from fuchsiagap.core.telemetry.events import EventKind
 from fuchsiagap.core.telemetry.metrics import Counter
 from fuchsiagap.core.telemetry.violations import Invariant
-from fuchsiagap_node.core.peers.conn import Wire
+from fuchsiagap_node.core.peers.conn import WireContext
 
 if TYPE_CHECKING:
     from fuchsiagap.core.telemetry.telemetry import Telemetry
@@ -24,9 +24,9 @@
 }
 
 
-def make_wire(
+def make_wire_context(
     cfg: NodeConfig, hello: Hello, handlers: Handlers, telemetry: Telemetry
-) -> Wire:
+) -> WireContext:
     """Return what all links of a node share.
 
     Parameters
@@ -60,28 +60,28 @@
         count(Counter.FRAMES_RECEIVED)
         count(Counter.BYTES_RECEIVED, amount=n_bytes)
 
-    def note_late(call_id: str, root_id: str) -> None:
+    def record_late_reply(call_id: str, root_id: str) -> None:
         call_notes.note_late_answer(telemetry, call_id, root_id)
 
-    def note_incomplete(call_id: str, root_id: str) -> None:
+    def record_incomplete_reply(call_id: str, root_id: str) -> None:
         call_notes.note_incomplete_answer(telemetry, call_id, root_id, "node")
 
-    def report_crossed(peer: str, number: int) -> None:
+    def report_unsolicited_reply(peer: str, number: int) -> None:
         telemetry.ring.record(EventKind.CROSSED_ANSWER_DROPPED, peer=peer)
         detail = f"{peer} sent a reply to ask {number}, which its link never had"
         telemetry.violation(Invariant.WRONG_ANSWER, detail)
 
-    return Wire(
+    return WireContext(
         hello=hello,
         handlers=handlers,
         stamp=telemetry.hlc.tick,
         observe=observe,
-        max_running=cfg.limits.link_calls,
+        max_concurrent_requests=cfg.limits.link_calls,
         count=count_fault,
         count_sent=count_sent,
         count_received=count_received,
-        note_late=note_late,
-        note_incomplete=note_incomplete,
-        report_crossed=report_crossed,
-        max_sending=cfg.limits.link_queue_frames,
+        record_late_reply=record_late_reply,
+        record_incomplete_reply=record_incomplete_reply,
+        report_unsolicited_reply=report_unsolicited_reply,
+        max_queued_messages=cfg.limits.link_queue_frames,
     )
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/spread.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/spread.py
@@ -33,7 +33,7 @@
     from fuchsiagap.core.settings.model import TeamText
     from fuchsiagap_node.core.state import NodeState
 
-_SHOWN_FAULT = 300
+_MAX_SHOWN_FAULT_CHARS = 300
 COMPARE_INTERVAL: Milliseconds = 1_000.0
 COMPARE_JITTER = 0.2
 FLUSH_DELAY: Milliseconds = 5.0
@@ -45,7 +45,7 @@
     """Register who replies to the messages about settings."""
 
     async def on_query(_peer: str, msg: SettingsQuery) -> SettingsTexts:
-        return _texts(state, msg)
+        return _find_newer_texts(state, msg)
 
     async def on_compare(_peer: str, msg: SettingsCompare) -> SettingsVector:
         book = state.book
@@ -58,12 +58,12 @@
         if member is not None:
             await _fetch(state, member.address, peer, msg.versions)
 
-    state.handlers.on_ask(SettingsQuery, on_query)
-    state.handlers.on_ask(SettingsCompare, on_compare)
-    state.handlers.on_notice(SettingsNews, on_news)
+    state.handlers.on_request(SettingsQuery, on_query)
+    state.handlers.on_request(SettingsCompare, on_compare)
+    state.handlers.on_notification(SettingsNews, on_news)
 
 
-def take(state: NodeState, texts: Iterable[TeamText], source: str) -> None:
+def adopt_texts(state: NodeState, texts: Iterable[TeamText], source: str) -> None:
     """Offer texts to the book, and have news of those adopted passed on.
 
     Parameters
@@ -81,9 +81,9 @@
         outcome = state.book.adopt(text)
         _check_invariants(state, before, text)
         if isinstance(outcome, Adopted):
-            _note_adopted(state, outcome, source)
+            _record_adopted(state, outcome, source)
         elif isinstance(outcome, Invalid) and state.book.counts.invalid > n_invalid:
-            _note_invalid(state, outcome, source)
+            _record_invalid(state, outcome, source)
 
 
 def _check_invariants(
@@ -102,7 +102,7 @@
         state.telemetry.violation(Invariant.VERSION_WENT_BACK, detail)
 
 
-async def pass_news_on(state: NodeState) -> None:
+async def announce_adopted(state: NodeState) -> None:
     """Tell the neighbours of what was adopted, until cancelled."""
     standing = state.book.standing
     async with trio.open_nursery() as nursery:
@@ -110,13 +110,15 @@
             while not standing.news:
                 await standing.changed.wait()
             await sleep_ms(FLUSH_DELAY)
-            news = SettingsNews(tuple(sorted(standing.news.items())))
+            announcement = SettingsNews(tuple(sorted(standing.news.items())))
             standing.news.clear()
-            for member in neighbours.receivers(state.membership):
-                nursery.start_soon(_tell, state, member.address, news)
+            for member in neighbours.gossip_targets(state.membership):
+                nursery.start_soon(
+                    _send_announcement, state, member.address, announcement
+                )
 
 
-async def keep_comparing(state: NodeState) -> None:
+async def compare_periodically(state: NodeState) -> None:
     """Compare versions with a random node now and then, until cancelled."""
     async with trio.open_nursery() as nursery:
         while True:
@@ -150,14 +152,14 @@
         if not isinstance(reply, SettingsVector):
             return False
         if not reply.same:
-            await _even_out(state, address, source, reply.versions)
-        if reply.complete and not _lacking(state, reply.versions):
-            set_complete(state)
+            await _exchange_differences(state, address, source, reply.versions)
+        if reply.complete and not _find_missing(state, reply.versions):
+            mark_complete(state)
         return True
     return False
 
 
-def set_complete(state: NodeState) -> None:
+def mark_complete(state: NodeState) -> None:
     """Note that this node has had all that the platform held at some moment."""
     standing = state.book.standing
     if not standing.complete:
@@ -165,18 +167,18 @@
         standing.notify()
 
 
-async def _even_out(
-    state: NodeState, address: str, source: str, theirs: Vector
+async def _exchange_differences(
+    state: NodeState, address: str, source: str, remote_versions: Vector
 ) -> None:
-    known = dict(theirs)
-    lacking = tuple(
+    known = dict(remote_versions)
+    missing = tuple(
         (team, version)
         for team, version in state.book.vector()
         if version > known.get(team, 0)
     )
-    if lacking:
-        await state.peers.notify(address, SettingsNews(lacking))
-    await _fetch(state, address, source, theirs)
+    if missing:
+        await state.peers.notify(address, SettingsNews(missing))
+    await _fetch(state, address, source, remote_versions)
 
 
 async def _fetch(state: NodeState, address: str, source: str, versions: Vector) -> None:
@@ -186,24 +188,24 @@
     """
     standing = state.book.standing
     with trio.move_on_after(2 * PEER_TIMEOUT / MS_PER_S):
-        while lacking := _lacking(state, versions):
-            free = {
+        while missing := _find_missing(state, versions):
+            unclaimed = {
                 team: version
-                for team, version in lacking.items()
+                for team, version in missing.items()
                 if version > standing.fetching.get(team, 0)
             }
-            if free:
-                await _fetch_now(state, address, source, free)
+            if unclaimed:
+                await _fetch_unclaimed(state, address, source, unclaimed)
                 return
             await standing.changed.wait()
 
 
-def _lacking(state: NodeState, versions: Vector) -> dict[str, int]:
+def _find_missing(state: NodeState, versions: Vector) -> dict[str, int]:
     seen = dict(state.book.seen())
     return {team: v for team, v in versions if v > seen.get(team, 0)}
 
 
-async def _fetch_now(
+async def _fetch_unclaimed(
     state: NodeState, address: str, source: str, wanted: dict[str, int]
 ) -> None:
     standing = state.book.standing
@@ -228,13 +230,13 @@
         reply = await state.peers.ask(address, query)
         if not isinstance(reply, SettingsTexts) or not reply.texts:
             return
-        take(state, reply.texts, source)
+        adopt_texts(state, reply.texts, source)
         for text in reply.texts:
             known.pop(text.team, None)
         more = reply.more
 
 
-def _texts(state: NodeState, msg: SettingsQuery) -> SettingsTexts:
+def _find_newer_texts(state: NodeState, msg: SettingsQuery) -> SettingsTexts:
     found: list[TeamText] = []
     n_chars = 0
     for team, version in msg.known:
@@ -248,27 +250,29 @@
     return SettingsTexts(tuple(found), more=False)
 
 
-async def _tell(state: NodeState, address: str, news: SettingsNews) -> None:
+async def _send_announcement(
+    state: NodeState, address: str, announcement: SettingsNews
+) -> None:
     with trio.move_on_after(PEER_TIMEOUT / MS_PER_S):
-        await state.peers.notify(address, news)
+        await state.peers.notify(address, announcement)
 
 
 def random_contact(state: NodeState) -> tuple[str, str] | None:
     """Return address and name of a random other node; a first peer if none is known."""
     membership = state.membership
-    me = membership.self_member.node
-    others = [m for m in membership.members() if m.node != me and not m.gone]
+    own_name = membership.self_member.node
+    others = [m for m in membership.members() if m.node != own_name and not m.gone]
     if others:
         member = state.rng.choice(others)
         return member.address, member.node
-    first = [a for a in state.cfg.peers.first if a != state.cfg.peer_address]
-    if not first:
+    initial_peers = [a for a in state.cfg.peers.first if a != state.cfg.peer_address]
+    if not initial_peers:
         return None
-    address = state.rng.choice(first)
+    address = state.rng.choice(initial_peers)
     return address, address
 
 
-def _note_adopted(state: NodeState, adopted: Adopted, source: str) -> None:
+def _record_adopted(state: NodeState, adopted: Adopted, source: str) -> None:
     telemetry = state.telemetry
     telemetry.ring.record(
         EventKind.SETTINGS_ADOPTED,
@@ -286,12 +290,12 @@
         state.gate.adopt(replace(state.cfg.gate, weight=settings.weight))
 
 
-def _note_invalid(state: NodeState, invalid: Invalid, source: str) -> None:
+def _record_invalid(state: NodeState, invalid: Invalid, source: str) -> None:
     state.telemetry.ring.record(
         EventKind.SETTINGS_REFUSED,
         team=invalid.team,
         version=invalid.version,
         source=source,
         faults=len(invalid.faults.faults),
-        first=str(invalid.faults.faults[0])[:_SHOWN_FAULT],
+        first=str(invalid.faults.faults[0])[:_MAX_SHOWN_FAULT_CHARS],
     )
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/sync.py
@@ -34,7 +34,7 @@
     """
     async with trio.open_nursery() as nursery:
         nursery.start_soon(watch.bootstrap, state)
-        nursery.start_soon(watch.keep_watching, state)
-        nursery.start_soon(watch.keep_deputy, state)
-        nursery.start_soon(spread.pass_news_on, state)
-        nursery.start_soon(spread.keep_comparing, state)
+        nursery.start_soon(watch.run_watch, state)
+        nursery.start_soon(watch.run_proxy_watch, state)
+        nursery.start_soon(spread.announce_adopted, state)
+        nursery.start_soon(spread.compare_periodically, state)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/watch.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/watch.py
@@ -29,19 +29,19 @@
 
     _Changes: TypeAlias = AsyncGenerator[StoredObject | PlatformUnavailable]
 
-SOURCE = "platform"
-N_RELAYS = 2
+PLATFORM_SOURCE = "platform"
+N_WATCHERS = 2
 ROLE_INTERVAL: Milliseconds = 250.0
-RETRY_LEAST: Milliseconds = 250.0
-RETRY_MOST: Milliseconds = 2_000.0
-DEPUTY_TERM: Milliseconds = 6_000.0
-DEPUTY_RENEWAL: Milliseconds = 2_000.0
-DEPUTY_PAUSE: Milliseconds = 500.0
-DEPUTY_PATIENCE: Milliseconds = 1_000.0
+MIN_RETRY_DELAY: Milliseconds = 250.0
+MAX_RETRY_DELAY: Milliseconds = 2_000.0
+PROXY_WATCH_LEASE: Milliseconds = 6_000.0
+PROXY_WATCH_RENEWAL: Milliseconds = 2_000.0
+PROXY_WATCH_RETRY_DELAY: Milliseconds = 500.0
+PROXY_WATCH_TIMEOUT: Milliseconds = 1_000.0
 BOOTSTRAP_INTERVAL: Milliseconds = 200.0
-BOOTSTRAP_PATIENCE: Milliseconds = 1_500.0
-BOOTSTRAP_MOST: Milliseconds = 10_000.0
-OTHERS_PATIENCE = 4.0
+BOOTSTRAP_PEER_TIMEOUT: Milliseconds = 1_500.0
+MAX_BOOTSTRAP_PEER_TIMEOUT: Milliseconds = 10_000.0
+NON_WATCHER_TIMEOUT_FACTOR = 4.0
 
 
 def register(state: NodeState) -> None:
@@ -49,16 +49,16 @@
 
     async def on_watch_for_me(_peer: str, _msg: WatchForMe) -> WatchReply:
         standing = state.book.standing
-        standing.deputy_until = state.clock.now() + DEPUTY_TERM
+        standing.deputy_until = state.clock.now() + PROXY_WATCH_LEASE
         standing.notify()
-        with trio.move_on_after(DEPUTY_PATIENCE / MS_PER_S):
+        with trio.move_on_after(PROXY_WATCH_TIMEOUT / MS_PER_S):
             while not standing.watching:
                 await standing.changed.wait()
         if not standing.watching:
             standing.deputy_until = float("-inf")
         return WatchReply(standing.watching)
 
-    state.handlers.on_ask(WatchForMe, on_watch_for_me)
+    state.handlers.on_request(WatchForMe, on_watch_for_me)
 
 
 def text_of(stored: StoredObject) -> TeamText:
@@ -75,22 +75,22 @@
     return TeamText(team_of(stored.path), stored.version, text, deleted)
 
 
-def take_objects(state: NodeState, objects: tuple[StoredObject, ...]) -> None:
+def adopt_objects(state: NodeState, objects: tuple[StoredObject, ...]) -> None:
     """Offer objects of the platform to the book."""
     texts = [text_of(stored) for stored in objects if team_of(stored.path)]
-    spread.take(state, texts, SOURCE)
+    spread.adopt_texts(state, texts, PLATFORM_SOURCE)
 
 
-def relays(state: NodeState) -> tuple[str, ...]:
+def watcher_names(state: NodeState) -> tuple[str, ...]:
     """Return the nodes of the own data centre that hold the watch.
 
     The last on the ring, since the first have the digest of members to write.
     """
     own = state.membership.self_member.data_centre
-    return state.membership.rings.nodes(own)[-N_RELAYS:]
+    return state.membership.rings.nodes(own)[-N_WATCHERS:]
 
 
-async def keep_watching(state: NodeState) -> None:
+async def run_watch(state: NodeState) -> None:
     """Hold the watch whenever it is this node's turn, until cancelled.
 
     Not before the node has settings: when all nodes start at once, each takes itself
@@ -98,39 +98,41 @@
     """
     while not state.book.standing.complete:
         await state.book.standing.changed.wait()
-    retry = RETRY_LEAST
+    retry = MIN_RETRY_DELAY
     while True:
-        if not _is_needed(state):
+        if not _is_responsible(state):
             # Whoever asks for the platform's state should ask those that know it.
             state.book.standing.platform_up = None
-            await _until_changed(state, ROLE_INTERVAL)
+            await _wait_for_change(state, ROLE_INTERVAL)
             continue
-        worked = True
+        has_worked = True
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(_cancel_when_not_needed, state, nursery.cancel_scope)
-            worked = await _watch(state)
+            nursery.start_soon(
+                _cancel_when_not_responsible, state, nursery.cancel_scope
+            )
+            has_worked = await _watch(state)
             nursery.cancel_scope.cancel()
-        retry = RETRY_LEAST if worked else min(2 * retry, RETRY_MOST)
-        if _is_needed(state):
+        retry = MIN_RETRY_DELAY if has_worked else min(2 * retry, MAX_RETRY_DELAY)
+        if _is_responsible(state):
             await sleep_ms(retry * state.rng.uniform(0.5, 1.0))
 
 
-async def keep_deputy(state: NodeState) -> None:
+async def run_proxy_watch(state: NodeState) -> None:
     """While this node ought to watch and cannot, have another do it."""
-    deputy: Member | None = None
+    proxy: Member | None = None
     while True:
         standing = state.book.standing
         failed = standing.platform_up is False and not standing.watching
-        if not failed or state.node not in relays(state):
-            deputy = None
+        if not failed or state.node not in watcher_names(state):
+            proxy = None
             await sleep_ms(ROLE_INTERVAL)
             continue
-        deputy = deputy or _random_deputy(state)
-        if deputy is None or not await _ask_deputy(state, deputy):
-            deputy = None
-            await sleep_ms(DEPUTY_PAUSE)
+        proxy = proxy or _choose_proxy(state)
+        if proxy is None or not await _request_proxy_watch(state, proxy):
+            proxy = None
+            await sleep_ms(PROXY_WATCH_RETRY_DELAY)
             continue
-        await sleep_ms(DEPUTY_RENEWAL)
+        await sleep_ms(PROXY_WATCH_RENEWAL)
 
 
 async def bootstrap(state: NodeState) -> None:
@@ -140,7 +142,7 @@
     are to hold the watch read the platform, and the others only much later.
     """
     standing = state.book.standing
-    patience = BOOTSTRAP_PATIENCE * state.rng.uniform(1.0, 2.0)
+    peer_timeout = BOOTSTRAP_PEER_TIMEOUT * state.rng.uniform(1.0, 2.0)
     started = state.clock.now()
     while not standing.complete:
         contact = spread.random_contact(state)
@@ -148,13 +150,15 @@
             await spread.compare(state, *contact)
         if standing.complete:
             return
-        is_relay = state.node in relays(state)
-        limit = patience if is_relay else OTHERS_PATIENCE * patience
+        is_watcher = state.node in watcher_names(state)
+        limit = (
+            peer_timeout if is_watcher else NON_WATCHER_TIMEOUT_FACTOR * peer_timeout
+        )
         if contact is None or state.clock.now() >= started + limit:
             await _read_all(state)
             started = state.clock.now()
-            patience = min(2 * patience, BOOTSTRAP_MOST)
-        await _until_changed(state, BOOTSTRAP_INTERVAL)
+            peer_timeout = min(2 * peer_timeout, MAX_BOOTSTRAP_PEER_TIMEOUT)
+        await _wait_for_change(state, BOOTSTRAP_INTERVAL)
 
 
 async def _watch(state: NodeState) -> bool:
@@ -171,9 +175,9 @@
         async with aclosing(cast("_Changes", watch)) as changes:
             async for change in changes:
                 if isinstance(change, PlatformUnavailable):
-                    _note_platform(state, is_up=False)
+                    _record_platform_state(state, is_up=False)
                     return True
-                take_objects(state, (change,))
+                adopt_objects(state, (change,))
     finally:
         standing.watching = False
     return True
@@ -184,15 +188,15 @@
     state.telemetry.metrics.count(Counter.PLATFORM_CALLS, "settings-list")
     found = await state.platform.list(SETTINGS_PREFIX)
     is_up = not isinstance(found, PlatformUnavailable)
-    _note_platform(state, is_up)
+    _record_platform_state(state, is_up)
     if isinstance(found, PlatformUnavailable):
         return None
-    take_objects(state, found)
-    spread.set_complete(state)
+    adopt_objects(state, found)
+    spread.mark_complete(state)
     return max((stored.version for stored in found), default=0)
 
 
-def _note_platform(state: NodeState, is_up: bool) -> None:
+def _record_platform_state(state: NodeState, is_up: bool) -> None:
     metrics = state.telemetry.metrics
     if not is_up:
         metrics.count(Counter.PLATFORM_FAILURES, "settings")
@@ -205,33 +209,35 @@
     state.telemetry.ring.record(kind)
 
 
-def _is_needed(state: NodeState) -> bool:
+def _is_responsible(state: NodeState) -> bool:
     if state.clock.now() < state.book.standing.deputy_until:
         return True
-    return state.node in relays(state)
+    return state.node in watcher_names(state)
 
 
-async def _cancel_when_not_needed(state: NodeState, scope: trio.CancelScope) -> None:
-    while _is_needed(state):
+async def _cancel_when_not_responsible(
+    state: NodeState, scope: trio.CancelScope
+) -> None:
+    while _is_responsible(state):
         await sleep_ms(ROLE_INTERVAL)
     scope.cancel()
 
 
-async def _until_changed(state: NodeState, limit: Milliseconds) -> None:
+async def _wait_for_change(state: NodeState, limit: Milliseconds) -> None:
     with trio.move_on_after(limit / MS_PER_S):
         await state.book.standing.changed.wait()
 
 
-def _random_deputy(state: NodeState) -> Member | None:
-    watching = relays(state)
+def _choose_proxy(state: NodeState) -> Member | None:
+    watching = watcher_names(state)
     own = state.membership.self_member.data_centre
     nodes = [n for n in state.membership.rings.nodes(own) if n not in watching]
     return state.membership.get(state.rng.choice(nodes)) if nodes else None
 
 
-async def _ask_deputy(state: NodeState, deputy: Member) -> bool:
-    limit = DEPUTY_PATIENCE + spread.PEER_TIMEOUT
+async def _request_proxy_watch(state: NodeState, proxy: Member) -> bool:
+    limit = PROXY_WATCH_TIMEOUT + spread.PEER_TIMEOUT
     with trio.move_on_after(limit / MS_PER_S):
-        reply = await state.peers.ask(deputy.address, WatchForMe())
+        reply = await state.peers.ask(proxy.address, WatchForMe())
         return isinstance(reply, WatchReply) and reply.watching
     return False
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/write.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/write.py
@@ -59,13 +59,13 @@
     "Unsettled",
     "WriteResult",
     "delete_settings",
-    "holder_here",
-    "is_operators",
+    "find_local_holder",
+    "is_operators_token",
     "put_settings",
 ]
 
 OPERATORS = "operators"
-SETTLE_PAUSES: tuple[Milliseconds, ...] = (100.0, 300.0, 900.0, 2_000.0)
+SETTLE_RETRY_DELAYS: tuple[Milliseconds, ...] = (100.0, 300.0, 900.0, 2_000.0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -118,7 +118,7 @@
         What became of it.
     """
     change = _Change(team, Action.PUT, text, expected_version, change_id, token, repeat)
-    if (forbidden := _forbidden_here(state, change)) is not None:
+    if (forbidden := _refuse_locally(state, change)) is not None:
         return forbidden
     settings = parse_team(team, text)
     if isinstance(settings, SettingsFaults):
@@ -138,12 +138,12 @@
     change = _Change(
         team, Action.DELETE, "", expected_version, change_id, token, repeat
     )
-    if (forbidden := _forbidden_here(state, change)) is not None:
+    if (forbidden := _refuse_locally(state, change)) is not None:
         return forbidden
     return await _change(state, change)
 
 
-def holder_here(state: NodeState, team: str, token: str) -> str | None:
+def find_local_holder(state: NodeState, team: str, token: str) -> str | None:
     """Return who holds a token for a team, as the settings in force here say.
 
     Parameters
@@ -161,23 +161,23 @@
         `OPERATORS` for the token of the node's own settings, which is good for
         every team; None if the token is good for nothing here.
     """
-    if is_operators(state, token):
+    if is_operators_token(state, token):
         return OPERATORS
     settings = state.book.team(team)
     return holder_of(settings.token_digests, token) if settings else None
 
 
-def is_operators(state: NodeState, token: str) -> bool:
+def is_operators_token(state: NodeState, token: str) -> bool:
     """Whether a token is the one that may create teams and drain the node."""
     digest = state.cfg.admin.token_digest
     return bool(digest) and is_token(digest, token)
 
 
-def _forbidden_here(state: NodeState, change: _Change) -> Forbidden | None:
+def _refuse_locally(state: NodeState, change: _Change) -> Forbidden | None:
     """Refuse most strangers without a call to the platform."""
     if not state.book.standing.complete:
         return None
-    if holder_here(state, change.team, change.token) is not None:
+    if find_local_holder(state, change.team, change.token) is not None:
         return None
     return _forbidden(change.team)
 
@@ -195,7 +195,7 @@
     if isinstance(result, Unavailable):
         return Unsettled(change.change_id, result.detail, expected)
     if isinstance(result, Conflict) and not result.is_sure:
-        return Unsettled(change.change_id, _forgotten(expected), expected)
+        return Unsettled(change.change_id, _describe_short_history(expected), expected)
     return result
 
 
@@ -206,15 +206,15 @@
         return Unavailable(current.detail)
     held = state.book.text(change.team)
     if held is not None and current.version < held.version:
-        return Unavailable(_went_back(current, held.version))
+        return Unavailable(_describe_lost_changes(current, held.version))
     stored = _read(current)
-    by = _holder_there(state, change, current, stored)
+    by = _find_platform_holder(state, change, current, stored)
     if by is None:
         return _forbidden(change.team)
-    if (made := _made(change, current)) is not None:
-        return made
-    unnamed_repeat = change.repeat and change.expected_version is None
-    if unnamed_repeat or not _is_expected(change, current, stored):
+    if (earlier_result := _find_earlier_result(change, current)) is not None:
+        return earlier_result
+    is_repeat_without_version = change.repeat and change.expected_version is None
+    if is_repeat_without_version or not _is_expected(change, current, stored):
         return _conflict(change, current)
     record = ChangeRecord(
         change_id=change.change_id,
@@ -225,7 +225,7 @@
         digest=text_digest(change.body),
     )
     value = write_stored(record, stored.records, change.body).encode()
-    result = await _put_settled(state, change, path, value, current.version)
+    result = await _put_until_settled(state, change, path, value, current.version)
     if isinstance(result, Accepted):
         state.telemetry.ring.record(
             EventKind.SETTINGS_WRITTEN,
@@ -237,23 +237,25 @@
     return result
 
 
-async def _put_settled(
+async def _put_until_settled(
     state: NodeState, change: _Change, path: str, value: bytes, version: int
 ) -> WriteResult:
     """Write, and ask again while it is open whether the write took effect."""
     maybe_applied = False
     detail = ""
-    for pause in (*SETTLE_PAUSES, None):
+    for pause in (*SETTLE_RETRY_DELAYS, None):
         state.telemetry.metrics.count(Counter.PLATFORM_CALLS, "settings-put")
         result = await state.platform.put(path, value, version)
         if isinstance(result, StoredObject):
-            watch.take_objects(state, (result,))
+            watch.adopt_objects(state, (result,))
             return Accepted(change.team, result.version, result.version)
         if isinstance(result, PlatformConflict):
             settled = _settle_conflict(state, change, result.current, version)
-            is_open = isinstance(settled, Conflict) and not settled.is_sure
-            if maybe_applied and is_open:
-                return Unsettled(change.change_id, _forgotten(version), version)
+            is_undecided = isinstance(settled, Conflict) and not settled.is_sure
+            if maybe_applied and is_undecided:
+                return Unsettled(
+                    change.change_id, _describe_short_history(version), version
+                )
             return settled
         maybe_applied = maybe_applied or result.maybe_applied
         detail = result.detail
@@ -271,11 +273,13 @@
     if current is None:
         # There was an object, and the platform has forgotten it and its version.
         return Unavailable("the platform lost the object that was to be replaced")
-    watch.take_objects(state, (current,))
-    return _made(change, current) or _conflict(change, current, replaced)
+    watch.adopt_objects(state, (current,))
+    return _find_earlier_result(change, current) or _conflict(change, current, replaced)
 
 
-def _made(change: _Change, current: StoredObject) -> Accepted | Conflict | None:
+def _find_earlier_result(
+    change: _Change, current: StoredObject
+) -> Accepted | Conflict | None:
     """Return what became of this change if it took effect before.
 
     The id of another change, with another text, is a conflict.
@@ -301,11 +305,11 @@
     return read_stored(watch.text_of(current).text)
 
 
-def _holder_there(
+def _find_platform_holder(
     state: NodeState, change: _Change, current: StoredObject, stored: StoredText
 ) -> str | None:
     """Return the token's holder by what stands on the platform at this moment."""
-    if is_operators(state, change.token):
+    if is_operators_token(state, change.token):
         return OPERATORS
     if current.deleted or stored.deleted:
         return None
@@ -329,24 +333,26 @@
     stored = _read(current)
     if replaced is None:
         replaced = change.expected_version
-    there = f"{change.team} version {current.version}"
+    platform_label = f"{change.team} version {current.version}"
     return Conflict(
         team=change.team,
         expected_version=change.expected_version or 0,
         version=current.version,
         deleted=current.deleted or stored.deleted,
         text=stored.body,
-        diff=difference(stored.body, change.body, there, f"change {change.change_id}"),
+        diff=difference(
+            stored.body, change.body, platform_label, f"change {change.change_id}"
+        ),
         by=stored.records[0].by if stored.records else "",
         is_sure=any(r.replaced == replaced for r in stored.records),
     )
 
 
-def _forgotten(version: int) -> str:
+def _describe_short_history(version: int) -> str:
     return f"the history does not reach back to version {version}"
 
 
-def _went_back(current: StoredObject, in_force: int) -> str:
+def _describe_lost_changes(current: StoredObject, in_force: int) -> str:
     """Say why a change would be accepted and never be in force."""
     return (
         f"it holds version {current.version} of {current.path}, below {in_force} which"
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/codec.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/codec.py
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Form:
+class _MessageCodec:
     """How a registered data class is written and read."""
 
     tag: int
@@ -70,8 +70,8 @@
     read: _Convert
 
 
-_BY_TAG: dict[int, _Form] = {}
-_BY_CLASS: dict[type, _Form] = {}
+_BY_TAG: dict[int, _MessageCodec] = {}
+_BY_CLASS: dict[type, _MessageCodec] = {}
 
 
 def message(tag: int, **names: Any) -> Callable[[_Cls], _Cls]:
@@ -100,9 +100,9 @@
             raise ValueError(f"tag {tag} of {cls} is taken by {_BY_TAG[tag].cls}")
         names.setdefault(cls.__name__, cls)
         write, read = _class_converters(cls, {**_SHARED_NAMES, **names})
-        form = _Form(tag, cls, write, read)
-        _BY_TAG[tag] = form
-        _BY_CLASS[cls] = form
+        codec = _MessageCodec(tag, cls, write, read)
+        _BY_TAG[tag] = codec
+        _BY_CLASS[cls] = codec
         return cls
 
     return register
@@ -110,8 +110,8 @@
 
 def to_array(msg: object) -> list[Any]:
     """Return a message as plain values, its tag first."""
-    form = _BY_CLASS[type(msg)]
-    return [form.tag, *form.write(msg)]
+    codec = _BY_CLASS[type(msg)]
+    return [codec.tag, *codec.write(msg)]
 
 
 def from_array(value: Any) -> object | MalformedFrame:
@@ -170,10 +170,10 @@
         raise _ShapeError(
             f"expected an array that starts with a tag, got {value!r:.60}"
         )
-    form = _BY_TAG.get(value[0]) if isinstance(value[0], int) else None
-    if form is None:
+    codec = _BY_TAG.get(value[0]) if isinstance(value[0], int) else None
+    if codec is None:
         raise _ShapeError(f"tag {value[0]!r:.60} is unknown")
-    return form.read(value[1:])
+    return codec.read(value[1:])
 
 
 def _class_converters(
@@ -231,8 +231,8 @@
     if isinstance(hint, type) and issubclass(hint, Enum):
         return _write_enum, _enum_reader(hint)
     if hint in _BY_CLASS:
-        form = _BY_CLASS[hint]
-        return form.write, form.read
+        codec = _BY_CLASS[hint]
+        return codec.write, codec.read
     if isinstance(hint, type) and is_dataclass(hint):
         return _class_converters(hint, names)
     origin = typing.get_origin(hint)
@@ -283,7 +283,7 @@
         return _sequence_converters(*_converters(args[0], names))
     parts = [_converters(arg, names) for arg in args]
     n_items = len(parts)
-    plain = all(write is None for write, _ in parts)
+    is_passthrough = all(write is None for write, _ in parts)
 
     def write(value: Any) -> Any:
         return [
@@ -296,7 +296,7 @@
             raise _ShapeError(f"expected {n_items} items, got {value!r:.60}")
         return tuple(conv(item) for (_, conv), item in zip(parts, value, strict=True))
 
-    return (None if plain else write), read
+    return (None if is_passthrough else write), read
 
 
 def _sequence_converters(
@@ -326,7 +326,7 @@
         write, read = to_array, _members_reader(tuple(others))
     if not optional:
         return write, read
-    return (None if write is None else _none_or(write)), _none_or(read)
+    return (None if write is None else _optional(write)), _optional(read)
 
 
 def _members_reader(members: tuple[type, ...]) -> _Convert:
@@ -340,7 +340,7 @@
     return read
 
 
-def _none_or(convert: _Convert) -> _Convert:
+def _optional(convert: _Convert) -> _Convert:
     def apply(value: Any) -> Any:
         return None if value is None else convert(value)
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/gossip/test_failures.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/gossip/test_failures.py
@@ -10,17 +10,17 @@
 from fuchsiagap_standins.members import open_fleet, run_virtual
 from fuchsiagap_standins.platform import PlatformFaults
 
-NOTICED_MS = 3_000.0
-HEALED_MS = 5_000.0
-HALLS = ("hall-a", "hall-b", "hall-c")
-DOWN = PlatformFaults(outage=True)
+DETECTION_MS = 3_000.0
+CONVERGENCE_MS = 5_000.0
+DATA_CENTRES = ("hall-a", "hall-b", "hall-c")
+PLATFORM_OUTAGE = PlatformFaults(outage=True)
 
 
-def start(fleet, per_hall, halls=HALLS, **options):
+def start(fleet, n_per_data_centre, data_centres=DATA_CENTRES, **options):
     return [
-        fleet.add(f"certs-{hall[-1]}{i}", hall, **options)
-        for i in range(per_hall)
-        for hall in halls
+        fleet.add(f"certs-{data_centre[-1]}{i}", data_centre, **options)
+        for i in range(n_per_data_centre)
+        for data_centre in data_centres
     ]
 
 
@@ -28,32 +28,32 @@
     return lambda: all(n.state_of(node) is state for n in fleet.nodes.values())
 
 
-def note_lost(node, lost):
+def record_missing(node, lost):
     names = {instance.node for instance in node.membership.instances()}
     lost += [m.node for m in node.membership.members() if m.node not in names]
 
 
 class TestFailures(TestCase):
-    def test_a_dead_node_is_noticed_everywhere_also_without_the_platform(self):
+    def test_dead_nodes_are_detected_everywhere_during_a_platform_outage(self):
         async def main():
             async with open_fleet(seed=1) as fleet:
                 start(fleet, 4)
                 await fleet.until(fleet.agree)
-                fleet.store.set_faults(DOWN)
+                fleet.store.set_faults(PLATFORM_OUTAGE)
                 await trio.sleep(60.0)
                 self.assertTrue(fleet.agree())
                 # Hosts that vanish send nothing back, unlike processes that end.
                 fleet.network.pause("certs-a1:7000")
                 fleet.nodes.pop("certs-a1")
                 seen = all_see(fleet, "certs-a1", MemberState.DEAD)
-                await fleet.until(seen, NOTICED_MS)
+                await fleet.until(seen, DETECTION_MS)
                 fleet.crash("certs-b2")
                 seen = all_see(fleet, "certs-b2", MemberState.DEAD)
-                await fleet.until(seen, NOTICED_MS)
+                await fleet.until(seen, DETECTION_MS)
 
         run_virtual(main)
 
-    def test_an_hour_without_the_platform_forgets_nobody(self):
+    def test_no_member_is_lost_in_an_hour_without_the_platform(self):
         async def main():
             cfg = MembershipSettings(
                 heartbeat_interval=5_000.0,
@@ -62,41 +62,41 @@
                 sync_interval=10_000.0,
             )
             async with open_fleet(seed=2, cfg=cfg) as fleet:
-                start(fleet, 1, HALLS[:2])
+                start(fleet, 1, DATA_CENTRES[:2])
                 await fleet.until(fleet.agree)
-                fleet.store.set_faults(DOWN)
+                fleet.store.set_faults(PLATFORM_OUTAGE)
                 await trio.sleep(3_600.0)
                 self.assertTrue(fleet.agree())
                 fleet.add("certs-new", first=["certs-b0:7000"])
-                await fleet.until(fleet.agree, NOTICED_MS)
+                await fleet.until(fleet.agree, DETECTION_MS)
 
         run_virtual(main)
 
-    def test_joins_through_the_platform_only_and_through_peers_only(self):
+    def test_nodes_join_through_the_platform_or_through_peers_alone(self):
         async def main():
             async with open_fleet(seed=3) as fleet:
                 start(fleet, 2)
                 await fleet.until(fleet.agree)
                 fleet.add("certs-new", first=["10.9.9.9:1"])
-                await fleet.until(fleet.agree, NOTICED_MS)
-                fleet.store.set_faults(DOWN)
+                await fleet.until(fleet.agree, DETECTION_MS)
+                fleet.store.set_faults(PLATFORM_OUTAGE)
                 fleet.add("certs-newer", first=["10.9.9.9:1", "certs-c1:7000"])
-                await fleet.until(fleet.agree, NOTICED_MS)
+                await fleet.until(fleet.agree, DETECTION_MS)
 
         run_virtual(main)
 
-    def test_a_first_node_without_anybody_is_joined_later(self):
+    def test_a_first_node_without_peers_is_joined_later(self):
         async def main():
             async with open_fleet(seed=4) as fleet:
-                fleet.store.set_faults(DOWN)
+                fleet.store.set_faults(PLATFORM_OUTAGE)
                 fleet.add("certs-1", first=["certs-2:7000"])
                 await trio.sleep(60.0)
                 fleet.add("certs-2", first=["certs-1:7000"])
-                await fleet.until(fleet.agree, NOTICED_MS)
+                await fleet.until(fleet.agree, DETECTION_MS)
 
         run_virtual(main)
 
-    def test_a_paused_node_comes_back_and_harms_nothing(self):
+    def test_a_paused_node_rejoins_and_removes_no_instances(self):
         async def main():
             async with open_fleet(seed=5) as fleet:
                 start(fleet, 4)
@@ -108,13 +108,13 @@
                     dead = MemberState.DEAD
                     return all(n.state_of("certs-b1") is dead for n in others)
 
-                await fleet.until(noticed, NOTICED_MS)
+                await fleet.until(noticed, DETECTION_MS)
                 await trio.sleep(20.0)
                 lost = []
                 for node in others:
-                    node.membership.on_instances(partial(note_lost, node, lost))
+                    node.membership.on_instances(partial(record_missing, node, lost))
                 fleet.network.resume("certs-b1:7000")
-                await fleet.until(fleet.agree, HEALED_MS)
+                await fleet.until(fleet.agree, CONVERGENCE_MS)
                 await trio.sleep(5.0)
                 self.assertTrue(fleet.agree())
                 # It calls dead whom it did not hear, and nobody believes it at once.
@@ -124,15 +124,15 @@
 
         run_virtual(main)
 
-    def test_a_process_that_was_stopped_lets_no_suspicion_lapse(self):
+    def test_suspicions_do_not_expire_during_a_process_pause(self):
         async def main():
             async with open_fleet(seed=11) as fleet:
                 nodes = start(fleet, 4)
                 await fleet.until(fleet.agree)
                 stopped = nodes[4]
-                jump = [0.0]
+                clock_jump = [0.0]
                 clock = stopped.clock
-                stopped.clock = Clock(lambda: clock.now() + jump[0], clock.wall)
+                stopped.clock = Clock(lambda: clock.now() + clock_jump[0], clock.wall)
                 stopped.membership._clock = stopped.clock
                 dead = []
                 stopped.membership.on_change(
@@ -141,16 +141,16 @@
                 fleet.network.pause("certs-a0:7000")
                 suspect = MemberState.SUSPECT
                 await fleet.until(lambda: stopped.state_of("certs-a0") is suspect)
-                jump[0] = 30_000.0
+                clock_jump[0] = 30_000.0
                 await trio.sleep(0.5)
                 fleet.network.resume("certs-a0:7000")
-                await fleet.until(fleet.agree, HEALED_MS)
+                await fleet.until(fleet.agree, CONVERGENCE_MS)
                 await trio.sleep(5.0)
                 self.assertEqual([], dead)
 
         run_virtual(main)
 
-    def test_a_data_centre_cut_off_keeps_its_own_and_heals(self):
+    def test_a_partitioned_data_centre_keeps_its_members_and_converges(self):
         async def main():
             async with open_fleet(seed=6) as fleet:
                 start(fleet, 4)
@@ -158,15 +158,15 @@
                 cut_off = fleet.addresses("hall-c")
                 rest = fleet.addresses("hall-a") | fleet.addresses("hall-b")
                 fleet.network.cut(cut_off | {"certs-c9:7000"}, rest)
-                fleet.store.set_faults(DOWN)
+                fleet.store.set_faults(PLATFORM_OUTAGE)
 
                 def seen(name):
                     node = fleet.nodes[name]
                     return {i.data_centre for i in node.membership.instances()}
 
-                await fleet.until(lambda: seen("certs-c1") == {"hall-c"}, NOTICED_MS)
+                await fleet.until(lambda: seen("certs-c1") == {"hall-c"}, DETECTION_MS)
                 await fleet.until(
-                    lambda: seen("certs-a1") == {"hall-a", "hall-b"}, NOTICED_MS
+                    lambda: seen("certs-a1") == {"hall-a", "hall-b"}, DETECTION_MS
                 )
                 fleet.crash("certs-a3")
                 fleet.add("certs-c9", "hall-c", first=["certs-c1:7000"])
@@ -180,20 +180,20 @@
                     fleet.network.lose_links(address)
                 fleet.network.heal()
 
-                def whole():
+                def is_converged():
                     return fleet.agree() and all(
                         {i.node for i in n.router.instances} == set(fleet.nodes)
                         for n in fleet.nodes.values()
                     )
 
-                await fleet.until(whole, HEALED_MS)
+                await fleet.until(is_converged, CONVERGENCE_MS)
 
         run_virtual(main)
 
-    def test_halves_of_one_data_centre_heal_after_long(self):
+    def test_halves_of_a_data_centre_converge_after_a_partition(self):
         async def main():
             async with open_fleet(seed=7) as fleet:
-                start(fleet, 12, HALLS[:1])
+                start(fleet, 12, DATA_CENTRES[:1])
                 await fleet.until(fleet.agree)
                 names = sorted(fleet.addresses("hall-a"))
                 fleet.network.cut(set(names[:6]), set(names[6:]))
@@ -202,28 +202,28 @@
                 for address in names[:6]:
                     fleet.network.lose_links(address)
                 fleet.network.heal()
-                await fleet.until(fleet.agree, HEALED_MS)
+                await fleet.until(fleet.agree, CONVERGENCE_MS)
 
         run_virtual(main)
 
-    def test_a_replaced_node_with_a_clock_behind_gets_a_higher_life(self):
+    def test_a_replaced_node_with_a_slow_clock_gets_a_higher_incarnation(self):
         async def main():
             async with open_fleet(seed=8) as fleet:
-                start(fleet, 3, HALLS[:1], first=["certs-a0:7000"])
+                start(fleet, 3, DATA_CENTRES[:1], first=["certs-a0:7000"])
                 await fleet.until(fleet.agree)
                 fleet.crash("certs-a1")
                 await trio.sleep(5.0)
                 fleet.add("certs-a1", first=["certs-a0:7000"], incarnation=1)
-                await fleet.until(fleet.agree, NOTICED_MS)
+                await fleet.until(fleet.agree, DETECTION_MS)
                 life = fleet.nodes["certs-a1"].membership.self_member.incarnation
                 self.assertGreater(life, 1_000)
 
         run_virtual(main)
 
-    def test_one_lost_link_makes_nobody_dead(self):
+    def test_one_failed_link_marks_no_node_dead(self):
         async def main():
             async with open_fleet(seed=9) as fleet:
-                start(fleet, 6, HALLS[:1])
+                start(fleet, 6, DATA_CENTRES[:1])
                 await fleet.until(fleet.agree)
                 dead = []
                 for node in fleet.nodes.values():
@@ -236,10 +236,10 @@
 
         run_virtual(main)
 
-    def test_a_lost_rack_is_noticed_everywhere_at_once(self):
+    def test_simultaneous_node_failures_are_detected_everywhere(self):
         async def main():
             async with open_fleet(seed=12) as fleet:
-                nodes = start(fleet, 28, HALLS[:1], first=["certs-a0:7000"])
+                nodes = start(fleet, 28, DATA_CENTRES[:1], first=["certs-a0:7000"])
                 await fleet.until(fleet.agree)
                 await trio.sleep(3.0)
                 lost = random.Random(12).sample([n.name for n in nodes], 8)
@@ -249,12 +249,12 @@
                 dead = MemberState.DEAD
                 await fleet.until(
                     lambda: all(all_see(fleet, name, dead)() for name in lost),
-                    NOTICED_MS,
+                    DETECTION_MS,
                 )
 
         run_virtual(main)
 
-    def test_links_lost_at_random_leave_the_views_alike(self):
+    def test_views_converge_after_random_link_and_node_failures(self):
         async def main():
             async with open_fleet(seed=10) as fleet:
                 start(fleet, 4)
@@ -266,7 +266,7 @@
                     if i % 10 == 0:
                         fleet.crash(name)
                     await trio.sleep(0.2)
-                await fleet.until(fleet.agree, HEALED_MS)
+                await fleet.until(fleet.agree, CONVERGENCE_MS)
                 self.assertEqual(len(fleet.nodes), 8)
 
         run_virtual(main)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/settings/test_random.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/settings/test_random_faults.py
@@ -34,19 +34,19 @@
 
 TEAM = "salt-fog"
 PATH = f"/settings/{TEAM}"
-HALLS = ("hall-a", "hall-b", "hall-c")
+DATA_CENTRES = ("hall-a", "hall-b", "hall-c")
 FAULTS_S = 20.0
-PATIENCE_S = 30.0
-OPERATORS = 3
+SETTLE_TIMEOUT_S = 30.0
+N_OPERATORS = 3
 
 
 @dataclass(slots=True)
-class Applied:
+class AppliedChanges:
     """Every change the platform made, by its id."""
 
     versions: dict[str, list[int]] = field(default_factory=dict)
 
-    def follow(self, fleet: SettingsFleet) -> None:
+    def attach_to(self, fleet: SettingsFleet) -> None:
         apply = fleet.store._apply
 
         def applying(
@@ -73,7 +73,7 @@
         change_id = f"{name}-{n_changes}"
         text = f"[certs]\npriority = {rng.randrange(10)}\n"
         result: WriteResult | None = None
-        give_up = max(ends, trio.current_time()) + PATIENCE_S
+        give_up = max(ends, trio.current_time()) + SETTLE_TIMEOUT_S
         while result is None or (
             isinstance(result, Unsettled) and trio.current_time() < give_up
         ):
@@ -90,7 +90,7 @@
         await trio.sleep(rng.uniform(0.0, 0.5))
 
 
-async def disturb(fleet: SettingsFleet, rng: random.Random) -> None:
+async def inject_faults(fleet: SettingsFleet, rng: random.Random) -> None:
     """Bring faults about, one or two at a time, and end them all."""
     ends = trio.current_time() + FAULTS_S
     while trio.current_time() < ends:
@@ -101,12 +101,12 @@
             lose_requests=rng.choice([0.0, 0.3]),
         )
         fleet.store.set_faults(faults)
-        cut = rng.choice([*HALLS, ""])
-        if cut:
-            there = fleet.addresses(cut)
+        partitioned = rng.choice([*DATA_CENTRES, ""])
+        if partitioned:
+            there = fleet.addresses(partitioned)
             others = {s.cfg.peer_address for s in fleet.nodes.values()} - there
             fleet.network.cut(there, others)
-            fleet.store.set_cut_off({s.node for s in fleet.of(cut)})
+            fleet.store.set_cut_off({s.node for s in fleet.of(partitioned)})
         victim = rng.choice(list(fleet.nodes.values()))
         fleet.network.lose_links(victim.cfg.peer_address)
         await trio.sleep(rng.uniform(0.2, 2.0))
@@ -127,7 +127,7 @@
 
 
 class RandomSettingsTest(TestCase):
-    def test_accepted_changes_are_kept_and_no_others_under_random_faults(self) -> None:
+    def test_only_accepted_changes_take_effect_under_random_faults(self) -> None:
         seen: set[type] = set()
         for seed in range(3):
             with self.subTest(seed=seed):
@@ -138,17 +138,19 @@
     async def one_run(self, seed: int) -> set[type]:
         rng = random.Random(seed)
         results: dict[str, WriteResult] = {}
-        applied = Applied()
+        applied = AppliedChanges()
         async with open_settings_fleet(seed) as fleet:
-            applied.follow(fleet)
+            applied.attach_to(fleet)
             for i in range(6):
-                fleet.add(f"certs-{i}", HALLS[i % 3], ["certs-0:7000", "certs-1:7000"])
+                fleet.add(
+                    f"certs-{i}", DATA_CENTRES[i % 3], ["certs-0:7000", "certs-1:7000"]
+                )
             await fleet.until(lambda: self.complete(fleet))
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(watch_versions, fleet)
                 async with trio.open_nursery() as busy:
-                    busy.start_soon(disturb, fleet, rng)
-                    for i in range(OPERATORS):
+                    busy.start_soon(inject_faults, fleet, rng)
+                    for i in range(N_OPERATORS):
                         busy.start_soon(operate, fleet, rng, f"operator-{i}", results)
                 self.check_results(results, applied)
                 last = max(
@@ -165,7 +167,9 @@
     def complete(self, fleet: SettingsFleet) -> bool:
         return all(s.book.standing.complete for s in fleet.nodes.values())
 
-    def check_results(self, results: dict[str, WriteResult], applied: Applied) -> None:
+    def check_results(
+        self, results: dict[str, WriteResult], applied: AppliedChanges
+    ) -> None:
         for change_id, versions in applied.versions.items():
             self.assertEqual(1, len(versions), f"{change_id} took effect twice")
             self.assertIsInstance(results[change_id], (Accepted, Unsettled), change_id)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/settings/test_sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/settings/test_sync.py
@@ -28,26 +28,30 @@
 
 TEAM = "salt-fog"
 PATH = f"/settings/{TEAM}"
-HALLS = ("hall-a", "hall-b", "hall-c")
-IN_FORCE_MS = 3_000.0
-DOWN = PlatformFaults(outage=True)
+DATA_CENTRES = ("hall-a", "hall-b", "hall-c")
+ADOPTION_MS = 3_000.0
+PLATFORM_OUTAGE = PlatformFaults(outage=True)
 
 
-def a_text(priority: int) -> str:
+def make_text(priority: int) -> str:
     return f"[certs]\npriority = {priority}\n"
 
 
-def start(fleet: SettingsFleet, per_hall: int) -> list[NodeState]:
+def start(fleet: SettingsFleet, n_per_data_centre: int) -> list[NodeState]:
     states = [
-        fleet.add(f"certs-{hall[-1]}{i}", hall, ["certs-a0:7000", "certs-b0:7000"])
-        for i in range(per_hall)
-        for hall in HALLS
+        fleet.add(
+            f"certs-{data_centre[-1]}{i}",
+            data_centre,
+            ["certs-a0:7000", "certs-b0:7000"],
+        )
+        for i in range(n_per_data_centre)
+        for data_centre in DATA_CENTRES
     ]
     return states
 
 
 async def change(state: NodeState, priority: int) -> int:
-    text = a_text(priority)
+    text = make_text(priority)
     result = await put_settings(
         state, TEAM, text, None, f"change-{priority}", OPERATORS_TOKEN
     )
@@ -55,7 +59,7 @@
     return result.version
 
 
-async def write_past_us(fleet: SettingsFleet, text: str) -> int:
+async def write_directly(fleet: SettingsFleet, text: str) -> int:
     stored = await fleet.store.put(PATH, text.encode(), None)
     assert isinstance(stored, StoredObject)
     return stored.version
@@ -92,37 +96,37 @@
         # Nodes that were alone at first leave the watch to the others.
         await trio.sleep(1)
 
-    def test_a_change_is_in_force_everywhere_within_seconds(self) -> None:
+    def test_a_change_takes_effect_everywhere_within_seconds(self) -> None:
         async def main(fleet: SettingsFleet) -> None:
             states = start(fleet, 4)
             await self.ready(fleet)
             version = await change(states[5], 3)
-            await fleet.until(lambda: fleet.in_force(TEAM, version), IN_FORCE_MS)
+            await fleet.until(lambda: fleet.in_force(TEAM, version), ADOPTION_MS)
             self.assertEqual({3}, {priority_at(state) for state in states})
             # Written by somebody else: it comes through the watches.
-            version = await write_past_us(fleet, a_text(4))
-            await fleet.until(lambda: fleet.in_force(TEAM, version), IN_FORCE_MS)
+            version = await write_directly(fleet, make_text(4))
+            await fleet.until(lambda: fleet.in_force(TEAM, version), ADOPTION_MS)
 
         self.run_fleet(1, main)
 
-    def test_a_few_nodes_of_each_data_centre_hold_the_watch(self) -> None:
+    def test_a_few_nodes_of_each_data_centre_watch_the_platform(self) -> None:
         async def main(fleet: SettingsFleet) -> None:
             start(fleet, 3)
             await self.ready(fleet)
             await trio.sleep(5)
-            for hall in HALLS:
-                n = sum(s.book.standing.watching for s in fleet.of(hall))
-                self.assertEqual(watch.N_RELAYS, n)
+            for data_centre in DATA_CENTRES:
+                n = sum(s.book.standing.watching for s in fleet.of(data_centre))
+                self.assertEqual(watch.N_WATCHERS, n)
             before = fleet.store.counts
             await trio.sleep(30)
             after = fleet.store.counts
             # One call per watch and turn; none for the nodes that do not watch.
-            turns = 30 / 30 * watch.N_RELAYS * len(HALLS)
-            self.assertLessEqual(after.watches - before.watches, turns + 6)
+            n_expected_watches = 30 / 30 * watch.N_WATCHERS * len(DATA_CENTRES)
+            self.assertLessEqual(after.watches - before.watches, n_expected_watches + 6)
 
         self.run_fleet(2, main)
 
-    def test_others_take_over_when_the_watching_nodes_are_cut_off(self) -> None:
+    def test_other_nodes_watch_for_watchers_without_platform_access(self) -> None:
         async def main(fleet: SettingsFleet) -> None:
             states = start(fleet, 4)
             await self.ready(fleet)
@@ -132,8 +136,8 @@
             # Others may have taken over already, but none that is cut off watches.
             now = {s.node for s in states if s.book.standing.watching}
             self.assertEqual(set(), watching & now)
-            version = await write_past_us(fleet, a_text(2))
-            await fleet.until(lambda: fleet.in_force(TEAM, version), IN_FORCE_MS)
+            version = await write_directly(fleet, make_text(2))
+            await fleet.until(lambda: fleet.in_force(TEAM, version), ADOPTION_MS)
             # They go back to their own watch, and their deputies stop.
             fleet.store.set_cut_off(set())
             await trio.sleep(15)
@@ -144,41 +148,41 @@
 
         self.run_fleet(3, main)
 
-    def test_others_take_over_when_the_watching_nodes_crash(self) -> None:
+    def test_other_nodes_become_watchers_after_a_crash(self) -> None:
         async def main(fleet: SettingsFleet) -> None:
             states = start(fleet, 4)
             await self.ready(fleet)
             for name in [s.node for s in states if s.book.standing.watching]:
                 fleet.crash(name)
             await trio.sleep(4)
-            version = await write_past_us(fleet, a_text(2))
-            await fleet.until(lambda: fleet.in_force(TEAM, version), IN_FORCE_MS)
+            version = await write_directly(fleet, make_text(2))
+            await fleet.until(lambda: fleet.in_force(TEAM, version), ADOPTION_MS)
 
         self.run_fleet(4, main)
 
-    def test_a_new_node_starts_from_peers_while_the_platform_is_down(self) -> None:
+    def test_a_new_node_gets_settings_from_peers_during_an_outage(self) -> None:
         async def main(fleet: SettingsFleet) -> None:
             states = start(fleet, 2)
             await self.ready(fleet)
             version = await change(states[0], 3)
             await fleet.until(lambda: fleet.in_force(TEAM, version))
-            fleet.store.set_faults(DOWN)
+            fleet.store.set_faults(PLATFORM_OUTAGE)
             new = fleet.add("certs-a9", "hall-a", ["certs-b1:7000"])
-            await fleet.until(lambda: new.book.standing.complete, IN_FORCE_MS)
+            await fleet.until(lambda: new.book.standing.complete, ADOPTION_MS)
             self.assertEqual(3, priority_at(new))
 
         self.run_fleet(5, main)
 
-    def test_a_first_node_starts_from_the_platform_alone(self) -> None:
+    def test_a_first_node_gets_settings_from_the_platform(self) -> None:
         async def main(fleet: SettingsFleet) -> None:
-            await write_past_us(fleet, a_text(6))
+            await write_directly(fleet, make_text(6))
             node = fleet.add("certs-a0", "hall-a", ["certs-gone:7000"])
-            await fleet.until(lambda: node.book.standing.complete, IN_FORCE_MS)
+            await fleet.until(lambda: node.book.standing.complete, ADOPTION_MS)
             self.assertEqual(6, priority_at(node))
 
         self.run_fleet(6, main)
 
-    def test_cut_off_data_centres_converge_after_healing(self) -> None:
+    def test_partitioned_data_centres_converge_after_the_partition(self) -> None:
         async def main(fleet: SettingsFleet) -> None:
             states = start(fleet, 3)
             await self.ready(fleet)
@@ -189,7 +193,7 @@
             fleet.network.cut(cut, others)
             fleet.store.set_cut_off({s.node for s in fleet.of("hall-c")})
             new = await change(states[0], 2)
-            await fleet.until(lambda: fleet.in_force(TEAM, new, "hall-a"), IN_FORCE_MS)
+            await fleet.until(lambda: fleet.in_force(TEAM, new, "hall-a"), ADOPTION_MS)
             await trio.sleep(30)
             # Cut off, it goes on with what it has.
             self.assertTrue(fleet.in_force(TEAM, old, "hall-c"))
@@ -223,15 +227,15 @@
 
         self.run_fleet(8, main)
 
-    def test_a_version_going_back_is_never_adopted(self) -> None:
+    def test_a_lower_version_is_never_adopted(self) -> None:
         async def main(fleet: SettingsFleet) -> None:
             states = start(fleet, 2)
             await self.ready(fleet)
             await change(states[0], 1)
             version = await change(states[0], 2)
             await fleet.until(lambda: fleet.in_force(TEAM, version))
-            stale = [TeamText(TEAM, version - 1, a_text(9))]
-            spread.take(states[1], stale, "certs-b0")
+            stale = [TeamText(TEAM, version - 1, make_text(9))]
+            spread.adopt_texts(states[1], stale, "certs-b0")
             liar = states[0]
             # News of a version that its sender cannot show changes nothing either.
             news = SettingsNews(((TEAM, version + 100),))
@@ -242,7 +246,7 @@
 
         self.run_fleet(9, main)
 
-    def test_lost_links_delay_a_change_only(self) -> None:
+    def test_lost_links_only_delay_a_change(self) -> None:
         async def main(fleet: SettingsFleet) -> None:
             states = start(fleet, 4)
             await self.ready(fleet)
@@ -258,7 +262,7 @@
                 nursery.start_soon(lose_links)
                 for priority in range(3):
                     version = await change(states[0], priority)
-                    await trio.sleep(IN_FORCE_MS / 1000)
+                    await trio.sleep(ADOPTION_MS / 1000)
                     lagging = [
                         state.node
                         for state in states
@@ -283,9 +287,9 @@
 
         self.run_fleet(15, main)
 
-    def test_a_start_of_all_nodes_at_once_spares_the_platform(self) -> None:
+    def test_simultaneous_start_of_all_nodes_makes_few_platform_calls(self) -> None:
         async def main(fleet: SettingsFleet) -> None:
-            version = await write_past_us(fleet, a_text(3))
+            version = await write_directly(fleet, make_text(3))
             before = fleet.store.counts.reads
             start(fleet, 8)
             await fleet.until(lambda: fleet.in_force(TEAM, version), 10_000.0)
@@ -298,13 +302,13 @@
 
         self.run_fleet(16, main)
 
-    def test_a_book_that_goes_back_is_reported(self) -> None:
+    def test_a_decreasing_version_is_reported(self) -> None:
         async def main(fleet: SettingsFleet) -> None:
             node = fleet.add("certs-a0")
             await self.ready(fleet)
             await change(node, 1)
             version = await change(node, 2)
-            spread.take(node, [TeamText(TEAM, version, "")], "certs-liar")
+            spread.adopt_texts(node, [TeamText(TEAM, version, "")], "certs-liar")
             held = node.book.text(TEAM)
             assert held is not None
             node.book._held[TEAM].text = TeamText(TEAM, version - 1, held.text)
@@ -317,7 +321,7 @@
 
         self.run_fleet(17, main)
 
-    def test_an_invalid_text_on_the_platform_is_shown_and_not_adopted(self) -> None:
+    def test_an_invalid_text_on_the_platform_is_reported_and_not_adopted(self) -> None:
         async def main(fleet: SettingsFleet) -> None:
             states = start(fleet, 2)
             await self.ready(fleet)
@@ -333,22 +337,22 @@
                 self.assertEqual(good + 3, rejected.version)
             # A valid change replaces it.
             version = await change(states[0], 5)
-            await fleet.until(lambda: fleet.in_force(TEAM, version), IN_FORCE_MS)
+            await fleet.until(lambda: fleet.in_force(TEAM, version), ADOPTION_MS)
             self.assertEqual((), watching[0].book.rejected())
 
         self.run_fleet(10, main)
 
-    def test_an_object_deleted_past_us_is_a_tombstone(self) -> None:
+    def test_an_object_deleted_on_the_platform_becomes_a_tombstone(self) -> None:
         async def main(fleet: SettingsFleet) -> None:
             states = start(fleet, 1)
             await self.ready(fleet)
             version = await change(states[0], 1)
             await fleet.until(lambda: fleet.in_force(TEAM, version))
             await fleet.store.delete(PATH, version)
-            await fleet.until(lambda: fleet.in_force(TEAM, version + 1), IN_FORCE_MS)
+            await fleet.until(lambda: fleet.in_force(TEAM, version + 1), ADOPTION_MS)
             self.assertEqual({None}, {priority_at(state) for state in states})
             await change(states[0], 4)
-            await fleet.until(lambda: priority_at(states[2]) == 4, IN_FORCE_MS)
+            await fleet.until(lambda: priority_at(states[2]) == 4, ADOPTION_MS)
 
         self.run_fleet(11, main)
 
@@ -360,13 +364,13 @@
                 await fleet.store.put(f"/settings/team-{i}", text, 0)
             fleet.add("certs-a0")
             await self.ready(fleet)
-            fleet.store.set_faults(DOWN)
+            fleet.store.set_faults(PLATFORM_OUTAGE)
             new = fleet.add("certs-a1", "hall-a", ["certs-a0:7000"])
-            await fleet.until(lambda: len(new.book.teams()) == 12, IN_FORCE_MS)
+            await fleet.until(lambda: len(new.book.teams()) == 12, ADOPTION_MS)
 
         self.run_fleet(12, main)
 
-    def test_the_weight_of_the_own_team_reaches_the_gate(self) -> None:
+    def test_the_weight_of_the_own_team_is_applied_to_the_gate(self) -> None:
         async def main(fleet: SettingsFleet) -> None:
             node = fleet.add("certs-a0")
             await self.ready(fleet)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/settings/test_write.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/settings/test_write.py
@@ -40,7 +40,7 @@
 HEAD = f"[team]\ntokens = ops {digest_of(TOKEN)}\n"
 
 
-def a_text(priority: int = 9) -> str:
+def make_text(priority: int = 9) -> str:
     return f"{HEAD}priority = {priority}\n"
 
 
@@ -64,7 +64,9 @@
     token: str = OPERATORS_TOKEN,
 ) -> WriteResult:
     change_id = change_id or f"change-{priority}"
-    return await put_settings(node, TEAM, a_text(priority), expected, change_id, token)
+    return await put_settings(
+        node, TEAM, make_text(priority), expected, change_id, token
+    )
 
 
 class SettingsWriteTest(TestCase):
@@ -85,14 +87,14 @@
         assert isinstance(result, Conflict), result
         return result
 
-    def test_accepted_means_stored_with_its_record_and_in_force_here(self) -> None:
+    def test_an_accepted_change_is_stored_and_in_force_locally(self) -> None:
         async def main(fleet: SettingsFleet, node: NodeState) -> None:
             first = self.accepted(await put(node, 1, 0))
             second = self.accepted(await put(node, 2, first.version, token=TOKEN))
             held = await stored(fleet)
             self.assertEqual(second.version, held.version)
             text = read_stored(held.value.decode())
-            self.assertEqual(a_text(2), text.body)
+            self.assertEqual(make_text(2), text.body)
             self.assertEqual(
                 [("change-2", "ops", first.version), ("change-1", "operators", 0)],
                 [(r.change_id, r.by, r.replaced) for r in text.records],
@@ -104,7 +106,9 @@
 
         self.run_node(main)
 
-    def test_of_racing_operators_one_wins_and_the_others_see_its_text(self) -> None:
+    def test_concurrent_changes_have_one_winner_and_conflicts_show_its_text(
+        self,
+    ) -> None:
         async def main(fleet: SettingsFleet, node: NodeState) -> None:
             others = [fleet.add(f"certs-{i}", first=["certs-1:7000"]) for i in (2, 3)]
             before = self.accepted(await put(node, 9, 0)).version
@@ -134,17 +138,17 @@
 
         self.run_node(main)
 
-    def test_a_lost_answer_is_settled_by_the_change_id(self) -> None:
+    def test_a_lost_response_is_settled_by_the_change_id(self) -> None:
         async def main(fleet: SettingsFleet, node: NodeState) -> None:
             base = self.accepted(await put(node, 9, 0)).version
             fleet.store.set_faults(PlatformFaults(lose_answers=1.0))
 
-            async def mend() -> None:
+            async def clear_faults() -> None:
                 await trio.sleep(1)
                 fleet.store.set_faults(PlatformFaults())
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(mend)
+                nursery.start_soon(clear_faults)
                 result = await put(node, 3, base)
             made = self.accepted(result)
             self.assertEqual((await stored(fleet)).version, made.version)
@@ -153,7 +157,7 @@
 
         self.run_node(main)
 
-    def test_a_lost_request_is_asked_for_again(self) -> None:
+    def test_a_lost_request_is_retried(self) -> None:
         async def main(fleet: SettingsFleet, node: NodeState) -> None:
             fleet.store.set_faults(PlatformFaults(lose_requests=0.5))
             for priority in range(6):
@@ -162,7 +166,7 @@
 
         self.run_node(main, seed=5)
 
-    def test_what_cannot_be_settled_is_said_to_be_open_and_a_repeat_settles(
+    def test_an_undecided_change_is_unsettled_and_a_repeat_settles_it(
         self,
     ) -> None:
         async def main(fleet: SettingsFleet, node: NodeState) -> None:
@@ -179,7 +183,7 @@
 
         self.run_node(main)
 
-    def test_what_the_history_has_forgotten_stays_open(self) -> None:
+    def test_a_change_beyond_the_history_stays_unsettled(self) -> None:
         async def main(fleet: SettingsFleet, node: NodeState) -> None:
             base = self.accepted(await put(node, 9, 0)).version
             fleet.store.set_faults(PlatformFaults(lose_answers=1.0))
@@ -199,7 +203,7 @@
 
         self.run_node(main)
 
-    def test_a_repeat_after_a_later_change_tells_both_versions(self) -> None:
+    def test_a_repeat_after_a_later_change_returns_both_versions(self) -> None:
         async def main(fleet: SettingsFleet, node: NodeState) -> None:
             first = self.accepted(await put(node, 1, 0)).version
             second = self.accepted(await put(node, 2, first)).version
@@ -211,7 +215,7 @@
 
         self.run_node(main)
 
-    def test_the_platform_down_changes_nothing_and_says_so(self) -> None:
+    def test_no_change_is_made_while_the_platform_is_unavailable(self) -> None:
         async def main(fleet: SettingsFleet, node: NodeState) -> None:
             version = self.accepted(await put(node, 1, 0)).version
             for faults in (
@@ -229,7 +233,7 @@
 
         self.run_node(main)
 
-    def test_a_platform_that_lost_changes_accepts_none_that_would_not_hold(
+    def test_no_change_is_accepted_by_a_platform_that_lost_changes(
         self,
     ) -> None:
         async def main(fleet: SettingsFleet, node: NodeState) -> None:
@@ -250,14 +254,14 @@
 
         self.run_node(main)
 
-    def test_a_slow_platform_takes_longer_only(self) -> None:
+    def test_a_slow_platform_only_delays_a_change(self) -> None:
         async def main(fleet: SettingsFleet, node: NodeState) -> None:
             fleet.store.set_faults(PlatformFaults(latency=1_500.0))
             self.accepted(await put(node, 1, 0))
 
         self.run_node(main)
 
-    def test_only_the_teams_tokens_and_the_operators_may_change(self) -> None:
+    def test_only_team_tokens_and_the_operators_token_may_change_settings(self) -> None:
         async def main(fleet: SettingsFleet, node: NodeState) -> None:
             # Nobody but the operators creates a team.
             self.assertIsInstance(await put(node, 1, 0, token=TOKEN), Forbidden)
@@ -276,7 +280,7 @@
 
         self.run_node(main)
 
-    def test_a_token_withdrawn_on_the_platform_is_good_no_more(self) -> None:
+    def test_a_token_removed_on_the_platform_is_refused(self) -> None:
         async def main(fleet: SettingsFleet, node: NodeState) -> None:
             version = self.accepted(await put(node, 1, 0)).version
             fleet.store.set_cut_off({"certs-1"})
@@ -289,7 +293,7 @@
 
         self.run_node(main)
 
-    def test_an_invalid_text_is_refused_whole_and_reaches_nobody(self) -> None:
+    def test_an_invalid_text_is_refused_and_not_stored(self) -> None:
         async def main(fleet: SettingsFleet, node: NodeState) -> None:
             text = "[team]\nweight = 7\n[a/b]\n"
             result = await put_settings(node, TEAM, text, 0, "x", OPERATORS_TOKEN)
@@ -299,7 +303,7 @@
 
         self.run_node(main)
 
-    def test_the_largest_text_that_is_accepted_is_in_force(self) -> None:
+    def test_the_largest_accepted_text_takes_effect(self) -> None:
         async def main(fleet: SettingsFleet, node: NodeState) -> None:
             filler = MAX_TEXT_BYTES - len(HEAD) - 1
             wide = f"{HEAD}#{'x' * filler}"
@@ -319,7 +323,7 @@
 
         self.run_node(main)
 
-    def test_a_deleted_team_comes_back_only_by_the_operators(self) -> None:
+    def test_a_deleted_team_is_recreated_only_by_the_operators(self) -> None:
         async def main(_fleet: SettingsFleet, node: NodeState) -> None:
             version = self.accepted(await put(node, 1, 0)).version
             self.conflict(await delete_settings(node, TEAM, version + 5, "d1", TOKEN))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/wire/test_codec.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/wire/test_codec.py
@@ -42,20 +42,20 @@
         decode(cbor2.dumps(value))
 
     def test_each_field_of_a_wrong_type(self) -> None:
-        whole = to_array(CallMessage(a_head(), b"body"))
-        head = whole[1]
+        valid = to_array(CallMessage(a_head(), b"body"))
+        head = valid[1]
         for number in range(len(head)):
             broken = [*head[:number], {"no": "such"}, *head[number + 1 :]]
-            got = decode(cbor2.dumps([whole[0], broken, whole[2]]))
+            got = decode(cbor2.dumps([valid[0], broken, valid[2]]))
             self.assertIsInstance(got, MalformedFrame, f"field {number}")
 
     def test_too_few_and_too_many_fields(self) -> None:
-        whole = to_array(CallMessage(a_head(), b"body"))
-        for value in (whole[:-1], [*whole, 1], [whole[0], whole[1][:-1], whole[2]]):
+        valid = to_array(CallMessage(a_head(), b"body"))
+        for value in (valid[:-1], [*valid, 1], [valid[0], valid[1][:-1], valid[2]]):
             self.assertIsInstance(decode(cbor2.dumps(value)), MalformedFrame)
 
     def test_fault_names_the_field(self) -> None:
-        whole = to_array(CallMessage(a_head(), b"body"))
-        got = decode(cbor2.dumps([whole[0], whole[1], "text"]))
+        valid = to_array(CallMessage(a_head(), b"body"))
+        got = decode(cbor2.dumps([valid[0], valid[1], "text"]))
         assert isinstance(got, MalformedFrame)
         self.assertIn("CallMessage.body: expected bytes, got 'text'", got.detail)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/breaks.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/breaks.py
@@ -152,7 +152,7 @@
     """A reply goes to the ask that has waited longest, not to its own."""
 
     def take_reply(self: PeerConn, number: int, msg: object) -> None:
-        waiting = [n for n, waiter in self._waiters.items() if not waiter.done.is_set()]
+        waiting = [n for n, waiter in self._pending.items() if not waiter.done.is_set()]
         original(self, min(waiting) if waiting else number, msg)
 
     original = _patch(stack, PeerConn, "_take_reply", take_reply)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/fleet.py
@@ -216,13 +216,13 @@
             return await enter(head)
 
         vars(state.gate)["enter"] = counted
-        serve = state.handlers.asks[CallMessage]
+        serve = state.handlers.request_handlers[CallMessage]
 
         async def received(peer: str, msg: CallMessage) -> object:
             self.evidence.call_received(life.name, peer)
             return await serve(peer, msg)
 
-        state.handlers.asks[CallMessage] = received
+        state.handlers.request_handlers[CallMessage] = received
         adopt = state.book.adopt
 
         def noting(text: TeamText) -> Adopted | Stale | Invalid:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/links.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/links.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-    from fuchsiagap_node.core.peers.conn import Wire
+    from fuchsiagap_node.core.peers.conn import WireContext
     from fuchsiagap_node.core.ports import Dial
 
 _N_DIALS = 100
@@ -61,7 +61,7 @@
         address = f"127.0.0.1:{listener.socket.getsockname()[1]}"
         there = _peers(address, websocket_dial(nursery), nursery)
         here = _peers("127.0.0.1:1", websocket_dial(nursery), nursery)
-        await nursery.start(serve_links, [listener], there.take)
+        await nursery.start(serve_links, [listener], there.serve_link)
 
         async def reopen() -> None:
             here.drop(address)
@@ -99,8 +99,8 @@
     async def on_ping(_peer: str, msg: Ping) -> Ack:
         return Ack(msg.target, 1 << 60)
 
-    handlers.on_notice(Heartbeat, on_heartbeat)
-    handlers.on_ask(Ping, on_ping)
+    handlers.on_notification(Heartbeat, on_heartbeat)
+    handlers.on_request(Ping, on_ping)
     hello = Hello(address, 1, "hall-a", address)
     wire = quiet_wire(hello, handlers, stamp=1 << 60)
     return LinkPeers(LinkSettings(), wire, dial, nursery)
@@ -115,7 +115,7 @@
     return (time.process_time() - started) * _US_PER_S / count
 
 
-async def _link_memory(address: str, wire: Wire, nursery: trio.Nursery) -> float:
+async def _link_memory(address: str, wire: WireContext, nursery: trio.Nursery) -> float:
     """Return bytes of one end of a link; both ends are in this process."""
     n_links = 50
     dial = websocket_dial(nursery)
@@ -134,6 +134,6 @@
         tracemalloc.stop()
 
 
-def _renamed(wire: Wire, number: int) -> Wire:
+def _renamed(wire: WireContext, number: int) -> WireContext:
     name = f"127.0.0.1:{number + 2}"
     return replace(wire, hello=Hello(name, 1, "hall-a", name))
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/view.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/view.py
@@ -14,7 +14,7 @@
 from fuchsiagap.core.membership.settings import MembershipSettings
 from fuchsiagap.core.membership.table import Membership
 from fuchsiagap_node.core.digest import decode_members, encode_members
-from fuchsiagap_node.core.gossip.neighbours import predecessors, receivers
+from fuchsiagap_node.core.gossip.neighbours import gossip_targets, predecessors
 from fuchsiagap_node.core.wire.codec import decode, encode
 from fuchsiagap_node.core.wire.messages_gossip import Updates
 
@@ -92,7 +92,7 @@
     stale_us = _per_item(lambda: view.merge(members), n_members)
     apply_us = _per_item(lambda: view.merge(newer), n_members)
     instances_us = _shortest(view.instances) * _US_PER_S
-    neighbours_us = _shortest(lambda: (predecessors(view), receivers(view)))
+    neighbours_us = _shortest(lambda: (predecessors(view), gossip_targets(view)))
     digest_us = _shortest(view.digest) * _US_PER_S
     batch = Updates(tuple(members[: view.cfg.max_updates]))
     wire_s = _shortest(lambda: decode(encode(batch)))
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/fleet.py
@@ -85,7 +85,9 @@
         is_far = node.cfg.data_centre != self._cfg.data_centre
         if is_far:
             await self._fleet.ticks.sleep(self._delay)
-        reply = await node.handlers.asks[type(message)](self._cfg.name, message)
+        reply = await node.handlers.request_handlers[type(message)](
+            self._cfg.name, message
+        )
         if is_far:
             await self._fleet.ticks.sleep(self._delay)
         return reply
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/members.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/members.py
@@ -244,7 +244,7 @@
         drain.register(state)
 
         async def take(link: Link) -> None:
-            await node.peers.take(_CountingLink(link, node.sent))
+            await node.peers.serve_link(_CountingLink(link, node.sent))
 
         with node.scope:
             async with trio.open_nursery() as nursery:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/memory_nodes.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/memory_nodes.py
@@ -13,7 +13,7 @@
 from fuchsiagap.core.clock import MS_PER_S, Milliseconds, trio_clock
 from fuchsiagap_node.core.config import NodeConfig, parse_node_config
 from fuchsiagap_node.core.node import NodePorts
-from fuchsiagap_node.core.peers.conn import Wire
+from fuchsiagap_node.core.peers.conn import WireContext
 from fuchsiagap_standins.network import FakeNetwork, LinkProfile
 from fuchsiagap_standins.node_ini import Place, node_ini
 from fuchsiagap_standins.platform import ObjectStore
@@ -149,7 +149,7 @@
         nursery.cancel_scope.cancel()
 
 
-def quiet_wire(hello: Hello, handlers: Handlers, stamp: int = 0) -> Wire:
+def quiet_wire(hello: Hello, handlers: Handlers, stamp: int = 0) -> WireContext:
     """Return a wire without a clock, that counts nothing.
 
     Parameters
@@ -161,12 +161,12 @@
     stamp : int, default=0
         Reading of the clock that each frame carries.
     """
-    return Wire(
+    return WireContext(
         hello,
         handlers,
         stamp=lambda: stamp,
         observe=lambda _stamp: None,
-        max_running=_LINK_CALLS,
+        max_concurrent_requests=_LINK_CALLS,
         count=lambda _name: None,
     )
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/node_fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/node_fleet.py
@@ -19,7 +19,7 @@
 from fuchsiagap.core.settings.model import TeamText
 from fuchsiagap_node.core.callpath.entry import CallRequest, enter
 from fuchsiagap_node.core.callpath.home_tickets import issue_batch
-from fuchsiagap_node.core.gossip import until_joined
+from fuchsiagap_node.core.gossip import wait_until_joined
 from fuchsiagap_node.core.node import run_node
 from fuchsiagap_standins.answers import CallMark
 from fuchsiagap_standins.backend import BackendStandIn
@@ -114,7 +114,7 @@
         text = settings_text(self.graph)
         state.book.adopt(TeamText(self.graph.team, 1, text, False))
         if self.nodes:
-            await until_joined(state)
+            await wait_until_joined(state)
         self.nodes[name] = state
         self.ended[name] = trio.Event()
         return state
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/settings_nodes.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/settings_nodes.py
@@ -205,7 +205,7 @@
         with scope:
             async with trio.open_nursery() as nursery:
                 links.nursery = nursery
-                nursery.start_soon(ports.listen, links.take)
+                nursery.start_soon(ports.listen, links.serve_link)
                 nursery.start_soon(gossip.run, state)
                 nursery.start_soon(settings_sync.run, state)
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/ticket_nodes.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/ticket_nodes.py
@@ -105,7 +105,7 @@
             head = head_from_wire(msg.head, state.clock.now())
             return await at_home(state, head, msg.body, self.run_of(head, msg.body))
 
-        state.handlers.on_ask(HomeCallMessage, on_call)
+        state.handlers.on_request(HomeCallMessage, on_call)
         self.nursery.start_soon(self._run, state)
         await state.tickets.ready.wait()
         return state
