--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/ticket_nodes.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/ticket_nodes.py
@@ -213,7 +213,9 @@
             # The end of the node ends what it does for others.
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(_cancel_with, state, scope)
-                reply = await state.handlers.asks[type(message)](self.name, message)
+                reply = await state.handlers.request_handlers[type(message)](
+                    self.name, message
+                )
                 nursery.cancel_scope.cancel()
         if net.lose_reply(address, message) or address in net.cut:
             return LinkLost(sent=True, detail="the reply was lost")
