--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/__init__.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/__init__.py
@@ -1,4 +1,4 @@
-"""Membership between nodes: probes, updates, syncs, joining and the digest."""
+"""Membership between nodes: failure detection, dissemination, sync and joining."""
 
 from __future__ import annotations
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/gossip.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/gossip.py
@@ -1,4 +1,4 @@
-"""The tasks and handlers of membership, put together."""
+"""Registers the handlers of membership messages and runs the membership tasks."""
 
 from __future__ import annotations
 
@@ -21,26 +21,26 @@
 
 
 def register(state: NodeState) -> None:
-    """Register who replies to the messages of membership.
+    """Register the handlers of all membership messages.
 
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of this node.
     """
     for part in (heartbeat, probe, spread, sync):
         part.register(state)
 
 
 async def run(state: NodeState) -> None:
-    """Keep this node's view of the members, until cancelled.
+    """Maintain this node's view of the members until cancelled.
 
-    Joins through the configured peers or the platform, whichever replies.
+    The node joins through the configured peers or the platform, whichever replies.
 
     Parameters
     ----------
     state : NodeState
-        The node, with its links up.
+        State of this node; its links must be up.
     """
     tasks = (
         router_updates.run,
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/heartbeat.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/heartbeat.py
@@ -1,7 +1,7 @@
-"""Heartbeats to the next nodes on the rings, and a watch on those before.
+"""Heartbeats to the successors on the rings, and a watch on the predecessors.
 
-A heartbeat has no reply, so it costs half of a probe; probes are made only when one
-stays out.
+A heartbeat has no reply, so it costs half as much as a probe. A node is probed only
+when its heartbeats stop arriving.
 """
 
 from __future__ import annotations
@@ -30,12 +30,12 @@
 
 
 def register(state: NodeState) -> None:
-    """Take the heartbeats of other nodes.
+    """Register the handler of heartbeats from other nodes.
 
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of this node.
     """
     membership = state.membership
 
@@ -52,31 +52,33 @@
 
 
 async def send(state: NodeState) -> None:
-    """Send heartbeats until cancelled.
+    """Send heartbeats to the successors on the rings until cancelled.
 
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of this node.
     """
     interval = state.membership.cfg.heartbeat_interval
     in_progress: set[str] = set()
     async with trio.open_nursery() as nursery:
         while True:
             for member in neighbours.successors(state.membership):
-                # A link that stalls gets no second heartbeat behind the first.
+                # Heartbeats must not queue up on a stalled link.
                 if member.node not in in_progress:
                     nursery.start_soon(_send_one, state, member, in_progress)
             await sleep_ms(interval * state.rng.uniform(1 - _JITTER, 1 + _JITTER))
 
 
 async def watch(state: NodeState) -> None:
-    """Probe nodes that fall silent, and let suspicions lapse, until cancelled.
+    """Probe nodes that stop sending heartbeats, and expire suspicions.
+
+    Runs until cancelled.
 
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of this node.
     """
     membership = state.membership
     watched_nodes = _WatchedNodes()
@@ -88,12 +90,12 @@
             await sleep_ms(pause)
             now = state.clock.now()
             if now - started > pause + membership.cfg.stall_slack:
-                # This process was paused: the others were not silent.
+                # This process was paused: the silence of other nodes proves nothing.
                 membership.postpone(now - started)
             for node in membership.expire():
-                _LOG.info("node %s counts as dead", node)
+                _LOG.info("node %s is marked dead", node)
             if membership.superseded and not state.leaving:
-                _LOG.warning("another process took over the name %s", state.name)
+                _LOG.warning("another process now uses the node name %s", state.name)
                 state.request_drain()
             for member in watched_nodes.find_silent(membership, now):
                 nursery.start_soon(_probe_one, state, member, watched_nodes)
@@ -101,17 +103,17 @@
 
 @dataclass(slots=True)
 class _WatchedNodes:
-    """The nodes that are watched, worked out anew when the view changes."""
+    """The nodes whose heartbeats are expected, recomputed when the view changes."""
 
     version: int = -1
     members: tuple[Member, ...] = ()
     probing: set[str] = field(default_factory=set)
 
     def refresh(self, membership: Membership, now: Milliseconds) -> None:
-        """Watch whom the view says.
+        """Recompute the watched nodes if the view has changed.
 
-        Those that are new are probed at once: if a rack is lost, the nodes that watched
-        them may be lost too.
+        New ones count as overdue and are probed at once: if a whole rack fails, the
+        nodes that watched them may have failed too.
         """
         if membership.version == self.version:
             return
@@ -125,17 +127,17 @@
             heard.setdefault(member.node, overdue)
 
     def pause(self, membership: Membership, now: Milliseconds) -> Milliseconds:
-        """Return when to look again: when silence or a suspicion may be too long."""
+        """Return the milliseconds until the next silence or suspicion may expire."""
         due = membership.next_deadline()
         for member in self._unsuspected():
             silence = membership.contacts.silence(member.node, now)
             due = min(due, now - silence + _max_silence(membership.cfg))
-        # A suspicion that comes in meanwhile lasts longer than the longest pause.
+        # A suspicion that is received meanwhile lasts longer than this limit.
         longest = membership.cfg.suspicion / 3
         return min(max(due - now, _MIN_PAUSE_MS), longest)
 
     def find_silent(self, membership: Membership, now: Milliseconds) -> list[Member]:
-        """Return those to be probed."""
+        """Return the watched nodes that have been silent for too long."""
         longest = _max_silence(membership.cfg)
         return [
             member
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/joining.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/joining.py
@@ -1,4 +1,4 @@
-"""When a starting node is known well enough to serve callers."""
+"""Waits until a starting node is known to the others and may serve callers."""
 
 from __future__ import annotations
 
@@ -15,20 +15,21 @@
 
 
 async def wait_until_joined(state: NodeState) -> bool:
-    """Wait until other nodes know this one; not for long if there are none.
+    """Wait for a limited time until other nodes know this one.
 
-    A ticket that is used through another node is looked up there by the name of the
-    node that issued it, which has to be known by then.
+    A ticket that is used through another node is resolved there by the name of the
+    node that issued it, so that name must be known by then.
 
     Parameters
     ----------
     state : NodeState
-        The node; `gossip.run` runs.
+        State of this node; `gossip.run` must be running.
 
     Returns
     -------
     bool
-        Whether another node has this one's record. It may serve in any case.
+        Whether another node has the record of this one. This node may serve callers
+        in either case.
     """
     membership = state.membership
     with trio.move_on_after(membership.cfg.join_limit / MS_PER_S):
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/neighbours.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/neighbours.py
@@ -1,4 +1,4 @@
-"""Which nodes a node watches and which it passes changes on to."""
+"""Selection of the nodes to monitor and of the nodes to send changes to."""
 
 from __future__ import annotations
 
@@ -17,8 +17,9 @@
 def successors(membership: Membership) -> tuple[Member, ...]:
     """Return the nodes to which this node sends heartbeats.
 
-    On each ring the next node; beyond one that is suspected, the one after it too, so
-    that the loss of neighbouring nodes is noticed at once and not one by one.
+    On each ring, this is the next node. If that one is suspected, the node after it
+    is included too, so that the failure of adjacent nodes is detected at once and
+    not one by one.
     """
     return _ring_neighbours(membership, membership.rings.after)
 
@@ -29,10 +30,10 @@
 
 
 def gossip_targets(membership: Membership) -> tuple[Member, ...]:
-    """Return the nodes to which this node passes changes on.
+    """Return the nodes to which this node sends membership changes.
 
-    The next ones on the rings of its own data centre, where links are open already,
-    and one node in each of a few other data centres.
+    These are its successors on the rings of its own data centre, to which links are
+    open already, and one node in each of a few other data centres.
     """
     found = {member.node: member for member in successors(membership)}
     for data_centre in _target_data_centres(membership):
@@ -42,7 +43,7 @@
 
 
 def other_data_centres(membership: Membership) -> tuple[str, ...]:
-    """Return all other data centres, beginning after the own one."""
+    """Return all other data centres in order, starting after this node's own."""
     own = membership.self_member.data_centre
     names = [name for name in membership.rings.data_centres if name != own]
     start = sum(name < own for name in names)
@@ -52,14 +53,14 @@
 def in_data_centre(
     membership: Membership, data_centre: str, count: int
 ) -> tuple[Member, ...]:
-    """Return a few nodes of another data centre, always the same while they live."""
+    """Return a few nodes of another data centre, the same ones while they live."""
     nodes = membership.rings.after(data_centre, 0, membership.name)
     members = (membership.get(node) for node in islice(nodes, count))
     return tuple(member for member in members if member is not None)
 
 
 def claims_to_refute(membership: Membership, node: str) -> tuple[Member, ...]:
-    """Return what a node has to refute, if anything."""
+    """Return a node's record if it says suspect or dead, which it must refute."""
     known = membership.get(node)
     if known is None or known.state not in (MemberState.SUSPECT, MemberState.DEAD):
         return ()
@@ -83,10 +84,10 @@
 
 
 def _target_data_centres(membership: Membership) -> tuple[str, ...]:
-    """Return the data centres to which this node passes changes on.
+    """Return the data centres to which this node sends changes.
 
-    The next one, so that a chain joins them all; and some that differ from node to
-    node, so that the chain has short cuts.
+    The first is the next one in order, so that a chain connects all data centres. The
+    others differ from node to node and are shortcuts in that chain.
     """
     names = other_data_centres(membership)
     count = membership.cfg.n_cross_probes
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/probe.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/probe.py
@@ -1,4 +1,4 @@
-"""Probe a node directly and through others, and suspect it if none gets a reply."""
+"""Direct and indirect probes; a node that no probe reaches becomes suspect."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
     from fuchsiagap.core.membership.member import Member
     from fuchsiagap_node.core.state import NodeState
 
-# A helper's probe takes a probe's timeout; its word has to come back too.
+# In probe timeouts: a helper's own probe takes one, and its report has to return.
 _INDIRECT_TIMEOUT_FACTOR = 1.5
 
 
 def register(state: NodeState) -> None:
-    """Reply to probes, and make probes for others.
+    """Register the handlers that answer probes and make indirect probes.
 
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of this node.
     """
     membership = state.membership
 
@@ -53,16 +53,16 @@
     Parameters
     ----------
     state : NodeState
-        The node that probes.
+        State of the probing node.
     target : str
-        The node that should reply.
+        Name of the node that should reply.
     address : str
-        Where it listens.
+        ``IP:PORT`` of the node.
 
     Returns
     -------
     Ack or None
-        Its reply; None if there was none in time, or from another node.
+        The reply; None if there was none in time, or one from another node.
     """
     membership = state.membership
     claims = neighbours.claims_to_refute(membership, target)
@@ -79,14 +79,14 @@
 
 
 async def probe(state: NodeState, member: Member) -> bool:
-    """Find out whether a node is alive; suspect it if not.
+    """Probe a node directly and through helpers; suspect it if no probe reaches it.
 
     Parameters
     ----------
     state : NodeState
-        The node that probes.
+        State of the probing node.
     member : Member
-        The node in question.
+        The node to probe.
 
     Returns
     -------
@@ -97,7 +97,7 @@
     timeout = _INDIRECT_TIMEOUT_FACTOR * state.membership.cfg.probe_timeout
     reached = await _probe_all_paths(state, member, timeout)
     if reached:
-        # Others hear from it: only the link between the two may be cut.
+        # A helper may have reached it: then only the direct link is cut.
         state.membership.contacts.heard[member.node] = state.clock.now()
     elif not was_paused(state, started, timeout):
         state.membership.suspect(member.node, member.incarnation)
@@ -105,16 +105,16 @@
 
 
 def was_paused(state: NodeState, started: Milliseconds, expected: Milliseconds) -> bool:
-    """Whether this process itself was paused, so that its timeouts mean nothing.
+    """Return whether this process was paused, which makes its timeouts meaningless.
 
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of this node.
     started : float
-        When the wait began, in milliseconds.
+        Start of the wait, in milliseconds.
     expected : float
-        Milliseconds that it should have taken at most.
+        Longest time the wait should have taken, in milliseconds.
     """
     taken = state.clock.now() - started
     return taken > expected + state.membership.cfg.stall_slack
@@ -149,7 +149,7 @@
 
 
 def _choose_helpers(state: NodeState, member: Member) -> list[Member]:
-    """Return a few nodes to probe for this one, linked already if possible."""
+    """Return a few live gossip targets, which are mostly linked already."""
     membership = state.membership
     candidates = [
         other
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/reachability.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/reachability.py
@@ -1,7 +1,7 @@
-"""Which other data centres can be reached.
+"""Detection of data centres that cannot be reached.
 
-The members of a data centre that is cut off are not taken for dead: nobody here can
-know, and all of them would have to come back one by one.
+The members of an unreachable data centre are not marked dead: their state cannot be
+known from outside, and all of them would have to rejoin one by one.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of this node.
     """
     cfg = state.membership.cfg
     offset = 0
@@ -46,7 +46,7 @@
 
 
 async def _probe_data_centre(state: NodeState, data_centre: str) -> None:
-    """Probe a node of a data centre; if it does not reply, some more."""
+    """Probe one node of a data centre; if it does not reply, probe some more."""
     membership = state.membership
     cfg = membership.cfg
     started = state.clock.now()
@@ -58,7 +58,7 @@
     if membership.set_reachable(data_centre, reached or not members):
         _LOG.info("data centre %s reachable: %s", data_centre, reached)
     if not reached and len(members) == 1:
-        # Nobody else is there to notice that it died.
+        # A single node has no neighbour in its data centre to detect its failure.
         membership.suspect(members[0].node, members[0].incarnation)
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/router_updates.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/router_updates.py
@@ -1,4 +1,4 @@
-"""Hand changes of the view to the router, and drop links of nodes that are gone."""
+"""Updates the router when the view changes, and closes links to dead nodes."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 async def run(state: NodeState) -> None:
-    """Keep the router's list of instances like the view, until cancelled.
+    """Keep the router's list of instances up to date with the view until cancelled.
 
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of this node.
     """
     membership = state.membership
     changed = trio.Event()
@@ -45,9 +45,9 @@
 def _drop_links(
     state: NodeState, previous: dict[str, str], current: dict[str, str]
 ) -> None:
-    """Close links of nodes that died, so that calls on them end.
+    """Close links to nodes that died, so that the calls on them end.
 
-    A host that vanished sends no sign that its connections are gone.
+    A host that failed does not close or reset its connections.
     """
     in_use = set(current.values())
     for node in previous.keys() - current.keys():
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/spread.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/spread.py
@@ -1,4 +1,4 @@
-"""Pass changes of the view on to the neighbours."""
+"""Dissemination of membership changes to the gossip targets."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class _Progress:
-    """How far each neighbour has been told."""
+    """Number of the last change sent to each target, and the sends in progress."""
 
     last_sent: dict[str, int] = field(default_factory=dict)
     last_round: int = 0
@@ -28,12 +28,12 @@
 
 
 def register(state: NodeState) -> None:
-    """Take the changes that other nodes pass on.
+    """Register the handler of changes sent by other nodes.
 
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of this node.
     """
 
     async def on_updates(peer: str, msg: Updates) -> None:
@@ -43,15 +43,15 @@
 
 
 async def run(state: NodeState) -> None:
-    """Tell the neighbours what changed, soon after it did, until cancelled.
+    """Send changes to the gossip targets soon after they occur, until cancelled.
 
-    A neighbour that is not reached is not told again: comparing hashes finds what it
+    A failed send is not repeated: the comparison of view hashes finds what the target
     missed.
 
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of this node.
     """
     membership = state.membership
     changed = trio.Event()
@@ -78,10 +78,10 @@
 def _send_changes(
     state: NodeState, progress: _Progress, nursery: trio.Nursery, member: Member
 ) -> bool:
-    """Start telling a neighbour the next changes; return whether there are more."""
+    """Start sending a target its next changes; return whether there are more."""
     membership = state.membership
     is_new = member.node not in progress.last_sent
-    # What went before was for others to tell a node that is a neighbour only now.
+    # A new target got the earlier changes from its previous neighbours.
     last_sent = progress.last_sent.setdefault(member.node, progress.last_round)
     changes = membership.log.after(last_sent)
     batch = changes[: membership.cfg.max_updates]
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/sync.py
@@ -1,4 +1,4 @@
-"""Compare views with other nodes and exchange what differs; also how a node joins."""
+"""Anti-entropy: exchange of differing records between nodes; also used to join."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 def register(state: NodeState) -> None:
-    """Reply to nodes that compare their view with this one's.
+    """Register the handler of sync requests from other nodes.
 
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of this node.
     """
 
     async def on_sync(_peer: str, msg: SyncRequest) -> SyncReply:
@@ -36,12 +36,12 @@
 
 
 async def run(state: NodeState) -> None:
-    """Join, then sync where views differ, until cancelled.
+    """Join, then sync with nodes whose views differ, until cancelled.
 
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of this node.
     """
     contacts = state.membership.contacts
     while True:
@@ -53,26 +53,26 @@
 
 
 async def sync_with(state: NodeState, address: str) -> bool:
-    """Make the own view and another node's the same.
+    """Exchange differing records with another node until both views agree.
 
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of this node.
     address : str
-        Where the other node listens.
+        ``IP:PORT`` of the other node.
 
     Returns
     -------
     bool
-        Whether the other node replied to the end.
+        Whether the views agree now; False if a reply was missing or the rounds ran out.
     """
     membership = state.membership
     for _ in range(_MAX_ROUNDS):
         reply = await _request(state, address)
         if reply is None:
             return False
-        # A joining node learns only what its neighbours know already.
+        # A joining node does not pass on records, as its neighbours know them already.
         membership.merge(reply.members, reply.node, spread=membership.settled)
         await _send_newer(state, address, reply)
         if len(reply.buckets) >= reply.n_differing:
@@ -95,8 +95,8 @@
     membership = state.membership
     differing = list(membership.differing(msg.digest))
     n_differing = len(differing)
-    # Another order each time, so that buckets whose exchange fails again and again
-    # do not keep the others from their turn.
+    # In random order, so that buckets whose exchange fails repeatedly do not block the
+    # others.
     state.rng.shuffle(differing)
     buckets: list[int] = []
     members: list[Member] = []
@@ -110,7 +110,7 @@
 
 
 async def _send_newer(state: NodeState, address: str, reply: SyncReply) -> None:
-    """Send back what this node knows better in the buckets of a reply."""
+    """Send back this node's newer records in the buckets of a reply."""
     membership = state.membership
     remote_members = {member.node: member for member in reply.members}
     newer = [
@@ -132,7 +132,7 @@
 
 
 def _sync_addresses(state: NodeState) -> list[str]:
-    """Return where to sync now; one that replies is enough."""
+    """Return the addresses to sync with now; one that replies is enough."""
     membership = state.membership
     differing = map(membership.get, membership.contacts.take_mismatches())
     found = [member.address for member in differing if member is not None]
@@ -152,9 +152,10 @@
 
 
 def _sample_dead(state: NodeState) -> list[str]:
-    """Return now and then the address of a dead node, which may be cut off only.
+    """Return at random the address of a dead node, which may only be partitioned.
 
-    All nodes of a data centre together try a few in each interval.
+    All nodes of a data centre together contact about `_DEAD_CONTACTS_PER_INTERVAL` of
+    them in each interval.
     """
     membership = state.membership
     dead = [m for m in membership.members() if m.state is MemberState.DEAD]
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/__init__.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Links to other nodes, shared by all that ask and tell."""
+"""Links to other nodes, for requests, replies and notifications."""
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/conn.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/conn.py
@@ -1,7 +1,7 @@
-"""One link to another node: asks, replies, notices and cancellations on it.
+"""One link to another node: requests, replies, notifications and cancellations.
 
-One task reads the link. An ask from the other side runs in a task of its own, which a
-cancellation or the end of the link cancels.
+One task reads the link. Each request from the other side runs in a task of its own,
+which is cancelled by a cancellation frame or by the end of the link.
 """
 
 from __future__ import annotations
@@ -32,7 +32,9 @@
     from fuchsiagap_node.core.ports import Link
 
 _LINK_FULL = Refused(
-    Reason.OVERLOAD, retry_after=100.0, detail="too many calls run on this link"
+    Reason.OVERLOAD,
+    retry_after=100.0,
+    detail="too many concurrent requests on the link",
 )
 _LOG = logging.getLogger(__name__)
 MAX_MESSAGE_BYTES = 80 * 1024 * 1024
@@ -42,7 +44,7 @@
 
 @dataclass(slots=True)
 class _PendingRequest:
-    """An ask that waits for its reply."""
+    """A request that waits for its reply."""
 
     msg: object
     done: trio.Event
@@ -50,47 +52,47 @@
 
 
 def _ignore_bytes(_n_bytes: int) -> None:
-    """Count nothing."""
+    """Ignore a frame; the default of `count_sent` and `count_received`."""
 
 
 def _ignore_call(_call_id: str, _root_id: str) -> None:
-    """Note nothing."""
+    """Ignore a call; the default of the callbacks that record one."""
 
 
 def _ignore_unsolicited(_peer: str, _number: int) -> None:
-    """Report nothing."""
+    """Ignore a reply; the default of `report_unsolicited_reply`."""
 
 
 @dataclass(frozen=True, slots=True)
 class WireContext:
-    """What all links of a node share.
+    """State, limits and callbacks shared by all links of a node.
 
     Parameters
     ----------
     hello : Hello
-        What this node says of itself on each link.
+        Introduction of this node, sent on each link.
     handlers : Handlers
-        Who answers what.
+        Handlers of the messages from other nodes.
     stamp : callable
-        Returns a reading of the hybrid logical clock for a frame to send.
+        Returns a hybrid logical clock reading for a frame to send.
     observe : callable
-        Takes the reading of a received frame.
+        Takes the clock reading of a received frame.
     max_concurrent_requests : int
-        Asks of one link that may run at once; more are refused.
+        Requests from one link that may run at once; further ones are refused.
     count : callable
-        Counts an occurrence by name, for example of a dropped late reply.
+        Counts an occurrence by name, for example a dropped late reply.
     count_sent, count_received : callable
-        Count a frame by its bytes.
+        Count a frame and its size in bytes.
     record_late_reply, record_incomplete_reply : callable
-        Take the ids of a call whose reply came after its ask had ended, or whose
-        reply broke off.
+        Take the call and root ids of a call whose reply came after its request had
+        ended, or whose reply broke off.
     report_unsolicited_reply : callable
-        Takes the peer and the number of the first reply on a link to an ask that the
-        link never had.
+        Takes the peer and the number of the first reply on a link that belongs to no
+        request of that link.
     max_queued_messages : int
-        Messages that may wait to be written to one link. Further asks are lost, not
-        sent, and further notices are dropped; replies and cancellations are not, as
-        asks bound them.
+        Messages that may wait to be written to one link. Beyond that, requests fail as
+        not sent and notifications are dropped. Replies and cancellations are always
+        sent, as the requests bound their number.
     """
 
     hello: Hello
@@ -109,16 +111,20 @@
 
 @dataclass(slots=True, eq=False)
 class PeerConn:
-    """The state of one link.
+    """State of one link to another node.
 
     Parameters
     ----------
     link : Link
-        Whole frames, in order.
+        Carries whole frames in order.
     wire : WireContext
-        What all links of the node share.
+        Shared by all links of the node.
     nursery : trio.Nursery
-        Where the work of this link runs.
+        Runs the tasks of this link.
+    peer : Hello, optional
+        Introduction of the other node; None before the handshake.
+    closed : bool, default=False
+        Whether the link has ended.
     """
 
     link: Link
@@ -129,10 +135,10 @@
     _next_number: int = 1
     _n_queued: int = 0
     _pending: dict[int, _PendingRequest] = field(default_factory=dict)
-    # Ids of the latest calls whose asks ended before a reply came.
+    # Call and root ids of recent requests that were cancelled before their reply.
     _abandoned: dict[int, tuple[str, str]] = field(default_factory=dict)
     _has_reported_unsolicited: bool = False
-    # Messages of which some pieces have come, but not the last one.
+    # Streams of which some fragments have arrived, but not the last one.
     _partial_messages: set[int] = field(default_factory=set)
     _running: dict[int, trio.CancelScope] = field(default_factory=dict)
     _fragments: FragmentBuffer = field(
@@ -140,7 +146,7 @@
     )
 
     async def handshake(self) -> Hello | LinkClosed:
-        """Say hello and wait for the other side's."""
+        """Send this node's hello and wait for that of the other side."""
         closed = await self._send(FrameKind.NOTIFICATION, 0, self.wire.hello)
         if closed is not None:
             return closed
@@ -155,17 +161,17 @@
         return msg
 
     async def ask(self, msg: object) -> object:
-        """Send a message and wait for its reply.
+        """Send a request and wait for its reply.
 
         Returns
         -------
         object
-            The reply, or `LinkLost` with whether the message may have arrived.
+            The reply, or `LinkLost`, which says whether the request may have arrived.
         """
         if self.closed:
             return LinkLost(sent=False, detail="the link is closed")
         if self._is_queue_full():
-            detail = f"{self._n_queued} messages wait on the link to be sent"
+            detail = f"send queue is full: {self._n_queued} messages are waiting"
             return LinkLost(sent=False, detail=detail)
         number = self._allocate_number()
         pending = _PendingRequest(msg, trio.Event())
@@ -184,17 +190,17 @@
         return pending.reply
 
     async def notify(self, msg: object) -> LinkClosed | None:
-        """Send a message that has no reply; dropped if too many wait on the link."""
+        """Send a notification; it is dropped if the send queue is full."""
         if self._is_queue_full():
             return None
         return await self._send(FrameKind.NOTIFICATION, self._allocate_number(), msg)
 
     def has_running_requests(self) -> bool:
-        """Return whether an ask of the other side runs or its reply is being sent."""
+        """Return whether a request of the other side runs or is being replied to."""
         return bool(self._running) and not self.closed
 
     async def run(self) -> None:
-        """Read the link until it closes; then end all that hangs on it."""
+        """Read the link until it closes, then end all requests on it."""
         try:
             while True:
                 data = await self.link.receive()
@@ -238,7 +244,7 @@
         self._n_queued += 1
         try:
             for data in encode_frames(frame):
-                # Between pieces other tasks send theirs: short messages pass long ones.
+                # Other tasks send between fragments: short messages overtake long ones.
                 self.wire.count_sent(len(data))
                 closed = await self.link.send(data)
                 if closed is not None:
@@ -287,7 +293,7 @@
         return False
 
     def _take_reply(self, number: int, msg: object) -> None:
-        # Taken out, so that a second reply cannot replace the first.
+        # Removed, so that a second reply cannot replace the first.
         pending = self._pending.pop(number, None)
         if pending is None:
             self._drop_reply(number)
@@ -309,7 +315,7 @@
 
     async def _take_request(self, number: int, msg: object) -> None:
         if len(self._running) >= self.wire.max_concurrent_requests:
-            # Waiting here would hold up replies and cancellations behind it.
+            # Waiting here would delay the replies and cancellations that follow.
             self.wire.count("link_full")
             await self._send(FrameKind.REPLY, number, _LINK_FULL)
             return
@@ -336,7 +342,7 @@
             await handler(self._peer_name(), msg)
         except Exception:
             self.wire.count("handler_failed")
-            _LOG.exception("handler of notice %s failed", type(msg).__name__)
+            _LOG.exception("handler of notification %s failed", type(msg).__name__)
 
     async def _reply(self, number: int, msg: object, scope: trio.CancelScope) -> None:
         try:
@@ -348,7 +354,7 @@
             self._running.pop(number, None)
 
     async def _handle(self, msg: object) -> object | None:
-        """Return the reply; None is none, for the asker too."""
+        """Return the reply; None if there is none, which is sent as an empty reply."""
         handler = self.wire.handlers.request_handlers.get(type(msg))
         if handler is None:
             self.wire.count("unexpected_ask")
@@ -357,7 +363,7 @@
             return await handler(self._peer_name(), msg)
         except Exception:
             self.wire.count("handler_failed")
-            _LOG.exception("handler of ask %s failed", type(msg).__name__)
+            _LOG.exception("handler of request %s failed", type(msg).__name__)
             return None
 
     def _peer_name(self) -> str:
@@ -380,7 +386,7 @@
 
 
 def _call_ids(msg: object) -> tuple[str, str] | None:
-    """Return the ids of the call and its root that a message carries, if it does."""
+    """Return the call and root ids of a message; None if it carries no call."""
     if isinstance(msg, CallMessage | HomeCallMessage):
         return msg.head.call_id, msg.head.root_id
     return None
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/frames.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/frames.py
@@ -1,8 +1,8 @@
-"""Frames on a link: what a message is for, and pieces of long ones.
+"""Frames on a link, and the fragmentation of long messages.
 
 A frame is the CBOR array ``[kind, number, time, payload]``. A message longer than
-`MAX_FRAGMENT_BYTES` goes in pieces, so that a large body cannot hold the link; the last
-piece bears length and checksum of the whole.
+`MAX_FRAGMENT_BYTES` is sent in fragments, so that a large body cannot block the link;
+the last fragment carries the length and checksum of the whole message.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class FrameKind(IntEnum):
-    """What a frame is for."""
+    """What a frame carries; the values are its numbers on the wire."""
 
     REQUEST = 1
     REPLY = 2
@@ -35,15 +35,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """One frame.
+    """A frame as it is sent on a link.
 
     Parameters
     ----------
     kind : FrameKind
-        What the frame is for.
+        What the frame carries.
     number : int
-        Matches a reply, a cancellation or a piece with its message; the sender of
-        an ask counts them up.
+        Associates a reply, a cancellation or a fragment with its message. The sender
+        of a request assigns increasing numbers.
     time : int
         Reading of the sender's hybrid logical clock.
     payload : object
@@ -57,7 +57,7 @@
 
 
 def encode_frames(frame: Frame) -> Iterator[bytes]:
-    """Yield the frame, or its pieces if it is long."""
+    """Yield the encoded frame, or its encoded fragments if it is long."""
     data = cbor2.dumps([int(frame.kind), frame.number, frame.time, frame.payload])
     if len(data) <= MAX_FRAGMENT_BYTES:
         yield data
@@ -74,15 +74,15 @@
 
 
 def fragment_stream(number: int, *, is_reply: bool) -> int:
-    """Return the number of a message's pieces.
+    """Return the stream number that a message's fragments carry.
 
-    An ask and the reply to one of the other side may share a number.
+    A request and the reply to a request of the other side may have the same number.
     """
     return number * 2 + is_reply
 
 
 def decode_frame(data: bytes) -> Frame | MalformedFrame:
-    """Return the frame that the bytes stand for."""
+    """Decode a frame; return what is wrong with the bytes if it is malformed."""
     value = load_cbor(data)
     if isinstance(value, MalformedFrame):
         return value
@@ -94,17 +94,17 @@
     try:
         return Frame(FrameKind(kind), number, time, payload)
     except ValueError:
-        return MalformedFrame(f"kind {kind} is unknown")
+        return MalformedFrame(f"unknown frame kind {kind}")
 
 
 @dataclass(slots=True)
 class FragmentBuffer:
-    """Pieces of messages that are not whole yet.
+    """Reassembles messages from their fragments.
 
     Parameters
     ----------
     max_bytes : int
-        The most that may lie here over all messages of the link.
+        Limit on the buffered bytes of all messages of the link.
     """
 
     max_bytes: int
@@ -112,22 +112,22 @@
     _n_bytes: int = 0
 
     def drop(self, number: int) -> None:
-        """Forget the pieces of an ask that its sender has given up."""
+        """Discard the fragments of a request that its sender has cancelled."""
         fragments = self._fragments.pop(fragment_stream(number, is_reply=False), [])
         self._n_bytes -= sum(map(len, fragments))
 
     def add(self, frame: Frame) -> Frame | MalformedFrame | None:
-        """Take a piece; return the whole frame once it is complete."""
+        """Add a fragment; return the whole frame once it is complete."""
         last = frame.kind is FrameKind.LAST_FRAGMENT
         payload = frame.payload if last else [frame.payload, 0, 0]
         if not isinstance(payload, list) or len(payload) != 3:
-            return MalformedFrame("a last piece needs data, length and checksum")
+            return MalformedFrame("a last fragment needs data, length and checksum")
         fragment, length, checksum = payload
         if not isinstance(fragment, bytes):
-            return MalformedFrame("a piece must be bytes")
+            return MalformedFrame("a fragment must be bytes")
         self._n_bytes += len(fragment)
         if self._n_bytes > self.max_bytes:
-            return MalformedFrame(f"pieces exceed {self.max_bytes} bytes on the link")
+            return MalformedFrame(f"fragments exceed {self.max_bytes} bytes per link")
         fragments = self._fragments.setdefault(frame.number, [])
         fragments.append(fragment)
         if not last:
@@ -136,5 +136,5 @@
         data = b"".join(fragments)
         self._n_bytes -= len(data)
         if len(data) != length or zlib.crc32(data) != checksum:
-            return MalformedFrame("pieces do not make the message that was sent")
+            return MalformedFrame("message does not match its length and checksum")
         return decode_frame(data)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/handlers.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/handlers.py
@@ -1,4 +1,4 @@
-"""Who answers which message from other nodes."""
+"""Handlers of the messages from other nodes."""
 
 from __future__ import annotations
 
@@ -12,33 +12,40 @@
 
 @dataclass(slots=True)
 class Handlers:
-    """Handlers by message type, filled while the node is put together.
+    """Handlers by message type, registered while the node is assembled.
 
-    A handler gets the name of the sending node and the message.
+    A handler takes the name of the sending node and the message.
+
+    Parameters
+    ----------
+    request_handlers : dict
+        Handlers of messages that have a reply, which they return.
+    notification_handlers : dict
+        Handlers of messages that have no reply.
     """
 
     request_handlers: dict[type, RequestHandler] = field(default_factory=dict)
     notification_handlers: dict[type, NotificationHandler] = field(default_factory=dict)
 
     def on_request(self, message_type: type, handler: RequestHandler) -> None:
-        """Register who replies to a message.
+        """Register the handler that replies to a type of message.
 
         Raises
         ------
         ValueError
-            If the message has a handler already.
+            If the type has a handler already.
         """
         if message_type in self.request_handlers:
             raise ValueError(f"{message_type.__name__} has a handler already")
         self.request_handlers[message_type] = handler
 
     def on_notification(self, message_type: type, handler: NotificationHandler) -> None:
-        """Register who takes a message that has no reply.
+        """Register the handler of a type of message that has no reply.
 
         Raises
         ------
         ValueError
-            If the message has a handler already.
+            If the type has a handler already.
         """
         if message_type in self.notification_handlers:
             raise ValueError(f"{message_type.__name__} has a handler already")
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/links.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/links.py
@@ -1,4 +1,4 @@
-"""Links of a node by the address of the other side; opened when first needed."""
+"""Links of a node by the address of the other node, opened on first use."""
 
 from __future__ import annotations
 
@@ -22,14 +22,15 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkSettings:
-    """Times of a link.
+    """Timeouts of a link.
 
     Parameters
     ----------
     dial_timeout : float
-        Milliseconds to open a link and to exchange hellos.
+        Time to open a link and exchange hellos, in milliseconds.
     redial_pause : float
-        Milliseconds after a failed dial during which the address counts as down.
+        Time after a failed dial during which the address counts as down, in
+        milliseconds.
     """
 
     dial_timeout: Milliseconds = 1000.0
@@ -37,7 +38,7 @@
 
 
 def _ignore_change(_peer: Hello, _is_up: bool) -> None:
-    """Take a change of a link's state and do nothing."""
+    """Ignore a change of a link's state; the default of `on_change`."""
 
 
 @dataclass(slots=True, eq=False)
@@ -47,15 +48,16 @@
     Parameters
     ----------
     cfg : LinkSettings
-        Times of a link.
+        Timeouts of a link.
     wire : WireContext
-        What all links share.
+        Shared by all links.
     dial : Dial
         Opens a link to an address.
     nursery : trio.Nursery
-        Where the tasks of the links run.
-    changed : callable
-        Told when a link comes up or goes down.
+        Runs the tasks of the links.
+    on_change : callable
+        Takes the other node's hello and whether the link is up, whenever a link comes
+        up or goes down.
     """
 
     cfg: LinkSettings
@@ -69,7 +71,7 @@
     _redial_after: dict[str, float] = field(default_factory=dict)
 
     async def ask(self, address: str, message: object) -> object:
-        """Send a message to the node at an address and wait for its reply.
+        """Send a request to the node at an address and wait for its reply.
 
         Parameters
         ----------
@@ -89,37 +91,37 @@
         return await conn.ask(message)
 
     async def notify(self, address: str, message: object) -> None:
-        """Send a message that has no reply; it may get lost."""
+        """Send a notification to the node at an address; it may get lost."""
         conn = await self._get_conn(address)
         if not isinstance(conn, LinkLost):
             await conn.notify(message)
 
     async def notify_linked(self, message: object) -> None:
-        """Send a message on every link that is up, whoever opened it."""
+        """Send a notification on every open link, whichever side opened it."""
         for conn in tuple(self._open_conns):
             if not conn.closed:
                 self.nursery.start_soon(conn.notify, message)
 
     def drop(self, address: str) -> None:
-        """Close the link to an address, for example of a node that is dead.
+        """Close the link to an address, for example that of a dead node.
 
-        Asks that wait on it end with `LinkLost`.
+        Requests that wait for a reply on it end with `LinkLost`.
         """
         conn = self._conns.get(address)
         if conn is not None and not conn.closed:
             self.nursery.start_soon(conn.link.aclose)
 
     async def wait_idle(self) -> None:
-        """Wait until every ask of other nodes has its reply written."""
+        """Wait until the replies to all requests of other nodes are sent."""
         while any(conn.has_running_requests() for conn in self._open_conns):
             await trio.sleep(_IDLE_POLL_S)
 
     def linked(self) -> tuple[str, ...]:
-        """Return the addresses of the links that are up."""
+        """Return the addresses to which a link is open."""
         return tuple(sorted(a for a, c in self._conns.items() if not c.closed))
 
     async def serve_link(self, link: Link) -> None:
-        """Serve a link that another node opened, until it closes."""
+        """Serve a link that another node has opened until it closes."""
         async with trio.open_nursery() as nursery:
             conn = PeerConn(link, self.wire, nursery)
             await self._handshake_and_run(conn, handshake_done=None)
@@ -138,7 +140,7 @@
 
     async def _open(self, address: str) -> PeerConn | LinkLost:
         if trio.current_time() < self._redial_after.get(address, 0.0):
-            return LinkLost(sent=False, detail=f"{address} was down a moment ago")
+            return LinkLost(sent=False, detail=f"a recent dial to {address} failed")
         conn: PeerConn | LinkClosed | DialFailed = DialFailed(address, "timeout")
         with trio.move_on_after(self.cfg.dial_timeout / MS_PER_S):
             conn = await self._dial_and_handshake(address)
@@ -165,8 +167,8 @@
             self.nursery.start_soon(link.aclose)
             raise
         if conn.closed:
-            return LinkClosed("the other node closed the link at once")
-        # The address dialled may be another name of the one in the hello.
+            return LinkClosed("the other node closed the link during the handshake")
+        # The dialled address may differ from the one in the hello.
         self._conns[address] = conn
         return conn
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/wiring.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/wiring.py
@@ -1,4 +1,4 @@
-"""What the links of a node share: who answers, what is counted and reported."""
+"""Connects the links of a node with its message handlers and its telemetry."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     from fuchsiagap_node.core.peers.handlers import Handlers
     from fuchsiagap_node.core.wire.messages_call import Hello
 
-# What links count by name, where that has a counter of its own.
+# Occurrences on links that have a counter of their own; the rest are link faults.
 _COUNTERS = {
     "malformed_frame": Counter.MALFORMED_FRAMES,
     "late_reply_dropped": Counter.LATE_ANSWERS,
@@ -27,18 +27,18 @@
 def make_wire_context(
     cfg: NodeConfig, hello: Hello, handlers: Handlers, telemetry: Telemetry
 ) -> WireContext:
-    """Return what all links of a node share.
+    """Return the context that all links of a node share.
 
     Parameters
     ----------
     cfg : NodeConfig
-        Has the limits of a link.
+        Configuration, with the limits of a link.
     hello : Hello
-        What the node says of itself.
+        Introduction of this node.
     handlers : Handlers
-        Who answers what.
+        Handlers of the messages from other nodes.
     telemetry : Telemetry
-        Where the links count and report.
+        Receives the counts and reports of the links.
     """
     count = telemetry.metrics.count
 
@@ -68,7 +68,7 @@
 
     def report_unsolicited_reply(peer: str, number: int) -> None:
         telemetry.ring.record(EventKind.CROSSED_ANSWER_DROPPED, peer=peer)
-        detail = f"{peer} sent a reply to ask {number}, which its link never had"
+        detail = f"{peer} sent a reply to request {number}, which its link never sent"
         telemetry.violation(Invariant.WRONG_ANSWER, detail)
 
     return WireContext(
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/__init__.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of teams: read from the platform, spread between nodes, and written."""
+"""Settings of teams: read from the platform, synchronized, and written."""
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/outcome.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/outcome.py
@@ -1,4 +1,4 @@
-"""What becomes of a change of settings."""
+"""Results of a request to change settings."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
     team : str
         Name of the team.
     version : int
-        The version it made.
+        Version created by the change.
     current : int
-        The version that stands now; higher if somebody has changed it since.
+        Current version; higher if the settings have been changed since.
     """
 
     team: str
@@ -30,27 +30,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """Another version stands there than was expected; nothing was changed.
+    """The current version is not the expected one; nothing was changed.
 
     Parameters
     ----------
     team : str
         Name of the team.
     expected_version : int
-        The version that was expected.
+        Version that the request expected.
     version : int
-        The version that stands; 0 if there is none.
+        Current version; 0 if there is none.
     deleted : bool
-        Whether the settings are deleted as of that version.
+        Whether the current version is a deletion.
     text : str
-        The text that stands.
+        Current text.
     diff : str
-        From the text that stands to the one that was offered.
+        Difference from the current text to the requested one.
     by : str
-        Who made the version that stands; empty if it bears no record.
+        Author of the current version; empty if it has no change record.
     is_sure : bool
-        Whether the records reach back to the change that replaced the expected
-        version, so that no earlier request with this id has taken effect either.
+        Whether the change records reach back to the change that replaced the expected
+        version. Then no earlier request with the same id has taken effect either.
     """
 
     team: str
@@ -65,12 +65,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Invalid:
-    """The text is not valid; nothing was changed.
+    """The text is invalid; nothing was changed.
 
     Parameters
     ----------
     faults : SettingsFaults
-        Every fault at once.
+        All faults of the text.
     """
 
     faults: SettingsFaults
@@ -85,7 +85,7 @@
     team : str
         Name of the team.
     detail : str
-        For people.
+        Human-readable reason.
     """
 
     team: str
@@ -94,12 +94,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Unavailable:
-    """The platform does not answer; nothing was changed.
+    """The platform does not respond; nothing was changed.
 
     Parameters
     ----------
     detail : str
-        For people.
+        Human-readable reason.
     """
 
     detail: str
@@ -107,18 +107,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Unsettled:
-    """The change may have taken effect, and the platform does not say so now.
+    """The change may have taken effect, which cannot be determined now.
 
     Parameters
     ----------
     change_id : str
-        With which to ask again: a repeat of the change with the same id and the
-        same text finds out, and cannot take effect a second time.
+        Id for a repeat of the request. A repeat with the same id and the same text
+        finds out the result and cannot take effect a second time.
     detail : str
-        For people.
+        Human-readable reason.
     expected_version : int
-        The version the change is to replace: to be named by the repeat, also if the
-        first request named none.
+        Version that the change replaces. A repeat must name it, even if the first
+        request named none.
     """
 
     change_id: str
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/spread.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/spread.py
@@ -1,8 +1,8 @@
-"""Settings between nodes: news at once along the links, comparison now and then.
+"""Settings between nodes: announcements of new versions, and periodic comparison.
 
-News carries versions only. A node fetches a text it lacks from the first node that
-tells of it, so each text crosses the network about once per node. Whatever is lost is
-found by comparing with a random node.
+An announcement carries versions only. A node fetches a missing text from the first
+node that announces it, so each text is sent to each node about once. The comparison
+with a random node finds whatever was lost.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 def register(state: NodeState) -> None:
-    """Register who replies to the messages about settings."""
+    """Register the handlers of the messages about settings."""
 
     async def on_query(_peer: str, msg: SettingsQuery) -> SettingsTexts:
         return _find_newer_texts(state, msg)
@@ -64,16 +64,16 @@
 
 
 def adopt_texts(state: NodeState, texts: Iterable[TeamText], source: str) -> None:
-    """Offer texts to the book, and have news of those adopted passed on.
+    """Offer texts to the settings book, and queue announcements of those adopted.
 
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of this node.
     texts : iterable of TeamText
-        What was received.
+        Received texts.
     source : str
-        The node it came from, or ``"platform"``.
+        Name of the node that sent them, or ``"platform"``.
     """
     for text in texts:
         before = state.book.text(text.team)
@@ -89,13 +89,13 @@
 def _check_invariants(
     state: NodeState, before: TeamText | None, offered: TeamText
 ) -> None:
-    """Report a version that went back, or one that stands for two texts."""
+    """Report a violation if a version went back or has two different texts."""
     after = state.book.text(offered.team)
     if before is None:
         return
     if after is None or after.version < before.version:
         now = 0 if after is None else after.version
-        detail = f"settings of {offered.team}: {now} after {before.version}"
+        detail = f"settings of {offered.team}: version {now} after {before.version}"
         state.telemetry.violation(Invariant.VERSION_WENT_BACK, detail)
     elif offered.version == before.version and offered != before:
         detail = f"settings of {offered.team}: two texts of version {before.version}"
@@ -103,7 +103,7 @@
 
 
 async def announce_adopted(state: NodeState) -> None:
-    """Tell the neighbours of what was adopted, until cancelled."""
+    """Announce adopted versions to the gossip targets until cancelled."""
     standing = state.book.standing
     async with trio.open_nursery() as nursery:
         while True:
@@ -119,7 +119,7 @@
 
 
 async def compare_periodically(state: NodeState) -> None:
-    """Compare versions with a random node now and then, until cancelled."""
+    """Compare versions with a random node at intervals until cancelled."""
     async with trio.open_nursery() as nursery:
         while True:
             jitter = state.rng.uniform(1 - COMPARE_JITTER, 1 + COMPARE_JITTER)
@@ -130,16 +130,16 @@
 
 
 async def compare(state: NodeState, address: str, source: str) -> bool:
-    """Compare versions with one node, and even out what differs.
+    """Compare versions with a node and exchange the differences.
 
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of this node.
     address : str
         ``IP:PORT`` of the other node.
     source : str
-        Its name, for the events.
+        Name of the other node, for the events.
 
     Returns
     -------
@@ -160,7 +160,7 @@
 
 
 def mark_complete(state: NodeState) -> None:
-    """Note that this node has had all that the platform held at some moment."""
+    """Record that this node has received all that the platform held at one time."""
     standing = state.book.standing
     if not standing.complete:
         standing.complete = True
@@ -184,7 +184,8 @@
 async def _fetch(state: NodeState, address: str, source: str, versions: Vector) -> None:
     """Fetch those of the versions that are newer than all seen.
 
-    While another node is asked for them, wait; if that fails, ask this one.
+    Waits while they are being fetched from another node; if that fails, fetches them
+    from this one.
     """
     standing = state.book.standing
     with trio.move_on_after(2 * PEER_TIMEOUT / MS_PER_S):
@@ -258,7 +259,7 @@
 
 
 def random_contact(state: NodeState) -> tuple[str, str] | None:
-    """Return address and name of a random other node; a first peer if none is known."""
+    """Return address and name of a random node, else of a configured peer."""
     membership = state.membership
     own_name = membership.self_member.node
     others = [m for m in membership.members() if m.node != own_name and not m.gone]
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/sync.py
@@ -1,4 +1,4 @@
-"""Settings of all teams on one node: from the platform, and between nodes."""
+"""Synchronization of all settings: with the platform and between nodes."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
 
 def register(state: NodeState) -> None:
-    """Register who replies to the messages about settings.
+    """Register the handlers of the messages about settings.
 
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of this node.
     """
     spread.register(state)
     watch.register(state)
 
 
 async def run(state: NodeState) -> None:
-    """Keep the settings of all teams current, until cancelled.
+    """Keep the settings of all teams up to date until cancelled.
 
     Parameters
     ----------
     state : NodeState
-        The node, with its links up.
+        State of this node; its links must be up.
     """
     async with trio.open_nursery() as nursery:
         nursery.start_soon(watch.bootstrap, state)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/watch.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/watch.py
@@ -1,8 +1,8 @@
-"""Settings from the platform: a few nodes of each data centre hold the watch.
+"""Settings from the platform: a few nodes of each data centre watch it.
 
-Which ones follows from the members that are alive, so nobody is elected, and two that
-both think it is them do no harm. One that cannot reach the platform asks random nodes
-to watch in its place.
+The watchers follow from the live members, so there is no election, and nodes that
+wrongly consider themselves watchers do no harm. A watcher that cannot reach the
+platform asks random nodes to watch in its place (proxy watch).
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 
 def register(state: NodeState) -> None:
-    """Register who replies to a node that cannot watch."""
+    """Register the handler of requests for a proxy watch."""
 
     async def on_watch_for_me(_peer: str, _msg: WatchForMe) -> WatchReply:
         standing = state.book.standing
@@ -62,13 +62,13 @@
 
 
 def text_of(stored: StoredObject) -> TeamText:
-    """Return an object of the platform as a team's text.
+    """Convert an object of the platform to a team's text.
 
     Parameters
     ----------
     stored : StoredObject
-        An object below ``/settings/``. Bytes that are no UTF-8 make a text that
-        validation refuses.
+        An object below ``/settings/``. Bytes that are not UTF-8 become a text that
+        validation rejects.
     """
     text = stored.value.decode("utf-8", "surrogateescape")
     deleted = stored.deleted or read_stored(text).deleted
@@ -76,32 +76,33 @@
 
 
 def adopt_objects(state: NodeState, objects: tuple[StoredObject, ...]) -> None:
-    """Offer objects of the platform to the book."""
+    """Offer objects of the platform to the settings book."""
     texts = [text_of(stored) for stored in objects if team_of(stored.path)]
     spread.adopt_texts(state, texts, PLATFORM_SOURCE)
 
 
 def watcher_names(state: NodeState) -> tuple[str, ...]:
-    """Return the nodes of the own data centre that hold the watch.
+    """Return the nodes of the own data centre that watch the platform.
 
-    The last on the ring, since the first have the digest of members to write.
+    These are the last on the first ring. The nodes that write the digest of members
+    are chosen by another hash, so a node has both roles only by chance.
     """
     own = state.membership.self_member.data_centre
     return state.membership.rings.nodes(own)[-N_WATCHERS:]
 
 
 async def run_watch(state: NodeState) -> None:
-    """Hold the watch whenever it is this node's turn, until cancelled.
+    """Watch the platform whenever this node is responsible, until cancelled.
 
-    Not before the node has settings: when all nodes start at once, each takes itself
-    for the only one at first.
+    Starts only once the node has settings: when all nodes start at once, each considers
+    itself the only one at first.
     """
     while not state.book.standing.complete:
         await state.book.standing.changed.wait()
     retry = MIN_RETRY_DELAY
     while True:
         if not _is_responsible(state):
-            # Whoever asks for the platform's state should ask those that know it.
+            # Only nodes that watch know the state of the platform.
             state.book.standing.platform_up = None
             await _wait_for_change(state, ROLE_INTERVAL)
             continue
@@ -118,7 +119,7 @@
 
 
 async def run_proxy_watch(state: NodeState) -> None:
-    """While this node ought to watch and cannot, have another do it."""
+    """Have another node watch while this one should and cannot, until cancelled."""
     proxy: Member | None = None
     while True:
         standing = state.book.standing
@@ -138,8 +139,9 @@
 async def bootstrap(state: NodeState) -> None:
     """Get all settings once, from other nodes or else from the platform.
 
-    A node that knows of others asks these first. If they have none either, those that
-    are to hold the watch read the platform, and the others only much later.
+    A node that knows other nodes asks these first. If they have no settings either,
+    the watchers read the platform after a timeout, and the other nodes only after a
+    multiple of it.
     """
     standing = state.book.standing
     peer_timeout = BOOTSTRAP_PEER_TIMEOUT * state.rng.uniform(1.0, 2.0)
@@ -162,7 +164,7 @@
 
 
 async def _watch(state: NodeState) -> bool:
-    """Watch until it fails; return whether it worked at first."""
+    """Watch until the watch fails; return whether it worked at first."""
     cursor = await _read_all(state)
     if cursor is None:
         return False
@@ -170,7 +172,7 @@
     standing.watching = True
     standing.notify()
     try:
-        # A generator, which has to be closed here and now when this is cancelled.
+        # An async generator must be closed explicitly when this task is cancelled.
         watch = state.platform.watch(SETTINGS_PREFIX, cursor)
         async with aclosing(cast("_Changes", watch)) as changes:
             async for change in changes:
@@ -184,7 +186,7 @@
 
 
 async def _read_all(state: NodeState) -> int | None:
-    """Read all settings from the platform; return the highest version."""
+    """Read all settings from the platform; return the highest version, if any."""
     state.telemetry.metrics.count(Counter.PLATFORM_CALLS, "settings-list")
     found = await state.platform.list(SETTINGS_PREFIX)
     is_up = not isinstance(found, PlatformUnavailable)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/write.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/write.py
@@ -1,8 +1,8 @@
-"""Accept a change of a team's settings: whole, by conditional update, settled.
+"""Changes of a team's settings, by conditional update of an object on the platform.
 
-Accepted means: the platform holds the text under a version, and the text bears the
-id of the change. If the answer of the platform is lost, the same conditional update is
-asked for again: it takes effect at most once, and finds its own id if it did.
+A change is accepted once the platform holds its text under a version, together with
+the id of the change. If the response of the platform is lost, the same conditional
+update is repeated: it takes effect at most once, and finds its own id if it did.
 """
 
 from __future__ import annotations
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Change:
-    """A change that is asked for."""
+    """A requested change."""
 
     team: str
     action: Action
@@ -90,32 +90,32 @@
     token: str,
     repeat: bool = False,
 ) -> WriteResult:
-    """Put a team's settings in force.
+    """Replace a team's settings.
 
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of this node.
     team : str
         Name of the team.
     text : str
         The INI text.
     expected_version : int or None
-        The version the text was written for; 0 if there are no settings; None for
-        whichever stands.
+        Version that the text is based on; 0 if there are no settings; None for any
+        version.
     change_id : str
-        Chosen by the caller; the same for a repeat.
+        Id of the change, chosen by the caller; the same for a repeat.
     token : str
         Bearer token.
     repeat : bool, default=False
-        Whether an earlier request with this id is unsettled. Then nothing is said to
-        be unchanged that may have been changed by the earlier one. Needs the expected
+        Whether an earlier request with this id is unsettled. Then the result never
+        says unchanged if the earlier request may have taken effect. Needs the expected
         version that `Unsettled` named, so that only one of them can take effect.
 
     Returns
     -------
     Accepted, Conflict, Invalid, Forbidden, Unavailable or Unsettled
-        What became of it.
+        Result of the request.
     """
     change = _Change(team, Action.PUT, text, expected_version, change_id, token, repeat)
     if (forbidden := _refuse_locally(state, change)) is not None:
@@ -134,7 +134,7 @@
     token: str,
     repeat: bool = False,
 ) -> WriteResult:
-    """Delete a team's settings; parameters and result as of `put_settings`."""
+    """Delete a team's settings; see `put_settings` for parameters and result."""
     change = _Change(
         team, Action.DELETE, "", expected_version, change_id, token, repeat
     )
@@ -144,12 +144,12 @@
 
 
 def find_local_holder(state: NodeState, team: str, token: str) -> str | None:
-    """Return who holds a token for a team, as the settings in force here say.
+    """Return the holder of a token for a team, by the settings in force locally.
 
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of this node.
     team : str
         Name of the team.
     token : str
@@ -158,8 +158,8 @@
     Returns
     -------
     str or None
-        `OPERATORS` for the token of the node's own settings, which is good for
-        every team; None if the token is good for nothing here.
+        `OPERATORS` for the token in the node's own settings, which is valid for every
+        team; None if the token is not valid for this team.
     """
     if is_operators_token(state, token):
         return OPERATORS
@@ -168,13 +168,13 @@
 
 
 def is_operators_token(state: NodeState, token: str) -> bool:
-    """Whether a token is the one that may create teams and drain the node."""
+    """Return whether a token is the one that may create teams and drain the node."""
     digest = state.cfg.admin.token_digest
     return bool(digest) and is_token(digest, token)
 
 
 def _refuse_locally(state: NodeState, change: _Change) -> Forbidden | None:
-    """Refuse most strangers without a call to the platform."""
+    """Refuse most unauthorized requests without a call to the platform."""
     if not state.book.standing.complete:
         return None
     if find_local_holder(state, change.team, change.token) is not None:
@@ -183,7 +183,7 @@
 
 
 def _forbidden(team: str) -> Forbidden:
-    detail = f"the token is none of team {team!r} and not that of the operators"
+    detail = f"the token is neither one of team {team!r} nor that of the operators"
     return Forbidden(team, detail)
 
 
@@ -240,7 +240,7 @@
 async def _put_until_settled(
     state: NodeState, change: _Change, path: str, value: bytes, version: int
 ) -> WriteResult:
-    """Write, and ask again while it is open whether the write took effect."""
+    """Write, and retry while it is undecided whether the write took effect."""
     maybe_applied = False
     detail = ""
     for pause in (*SETTLE_RETRY_DELAYS, None):
@@ -269,9 +269,12 @@
 def _settle_conflict(
     state: NodeState, change: _Change, current: StoredObject | None, replaced: int
 ) -> WriteResult:
-    """Find this very change in what stands, or else the winner's."""
+    """Return the result of a write that met another version than expected.
+
+    The current object may hold this very change, from an earlier attempt.
+    """
     if current is None:
-        # There was an object, and the platform has forgotten it and its version.
+        # The object existed before: the platform has lost it and its version.
         return Unavailable("the platform lost the object that was to be replaced")
     watch.adopt_objects(state, (current,))
     return _find_earlier_result(change, current) or _conflict(change, current, replaced)
@@ -280,9 +283,9 @@
 def _find_earlier_result(
     change: _Change, current: StoredObject
 ) -> Accepted | Conflict | None:
-    """Return what became of this change if it took effect before.
+    """Return the result of this change if it took effect before, else None.
 
-    The id of another change, with another text, is a conflict.
+    The id of an earlier change with another text is a conflict.
     """
     found = _read(current).find(change.change_id, current.version)
     if found is None:
@@ -308,7 +311,7 @@
 def _find_platform_holder(
     state: NodeState, change: _Change, current: StoredObject, stored: StoredText
 ) -> str | None:
-    """Return the token's holder by what stands on the platform at this moment."""
+    """Return the token's holder by the current settings on the platform."""
     if is_operators_token(state, change.token):
         return OPERATORS
     if current.deleted or stored.deleted:
@@ -329,7 +332,11 @@
 def _conflict(
     change: _Change, current: StoredObject, replaced: int | None = None
 ) -> Conflict:
-    """Return the conflict with what stands; `replaced` is what the winner replaced."""
+    """Return the conflict with the current object.
+
+    `replaced` is the version that the winning change replaced; by default the expected
+    one.
+    """
     stored = _read(current)
     if replaced is None:
         replaced = change.expected_version
@@ -353,9 +360,9 @@
 
 
 def _describe_lost_changes(current: StoredObject, in_force: int) -> str:
-    """Say why a change would be accepted and never be in force."""
+    """Explain why a change would be accepted and never take effect."""
     return (
-        f"it holds version {current.version} of {current.path}, below {in_force} which"
+        f"it holds version {current.version} of {current.path}, but version {in_force}"
         " is in force: it has lost changes; see docs/operators/platform-outage.md"
     )
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/__init__.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between nodes and their CBOR form."""
+"""Messages between nodes and their CBOR encoding."""
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/codec.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/codec.py
@@ -1,9 +1,9 @@
-"""CBOR form of the messages between nodes.
+"""CBOR encoding of the messages between nodes.
 
-A message is a frozen data class registered with a tag. It is written as the array
-``[tag, field, ...]``; nested data classes without a tag are written as arrays of
-their fields. Decoding checks each shape against the field's type, so that a frame of
-the wrong shape becomes a `MalformedFrame` and never a half-filled message.
+A message is a frozen data class registered with a tag. It is encoded as the array
+``[tag, field, ...]``; nested data classes without a tag are encoded as arrays of
+their fields. Decoding checks each value against the field's type, so that a malformed
+frame becomes a `MalformedFrame` and never a partially filled message.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 _Cls = TypeVar("_Cls", bound=type)
 _Convert: TypeAlias = Callable[[Any], Any]
 
-# Names that message modules import for typing only; `message` resolves them.
+# Types that message modules import for type checking only; `message` resolves them.
 _SHARED_NAMES: dict[str, Any] = {
     "Answered": Answered,
     "CallHead": CallHead,
@@ -45,24 +45,24 @@
 
 @dataclass(frozen=True, slots=True)
 class MalformedFrame:
-    """A frame that is no message.
+    """The reason why a frame could not be decoded.
 
     Parameters
     ----------
     detail : str
-        Which field, what was passed and what was expected.
+        The field, the expected value and the one received.
     """
 
     detail: str
 
 
 class _ShapeError(Exception):
-    """A value has not the shape of its field; never leaves this module."""
+    """A value does not match the type of its field; never leaves this module."""
 
 
 @dataclass(frozen=True, slots=True)
 class _MessageCodec:
-    """How a registered data class is written and read."""
+    """Encoder and decoder of a registered data class."""
 
     tag: int
     cls: type
@@ -82,7 +82,7 @@
     tag : int
         Number of the message on the wire, unique over all messages.
     **names
-        Types named in the annotations that the module imports for typing only.
+        Types in the annotations that the module imports for type checking only.
 
     Returns
     -------
@@ -92,12 +92,12 @@
     Raises
     ------
     ValueError
-        If the tag is taken, which is a mistake in the program.
+        If the tag is already in use.
     """
 
     def register(cls: _Cls) -> _Cls:
         if tag in _BY_TAG:
-            raise ValueError(f"tag {tag} of {cls} is taken by {_BY_TAG[tag].cls}")
+            raise ValueError(f"tag {tag} of {cls} is in use by {_BY_TAG[tag].cls}")
         names.setdefault(cls.__name__, cls)
         write, read = _class_converters(cls, {**_SHARED_NAMES, **names})
         codec = _MessageCodec(tag, cls, write, read)
@@ -109,13 +109,13 @@
 
 
 def to_array(msg: object) -> list[Any]:
-    """Return a message as plain values, its tag first."""
+    """Convert a message to plain values, its tag first."""
     codec = _BY_CLASS[type(msg)]
     return [codec.tag, *codec.write(msg)]
 
 
 def from_array(value: Any) -> object | MalformedFrame:
-    """Return the message that plain values stand for."""
+    """Convert plain values to a message; return what is wrong if they are none."""
     try:
         return _read_tagged(value)
     except _ShapeError as exc:
@@ -123,7 +123,7 @@
 
 
 def encode(msg: object) -> bytes:
-    """Return the CBOR form of a message.
+    """Encode a message as CBOR.
 
     Parameters
     ----------
@@ -139,17 +139,17 @@
 
 
 def decode(frame: bytes) -> object | MalformedFrame:
-    """Return the message of a frame.
+    """Decode a CBOR frame.
 
     Parameters
     ----------
     frame : bytes
-        What came from the link.
+        Bytes received from a link.
 
     Returns
     -------
     object or MalformedFrame
-        The message, or what is wrong with the frame.
+        The message, or the reason why the frame is malformed.
     """
     value = load_cbor(frame)
     if isinstance(value, MalformedFrame):
@@ -162,7 +162,7 @@
     try:
         return cbor2.loads(frame)
     except (cbor2.CBORDecodeError, ValueError, RecursionError, TypeError) as exc:
-        return MalformedFrame(f"the frame is no CBOR: {exc}")
+        return MalformedFrame(f"the frame is not valid CBOR: {exc}")
 
 
 def _read_tagged(value: Any) -> object:
@@ -172,7 +172,7 @@
         )
     codec = _BY_TAG.get(value[0]) if isinstance(value[0], int) else None
     if codec is None:
-        raise _ShapeError(f"tag {value[0]!r:.60} is unknown")
+        raise _ShapeError(f"unknown tag {value[0]!r:.60}")
     return codec.read(value[1:])
 
 
@@ -317,7 +317,7 @@
 def _union_converters(
     args: tuple[Any, ...], names: dict[str, Any]
 ) -> tuple[_Convert | None, _Convert]:
-    """Return converters of ``X | None`` or of a union of registered classes."""
+    """Return converters for ``X | None`` or a union of registered classes."""
     others = [arg for arg in args if arg is not type(None)]
     optional = len(others) < len(args)
     if len(others) == 1:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/messages_call.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/messages_call.py
@@ -1,4 +1,4 @@
-"""Messages that carry a call from node to node; the reply is an outcome."""
+"""Messages that carry a call between nodes; the reply is the call's outcome."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 @message(4)
 @dataclass(frozen=True, slots=True)
 class CallMessage:
-    """A call for the backend server beside the receiving node.
+    """A call for the backend server of the receiving node.
 
     Parameters
     ----------
     head : CallHead
-        Its deadline is the remaining time in milliseconds.
+        Head of the call; its deadline is the remaining time in milliseconds.
     body : bytes
-        The whole body.
+        Complete body of the call.
     """
 
     head: CallHead
@@ -37,9 +37,9 @@
     Parameters
     ----------
     head : CallHead
-        Its deadline is the remaining time in milliseconds.
+        Head of the call; its deadline is the remaining time in milliseconds.
     body : bytes
-        The whole body.
+        Complete body of the call.
     """
 
     head: CallHead
@@ -49,18 +49,18 @@
 @message(6)
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """First frame on a link, both ways.
+    """First message on a link, sent by both sides.
 
     Parameters
     ----------
     node : str
         Name of the sender.
     incarnation : int
-        The sender's life.
+        Incarnation of the sender, which is higher after each restart.
     data_centre : str
-        Where the sender runs.
+        Data centre of the sender.
     address : str
-        ``IP:PORT`` at which the sender takes links.
+        ``IP:PORT`` on which the sender accepts links.
     """
 
     node: str
@@ -70,10 +70,10 @@
 
 
 def head_to_wire(head: CallHead, now: Milliseconds) -> CallHead:
-    """Return the head with the remaining time in place of the deadline."""
+    """Return the head with the deadline replaced by the remaining time."""
     return replace(head, deadline=head.deadline - now)
 
 
 def head_from_wire(head: CallHead, now: Milliseconds) -> CallHead:
-    """Return the head with the deadline on this process's clock."""
+    """Return the head with the remaining time replaced by a local deadline."""
     return replace(head, deadline=head.deadline + now)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/messages_gossip.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/messages_gossip.py
@@ -1,4 +1,4 @@
-"""Messages by which nodes keep their views of the members alike."""
+"""Messages of the membership protocol between nodes."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 @message(40, Member=Member)
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """Ask a node whether it is alive; the reply is an `Ack`.
+    """Probe of a node; the reply is an `Ack`.
 
     Parameters
     ----------
     target : str
-        The node that is meant; another one may listen at its address by now.
+        Name of the probed node; another one may listen at its address by now.
     updates : tuple of Member
-        What the target should know, above all what is said of itself.
+        Records for the target, above all claims about itself that it must refute.
     """
 
     target: str
@@ -28,16 +28,16 @@
 @message(41, Member=Member)
 @dataclass(frozen=True, slots=True)
 class Ack:
-    """A node is alive.
+    """Reply to a probe.
 
     Parameters
     ----------
     node : str
-        The node that replies.
+        Name of the replying node.
     hash : int
         Hash of its view.
     updates : tuple of Member
-        What the asking node should know, above all what is said of itself.
+        Records for the probing node, above all claims about itself that it must refute.
     """
 
     node: str
@@ -48,12 +48,12 @@
 @message(42)
 @dataclass(frozen=True, slots=True)
 class PingRequest:
-    """Ask a node to probe another one; the reply is a `PingReport`.
+    """Request to probe another node; the reply is a `PingReport`.
 
     Parameters
     ----------
     target, address : str
-        The node to probe, and where it listens.
+        Name and ``IP:PORT`` of the node to probe.
     """
 
     target: str
@@ -63,7 +63,13 @@
 @message(43)
 @dataclass(frozen=True, slots=True)
 class PingReport:
-    """Whether a probe made for another node got its reply."""
+    """Result of an indirect probe.
+
+    Parameters
+    ----------
+    reached : bool
+        Whether the probed node replied.
+    """
 
     reached: bool
 
@@ -71,12 +77,12 @@
 @message(44, Member=Member)
 @dataclass(frozen=True, slots=True)
 class Updates:
-    """Members that changed; a notice.
+    """Records that changed; a notification.
 
     Parameters
     ----------
     members : tuple of Member
-        The newest word on each.
+        Latest record of each member.
     """
 
     members: tuple[Member, ...]
@@ -85,14 +91,14 @@
 @message(45)
 @dataclass(frozen=True, slots=True)
 class SyncRequest:
-    """Ask for the members in which another view differs; gets a `SyncReply`.
+    """Request for the records in which two views differ; the reply is a `SyncReply`.
 
     Parameters
     ----------
     digest : tuple of int
-        Hash of each bucket of the asking node's view.
+        Hash of each bucket of the requesting node's view.
     max_members : int
-        How many members the reply may bear; whole buckets, but at least one.
+        Limit on the records of the reply, which has whole buckets and at least one.
     """
 
     digest: tuple[int, ...]
@@ -102,19 +108,19 @@
 @message(46, Member=Member)
 @dataclass(frozen=True, slots=True)
 class SyncReply:
-    """Members of buckets that differ.
+    """Records of buckets that differ.
 
     Parameters
     ----------
     node : str
-        The node that replies.
+        Name of the replying node.
     buckets : tuple of int
-        The buckets that the reply covers; the asking node sends back what it knows
-        better in them.
+        Buckets that the reply covers; the requesting node sends back its newer records
+        in them.
     members : tuple of Member
-        All members of these buckets.
+        All records in these buckets.
     n_differing : int
-        How many buckets differ in all.
+        Total number of buckets that differ.
     """
 
     node: str
@@ -126,12 +132,12 @@
 @message(47, Member=Member)
 @dataclass(frozen=True, slots=True)
 class Leaving:
-    """The sender wants no new work; a notice on every link at once.
+    """The sender accepts no new work; a notification on all links at once.
 
     Parameters
     ----------
     member : Member
-        The sender's word about itself.
+        The sender's record of itself.
     """
 
     member: Member
@@ -140,14 +146,14 @@
 @message(48, Member=Member)
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """A sign of life; a notice.
+    """Regular proof that the sender is alive; a notification.
 
     Parameters
     ----------
     hash : int
         Hash of the sender's view.
     updates : tuple of Member
-        What the receiver should know, above all what is said of itself.
+        Records for the receiver, above all claims about itself that it must refute.
     """
 
     hash: int
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/messages_settings.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/messages_settings.py
@@ -1,4 +1,4 @@
-"""Messages by which nodes tell each other of settings and fetch them."""
+"""Messages that announce, compare and fetch settings between nodes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 @message(50, Vector=_Vector)
 @dataclass(frozen=True, slots=True)
 class SettingsNews:
-    """Versions that the sender has adopted; a notice.
+    """Announcement of versions that the sender has adopted; a notification.
 
     Parameters
     ----------
@@ -31,12 +31,13 @@
 @message(51, Vector=_Vector)
 @dataclass(frozen=True, slots=True)
 class SettingsQuery:
-    """Ask for the texts of some teams; the reply is `SettingsTexts`.
+    """Request for the texts of some teams; the reply is `SettingsTexts`.
 
     Parameters
     ----------
     known : tuple of (str, int)
-        Each team, with the version the sender knows; only newer texts are wanted.
+        Teams, each with the version that the sender knows; only newer texts are
+        returned.
     """
 
     known: Vector
@@ -50,9 +51,9 @@
     Parameters
     ----------
     texts : tuple of TeamText
-        What was asked for and is newer; at least one of these, if not all.
+        Requested texts that are newer than the known versions; at least one of them.
     more : bool
-        Whether there are further ones, left out for their size.
+        Whether further ones were left out because of their size.
     """
 
     texts: tuple[TeamText, ...]
@@ -62,7 +63,7 @@
 @message(53)
 @dataclass(frozen=True, slots=True)
 class SettingsCompare:
-    """Compare versions with another node; the reply is `SettingsVector`.
+    """Request to compare versions; the reply is a `SettingsVector`.
 
     Parameters
     ----------
@@ -76,16 +77,16 @@
 @message(54, Vector=_Vector)
 @dataclass(frozen=True, slots=True)
 class SettingsVector:
-    """The versions in force at the sender.
+    """Versions in force at the sender.
 
     Parameters
     ----------
     same : bool
-        Whether they equal those of the node that asked.
+        Whether they equal those of the requesting node.
     versions : tuple of (str, int)
-        Team and version; empty if they are the same.
+        Team and version; empty if they are equal.
     complete : bool
-        Whether the sender has had all that the platform held at some moment.
+        Whether the sender has received all that the platform held at one time.
     """
 
     same: bool
@@ -96,18 +97,21 @@
 @message(55)
 @dataclass(frozen=True, slots=True)
 class WatchForMe:
-    """Ask another node to watch the platform, which the sender cannot reach."""
+    """Request for a proxy watch of the platform, which the sender cannot reach.
+
+    The reply is a `WatchReply`.
+    """
 
 
 @message(56)
 @dataclass(frozen=True, slots=True)
 class WatchReply:
-    """Whether the asked node's watch works.
+    """Reply to a request for a proxy watch.
 
     Parameters
     ----------
     watching : bool
-        Whether it does.
+        Whether the sender's watch of the platform works.
     """
 
     watching: bool
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/messages_ticket.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/messages_ticket.py
@@ -1,7 +1,8 @@
-"""Messages about tickets: their state, and the hand-over of a window.
+"""Messages about tickets: settlement, and the hand-over of a ticket window.
 
-A hand-over is `HandOverBegin`, any number of `HandOverPart`, and `HandOverEnd`, each
-answered by a `HandOverReply`; outcomes of runs that were in progress follow.
+A hand-over is a `HandOverBegin`, any number of `HandOverPart` and a `HandOverEnd`,
+each answered by a `HandOverReply`. A `LateOutcome` follows for each run that was in
+progress.
 """
 
 from __future__ import annotations
@@ -22,14 +23,16 @@
 @message(30)
 @dataclass(frozen=True, slots=True)
 class SettleMessage:
-    """Ask the home for the state of a ticket, burning it if it was not started.
+    """Request for the state of a ticket from its home.
+
+    A ticket that has not been started is burnt by it.
 
     Parameters
     ----------
     ticket : Ticket
         The ticket.
     remaining : float
-        Milliseconds the asker waits for a run in progress.
+        Time for which to wait for a run in progress, in milliseconds.
     """
 
     ticket: Ticket
@@ -39,14 +42,14 @@
 @message(31, Life=Life)
 @dataclass(frozen=True, slots=True)
 class HandOverBegin:
-    """Announce a window.
+    """Start of a hand-over.
 
     Parameters
     ----------
     life : Life
-        The life whose tickets are handed over.
+        Incarnation of the node whose tickets are handed over.
     low, next : int
-        The window's ends.
+        Sequences from `low` and below `next` are in the window.
     """
 
     life: Life
@@ -57,18 +60,18 @@
 @message(32, Life=Life, MarkPage=MarkPage, RecordCopy=RecordCopy)
 @dataclass(frozen=True, slots=True)
 class HandOverPart:
-    """Some pages of marks, and some runs.
+    """Part of the state of a window.
 
     Parameters
     ----------
     life : Life
-        The life whose tickets are handed over.
+        Incarnation of the node whose tickets are handed over.
     number : int
         Number of the part, from 0.
     pages : tuple of MarkPage
-        Pages of marks.
+        Pages of the bitmaps that mark the state of each ticket.
     records : tuple of RecordCopy
-        Runs.
+        Records of runs.
     """
 
     life: Life
@@ -80,14 +83,14 @@
 @message(33, Life=Life)
 @dataclass(frozen=True, slots=True)
 class HandOverEnd:
-    """Make the receiver the home, if it got all parts.
+    """End of a hand-over; makes the receiver the home if it got all parts.
 
     Parameters
     ----------
     life : Life
-        The life whose tickets are handed over.
+        Incarnation of the node whose tickets are handed over.
     n_parts : int
-        How many parts there were.
+        Number of parts that were sent.
     """
 
     life: Life
@@ -97,14 +100,14 @@
 @message(34)
 @dataclass(frozen=True, slots=True)
 class HandOverReply:
-    """The reply to each message of a hand-over.
+    """Reply to each message of a hand-over.
 
     Parameters
     ----------
     accepted : bool
-        Whether the message was taken.
+        Whether the message was accepted.
     detail : str
-        Why not, for people.
+        Human-readable reason if it was not.
     node : str
         Name of the receiver.
     """
@@ -117,20 +120,20 @@
 @message(35, Life=Life, Outcome=Outcome)
 @dataclass(frozen=True, slots=True)
 class LateOutcome:
-    """The outcome of a run that was in progress at the hand-over.
+    """Outcome of a run that was in progress at the hand-over.
 
     Parameters
     ----------
     life : Life
-        The life whose tickets were handed over.
+        Incarnation of the node whose tickets were handed over.
     sequence : int
-        Sequence of the root's ticket.
+        Sequence number of the root's ticket.
     child_key : str
         Key of the child call; empty for the root call.
     burn : bool
         Whether a true refusal burns the ticket.
     outcome : Answered or Refused or Unknown
-        What became of the run.
+        Outcome of the run.
     """
 
     life: Life
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/gossip/test_failures.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/gossip/test_failures.py
@@ -1,3 +1,5 @@
+"""Failure detection and convergence of the views under faults of nodes and links."""
+
 import random
 from functools import partial
 
@@ -42,7 +44,7 @@
                 fleet.store.set_faults(PLATFORM_OUTAGE)
                 await trio.sleep(60.0)
                 self.assertTrue(fleet.agree())
-                # Hosts that vanish send nothing back, unlike processes that end.
+                # A failed host sends nothing back, unlike a process that ends.
                 fleet.network.pause("certs-a1:7000")
                 fleet.nodes.pop("certs-a1")
                 seen = all_see(fleet, "certs-a1", MemberState.DEAD)
@@ -117,10 +119,12 @@
                 await fleet.until(fleet.agree, CONVERGENCE_MS)
                 await trio.sleep(5.0)
                 self.assertTrue(fleet.agree())
-                # It calls dead whom it did not hear, and nobody believes it at once.
+                # It announces as dead those it did not hear; no other node drops them.
                 self.assertEqual([], lost)
-                life = {n.membership.get("certs-b1").incarnation for n in others}
-                self.assertEqual(len(life), 1)
+                incarnations = {
+                    n.membership.get("certs-b1").incarnation for n in others
+                }
+                self.assertEqual(len(incarnations), 1)
 
         run_virtual(main)
 
@@ -175,7 +179,7 @@
                     all(n.membership.get("certs-c1") for n in fleet.nodes.values())
                 )
                 self.assertFalse(fleet.agree())
-                # Whatever was held back is lost.
+                # The delayed messages are lost.
                 for address in cut_off:
                     fleet.network.lose_links(address)
                 fleet.network.heal()
@@ -215,8 +219,8 @@
                 await trio.sleep(5.0)
                 fleet.add("certs-a1", first=["certs-a0:7000"], incarnation=1)
                 await fleet.until(fleet.agree, DETECTION_MS)
-                life = fleet.nodes["certs-a1"].membership.self_member.incarnation
-                self.assertGreater(life, 1_000)
+                incarnation = fleet.nodes["certs-a1"].membership.self_member.incarnation
+                self.assertGreater(incarnation, 1_000)
 
         run_virtual(main)
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/peers/test_links.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/peers/test_links.py
@@ -1,4 +1,4 @@
-"""Links under loss, cancellation, long messages and frames of a wrong shape."""
+"""Links under loss, cancellation, long messages and malformed frames."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 @message(900)
 @dataclass(frozen=True, slots=True)
 class Work:
-    """Work that takes some time and is then echoed."""
+    """A request that takes some time and is then echoed."""
 
     text: str
     duration: float = 0.0
@@ -204,7 +204,7 @@
             self.assertEqual([Work("right")], replies)
             self.assertEqual(2, nodes.counts["crossed_reply_dropped"])
             self.assertEqual(1, nodes.counts["late_reply_dropped"])
-            # Once for each link: a peer at fault must not fill the log.
+            # Reported once per link: a faulty peer must not flood the log.
             self.assertEqual(1, len(nodes.unsolicited))
 
         self._run(scenario)
@@ -267,7 +267,7 @@
             self.assertEqual(15, nodes.counts["send_queue_full"])
             nodes.network.resume(B)
             await trio.sleep(1)
-            # All that waited arrived, and nothing else; the link goes on.
+            # All queued messages arrived, and nothing else; the link still works.
             self.assertEqual(nodes.network.profile.capacity + 4, len(replies))
             self.assertEqual(0, nodes.counts["unexpected_notice"])
             self.assertEqual(Work("next"), await nodes.a.ask(B, Work("next")))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/settings/test_random_faults.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/settings/test_random_faults.py
@@ -1,4 +1,4 @@
-"""Racing operators under random faults: what is accepted is kept, and nothing else."""
+"""Concurrent operators under random faults: only accepted changes take effect."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class AppliedChanges:
-    """Every change the platform made, by its id."""
+    """Versions that the platform has stored, by the id of their change."""
 
     versions: dict[str, list[int]] = field(default_factory=dict)
 
@@ -65,7 +65,7 @@
 async def operate(
     fleet: SettingsFleet, rng: random.Random, name: str, results: dict[str, WriteResult]
 ) -> None:
-    """Change the settings again and again, through any node."""
+    """Change the settings repeatedly, through a random node each time."""
     ends = trio.current_time() + FAULTS_S
     n_changes = 0
     while trio.current_time() < ends:
@@ -91,7 +91,7 @@
 
 
 async def inject_faults(fleet: SettingsFleet, rng: random.Random) -> None:
-    """Bring faults about, one or two at a time, and end them all."""
+    """Inject random faults, and clear all of them in the end."""
     ends = trio.current_time() + FAULTS_S
     while trio.current_time() < ends:
         faults = PlatformFaults(
@@ -116,7 +116,7 @@
 
 
 async def watch_versions(fleet: SettingsFleet) -> None:
-    """Fail as soon as a version goes back on some node."""
+    """Fail as soon as a version decreases on a node."""
     last: dict[str, int] = {}
     while True:
         for name, state in fleet.nodes.items():
@@ -132,7 +132,7 @@
         for seed in range(3):
             with self.subTest(seed=seed):
                 seen |= run_virtual(self.one_run, seed, seed=seed)
-        # The faults were such that every kind of answer came about.
+        # The faults must have caused each of these results.
         self.assertTrue({Accepted, Conflict, Unavailable} <= seen, seen)
 
     async def one_run(self, seed: int) -> set[type]:
@@ -177,7 +177,7 @@
             if isinstance(result, Accepted):
                 self.assertEqual([result.version], applied.versions.get(change_id))
             elif isinstance(result, Unsettled):
-                # Only what fell out of the history stays open.
+                # Only a change older than the history may stay unsettled.
                 self.assertIn("does not reach back", result.detail)
             else:
                 self.assertNotIn(change_id, applied.versions, result)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/settings/test_sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/settings/test_sync.py
@@ -93,7 +93,7 @@
                 for s in fleet.nodes.values()
             )
         )
-        # Nodes that were alone at first leave the watch to the others.
+        # Nodes that were alone at first stop watching once they know the others.
         await trio.sleep(1)
 
     def test_a_change_takes_effect_everywhere_within_seconds(self) -> None:
@@ -103,7 +103,7 @@
             version = await change(states[5], 3)
             await fleet.until(lambda: fleet.in_force(TEAM, version), ADOPTION_MS)
             self.assertEqual({3}, {priority_at(state) for state in states})
-            # Written by somebody else: it comes through the watches.
+            # A change by another writer arrives through the watches.
             version = await write_directly(fleet, make_text(4))
             await fleet.until(lambda: fleet.in_force(TEAM, version), ADOPTION_MS)
 
@@ -120,7 +120,7 @@
             before = fleet.store.counts
             await trio.sleep(30)
             after = fleet.store.counts
-            # One call per watch and turn; none for the nodes that do not watch.
+            # One call per watch in 30 s; none by the nodes that do not watch.
             n_expected_watches = 30 / 30 * watch.N_WATCHERS * len(DATA_CENTRES)
             self.assertLessEqual(after.watches - before.watches, n_expected_watches + 6)
 
@@ -133,12 +133,12 @@
             watching = {s.node for s in states if s.book.standing.watching}
             fleet.store.set_cut_off(watching)
             await trio.sleep(0.1)
-            # Others may have taken over already, but none that is cut off watches.
+            # Other nodes may watch already, but none that is cut off does.
             now = {s.node for s in states if s.book.standing.watching}
             self.assertEqual(set(), watching & now)
             version = await write_directly(fleet, make_text(2))
             await fleet.until(lambda: fleet.in_force(TEAM, version), ADOPTION_MS)
-            # They go back to their own watch, and their deputies stop.
+            # They resume their own watches, and the proxy watches end.
             fleet.store.set_cut_off(set())
             await trio.sleep(15)
             now = {s.node for s in states if s.book.standing.watching}
@@ -195,7 +195,7 @@
             new = await change(states[0], 2)
             await fleet.until(lambda: fleet.in_force(TEAM, new, "hall-a"), ADOPTION_MS)
             await trio.sleep(30)
-            # Cut off, it goes on with what it has.
+            # While partitioned, it keeps the settings it has.
             self.assertTrue(fleet.in_force(TEAM, old, "hall-c"))
             fleet.network.heal()
             await fleet.until(lambda: fleet.in_force(TEAM, new), 5_000.0)
@@ -236,10 +236,10 @@
             await fleet.until(lambda: fleet.in_force(TEAM, version))
             stale = [TeamText(TEAM, version - 1, make_text(9))]
             spread.adopt_texts(states[1], stale, "certs-b0")
-            liar = states[0]
-            # News of a version that its sender cannot show changes nothing either.
+            sender = states[0]
+            # An announced version that its sender does not have changes nothing either.
             news = SettingsNews(((TEAM, version + 100),))
-            await liar.peers.notify(states[1].cfg.peer_address, news)
+            await sender.peers.notify(states[1].cfg.peer_address, news)
             await trio.sleep(5)
             self.assertTrue(fleet.in_force(TEAM, version))
             self.assertEqual({2}, {priority_at(state) for state in states})
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/settings/test_write.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/settings/test_write.py
@@ -131,7 +131,7 @@
                     self.assertEqual(held.body, lost.text)
                     self.assertIn("-priority", lost.diff)
                     self.assertIn("+priority", lost.diff)
-            # Each loser comes again, with the version it was shown.
+            # Each loser repeats its change with the current version.
             for i, state in enumerate(others):
                 version = (await stored(fleet)).version
                 self.accepted(await put(state, 5 + i, version, token=TOKEN))
@@ -152,7 +152,7 @@
                 result = await put(node, 3, base)
             made = self.accepted(result)
             self.assertEqual((await stored(fleet)).version, made.version)
-            # It took effect once, although it was asked for again.
+            # It took effect once, although the request was repeated.
             self.assertEqual(["change-9", "change-3"], await changes(fleet))
 
         self.run_node(main)
@@ -198,7 +198,7 @@
                 nursery.start_soon(overtake)
                 result = await put(node, 3, base)
             self.assertIsInstance(result, Unsettled)
-            # A first request without any doubt is no more than a conflict.
+            # A request that is certain not to have taken effect is a plain conflict.
             self.conflict(await put(node, 4, base, "other"))
 
         self.run_node(main)
@@ -209,7 +209,7 @@
             second = self.accepted(await put(node, 2, first)).version
             again = self.accepted(await put(node, 1, 0))
             self.assertEqual((first, second), (again.version, again.current))
-            # The id of a change is no way to put another text.
+            # The id of an earlier change cannot be used for another text.
             self.conflict(await put(node, 7, second, change_id="change-2"))
             self.assertEqual(second, (await stored(fleet)).version)
 
@@ -241,7 +241,7 @@
             old = await stored(fleet)
             for priority in (2, 3):
                 version = self.accepted(await put(node, priority, version)).version
-            # Restored from a copy: object and version of some time ago.
+            # Restored from a backup: an earlier object and version.
             fleet.store._objects[PATH] = old
             fleet.store.version = old.version
             result = await put(node, 4, None)
@@ -263,7 +263,7 @@
 
     def test_only_team_tokens_and_the_operators_token_may_change_settings(self) -> None:
         async def main(fleet: SettingsFleet, node: NodeState) -> None:
-            # Nobody but the operators creates a team.
+            # Only the operators may create a team.
             self.assertIsInstance(await put(node, 1, 0, token=TOKEN), Forbidden)
             version = self.accepted(await put(node, 1, 0)).version
             dakar = f"[team]\ntokens = head-office {digest_of('dakar-token')}\n"
@@ -284,7 +284,7 @@
         async def main(fleet: SettingsFleet, node: NodeState) -> None:
             version = self.accepted(await put(node, 1, 0)).version
             fleet.store.set_cut_off({"certs-1"})
-            # Written elsewhere; this node has not heard of it.
+            # Written elsewhere, unknown to this node.
             await fleet.store.put(PATH, b"[team]\npriority = 3\n", version)
             fleet.store.cut_off.clear()
             self.assertIsNotNone(node.book.team(TEAM))
@@ -334,7 +334,7 @@
             self.assertIsInstance(await put(node, 2, gone, token=TOKEN), Forbidden)
             shown = self.conflict(await put(node, 2, version))
             self.assertEqual((gone, True), (shown.version, shown.deleted))
-            # Version 0 is "no settings", which a deletion leaves too.
+            # Version 0 means "no settings", which also holds after a deletion.
             self.accepted(await put(node, 2, 0))
 
         self.run_node(main)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/wire/test_codec.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/wire/test_codec.py
@@ -1,4 +1,4 @@
-"""Frames of a wrong shape become faults, never half-filled messages."""
+"""Malformed frames are rejected and never become partially filled messages."""
 
 from __future__ import annotations
 
