--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/neighbours.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/neighbours.py
@@ -60,7 +60,10 @@
 
 
 def claims_to_refute(membership: Membership, node: str) -> tuple[Member, ...]:
-    """Return a node's record if it says suspect or dead, which it must refute."""
+    """Return a node's record if it says that the node is suspect or dead.
+
+    The node has to refute such a record.
+    """
     known = membership.get(node)
     if known is None or known.state not in (MemberState.SUSPECT, MemberState.DEAD):
         return ()
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/write.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/write.py
@@ -362,8 +362,9 @@
 def _describe_lost_changes(current: StoredObject, in_force: int) -> str:
     """Explain why a change would be accepted and never take effect."""
     return (
-        f"it holds version {current.version} of {current.path}, but version {in_force}"
-        " is in force: it has lost changes; see docs/operators/platform-outage.md"
+        f"the platform holds version {current.version} of {current.path}, but version"
+        f" {in_force} is in force: it has lost changes;"
+        " see docs/operators/platform-outage.md"
     )
 
 
