--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/heartbeat.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/heartbeat.py
@@ -25,6 +25,7 @@
     from fuchsiagap_node.core.state import NodeState
 
 _LOG = logging.getLogger(__name__)
+# As a fraction of the interval.
 _JITTER = 0.1
 _MIN_PAUSE_MS = 10.0
 
@@ -112,8 +113,8 @@
     def refresh(self, membership: Membership, now: Milliseconds) -> None:
         """Recompute the watched nodes if the view has changed.
 
-        New ones count as overdue and are probed at once: if a whole rack fails, the
-        nodes that watched them may have failed too.
+        Newly watched nodes count as overdue and are probed at once: if a whole rack
+        fails, the nodes that watched them before may have failed too.
         """
         if membership.version == self.version:
             return
@@ -127,12 +128,15 @@
             heard.setdefault(member.node, overdue)
 
     def pause(self, membership: Membership, now: Milliseconds) -> Milliseconds:
-        """Return the milliseconds until the next silence or suspicion may expire."""
+        """Return the time until the next check, in milliseconds.
+
+        It is due when a node may be overdue or a suspicion may expire.
+        """
         due = membership.next_deadline()
         for member in self._unsuspected():
             silence = membership.contacts.silence(member.node, now)
             due = min(due, now - silence + _max_silence(membership.cfg))
-        # A suspicion that is received meanwhile lasts longer than this limit.
+        # A suspicion that is received during the pause cannot expire within it.
         longest = membership.cfg.suspicion / 3
         return min(max(due - now, _MIN_PAUSE_MS), longest)
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/joining.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/joining.py
@@ -18,7 +18,8 @@
     """Wait for a limited time until other nodes know this one.
 
     A ticket that is used through another node is resolved there by the name of the
-    node that issued it, so that name must be known by then.
+    node that issued it, so that name must be known by then. Once another node has the
+    record of this one, the record needs some more time to reach the rest.
 
     Parameters
     ----------
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/probe.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/probe.py
@@ -81,6 +81,8 @@
 async def probe(state: NodeState, member: Member) -> bool:
     """Probe a node directly and through helpers; suspect it if no probe reaches it.
 
+    It is not suspected if this process was paused meanwhile.
+
     Parameters
     ----------
     state : NodeState
@@ -97,7 +99,7 @@
     timeout = _INDIRECT_TIMEOUT_FACTOR * state.membership.cfg.probe_timeout
     reached = await _probe_all_paths(state, member, timeout)
     if reached:
-        # A helper may have reached it: then only the direct link is cut.
+        # A helper may have reached it: then only the direct link is broken.
         state.membership.contacts.heard[member.node] = state.clock.now()
     elif not was_paused(state, started, timeout):
         state.membership.suspect(member.node, member.incarnation)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/reachability.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/reachability.py
@@ -20,6 +20,7 @@
     from fuchsiagap_node.core.state import NodeState
 
 _LOG = logging.getLogger(__name__)
+# As a fraction of the interval.
 _JITTER = 0.1
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/spread.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/spread.py
@@ -20,7 +20,17 @@
 
 @dataclass(slots=True)
 class _Progress:
-    """Number of the last change sent to each target, and the sends in progress."""
+    """Progress of the dissemination, by numbers in the log of changes.
+
+    Attributes
+    ----------
+    last_sent : dict
+        Number of the last change sent to each target.
+    last_round : int
+        Number of the last change at the end of the previous round.
+    in_progress : set of str
+        Targets to which a message is being sent.
+    """
 
     last_sent: dict[str, int] = field(default_factory=dict)
     last_round: int = 0
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/sync.py
@@ -14,7 +14,9 @@
     from fuchsiagap.core.membership.member import Member
     from fuchsiagap_node.core.state import NodeState
 
+# Records that a reply may carry.
 _MAX_MEMBERS = 256
+# Requests for one sync.
 _MAX_ROUNDS = 256
 _TIMEOUT_S = 1.0
 _DEAD_CONTACTS_PER_INTERVAL = 3.0
@@ -152,10 +154,11 @@
 
 
 def _sample_dead(state: NodeState) -> list[str]:
-    """Return at random the address of a dead node, which may only be partitioned.
+    """Return, with some probability, the address of a random dead node.
 
-    All nodes of a data centre together contact about `_DEAD_CONTACTS_PER_INTERVAL` of
-    them in each interval.
+    The node may be live in another partition. All nodes of a data centre together
+    make about `_DEAD_CONTACTS_PER_INTERVAL` such contacts in each interval; if there
+    are fewer nodes, each makes one.
     """
     membership = state.membership
     dead = [m for m in membership.members() if m.state is MemberState.DEAD]
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/conn.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/conn.py
@@ -33,11 +33,13 @@
 
 _LINK_FULL = Refused(
     Reason.OVERLOAD,
-    retry_after=100.0,
+    retry_after=100.0,  # milliseconds
     detail="too many concurrent requests on the link",
 )
 _LOG = logging.getLogger(__name__)
+# Limit on a message in fragments, and on all buffered fragments of a link together.
 MAX_MESSAGE_BYTES = 80 * 1024 * 1024
+# Cancelled requests of a link whose ids are kept for a late reply.
 _MAX_ABANDONED = 1_000
 _MAX_QUEUED_MESSAGES = 1_024
 
@@ -146,7 +148,13 @@
     )
 
     async def handshake(self) -> Hello | LinkClosed:
-        """Send this node's hello and wait for that of the other side."""
+        """Send this node's hello and wait for that of the other side.
+
+        Returns
+        -------
+        Hello or LinkClosed
+            The other side's hello, or the reason why there is none.
+        """
         closed = await self._send(FrameKind.NOTIFICATION, 0, self.wire.hello)
         if closed is not None:
             return closed
@@ -214,6 +222,7 @@
                 await self.link.aclose()
 
     def _is_queue_full(self) -> bool:
+        """Return whether the send queue is full, and count it if so."""
         is_full = self._n_queued >= self.wire.max_queued_messages
         if is_full:
             self.wire.count("send_queue_full")
@@ -254,6 +263,7 @@
         return None
 
     async def _take_frame(self, data: bytes) -> bool:
+        """Process a frame; return whether the link stays open."""
         self.wire.count_received(len(data))
         frame: Frame | MalformedFrame | None = decode_frame(data)
         if isinstance(frame, Frame) and frame.kind in (
@@ -288,6 +298,7 @@
             self._partial_messages.discard(frame.number)
 
     def _reject_frame(self, fault: MalformedFrame) -> bool:
+        """Record a malformed frame; return False, which closes the link."""
         self.wire.count("malformed_frame")
         _LOG.warning("link to %s closed: %s", self._peer_name(), fault.detail)
         return False
@@ -354,7 +365,7 @@
             self._running.pop(number, None)
 
     async def _handle(self, msg: object) -> object | None:
-        """Return the reply; None if there is none, which is sent as an empty reply."""
+        """Return the reply, or None for an empty reply if no handler gave one."""
         handler = self.wire.handlers.request_handlers.get(type(msg))
         if handler is None:
             self.wire.count("unexpected_ask")
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/frames.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/frames.py
@@ -42,8 +42,8 @@
     kind : FrameKind
         What the frame carries.
     number : int
-        Associates a reply, a cancellation or a fragment with its message. The sender
-        of a request assigns increasing numbers.
+        Associates a reply or a cancellation with its request; the sender of a request
+        assigns increasing numbers. A fragment carries its `fragment_stream` instead.
     time : int
         Reading of the sender's hybrid logical clock.
     payload : object
@@ -76,7 +76,8 @@
 def fragment_stream(number: int, *, is_reply: bool) -> int:
     """Return the stream number that a message's fragments carry.
 
-    A request and the reply to a request of the other side may have the same number.
+    A request and the reply to a request of the other side may have the same number;
+    their streams differ.
     """
     return number * 2 + is_reply
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/links.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/links.py
@@ -167,7 +167,7 @@
             self.nursery.start_soon(link.aclose)
             raise
         if conn.closed:
-            return LinkClosed("the other node closed the link during the handshake")
+            return LinkClosed("the link closed during the handshake")
         # The dialled address may differ from the one in the hello.
         self._conns[address] = conn
         return conn
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/wiring.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/wiring.py
@@ -16,7 +16,7 @@
     from fuchsiagap_node.core.peers.handlers import Handlers
     from fuchsiagap_node.core.wire.messages_call import Hello
 
-# Occurrences on links that have a counter of their own; the rest are link faults.
+# Occurrences that have a counter of their own; others count as link faults by name.
 _COUNTERS = {
     "malformed_frame": Counter.MALFORMED_FRAMES,
     "late_reply_dropped": Counter.LATE_ANSWERS,
@@ -68,7 +68,7 @@
 
     def report_unsolicited_reply(peer: str, number: int) -> None:
         telemetry.ring.record(EventKind.CROSSED_ANSWER_DROPPED, peer=peer)
-        detail = f"{peer} sent a reply to request {number}, which its link never sent"
+        detail = f"{peer} sent a reply to request {number}, never made on its link"
         telemetry.violation(Invariant.WRONG_ANSWER, detail)
 
     return WireContext(
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/outcome.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/outcome.py
@@ -107,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unsettled:
-    """The change may have taken effect, which cannot be determined now.
+    """Whether the change took effect cannot be determined now.
 
     Parameters
     ----------
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/spread.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/spread.py
@@ -35,6 +35,7 @@
 
 _MAX_SHOWN_FAULT_CHARS = 300
 COMPARE_INTERVAL: Milliseconds = 1_000.0
+# As a fraction of the interval.
 COMPARE_JITTER = 0.2
 FLUSH_DELAY: Milliseconds = 5.0
 PEER_TIMEOUT: Milliseconds = 1_000.0
@@ -144,7 +145,7 @@
     Returns
     -------
     bool
-        Whether the other node replied.
+        Whether the other node replied and the exchange ended in time.
     """
     book = state.book
     with trio.move_on_after(PEER_TIMEOUT / MS_PER_S):
@@ -160,7 +161,7 @@
 
 
 def mark_complete(state: NodeState) -> None:
-    """Record that this node has received all that the platform held at one time."""
+    """Record that this node has all settings that the platform held at some time."""
     standing = state.book.standing
     if not standing.complete:
         standing.complete = True
@@ -182,7 +183,7 @@
 
 
 async def _fetch(state: NodeState, address: str, source: str, versions: Vector) -> None:
-    """Fetch those of the versions that are newer than all seen.
+    """Fetch the texts of those versions that are newer than any seen.
 
     Waits while they are being fetched from another node; if that fails, fetches them
     from this one.
@@ -259,7 +260,10 @@
 
 
 def random_contact(state: NodeState) -> tuple[str, str] | None:
-    """Return address and name of a random node, else of a configured peer."""
+    """Return the address and name of a random node, else of a configured peer.
+
+    The name of a configured peer is not known; its address takes its place.
+    """
     membership = state.membership
     own_name = membership.self_member.node
     others = [m for m in membership.members() if m.node != own_name and not m.gone]
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/watch.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/watch.py
@@ -1,8 +1,8 @@
 """Settings from the platform: a few nodes of each data centre watch it.
 
-The watchers follow from the live members, so there is no election, and nodes that
-wrongly consider themselves watchers do no harm. A watcher that cannot reach the
-platform asks random nodes to watch in its place (proxy watch).
+Each node derives the watchers from the live members, so there is no election, and
+nodes that wrongly consider themselves watchers do no harm. A watcher that cannot reach
+the platform asks random nodes to watch in its place (proxy watch).
 """
 
 from __future__ import annotations
@@ -41,6 +41,7 @@
 BOOTSTRAP_INTERVAL: Milliseconds = 200.0
 BOOTSTRAP_PEER_TIMEOUT: Milliseconds = 1_500.0
 MAX_BOOTSTRAP_PEER_TIMEOUT: Milliseconds = 10_000.0
+# Multiple of the timeout after which a node that is no watcher reads the platform.
 NON_WATCHER_TIMEOUT_FACTOR = 4.0
 
 
@@ -119,7 +120,7 @@
 
 
 async def run_proxy_watch(state: NodeState) -> None:
-    """Have another node watch while this one should and cannot, until cancelled."""
+    """Have another node watch while this watcher cannot, until cancelled."""
     proxy: Member | None = None
     while True:
         standing = state.book.standing
@@ -186,7 +187,10 @@
 
 
 async def _read_all(state: NodeState) -> int | None:
-    """Read all settings from the platform; return the highest version, if any."""
+    """Read all settings from the platform and return the highest version.
+
+    Returns 0 if there are no settings, and None if the platform is unavailable.
+    """
     state.telemetry.metrics.count(Counter.PLATFORM_CALLS, "settings-list")
     found = await state.platform.list(SETTINGS_PREFIX)
     is_up = not isinstance(found, PlatformUnavailable)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/write.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/write.py
@@ -108,9 +108,10 @@
     token : str
         Bearer token.
     repeat : bool, default=False
-        Whether an earlier request with this id is unsettled. Then the result never
-        says unchanged if the earlier request may have taken effect. Needs the expected
-        version that `Unsettled` named, so that only one of them can take effect.
+        Whether an earlier request with this id is unsettled. Then a conflict
+        or an unavailable platform is reported as `Unsettled` as long as the earlier
+        request may have taken effect. Needs the expected version that `Unsettled`
+        named, so that only one of them can take effect.
 
     Returns
     -------
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/codec.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/codec.py
@@ -115,7 +115,7 @@
 
 
 def from_array(value: Any) -> object | MalformedFrame:
-    """Convert plain values to a message; return what is wrong if they are none."""
+    """Convert plain values to a message; return why if that is impossible."""
     try:
         return _read_tagged(value)
     except _ShapeError as exc:
@@ -158,7 +158,7 @@
 
 
 def load_cbor(frame: bytes) -> Any | MalformedFrame:
-    """Return the plain values of a CBOR frame."""
+    """Return the plain values of a CBOR frame, or why it cannot be decoded."""
     try:
         return cbor2.loads(frame)
     except (cbor2.CBORDecodeError, ValueError, RecursionError, TypeError) as exc:
@@ -223,7 +223,7 @@
 
 
 def _converters(hint: Any, names: dict[str, Any]) -> tuple[_Convert | None, _Convert]:
-    """Return how a value of a type is written (None: as it is) and read."""
+    """Return the writer and reader of a type; no writer if values are plain."""
     if hint in _SCALARS:
         return None, _scalar_reader(hint)
     if hint is type(None):
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/messages_call.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/messages_call.py
@@ -32,7 +32,7 @@
 @message(5)
 @dataclass(frozen=True, slots=True)
 class HomeCallMessage:
-    """A call for the home of its ticket, which starts it at most once.
+    """A call for the home of its ticket, the node that starts it at most once.
 
     Parameters
     ----------
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/messages_gossip.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/messages_gossip.py
@@ -98,7 +98,8 @@
     digest : tuple of int
         Hash of each bucket of the requesting node's view.
     max_members : int
-        Limit on the records of the reply, which has whole buckets and at least one.
+        Limit on the records of the reply. It has only whole buckets, and at least one
+        even if that exceeds the limit.
     """
 
     digest: tuple[int, ...]
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/messages_settings.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/messages_settings.py
@@ -86,7 +86,8 @@
     versions : tuple of (str, int)
         Team and version; empty if they are equal.
     complete : bool
-        Whether the sender has received all that the platform held at one time.
+        Whether the sender has received all settings that the platform held at some
+        point in time.
     """
 
     same: bool
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/messages_ticket.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/messages_ticket.py
@@ -25,7 +25,7 @@
 class SettleMessage:
     """Request for the state of a ticket from its home.
 
-    A ticket that has not been started is burnt by it.
+    A ticket that has not been started is marked burnt: it can never be started.
 
     Parameters
     ----------
@@ -131,7 +131,7 @@
     child_key : str
         Key of the child call; empty for the root call.
     burn : bool
-        Whether a true refusal burns the ticket.
+        Whether a `Refused` outcome burns the ticket instead of making it usable again.
     outcome : Answered or Refused or Unknown
         Outcome of the run.
     """
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/peers/test_links.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/peers/test_links.py
@@ -302,13 +302,13 @@
 
     def test_incomplete_fragments_close_the_link(self) -> None:
         frame = Frame(FrameKind.NOTIFICATION, 3, 0, ["x" * 200_000])
-        whole = list(encode_frames(frame))
-        broken = [whole[0], *whole[2:]]
+        fragments = list(encode_frames(frame))
+        incomplete = [fragments[0], *fragments[2:]]
 
         async def scenario(nodes: _TwoNodes) -> None:
             link = await nodes.network.dial_from("10.0.0.3:1")(B)
             await _send_hello(link)  # type: ignore[arg-type]
-            for data in broken:
+            for data in incomplete:
                 await link.send(data)  # type: ignore[union-attr]
             await trio.sleep(0.1)
             self.assertEqual(1, nodes.counts["malformed_frame"])
