--- a/packages/fuchsiagap-client/src/fuchsiagap_client/core/attempt.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/core/attempt.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Exchange:
+class NodeRequest:
     """What is sent to a node.
 
     Parameters
@@ -42,8 +42,8 @@
     body: bytes
 
 
-async def exchange(
-    http: httpx.AsyncClient, sent: Exchange, wait: Milliseconds
+async def send_to_node(
+    http: httpx.AsyncClient, node_req: NodeRequest, timeout: Milliseconds
 ) -> httpx.Response | Refused | Unknown:
     """Send a request and wait for the whole response.
 
@@ -51,9 +51,9 @@
     ----------
     http : httpx.AsyncClient
         The connections.
-    sent : Exchange
+    node_req : NodeRequest
         The request.
-    wait : float
+    timeout : float
         Milliseconds to wait.
 
     Returns
@@ -61,22 +61,28 @@
     httpx.Response or Refused or Unknown
         `Refused` only if nothing was sent, `Unknown` if no whole response came.
     """
-    url = f"http://{sent.node}{sent.path}"
-    detail = f"no answer from {sent.node} within {wait:.0f} ms"
+    url = f"http://{node_req.node}{node_req.path}"
+    detail = f"no answer from {node_req.node} within {timeout:.0f} ms"
     outcome: httpx.Response | Refused | Unknown
     outcome = Unknown(Reason.DEADLINE, detail=detail)
-    headers = list(sent.headers)
-    with trio.move_on_after(max(wait, 0.0) / MS_PER_S):
+    headers = list(node_req.headers)
+    with trio.move_on_after(max(timeout, 0.0) / MS_PER_S):
         try:
             outcome = await http.request(
-                sent.method, url, headers=headers, content=sent.body
+                node_req.method, url, headers=headers, content=node_req.body
             )
         except (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout) as exc:
-            outcome = Refused(Reason.CONNECTION_LOST, detail=f"{sent.node}: {exc!r}")
+            outcome = Refused(
+                Reason.CONNECTION_LOST, detail=f"{node_req.node}: {exc!r}"
+            )
         except httpx.RemoteProtocolError as exc:
-            outcome = Unknown(Reason.INCOMPLETE_ANSWER, detail=f"{sent.node}: {exc!r}")
+            outcome = Unknown(
+                Reason.INCOMPLETE_ANSWER, detail=f"{node_req.node}: {exc!r}"
+            )
         except httpx.TransportError as exc:
-            outcome = Unknown(Reason.CONNECTION_LOST, detail=f"{sent.node}: {exc!r}")
+            outcome = Unknown(
+                Reason.CONNECTION_LOST, detail=f"{node_req.node}: {exc!r}"
+            )
     return outcome
 
 
@@ -93,15 +99,15 @@
     Answered, Refused or Unknown
         `Unknown` if the response is not whole or does not say which it is.
     """
-    fault = _fault(response)
+    fault = _incomplete_reason(response)
     if fault:
         return Unknown(Reason.INCOMPLETE_ANSWER, detail=fault)
     name = response.headers.get(call_headers.OUTCOME, "")
-    allowance = _number(response, call_headers.ALLOWANCE)
+    allowance = _int_header(response, call_headers.ALLOWANCE)
     if name == call_headers.OUTCOME_ANSWERED:
         return Answered(
             response.status_code,
-            _end_to_end(response),
+            _end_to_end_headers(response),
             response.content,
             allowance,
             repeated=call_headers.REPEATED in response.headers,
@@ -116,7 +122,7 @@
     return Unknown(Reason.INCOMPLETE_ANSWER, detail=detail)
 
 
-def _fault(response: httpx.Response) -> str:
+def _incomplete_reason(response: httpx.Response) -> str:
     """Return why the body may not be whole; empty if it is."""
     length = response.headers.get("content-length")
     if response.request.method == "HEAD" or response.status_code in (204, 304):
@@ -130,7 +136,7 @@
     return ""
 
 
-def _end_to_end(response: httpx.Response) -> tuple[tuple[str, str], ...]:
+def _end_to_end_headers(response: httpx.Response) -> tuple[tuple[str, str], ...]:
     return tuple(
         (name, value)
         for name, value in response.headers.multi_items()
@@ -139,10 +145,10 @@
 
 
 def _retry_after(response: httpx.Response) -> Milliseconds:
-    exact = _number(response, call_headers.RETRY_AFTER)
-    return float(exact or _number(response, "retry-after") * MS_PER_S)
+    exact = _int_header(response, call_headers.RETRY_AFTER)
+    return float(exact or _int_header(response, "retry-after") * MS_PER_S)
 
 
-def _number(response: httpx.Response, name: str) -> int:
+def _int_header(response: httpx.Response, name: str) -> int:
     text = response.headers.get(name, "")
     return int(text) if text.isascii() and text.isdigit() else 0
--- a/packages/fuchsiagap-client/src/fuchsiagap_client/core/client.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/core/client.py
@@ -10,11 +10,11 @@
 
 from fuchsiagap import Outcome, trio_clock
 from fuchsiagap.core.clock import MS_PER_S
-from fuchsiagap_client.core.nodes import Nodes
+from fuchsiagap_client.core.nodes import NodeSelector
 from fuchsiagap_client.core.sending import send
 from fuchsiagap_client.core.settings import ClientSettings, check_settings
 from fuchsiagap_client.core.state import ClientState
-from fuchsiagap_client.core.tickets import TicketStock
+from fuchsiagap_client.core.tickets import TicketPool
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
@@ -74,12 +74,12 @@
     if faults is not None:
         raise ValueError(str(faults))
     clock = trio_clock()
-    nodes = Nodes(cfg, clock)
+    nodes = NodeSelector(cfg, clock)
     async with httpx.AsyncClient(
         transport=transport,
         timeout=httpx.Timeout(None, connect=cfg.connect_timeout / MS_PER_S),
         limits=httpx.Limits(max_connections=cfg.max_connections),
         trust_env=False,
     ) as http:
-        stock = TicketStock(cfg, clock, http, nodes)
-        yield Client(cfg, clock, rng or random.Random(), http, nodes, stock)
+        ticket_pool = TicketPool(cfg, clock, http, nodes)
+        yield Client(cfg, clock, rng or random.Random(), http, nodes, ticket_pool)
--- a/packages/fuchsiagap-client/src/fuchsiagap_client/core/nodes.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/core/nodes.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True)
-class Nodes:
+class NodeSelector:
     """The nodes of a client, and which of them are passed over now.
 
     Parameters
@@ -24,7 +24,7 @@
 
     cfg: ClientSettings
     clock: Clock
-    _paused_until: dict[str, Milliseconds] = field(default_factory=dict)
+    _unreachable_until: dict[str, Milliseconds] = field(default_factory=dict)
 
     def choose(self, preferred: str, tried: tuple[str, ...]) -> str:
         """Return the node for the next attempt.
@@ -34,7 +34,7 @@
         preferred : str
             The node that issued the ticket: it needs no relay. Empty if unknown.
         tried : tuple of str
-            Nodes this request went to before, the latest last.
+            NodeSelector this request went to before, the latest last.
 
         Returns
         -------
@@ -42,19 +42,22 @@
             A node that was not tried if there is one, else the one tried longest
             ago; nodes that could not be reached of late come last.
         """
-        order = [preferred] if preferred in self.cfg.nodes else []
-        order += [node for node in self.cfg.nodes if node != preferred]
-        return min(order, key=lambda node: (self._paused(node), _last(node, tried)))
+        candidates = [preferred] if preferred in self.cfg.nodes else []
+        candidates += [node for node in self.cfg.nodes if node != preferred]
+        return min(
+            candidates,
+            key=lambda node: (self._is_unreachable(node), _last_attempt(node, tried)),
+        )
 
-    def pause(self, node: str) -> None:
+    def mark_unreachable(self, node: str) -> None:
         """Pass over a node that could not be reached."""
-        self._paused_until[node] = self.clock.now() + self.cfg.node_pause
+        self._unreachable_until[node] = self.clock.now() + self.cfg.node_pause
 
-    def _paused(self, node: str) -> bool:
-        return self._paused_until.get(node, -1.0) > self.clock.now()
+    def _is_unreachable(self, node: str) -> bool:
+        return self._unreachable_until.get(node, -1.0) > self.clock.now()
 
 
-def _last(node: str, tried: tuple[str, ...]) -> int:
+def _last_attempt(node: str, tried: tuple[str, ...]) -> int:
     """Return how recently a node was tried; -1 if never."""
     for index in range(len(tried) - 1, -1, -1):
         if tried[index] == node:
--- a/packages/fuchsiagap-client/src/fuchsiagap_client/core/sending.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/core/sending.py
@@ -17,8 +17,8 @@
 from fuchsiagap.core.calls import call_headers
 from fuchsiagap.core.clock import sleep_ms
 from fuchsiagap.core.retries.allowance import Allowance
-from fuchsiagap_client.core.attempt import Exchange, exchange, read_outcome
-from fuchsiagap_client.core.tickets import TICKETS_PATH, HeldTicket
+from fuchsiagap_client.core.attempt import NodeRequest, read_outcome, send_to_node
+from fuchsiagap_client.core.tickets import TICKETS_PATH, IssuedTicket
 
 if TYPE_CHECKING:
     import httpx
@@ -27,7 +27,7 @@
     from fuchsiagap_client.core.request import Request
     from fuchsiagap_client.core.state import ClientState
 
-_REPEATED_REFUSALS = frozenset(
+_RETRIABLE_REFUSALS = frozenset(
     {
         Reason.OVERLOAD,
         Reason.LEAVING,
@@ -40,7 +40,7 @@
         Reason.TICKET_BURNT,
     }
 )
-_REPEATED_UNKNOWNS = frozenset(
+_RETRIABLE_UNKNOWNS = frozenset(
     {
         Reason.CONNECTION_LOST,
         Reason.INCOMPLETE_ANSWER,
@@ -52,33 +52,33 @@
     }
 )
 # No home started the copy. If there was no other copy, the request was not run.
-_HOME_LOST = frozenset({Reason.HOME_GONE, Reason.TICKET_FORGOTTEN})
+_TICKET_LOST = frozenset({Reason.HOME_GONE, Reason.TICKET_FORGOTTEN})
 _JSON = (("content-type", "application/json"),)
 
 
 @dataclass(slots=True)
-class _Sending:
+class _SendState:
     """A request in progress.
 
     Parameters
     ----------
-    held : HeldTicket or None
+    issued : IssuedTicket or None
         The ticket of all copies.
     deadline : float
         Milliseconds on the clock of this process.
     allowance : Allowance
         Extra attempts left.
-    unaccounted : bool
+    maybe_run : bool
         Whether a copy with this ticket may have run, or may run still.
     tried : tuple of str
-        Nodes that got a copy.
+        NodeSelector that got a copy.
     """
 
     req: Request
-    held: HeldTicket | None
+    issued: IssuedTicket | None
     deadline: Milliseconds
     allowance: Allowance
-    unaccounted: bool = False
+    maybe_run: bool = False
     tried: tuple[str, ...] = ()
 
 
@@ -101,65 +101,69 @@
     timeout = cfg.timeout if req.timeout is None else req.timeout
     granted = cfg.allowance if req.allowance is None else req.allowance
     deadline = client.clock.now() + timeout
-    sending = _Sending(req, None, deadline, Allowance(granted))
-    outcome: Outcome | None = await _take_ticket(client, sending)
+    send_state = _SendState(req, None, deadline, Allowance(granted))
+    outcome: Outcome | None = await _take_ticket(client, send_state)
     while outcome is None:
-        copy = await _send_copy(client, sending)
-        if isinstance(copy, Answered):
-            return replace(copy, allowance=sending.allowance.remaining)
-        if not await _may_repeat(client, sending, copy):
-            outcome = await _final(client, sending, copy)
-        elif _needs_new_ticket(sending, copy):
-            outcome = await _take_ticket(client, sending)
-    return replace(outcome, allowance=sending.allowance.remaining)
+        attempt = await _send_attempt(client, send_state)
+        if isinstance(attempt, Answered):
+            return replace(attempt, allowance=send_state.allowance.remaining)
+        if not await _wait_to_retry(client, send_state, attempt):
+            outcome = await _final_outcome(client, send_state, attempt)
+        elif _needs_new_ticket(send_state, attempt):
+            outcome = await _take_ticket(client, send_state)
+    return replace(outcome, allowance=send_state.allowance.remaining)
 
 
-def _needs_new_ticket(sending: _Sending, outcome: Refused | Unknown) -> bool:
+def _needs_new_ticket(send_state: _SendState, outcome: Refused | Unknown) -> bool:
     if outcome.reason is Reason.TICKET_BURNT:
         return True
-    return outcome.reason in _HOME_LOST and not sending.unaccounted
+    return outcome.reason in _TICKET_LOST and not send_state.maybe_run
 
 
-async def _take_ticket(client: ClientState, sending: _Sending) -> Refused | None:
+async def _take_ticket(client: ClientState, send_state: _SendState) -> Refused | None:
     """Give the request a ticket no copy was sent with; return why there is none."""
-    held = await client.stock.take(sending.deadline)
-    if isinstance(held, HeldTicket):
-        sending.held = held
+    issued = await client.ticket_pool.take(send_state.deadline)
+    if isinstance(issued, IssuedTicket):
+        send_state.issued = issued
         return None
-    sending.held = None
-    return None if sending.req.safe else held
+    send_state.issued = None
+    return None if send_state.req.safe else issued
 
 
-async def _send_copy(client: ClientState, sending: _Sending) -> Outcome:
-    preferred = sending.held.node if sending.held is not None else ""
-    node = client.nodes.choose(preferred, sending.tried)
-    left = sending.deadline - client.clock.now()
-    if left <= 0:
+async def _send_attempt(client: ClientState, send_state: _SendState) -> Outcome:
+    preferred = send_state.issued.node if send_state.issued is not None else ""
+    node = client.nodes.choose(preferred, send_state.tried)
+    time_left = send_state.deadline - client.clock.now()
+    if time_left <= 0:
         return Refused(Reason.DEADLINE, detail="the deadline passed")
-    sending.tried = (*sending.tried, node)
+    send_state.tried = (*send_state.tried, node)
     # Half stays here: the share of a copy that gets no answer is lost.
-    share = sending.allowance.lend_up_to(sending.allowance.remaining // 2)
+    share = send_state.allowance.lend_up_to(send_state.allowance.remaining // 2)
     # The node gives up first, so that it can say what it knows.
-    timeout = max(left - client.cfg.settle_time, left / 2)
-    copy = _copy(sending, node, timeout, share)
-    response = await exchange(client.http, copy, _patience(client, left, timeout))
-    outcome = _judge(response)
-    _note(client, sending, node, outcome)
-    _settle_share(sending.allowance, share, response, outcome)
+    timeout = max(time_left - client.cfg.settle_time, time_left / 2)
+    attempt = _attempt_request(send_state, node, timeout, share)
+    response = await send_to_node(
+        client.http, attempt, _attempt_timeout(client, time_left, timeout)
+    )
+    outcome = _to_outcome(response)
+    _record_outcome(client, send_state, node, outcome)
+    _settle_share(send_state.allowance, share, response, outcome)
     return outcome
 
 
-def _judge(response: httpx.Response | Refused | Unknown) -> Outcome:
+def _to_outcome(response: httpx.Response | Refused | Unknown) -> Outcome:
     if isinstance(response, (Refused, Unknown)):
         return response
     return read_outcome(response)
 
 
-def _patience(client: ClientState, left: Milliseconds, timeout: Milliseconds) -> float:
+def _attempt_timeout(
+    client: ClientState, time_left: Milliseconds, timeout: Milliseconds
+) -> float:
     """Return how many milliseconds to wait for one copy."""
     if client.cfg.attempt_timeout > 0:
         return min(timeout, client.cfg.attempt_timeout)
-    return (left + timeout) / 2
+    return (time_left + timeout) / 2
 
 
 def _settle_share(
@@ -176,75 +180,81 @@
         allowance.settle(share, outcome.allowance)
 
 
-def _copy(sending: _Sending, node: str, timeout: Milliseconds, share: int) -> Exchange:
-    req = sending.req
-    own = [
+def _attempt_request(
+    send_state: _SendState, node: str, timeout: Milliseconds, share: int
+) -> NodeRequest:
+    req = send_state.req
+    attempt_headers = [
         (call_headers.DEADLINE, f"{max(timeout, 1.0):.0f}"),
         (call_headers.ALLOWANCE, str(share)),
-        (call_headers.REPEAT, "1" if sending.unaccounted else "0"),
+        (call_headers.REPEAT, "1" if send_state.maybe_run else "0"),
     ]
-    if sending.held is not None:
-        own.append((call_headers.TICKET, str(sending.held.ticket)))
+    if send_state.issued is not None:
+        attempt_headers.append((call_headers.TICKET, str(send_state.issued.ticket)))
     if req.priority is not None:
-        own.append((call_headers.PRIORITY, str(req.priority)))
-    return Exchange(node, req.method, req.path, (*req.headers, *own), req.body)
+        attempt_headers.append((call_headers.PRIORITY, str(req.priority)))
+    return NodeRequest(
+        node, req.method, req.path, (*req.headers, *attempt_headers), req.body
+    )
 
 
-def _note(client: ClientState, sending: _Sending, node: str, outcome: Outcome) -> None:
+def _record_outcome(
+    client: ClientState, send_state: _SendState, node: str, outcome: Outcome
+) -> None:
     """Learn from a copy's outcome."""
     if isinstance(outcome, Answered):
         return
     if outcome.reason is Reason.CONNECTION_LOST:
-        client.nodes.pause(node)
+        client.nodes.mark_unreachable(node)
     if outcome.reason is Reason.TICKET_BURNT:
         # No copy with this ticket has run or ever will.
-        sending.unaccounted = False
-    if outcome.reason in _HOME_LOST:
-        if sending.held is not None:
-            client.stock.forget(sending.held.ticket)
+        send_state.maybe_run = False
+    if outcome.reason in _TICKET_LOST:
+        if send_state.issued is not None:
+            client.ticket_pool.discard_same_issuer(send_state.issued.ticket)
     elif isinstance(outcome, Unknown):
-        sending.unaccounted = True
+        send_state.maybe_run = True
 
 
-async def _may_repeat(
-    client: ClientState, sending: _Sending, outcome: Refused | Unknown
+async def _wait_to_retry(
+    client: ClientState, send_state: _SendState, outcome: Refused | Unknown
 ) -> bool:
     """Wait out the backoff; False if there is to be no other copy."""
     if isinstance(outcome, Refused):
-        repeated = outcome.reason in _REPEATED_REFUSALS
+        retriable = outcome.reason in _RETRIABLE_REFUSALS
     else:
-        repeated = outcome.reason in _REPEATED_UNKNOWNS
-        repeated |= outcome.reason in _HOME_LOST and not sending.unaccounted
-    wait = _backoff(client, sending, outcome)
-    left = sending.deadline - client.clock.now() - client.cfg.settle_time
-    if not repeated or wait >= left or not sending.allowance.take():
+        retriable = outcome.reason in _RETRIABLE_UNKNOWNS
+        retriable |= outcome.reason in _TICKET_LOST and not send_state.maybe_run
+    wait = _backoff(client, send_state, outcome)
+    time_left = send_state.deadline - client.clock.now() - client.cfg.settle_time
+    if not retriable or wait >= time_left or not send_state.allowance.take():
         return False
     await sleep_ms(wait)
     return True
 
 
 def _backoff(
-    client: ClientState, sending: _Sending, outcome: Refused | Unknown
+    client: ClientState, send_state: _SendState, outcome: Refused | Unknown
 ) -> Milliseconds:
     """Return the wait before the next copy: what the node asks for, and jitter."""
     cfg = client.cfg
-    bound = min(cfg.backoff * 2.0 ** (len(sending.tried) - 1), cfg.backoff_max)
+    bound = min(cfg.backoff * 2.0 ** (len(send_state.tried) - 1), cfg.backoff_max)
     if isinstance(outcome, Refused) and outcome.retry_after > 0:
         bound = max(bound, outcome.retry_after)
         return outcome.retry_after + client.rng.random() * bound
     return client.rng.random() * bound
 
 
-async def _final(
-    client: ClientState, sending: _Sending, outcome: Refused | Unknown
+async def _final_outcome(
+    client: ClientState, send_state: _SendState, outcome: Refused | Unknown
 ) -> Outcome:
     """Return the outcome of the request, whose last copy was not answered."""
-    if not sending.unaccounted:
-        if isinstance(outcome, Unknown) and outcome.reason in _HOME_LOST:
+    if not send_state.maybe_run:
+        if isinstance(outcome, Unknown) and outcome.reason in _TICKET_LOST:
             return Refused(outcome.reason, detail=outcome.detail)
         return outcome
-    if not sending.req.safe and sending.held is not None:
-        settled = await _settle(client, sending)
+    if not send_state.req.safe and send_state.issued is not None:
+        settled = await _settle(client, send_state)
         if settled is not None:
             return settled
     if isinstance(outcome, Refused):
@@ -253,20 +263,22 @@
     return outcome
 
 
-async def _settle(client: ClientState, sending: _Sending) -> Answered | Refused | None:
+async def _settle(
+    client: ClientState, send_state: _SendState
+) -> Answered | Refused | None:
     """Ask what became of the request; burn its ticket if it was not started."""
-    assert sending.held is not None
-    wait = sending.deadline - client.clock.now()
+    assert send_state.issued is not None
+    wait = send_state.deadline - client.clock.now()
     if wait <= 0:
         return None
-    node = client.nodes.choose(sending.held.node, sending.tried[-1:])
+    node = client.nodes.choose(send_state.issued.node, send_state.tried[-1:])
     # The node's word must come back in time.
     node_wait = int(wait / 2)
-    req = sending.req
-    asked = {"method": req.method, "path": req.path, "wait": node_wait}
-    path = f"{TICKETS_PATH}/{sending.held.ticket}"
-    sent = Exchange(node, "POST", path, _JSON, json.dumps(asked).encode())
-    outcome = _judge(await exchange(client.http, sent, wait))
+    req = send_state.req
+    settle_query = {"method": req.method, "path": req.path, "wait": node_wait}
+    path = f"{TICKETS_PATH}/{send_state.issued.ticket}"
+    node_req = NodeRequest(node, "POST", path, _JSON, json.dumps(settle_query).encode())
+    outcome = _to_outcome(await send_to_node(client.http, node_req, wait))
     if isinstance(outcome, Answered):
         return outcome
     if isinstance(outcome, Refused) and outcome.reason is Reason.TICKET_BURNT:
--- a/packages/fuchsiagap-client/src/fuchsiagap_client/core/settings.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/core/settings.py
@@ -36,7 +36,7 @@
     ticket_batch : int
         Tickets fetched at once.
     ticket_age : float
-        Milliseconds after which an unused ticket is thrown away. Nodes remember
+        Milliseconds after which an unused ticket is thrown away. NodeSelector remember
         unused tickets for two minutes at least.
     max_connections : int
         Connections to all nodes.
--- a/packages/fuchsiagap-client/src/fuchsiagap_client/core/state.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/core/state.py
@@ -11,9 +11,9 @@
     import httpx
 
     from fuchsiagap import Clock
-    from fuchsiagap_client.core.nodes import Nodes
+    from fuchsiagap_client.core.nodes import NodeSelector
     from fuchsiagap_client.core.settings import ClientSettings
-    from fuchsiagap_client.core.tickets import TicketStock
+    from fuchsiagap_client.core.tickets import TicketPool
 
 
 @dataclass(frozen=True, slots=True, eq=False)
@@ -30,9 +30,9 @@
         Source of the jitter.
     http : httpx.AsyncClient
         The connections.
-    nodes : Nodes
+    nodes : NodeSelector
         Which node gets an attempt.
-    stock : TicketStock
+    ticket_pool : TicketPool
         Unused tickets.
     """
 
@@ -40,5 +40,5 @@
     clock: Clock
     rng: random.Random
     http: httpx.AsyncClient
-    nodes: Nodes
-    stock: TicketStock
+    nodes: NodeSelector
+    ticket_pool: TicketPool
--- a/packages/fuchsiagap-client/src/fuchsiagap_client/core/tickets.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/core/tickets.py
@@ -10,13 +10,13 @@
 import trio
 
 from fuchsiagap import Reason, Refused, Ticket, Unknown, parse_ticket
-from fuchsiagap_client.core.attempt import Exchange, exchange, read_outcome
+from fuchsiagap_client.core.attempt import NodeRequest, read_outcome, send_to_node
 
 if TYPE_CHECKING:
     import httpx
 
     from fuchsiagap import Clock, Milliseconds
-    from fuchsiagap_client.core.nodes import Nodes
+    from fuchsiagap_client.core.nodes import NodeSelector
     from fuchsiagap_client.core.settings import ClientSettings
 
 TICKETS_PATH = "/tickets"
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeldTicket:
+class IssuedTicket:
     """A ticket that no request was sent with yet.
 
     Parameters
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class TicketStock:
+class TicketPool:
     """Unused tickets of a client.
 
     Parameters
@@ -55,18 +55,18 @@
         The clock of this process.
     http : httpx.AsyncClient
         The connections.
-    nodes : Nodes
+    nodes : NodeSelector
         Which node is asked.
     """
 
     cfg: ClientSettings
     clock: Clock
     http: httpx.AsyncClient
-    nodes: Nodes
-    _held: deque[HeldTicket] = field(default_factory=deque)
-    _fetching: trio.Lock = field(default_factory=trio.Lock)
+    nodes: NodeSelector
+    _unused: deque[IssuedTicket] = field(default_factory=deque)
+    _fetch_lock: trio.Lock = field(default_factory=trio.Lock)
 
-    async def take(self, deadline: Milliseconds) -> HeldTicket | Refused:
+    async def take(self, deadline: Milliseconds) -> IssuedTicket | Refused:
         """Take a ticket; no other request will get the same.
 
         Parameters
@@ -76,45 +76,45 @@
 
         Returns
         -------
-        HeldTicket or Refused
+        IssuedTicket or Refused
             `Refused` if no node gave any in time.
         """
-        fault = Refused(Reason.NEEDS_TICKET, detail="no ticket came in time")
+        failure = Refused(Reason.NEEDS_TICKET, detail="no ticket came in time")
         tried: tuple[str, ...] = ()
         while True:
-            held = self._pop()
-            if held is not None:
-                return held
+            issued = self._pop()
+            if issued is not None:
+                return issued
             if len(tried) >= len(self.cfg.nodes) or self.clock.now() >= deadline:
-                return fault
-            async with self._fetching:
+                return failure
+            async with self._fetch_lock:
                 # Another request may have fetched while this one waited.
-                if self._held:
+                if self._unused:
                     continue
                 node = self.nodes.choose("", tried)
                 tried = (*tried, node)
-                fault = await self._fetch(node, deadline) or fault
+                failure = await self._fetch(node, deadline) or failure
 
-    def forget(self, ticket: Ticket) -> None:
+    def discard_same_issuer(self, ticket: Ticket) -> None:
         """Throw away the tickets of a life that is over."""
-        kept = [held for held in self._held if held.ticket.life != ticket.life]
-        self._held = deque(kept)
+        kept = [issued for issued in self._unused if issued.ticket.life != ticket.life]
+        self._unused = deque(kept)
 
-    def _pop(self) -> HeldTicket | None:
+    def _pop(self) -> IssuedTicket | None:
         now = self.clock.now()
-        while self._held:
-            held = self._held.popleft()
-            if held.expires > now:
-                return held
+        while self._unused:
+            issued = self._unused.popleft()
+            if issued.expires > now:
+                return issued
         return None
 
     async def _fetch(self, node: str, deadline: Milliseconds) -> Refused | None:
         body = json.dumps({"count": self.cfg.ticket_batch}).encode()
-        sent = Exchange(node, "POST", TICKETS_PATH, _JSON, body)
-        asked = self.clock.now()
-        response = await exchange(self.http, sent, deadline - asked)
+        node_req = NodeRequest(node, "POST", TICKETS_PATH, _JSON, body)
+        requested_at = self.clock.now()
+        response = await send_to_node(self.http, node_req, deadline - requested_at)
         if isinstance(response, (Refused, Unknown)):
-            self.nodes.pause(node)
+            self.nodes.mark_unreachable(node)
             return Refused(Reason.NEEDS_TICKET, detail=response.detail)
         tickets = _read_tickets(response)
         if not tickets:
@@ -122,8 +122,8 @@
             wait = outcome.retry_after if isinstance(outcome, Refused) else 0.0
             detail = f"{node} gave no tickets: {response.text:.200}"
             return Refused(Reason.NEEDS_TICKET, wait, detail=detail)
-        expires = asked + self.cfg.ticket_age
-        self._held.extend(HeldTicket(ticket, node, expires) for ticket in tickets)
+        expires = requested_at + self.cfg.ticket_age
+        self._unused.extend(IssuedTicket(ticket, node, expires) for ticket in tickets)
         return None
 
 
--- a/packages/fuchsiagap-client/src/fuchsiagap_client/tests/core/test_client.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/tests/core/test_client.py
@@ -181,14 +181,14 @@
         nodes = self.script(httpx.ReadTimeout)
         outcome = self.send(nodes)
         self.assertIsInstance(outcome, Unknown)
-        (asked,) = nodes.settles
+        (asked,) = nodes.settle_requests
         self.assertIn(nodes.calls[0].ticket, asked.path)
         question = json.loads(asked.body)
         self.assertEqual(("POST", ISSUE.path), (question["method"], question["path"]))
 
     def test_not_run_once_its_ticket_is_burnt(self) -> None:
         nodes = self.script(httpx.ReadError)
-        nodes.settled = refused(Reason.TICKET_BURNT)
+        nodes.settle_reply = refused(Reason.TICKET_BURNT)
         self.assertEqual(Reason.TICKET_BURNT, self.send(nodes).reason)
 
     def test_a_request_starts_afresh_once_its_ticket_is_burnt(self) -> None:
@@ -200,25 +200,28 @@
         self.assertEqual("0", second.headers[call_headers.REPEAT])
 
     def test_only_a_burnt_ticket_says_not_run(self) -> None:
-        for settled in (refused(Reason.NO_ROUTE), unknown(Reason.TICKET_IN_PROGRESS)):
+        for settle_reply in (
+            refused(Reason.NO_ROUTE),
+            unknown(Reason.TICKET_IN_PROGRESS),
+        ):
             nodes = self.script(httpx.ReadError)
-            nodes.settled = settled
+            nodes.settle_reply = settle_reply
             self.assertIsInstance(self.send(nodes), Unknown)
 
     def test_the_answer_of_an_earlier_copy_is_found(self) -> None:
         nodes = self.script(httpx.ReadError)
-        nodes.settled = answered(b"cert")
+        nodes.settle_reply = answered(b"cert")
         self.assertEqual(b"cert", self.send(nodes).body)
 
     def test_a_request_that_may_be_idempotent_is_not_settled(self) -> None:
         nodes = self.script(httpx.ReadError)
-        nodes.settled = refused(Reason.TICKET_BURNT)
+        nodes.settle_reply = refused(Reason.TICKET_BURNT)
         self.assertIsInstance(self.send(nodes, READ), Unknown)
-        self.assertEqual([], nodes.settles)
+        self.assertEqual([], nodes.settle_requests)
 
     def test_there_is_time_left_to_settle_a_request_nobody_answers(self) -> None:
         nodes = FakeNodes([replace(answered(), delay_s=60.0)])
-        nodes.settled = refused(Reason.TICKET_BURNT)
+        nodes.settle_reply = refused(Reason.TICKET_BURNT)
         outcome = self.send(nodes)
         self.assertEqual(Reason.TICKET_BURNT, outcome.reason)
 
--- a/packages/fuchsiagap-client/src/fuchsiagap_client/tests/fake_nodes.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/tests/fake_nodes.py
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True)
-class Sent:
+class ReceivedRequest:
     """One request that reached a node."""
 
     node: str
@@ -79,18 +79,18 @@
     script : list
         The replies to calls, or the exceptions of the transport, in order; the
         last one stays.
-    settled : Reply
+    settle_reply : Reply
         The reply to questions about a ticket.
     down : set of str
         Nodes that cannot be reached.
     """
 
     script: list[Reply | type[httpx.TransportError]]
-    settled: Reply = field(default_factory=lambda: unknown(Reason.HOME_GONE))
+    settle_reply: Reply = field(default_factory=lambda: unknown(Reason.HOME_GONE))
     tickets: Reply | None = None
     down: set[str] = field(default_factory=set)
-    calls: list[Sent] = field(default_factory=list)
-    settles: list[Sent] = field(default_factory=list)
+    calls: list[ReceivedRequest] = field(default_factory=list)
+    settle_requests: list[ReceivedRequest] = field(default_factory=list)
     n_batches: int = 0
     n_issued: int = 0
 
@@ -109,7 +109,9 @@
         path = scope["raw_path"].decode()
         if scope["query_string"]:
             path += "?" + scope["query_string"].decode()
-        sent = Sent(node, scope["method"], path, headers, body, trio.current_time())
+        sent = ReceivedRequest(
+            node, scope["method"], path, headers, body, trio.current_time()
+        )
         reply = self._reply(sent)
         await trio.sleep(reply.delay_s)
         raw = [(name.encode(), value.encode()) for name, value in reply.headers.items()]
@@ -117,18 +119,18 @@
         await send({"type": "http.response.start", **status})
         await send({"type": "http.response.body", "body": reply.body})
 
-    def _reply(self, sent: Sent) -> Reply:
+    def _reply(self, sent: ReceivedRequest) -> Reply:
         if sent.path == "/tickets":
             return self.tickets or self._issue(sent)
         if sent.path.startswith("/tickets/"):
-            self.settles.append(sent)
-            return self.settled
+            self.settle_requests.append(sent)
+            return self.settle_reply
         self.calls.append(sent)
         reply = self.next()
         assert isinstance(reply, Reply)
         return reply
 
-    def _issue(self, sent: Sent) -> Reply:
+    def _issue(self, sent: ReceivedRequest) -> Reply:
         count = json.loads(sent.body)["count"]
         life = f"{sent.node.split(':')[0].replace('.', '-')}.{self.n_batches + 1:x}"
         texts = [f"{life}.{n:x}" for n in range(count)]
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/admin_client.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/admin_client.py
@@ -33,14 +33,14 @@
         HTTP status.
     body : dict
         The JSON object; any other text stands under ``"text"``.
-    wall : float
+    server_time : float
         The node's time of day in milliseconds, to the second; 0 if it said none.
     """
 
     node: str
     status: int
     body: dict[str, Any]
-    wall: Milliseconds = 0.0
+    server_time: Milliseconds = 0.0
 
     @property
     def ok(self) -> bool:
@@ -63,7 +63,7 @@
     """
 
     node: str
-    sent: bool
+    maybe_sent: bool
     detail: str
 
 
@@ -85,7 +85,7 @@
     http: httpx.AsyncClient
     token: str
 
-    async def ask(
+    async def request(
         self,
         node: str,
         method: str,
@@ -115,22 +115,24 @@
         Reply or NoReply
             Every HTTP status is a `Reply`.
         """
-        sent = self.token if with_token else ""
-        headers = {"authorization": f"Bearer {sent}"} if sent else {}
+        bearer = self.token if with_token else ""
+        headers = {"authorization": f"Bearer {bearer}"} if bearer else {}
         url = f"http://{node}{path}"
         try:
             res = await self.http.request(
                 method, url, params=params, json=body, headers=headers
             )
         except (httpx.ConnectError, httpx.ConnectTimeout) as exc:
-            return NoReply(node, sent=False, detail=_said(exc))
+            return NoReply(node, maybe_sent=False, detail=_error_text(exc))
         except httpx.HTTPError as exc:
-            return NoReply(node, sent=True, detail=_said(exc))
+            return NoReply(node, maybe_sent=True, detail=_error_text(exc))
         except httpx.InvalidURL as exc:
-            return NoReply(node, sent=False, detail=f"{node!r} is no address: {exc}")
-        return Reply(node, res.status_code, _object(res), _wall(res))
+            return NoReply(
+                node, maybe_sent=False, detail=f"{node!r} is no address: {exc}"
+            )
+        return Reply(node, res.status_code, _json_object(res), _server_time(res))
 
-    async def ask_any(
+    async def request_any(
         self, nodes: tuple[str, ...], method: str, path: str, **kwargs: Any
     ) -> Answer:
         """Ask nodes in turn until one answers; for what is safe to repeat.
@@ -152,18 +154,18 @@
         """
         failures: list[NoReply] = []
         for node in nodes:
-            answer = await self.ask(node, method, path, **kwargs)
+            answer = await self.request(node, method, path, **kwargs)
             if isinstance(answer, Reply):
                 return answer
             failures.append(answer)
-        return joined(failures)
+        return merge_failures(failures)
 
 
-def joined(failures: Sequence[NoReply]) -> NoReply:
+def merge_failures(failures: Sequence[NoReply]) -> NoReply:
     """Return one failure that names every node, and is sent if any of them was."""
     return NoReply(
         node=", ".join(failure.node for failure in failures),
-        sent=any(failure.sent for failure in failures),
+        maybe_sent=any(failure.maybe_sent for failure in failures),
         detail="; ".join(f"{f.node}: {f.detail}" for f in failures),
     )
 
@@ -194,24 +196,24 @@
     )
 
 
-def _object(res: httpx.Response) -> dict[str, Any]:
+def _json_object(res: httpx.Response) -> dict[str, Any]:
     if len(res.content) > MAX_BODY_BYTES:
         return {}
     try:
-        found = json.loads(res.content)
+        parsed = json.loads(res.content)
     except ValueError:
         return {"text": res.text}
-    return found if isinstance(found, dict) else {"items": found}
+    return parsed if isinstance(parsed, dict) else {"items": parsed}
 
 
-def _wall(res: httpx.Response) -> Milliseconds:
+def _server_time(res: httpx.Response) -> Milliseconds:
     try:
         return parsedate_to_datetime(res.headers["date"]).timestamp() * MS_PER_S
     except (KeyError, ValueError):
         return 0.0
 
 
-def _said(exc: BaseException) -> str:
+def _error_text(exc: BaseException) -> str:
     """Return the system's own word where there is one below the library's."""
     cause: BaseException | None = exc
     while cause is not None:
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/change.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/change.py
@@ -9,12 +9,17 @@
 import trio
 
 from fuchsiagap.core.clock import MS_PER_S
-from fuchsiagap_ctl.admin_client import NoReply, Reply, joined
+from fuchsiagap_ctl.admin_client import NoReply, Reply, merge_failures
 from fuchsiagap_ctl.commands.check import read_text, report_faults
-from fuchsiagap_ctl.commands.command import argument, detail_of, failed, quoted
-from fuchsiagap_ctl.commands.settings import unstamped
+from fuchsiagap_ctl.commands.command import (
+    argument,
+    quote_segment,
+    refusal_detail,
+    report_failure,
+)
+from fuchsiagap_ctl.commands.settings import split_version_line
 from fuchsiagap_ctl.exit_codes import ExitCode
-from fuchsiagap_ctl.fleet import Fleet, ask_nodes, find_fleet
+from fuchsiagap_ctl.fleet import Fleet, find_fleet, request_nodes
 
 if TYPE_CHECKING:
     from fuchsiagap_ctl.admin_client import Answer
@@ -23,9 +28,9 @@
 _NO_SETTINGS_YET = 0
 _RETRY_PAUSE_S = 1.0
 _POLL_S = 0.5
-_UNSETTLED = 504
-_MAX_NAMED = 10
-_NOT_LOOKED = "any node"
+_OUTCOME_PENDING_STATUS = 504
+_MAX_LISTED_NODES = 10
+_NOT_CHECKED = "any node"
 
 
 async def put(context: Context) -> ExitCode:
@@ -35,7 +40,7 @@
     if text is None:
         context.output.note(f"{path}: can't be read as UTF-8 text")
         return ExitCode.USAGE
-    version, body = unstamped(text)
+    version, body = split_version_line(text)
     invalid = report_faults(context, team, path, text)
     if invalid is not None:
         return invalid
@@ -82,28 +87,28 @@
 ) -> ExitCode:
     given_id = context.invocation.change_id
     body |= {"expected_version": expected, "change_id": given_id or uuid4().hex}
-    path = f"/v1/settings/{quoted(team)}"
+    path = f"/v1/settings/{quote_segment(team)}"
     change = _Change(method, path, body, maybe_applied=bool(given_id))
-    answer = await _send_until_settled(context, change)
+    answer = await _retry_until_settled(context, change)
     if isinstance(answer, Reply) and answer.body.get("error") == "conflict":
-        return _lost(context, answer)
+        return _report_conflict(context, answer)
     if not isinstance(answer, Reply) or not answer.ok:
         if change.maybe_applied:
-            return _unsettled(context, change, answer)
-        return failed(context, answer, f"change the settings of {team}")
+            return _report_maybe_applied(context, change, answer)
+        return report_failure(context, answer, f"change the settings of {team}")
     context.output.note(f"accepted as version {answer.body['version']} of {team}")
     if not context.invocation.wait:
-        return _in_force(context, answer.body, 0, [])
-    return await _until_in_force(context, team, answer.body)
+        return _report_in_force(context, answer.body, 0, [])
+    return await _wait_until_in_force(context, team, answer.body)
 
 
-async def _send_until_settled(context: Context, change: _Change) -> Answer:
+async def _retry_until_settled(context: Context, change: _Change) -> Answer:
     """Repeat the change under its id, which is safe, until its end is known."""
     answer: Answer = NoReply("", True, "no answer in time")
-    with trio.move_on_after(_wait_s(context)) as waiting:
+    with trio.move_on_after(_retry_time_s(context)) as waiting:
         while True:
-            answer = await _ask_any(context, change)
-            if isinstance(answer, Reply) and answer.status != _UNSETTLED:
+            answer = await _send_once(context, change)
+            if isinstance(answer, Reply) and answer.status != _OUTCOME_PENDING_STATUS:
                 return answer
             if not change.maybe_applied:
                 return answer
@@ -115,24 +120,24 @@
     return answer
 
 
-async def _ask_any(context: Context, change: _Change) -> Answer:
+async def _send_once(context: Context, change: _Change) -> Answer:
     """Ask nodes in turn; those after a request that may have arrived, to repeat it."""
     failures: list[NoReply] = []
     for node in context.invocation.nodes:
         repeat = {"repeat": True} if change.maybe_applied else {}
-        answer = await context.client.ask(
+        answer = await context.client.request(
             node, change.method, change.path, body=change.body | repeat
         )
         if isinstance(answer, Reply):
-            if answer.status == _UNSETTLED:
-                _note_unsettled(change, answer)
+            if answer.status == _OUTCOME_PENDING_STATUS:
+                _record_unsettled(change, answer)
             return answer
         failures.append(answer)
-        change.maybe_applied = change.maybe_applied or answer.sent
-    return joined(failures)
+        change.maybe_applied = change.maybe_applied or answer.maybe_sent
+    return merge_failures(failures)
 
 
-def _note_unsettled(change: _Change, answer: Reply) -> None:
+def _record_unsettled(change: _Change, answer: Reply) -> None:
     change.maybe_applied = True
     # The version that the request met: 0 is for deleted settings too.
     version = answer.body.get("expected_version")
@@ -140,14 +145,16 @@
         change.body["expected_version"] = version
 
 
-def _wait_s(context: Context) -> float:
+def _retry_time_s(context: Context) -> float:
     """Return how long to go on; at least one whole answer is waited for."""
     invocation = context.invocation
     return max(invocation.wait, invocation.timeout) / MS_PER_S
 
 
-def _unsettled(context: Context, change: _Change, answer: Answer) -> ExitCode:
-    detail = detail_of(answer) if isinstance(answer, Reply) else answer.detail
+def _report_maybe_applied(
+    context: Context, change: _Change, answer: Answer
+) -> ExitCode:
+    detail = refusal_detail(answer) if isinstance(answer, Reply) else answer.detail
     context.output.note(f"the change may have taken effect: {detail}")
     context.output.note(
         "next: repeat the same command with"
@@ -158,7 +165,7 @@
     return ExitCode.MAYBE_APPLIED
 
 
-def _lost(context: Context, answer: Reply) -> ExitCode:
+def _report_conflict(context: Context, answer: Reply) -> ExitCode:
     body = answer.body
     if context.invocation.json:
         context.output.json(body)
@@ -177,33 +184,33 @@
     return ExitCode.CONFLICT
 
 
-async def _until_in_force(
+async def _wait_until_in_force(
     context: Context, team: str, accepted: dict[str, Any]
 ) -> ExitCode:
     """Wait until every node that answers has the version, or a later one."""
     version = int(accepted["version"])
-    lacking: list[str] = [_NOT_LOOKED]
+    lagging: list[str] = [_NOT_CHECKED]
     n_nodes = 0
     with trio.move_on_after(context.invocation.wait / MS_PER_S):
-        while lacking:
+        while lagging:
             fleet = await find_fleet(context.client, context.invocation.nodes)
             if isinstance(fleet, Fleet):
-                before = lacking
-                lacking = await _lacking(context, fleet, team, version)
+                before = lagging
+                lagging = await _lagging_nodes(context, fleet, team, version)
                 n_nodes = sum(not node.gone for node in fleet.nodes)
-                if lacking != before:
-                    n_done = n_nodes - len(lacking)
+                if lagging != before:
+                    n_done = n_nodes - len(lagging)
                     context.output.note(f"in force on {n_done} of {n_nodes} nodes")
-            if lacking:
+            if lagging:
                 await trio.sleep(_POLL_S)
-    return _in_force(context, accepted, n_nodes, lacking)
+    return _report_in_force(context, accepted, n_nodes, lagging)
 
 
-async def _lacking(
+async def _lagging_nodes(
     context: Context, fleet: Fleet, team: str, version: int
 ) -> list[str]:
     nodes = [node for node in fleet.nodes if not node.gone]
-    answers = await ask_nodes(context.client, nodes, "/v1/settings")
+    answers = await request_nodes(context.client, nodes, "/v1/settings")
     return [
         node.name
         for node, answer in answers
@@ -216,17 +223,21 @@
     return next((one["version"] for one in teams if one["team"] == team), -1)
 
 
-def _in_force(
-    context: Context, accepted: dict[str, Any], n_nodes: int, lacking: list[str]
+def _report_in_force(
+    context: Context, accepted: dict[str, Any], n_nodes: int, lagging: list[str]
 ) -> ExitCode:
     if context.invocation.json:
-        context.output.json({**accepted, "nodes": n_nodes, "lacking": lacking})
-    if not lacking:
+        context.output.json({**accepted, "nodes": n_nodes, "lacking": lagging})
+    if not lagging:
         return ExitCode.DONE
-    named = ", ".join(lacking[:_MAX_NAMED])
-    more = f" and {len(lacking) - _MAX_NAMED} more" if len(lacking) > _MAX_NAMED else ""
+    listed = ", ".join(lagging[:_MAX_LISTED_NODES])
+    more = (
+        f" and {len(lagging) - _MAX_LISTED_NODES} more"
+        if len(lagging) > _MAX_LISTED_NODES
+        else ""
+    )
     context.output.note(
-        f"accepted, but not seen in force on {named}{more}; next: the nodes take it"
+        f"accepted, but not seen in force on {listed}{more}; next: the nodes take it"
         " over as soon as they reach another one; see `fuchsiagap status`"
     )
     return ExitCode.INCOMPLETE
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/check.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/check.py
@@ -26,7 +26,7 @@
     if text is None:
         context.output.note(f"{path}: can't be read as UTF-8 text")
         return ExitCode.USAGE
-    return report_faults(context, team, path, text) or _valid(context, path)
+    return report_faults(context, team, path, text) or _report_valid(context, path)
 
 
 def report_faults(context: Context, team: str, path: str, text: str) -> ExitCode | None:
@@ -74,7 +74,7 @@
     )
 
 
-def _valid(context: Context, path: str) -> ExitCode:
+def _report_valid(context: Context, path: str) -> ExitCode:
     if context.invocation.json:
         context.output.json({"valid": True, "faults": []})
     else:
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/command.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/command.py
@@ -76,12 +76,12 @@
     return context.invocation.words[index]
 
 
-def quoted(word: str) -> str:
+def quote_segment(word: str) -> str:
     """Return a word as one part of a path."""
     return quote(word, safe="")
 
 
-def failed(context: Context, answer: Answer, what: str) -> ExitCode:
+def report_failure(context: Context, answer: Answer, action: str) -> ExitCode:
     """Say why a node did not do what it was asked, and what to do next.
 
     Parameters
@@ -90,7 +90,7 @@
         Of the command.
     answer : Reply or NoReply
         The failure.
-    what : str
+    action : str
         What was asked, as ``"read the settings of salt-fog"``.
 
     Returns
@@ -99,8 +99,8 @@
         The code that fits.
     """
     if isinstance(answer, NoReply):
-        return _unreachable(context, answer, what)
-    context.output.note(f"could not {what}: {detail_of(answer)}")
+        return _report_no_reply(context, answer, action)
+    context.output.note(f"could not {action}: {refusal_detail(answer)}")
     for name in ("expected", "next"):
         if found := answer.body.get(name):
             context.output.note(f"{name}: {found}")
@@ -112,7 +112,7 @@
     return code
 
 
-def detail_of(reply: Reply) -> str:
+def refusal_detail(reply: Reply) -> str:
     """Return what a node said of its refusal, for people."""
     detail = reply.body.get("detail")
     if isinstance(detail, str) and detail:
@@ -131,8 +131,8 @@
 }
 
 
-def _unreachable(context: Context, answer: NoReply, what: str) -> ExitCode:
-    context.output.note(f"could not {what}: no node answered: {answer.detail}")
+def _report_no_reply(context: Context, answer: NoReply, action: str) -> ExitCode:
+    context.output.note(f"could not {action}: no node answered: {answer.detail}")
     context.output.note(
         "next: check that the node runs and that the address is its admin address;"
         f" give more of them by --node or {NODES_VARIABLE}"
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/drain.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/drain.py
@@ -8,7 +8,7 @@
 
 from fuchsiagap.core.clock import MS_PER_S
 from fuchsiagap_ctl.admin_client import Reply
-from fuchsiagap_ctl.commands.command import argument, failed
+from fuchsiagap_ctl.commands.command import argument, report_failure
 from fuchsiagap_ctl.exit_codes import ExitCode
 from fuchsiagap_ctl.fleet import Fleet, find_fleet
 
@@ -18,7 +18,7 @@
 
 _POLL_S = 0.5
 # Others may need a moment longer than the node itself to hear that it left.
-_HEARD_WITHIN_S = 5.0
+_PROPAGATION_TIMEOUT_S = 5.0
 _LEFT = "left"
 
 
@@ -27,27 +27,27 @@
     name = argument(context, -1)
     fleet = await find_fleet(context.client, context.invocation.nodes)
     if not isinstance(fleet, Fleet):
-        return failed(context, fleet, f"find node {name}")
+        return report_failure(context, fleet, f"find node {name}")
     node = next((one for one in fleet.nodes if one.name == name), None)
     if node is None:
         context.output.note(f"there is no node {name!r}")
         context.output.note("next: `fuchsiagap status` lists the nodes by name")
         return ExitCode.NOT_FOUND
     if node.gone:
-        return _end(context, node, node.state)
-    answer = await context.client.ask(node.address, "POST", "/v1/drain")
+        return _report_state(context, node, node.state)
+    answer = await context.client.request(node.address, "POST", "/v1/drain")
     if not isinstance(answer, Reply) or not answer.ok:
-        return failed(context, answer, f"drain node {name}")
+        return report_failure(context, answer, f"drain node {name}")
     context.output.note(f"{name} refuses new work and finishes what it has")
-    return await _until_left(context, node)
+    return await _wait_until_left(context, node)
 
 
-async def _until_left(context: Context, node: FleetNode) -> ExitCode:
+async def _wait_until_left(context: Context, node: FleetNode) -> ExitCode:
     if not context.invocation.wait:
-        return _end(context, node, "draining")
+        return _report_state(context, node, "draining")
     with trio.move_on_after(context.invocation.wait / MS_PER_S):
-        await _until_silent(context, node)
-        return _end(context, node, await _state_of(context, node))
+        await _wait_until_stopped(context, node)
+        return _report_state(context, node, await _final_state(context, node))
     context.output.note(
         f"{node.name} is still draining; next: look at its calls with `fuchsiagap"
         f" status`, or wait again with `fuchsiagap drain {node.name}`, which is safe"
@@ -55,12 +55,12 @@
     return ExitCode.TIMED_OUT
 
 
-async def _until_silent(context: Context, node: FleetNode) -> None:
+async def _wait_until_stopped(context: Context, node: FleetNode) -> None:
     """Return when the process has ended, or another one has its address."""
-    shown = -1
+    n_reported = -1
     while True:
         params = {"members": "no"}
-        answer = await context.client.ask(
+        answer = await context.client.request(
             node.address, "GET", "/v1/status", params=params, with_token=False
         )
         if not isinstance(answer, Reply):
@@ -69,19 +69,19 @@
             return
         calls = answer.body["calls"]
         n_calls = calls["serving"] + calls["entered"]
-        if n_calls != shown:
+        if n_calls != n_reported:
             context.output.note(f"{n_calls} calls in progress at {node.name}")
-            shown = n_calls
+            n_reported = n_calls
         await trio.sleep(_POLL_S)
 
 
-async def _state_of(context: Context, node: FleetNode) -> str:
+async def _final_state(context: Context, node: FleetNode) -> str:
     """Return the state that the other nodes know, once they know of its end."""
     others = [a for a in context.invocation.nodes if a != node.address]
     if not others:
         return _LEFT
     state = "unknown"
-    with trio.move_on_after(_HEARD_WITHIN_S):
+    with trio.move_on_after(_PROPAGATION_TIMEOUT_S):
         while True:
             fleet = await find_fleet(context.client, others)
             if not isinstance(fleet, Fleet):
@@ -96,7 +96,7 @@
     return state
 
 
-def _end(context: Context, node: FleetNode, state: str) -> ExitCode:
+def _report_state(context: Context, node: FleetNode, state: str) -> ExitCode:
     if context.invocation.json:
         context.output.json({"node": node.name, "state": state})
     else:
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/explain.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/explain.py
@@ -7,13 +7,13 @@
 from fuchsiagap_ctl.commands.check import read_text
 from fuchsiagap_ctl.commands.command import argument
 from fuchsiagap_ctl.exit_codes import ExitCode
-from fuchsiagap_ctl.explain.lines import read_lines
-from fuchsiagap_ctl.explain.story import tell
+from fuchsiagap_ctl.explain.diagnosis import diagnose
+from fuchsiagap_ctl.explain.log_lines import parse_log
 
 if TYPE_CHECKING:
     from fuchsiagap_ctl.commands.command import Context
-    from fuchsiagap_ctl.explain.lines import Line, Read
-    from fuchsiagap_ctl.explain.story import Story
+    from fuchsiagap_ctl.explain.diagnosis import Diagnosis
+    from fuchsiagap_ctl.explain.log_lines import LogLine, ParsedLog
 
 
 async def explain(context: Context) -> ExitCode:
@@ -23,46 +23,46 @@
     if text is None:
         context.output.note(f"{path}: can't be read as UTF-8 text")
         return ExitCode.USAGE
-    read = read_lines(text.splitlines())
-    story = tell(read.lines, request)
-    if story is None:
+    parsed = parse_log(text.splitlines())
+    diagnosis = diagnose(parsed.lines, request)
+    if diagnosis is None:
         context.output.note(
-            f"no line of {len(read.lines)} names {request}; answers at the first try"
+            f"no line of {len(parsed.lines)} names {request}; answers at the first try"
             " are sampled, the others are all written unless dropped"
         )
-        _note_gaps(context, read)
+        _report_skipped_lines(context, parsed)
         return ExitCode.NOT_FOUND
     if context.invocation.json:
-        context.output.json(_as_json(story))
+        context.output.json(_as_json(diagnosis))
     else:
-        _write(context, story)
-    _note_gaps(context, read)
+        _write(context, diagnosis)
+    _report_skipped_lines(context, parsed)
     return ExitCode.DONE
 
 
-def _write(context: Context, story: Story) -> None:
+def _write(context: Context, diagnosis: Diagnosis) -> None:
     for title, lines in (
-        ("the request", story.own),
-        ("calls made for it", story.calls),
-        ("changes at the same time", story.around),
+        ("the request", diagnosis.request_lines),
+        ("calls made for it", diagnosis.call_lines),
+        ("changes at the same time", diagnosis.state_changes),
     ):
         if lines:
             context.output.line(f"{title}:")
         for line in lines:
             context.output.line(f"  {line.text()}")
-    context.output.line(f"likely cause: {story.cause}")
+    context.output.line(f"likely cause: {diagnosis.cause}")
 
 
-def _as_json(story: Story) -> dict[str, object]:
+def _as_json(diagnosis: Diagnosis) -> dict[str, object]:
     return {
-        "request": [_line_json(line) for line in story.own],
-        "calls": [_line_json(line) for line in story.calls],
-        "around": [_line_json(line) for line in story.around],
-        "cause": story.cause,
+        "request": [_line_json(line) for line in diagnosis.request_lines],
+        "calls": [_line_json(line) for line in diagnosis.call_lines],
+        "around": [_line_json(line) for line in diagnosis.state_changes],
+        "cause": diagnosis.cause,
     }
 
 
-def _line_json(line: Line) -> dict[str, object]:
+def _line_json(line: LogLine) -> dict[str, object]:
     return {
         "wall": line.wall,
         "node": line.node,
@@ -72,8 +72,8 @@
     }
 
 
-def _note_gaps(context: Context, read: Read) -> None:
-    if read.unread:
-        context.output.note(f"{read.unread} lines are no lines of a node")
-    if read.dropped:
-        context.output.note(f"nodes dropped {read.dropped} lines")
+def _report_skipped_lines(context: Context, parsed: ParsedLog) -> None:
+    if parsed.n_unparsed:
+        context.output.note(f"{parsed.n_unparsed} lines are no lines of a node")
+    if parsed.n_dropped:
+        context.output.note(f"nodes dropped {parsed.n_dropped} lines")
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/settings.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/settings.py
@@ -7,7 +7,7 @@
 
 from fuchsiagap_ctl.admin_client import Reply
 from fuchsiagap_ctl.commands.check import read_text
-from fuchsiagap_ctl.commands.command import argument, failed, quoted
+from fuchsiagap_ctl.commands.command import argument, quote_segment, report_failure
 from fuchsiagap_ctl.exit_codes import ExitCode
 from fuchsiagap_ctl.output import table
 
@@ -15,16 +15,18 @@
     from fuchsiagap_ctl.admin_client import Answer
     from fuchsiagap_ctl.commands.command import Context
 
-_FIRST_LINE = "# {team}, version {version}; the next `settings put` needs this line\n"
+_VERSION_LINE_FORMAT = (
+    "# {team}, version {version}; the next `settings put` needs this line\n"
+)
 _VERSION_LINE = re.compile(r"# (\S+), version (\d+); the next `settings put`[^\n]*\n")
 
 
-def stamped(team: str, version: int, text: str) -> str:
+def add_version_line(team: str, version: int, text: str) -> str:
     """Return a text with a first line that says which version it is."""
-    return _FIRST_LINE.format(team=team, version=version) + text
+    return _VERSION_LINE_FORMAT.format(team=team, version=version) + text
 
 
-def unstamped(text: str) -> tuple[int, str]:
+def split_version_line(text: str) -> tuple[int, str]:
     """Return the version that the first line says, -1 if none, and the text."""
     found = _VERSION_LINE.match(text)
     if found is None:
@@ -37,7 +39,7 @@
     team = argument(context, -1)
     answer = await _read(context, team, "")
     if not isinstance(answer, Reply) or not answer.ok:
-        return failed(context, answer, f"read the settings of {team}")
+        return report_failure(context, answer, f"read the settings of {team}")
     if context.invocation.json:
         context.output.json(answer.body)
         return ExitCode.DONE
@@ -45,7 +47,7 @@
         version = answer.body["version"]
         context.output.note(f"the settings of {team} were deleted, version {version}")
         return ExitCode.NOT_FOUND
-    text = stamped(team, answer.body["version"], answer.body["text"])
+    text = add_version_line(team, answer.body["version"], answer.body["text"])
     context.output.line(text.removesuffix("\n"))
     return ExitCode.DONE
 
@@ -57,15 +59,15 @@
     if text is None:
         context.output.note(f"{path}: can't be read as UTF-8 text")
         return ExitCode.USAGE
-    answer = await context.client.ask_any(
+    answer = await context.client.request_any(
         context.invocation.nodes,
         "POST",
-        f"/v1/settings/{quoted(team)}/diff",
+        f"/v1/settings/{quote_segment(team)}/diff",
         params={"source": context.invocation.source},
-        body={"text": unstamped(text)[1]},
+        body={"text": split_version_line(text)[1]},
     )
     if not isinstance(answer, Reply) or not answer.ok:
-        return failed(context, answer, f"compare with the settings of {team}")
+        return report_failure(context, answer, f"compare with the settings of {team}")
     if context.invocation.json:
         context.output.json(answer.body)
     else:
@@ -78,7 +80,7 @@
     team = argument(context, -1)
     answer = await _read(context, team, "/history")
     if not isinstance(answer, Reply) or not answer.ok:
-        return failed(context, answer, f"read the history of {team}")
+        return report_failure(context, answer, f"read the history of {team}")
     if context.invocation.json:
         context.output.json(answer.body)
         return ExitCode.DONE
@@ -89,11 +91,11 @@
     return ExitCode.DONE
 
 
-async def _read(context: Context, team: str, below: str) -> Answer:
-    return await context.client.ask_any(
+async def _read(context: Context, team: str, subpath: str) -> Answer:
+    return await context.client.request_any(
         context.invocation.nodes,
         "GET",
-        f"/v1/settings/{quoted(team)}{below}",
+        f"/v1/settings/{quote_segment(team)}{subpath}",
         params={"source": context.invocation.source},
     )
 
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/status.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/status.py
@@ -5,9 +5,9 @@
 from typing import TYPE_CHECKING, Any
 
 from fuchsiagap_ctl.admin_client import Reply
-from fuchsiagap_ctl.commands.command import failed
+from fuchsiagap_ctl.commands.command import report_failure
 from fuchsiagap_ctl.exit_codes import ExitCode
-from fuchsiagap_ctl.fleet import Fleet, ask_nodes, find_fleet
+from fuchsiagap_ctl.fleet import Fleet, find_fleet, request_nodes
 from fuchsiagap_ctl.output import table
 
 if TYPE_CHECKING:
@@ -36,22 +36,22 @@
     """Write the state of every node; needs no platform."""
     fleet = await find_fleet(context.client, context.invocation.nodes)
     if not isinstance(fleet, Fleet):
-        return failed(context, fleet, "read the status")
-    nodes = chosen(context, fleet)
-    answers = await ask_nodes(
+        return report_failure(context, fleet, "read the status")
+    nodes = filter_nodes(context, fleet)
+    answers = await request_nodes(
         context.client, nodes, "/v1/status", {"members": "no"}, context.output.note
     )
-    silent = [node for node, answer in answers if not _answered(answer)]
+    unresponsive = [node for node, answer in answers if not _answered(answer)]
     if context.invocation.json:
         context.output.json(_as_json(fleet, answers))
     else:
         for line in _lines(fleet, answers):
             context.output.line(line)
-    unwell = [node for node in silent if not node.gone]
-    return ExitCode.INCOMPLETE if unwell or fleet.silent else ExitCode.DONE
+    failed_nodes = [node for node in unresponsive if not node.gone]
+    return ExitCode.INCOMPLETE if failed_nodes or fleet.unresponsive else ExitCode.DONE
 
 
-def chosen(context: Context, fleet: Fleet) -> list[FleetNode]:
+def filter_nodes(context: Context, fleet: Fleet) -> list[FleetNode]:
     """Return the nodes of the team and the data centre that the flags name."""
     team, data_centre = context.invocation.team, context.invocation.data_centre
     return [
@@ -62,15 +62,15 @@
     ]
 
 
-def admitted(levels: Sequence[dict[str, Any]]) -> str:
+def admission_level(levels: Sequence[dict[str, Any]]) -> str:
     """Return the strictest level of a node's routes, for people."""
-    found = min(
+    strictest = min(
         ((one["level_priority"], one["level_cohort"]) for one in levels),
         default=_ALL_ADMITTED,
     )
-    if found >= _ALL_ADMITTED:
+    if strictest >= _ALL_ADMITTED:
         return "all"
-    return f"priority {found[0]}, cohort {found[1]}"
+    return f"priority {strictest[0]}, cohort {strictest[1]}"
 
 
 def _answered(answer: Answer) -> bool:
@@ -94,31 +94,35 @@
             for node, answer in answers
         ],
         "unreachable_data_centres": fleet.unreachable,
-        "silent": [{"node": one.node, "detail": one.detail} for one in fleet.silent],
+        "silent": [
+            {"node": one.node, "detail": one.detail} for one in fleet.unresponsive
+        ],
     }
 
 
 def _lines(fleet: Fleet, answers: list[tuple[FleetNode, Answer]]) -> list[str]:
     replies = [answer for _, answer in answers if isinstance(answer, Reply)]
-    lines = [_platform(replies)]
+    lines = [_platform_summary(replies)]
     lines += [f"cut off from some nodes: {name}" for name in fleet.unreachable]
-    lines += [f"no answer from {one.node}: {one.detail}" for one in fleet.silent]
+    lines += [f"no answer from {one.node}: {one.detail}" for one in fleet.unresponsive]
     lines += _refused_settings(replies)
     lines.append("")
     lines += table(_HEADER, [_row(node, answer) for node, answer in answers])
-    notes = [_trouble(node, answer) for node, answer in answers]
+    notes = [_failure_note(node, answer) for node, answer in answers]
     lines += [note for note in notes if note]
     return lines
 
 
-def _platform(replies: list[Reply]) -> str:
-    words = [reply.body.get("platform", {}).get("up") for reply in replies if reply.ok]
-    said = f"platform: up for {words.count(True)} nodes"
-    if words.count(None):
-        said += f", not asked by {words.count(None)}"
-    if words.count(False):
-        said += f", down for {words.count(False)}; they go on without it"
-    return said
+def _platform_summary(replies: list[Reply]) -> str:
+    platform_states = [
+        reply.body.get("platform", {}).get("up") for reply in replies if reply.ok
+    ]
+    summary = f"platform: up for {platform_states.count(True)} nodes"
+    if platform_states.count(None):
+        summary += f", not asked by {platform_states.count(None)}"
+    if platform_states.count(False):
+        summary += f", down for {platform_states.count(False)}; they go on without it"
+    return summary
 
 
 def _refused_settings(replies: list[Reply]) -> list[str]:
@@ -147,12 +151,12 @@
         backend["in_flight"],
         backend["limit"],
         backend["queued"],
-        admitted(body["levels"]),
+        admission_level(body["levels"]),
         " ".join(f"{t['team']}:{t['version']}" for t in body["settings"]["teams"]),
     )
 
 
-def _trouble(node: FleetNode, answer: Answer) -> str:
+def _failure_note(node: FleetNode, answer: Answer) -> str:
     if node.gone:
         return ""
     if not isinstance(answer, Reply):
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/table.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/table.py
@@ -14,7 +14,7 @@
 from fuchsiagap_ctl.commands.top import top
 
 _CHANGE_FLAGS = ("version", "change-id", "wait")
-_CHOICE_FLAGS = ("team", "data-centre")
+_FILTER_FLAGS = ("team", "data-centre")
 
 # The longer name of two that begin alike stands first.
 COMMANDS = (
@@ -65,7 +65,7 @@
         "status",
         (),
         "Write every node with its backend server, limit and level.",
-        _CHOICE_FLAGS,
+        _FILTER_FLAGS,
         status,
     ),
     Command(
@@ -93,7 +93,7 @@
         "timeline",
         (),
         "Write what happened over all processes, in one order.",
-        ("call", "root", "since", "format", "out", *_CHOICE_FLAGS),
+        ("call", "root", "since", "format", "out", *_FILTER_FLAGS),
         timeline,
     ),
     Command(
@@ -108,7 +108,7 @@
         "top",
         (),
         "Write the busiest backend servers, again and again.",
-        ("interval", "count", *_CHOICE_FLAGS),
+        ("interval", "count", *_FILTER_FLAGS),
         top,
     ),
 )
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/ticket.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/ticket.py
@@ -6,7 +6,7 @@
 
 from fuchsiagap.core.tickets.ticket import MalformedTicket, parse_ticket
 from fuchsiagap_ctl.admin_client import Reply
-from fuchsiagap_ctl.commands.command import argument, failed, quoted
+from fuchsiagap_ctl.commands.command import argument, quote_segment, report_failure
 from fuchsiagap_ctl.exit_codes import ExitCode
 
 if TYPE_CHECKING:
@@ -20,15 +20,15 @@
     text = argument(context, -1)
     if not _is_ticket(context, text):
         return ExitCode.USAGE
-    answer = await context.client.ask_any(
-        context.invocation.nodes, "GET", f"/v1/tickets/{quoted(text)}"
+    answer = await context.client.request_any(
+        context.invocation.nodes, "GET", f"/v1/tickets/{quote_segment(text)}"
     )
     if not isinstance(answer, Reply) or not answer.ok:
-        return failed(context, answer, f"find the home of ticket {text}")
+        return report_failure(context, answer, f"find the home of ticket {text}")
     if context.invocation.json:
         context.output.json(answer.body)
     else:
-        context.output.line(_where(answer))
+        context.output.line(_home_text(answer))
     return ExitCode.NOT_FOUND if answer.body["home"] == "gone" else ExitCode.DONE
 
 
@@ -44,18 +44,18 @@
         )
         return ExitCode.USAGE
     wait = min(context.invocation.wait, context.invocation.timeout / 2, _MAX_WAIT_MS)
-    answer = await context.client.ask_any(
+    answer = await context.client.request_any(
         context.invocation.nodes,
         "POST",
-        f"/v1/tickets/{quoted(text)}/settle",
+        f"/v1/tickets/{quote_segment(text)}/settle",
         body={"method": method, "path": path, "wait_ms": wait},
     )
     if not isinstance(answer, Reply) or not answer.ok:
-        return failed(context, answer, f"settle ticket {text}")
+        return report_failure(context, answer, f"settle ticket {text}")
     if context.invocation.json:
         context.output.json(answer.body)
     else:
-        context.output.line(_what(answer))
+        context.output.line(_outcome_text(answer))
     unknown = answer.body["outcome"] == "unknown"
     return ExitCode.INCOMPLETE if unknown else ExitCode.DONE
 
@@ -68,18 +68,18 @@
     return True
 
 
-def _where(answer: Reply) -> str:
+def _home_text(answer: Reply) -> str:
     body = answer.body
-    said = f"ticket {body['ticket']}: issued by {body['node']}"
+    prefix = f"ticket {body['ticket']}: issued by {body['node']}"
     if body["home"] == "gone":
         reason = body.get("reason", "unknown")
-        return f"{said}; its home is gone ({reason}), so its outcome can't be known"
-    return f"{said}; its home is the node at {body['address']}"
+        return f"{prefix}; its home is gone ({reason}), so its outcome can't be known"
+    return f"{prefix}; its home is the node at {body['address']}"
 
 
-def _what(answer: Reply) -> str:
+def _outcome_text(answer: Reply) -> str:
     body = answer.body
-    said = f"ticket {body['ticket']}: {body['outcome']}"
+    prefix = f"ticket {body['ticket']}: {body['outcome']}"
     if body["outcome"] == "answered":
-        return f"{said} with status {body['status']}, {body['body_bytes']} bytes"
-    return f"{said} ({body['reason']}): {body['detail']}"
+        return f"{prefix} with status {body['status']}, {body['body_bytes']} bytes"
+    return f"{prefix} ({body['reason']}): {body['detail']}"
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/timeline.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/timeline.py
@@ -8,13 +8,13 @@
 
 from fuchsiagap.core.clock import MS_PER_S, Milliseconds
 from fuchsiagap.core.telemetry.hlc import stamp_at
-from fuchsiagap_ctl.commands.command import failed
-from fuchsiagap_ctl.commands.status import chosen
+from fuchsiagap_ctl.commands.command import report_failure
+from fuchsiagap_ctl.commands.status import filter_nodes
 from fuchsiagap_ctl.exit_codes import ExitCode
 from fuchsiagap_ctl.fleet import Fleet, find_fleet
-from fuchsiagap_ctl.timeline.fetch import Wanted, fetch
-from fuchsiagap_ctl.timeline.picture import TooLarge, page, svg
-from fuchsiagap_ctl.timeline.text import gaps, json_lines, text_lines
+from fuchsiagap_ctl.timeline.fetch import EventFilter, fetch
+from fuchsiagap_ctl.timeline.picture import TooLarge, render_html, render_svg
+from fuchsiagap_ctl.timeline.text import gap_lines, json_lines, text_lines
 
 if TYPE_CHECKING:
     from fuchsiagap_ctl.commands.command import Context
@@ -22,7 +22,7 @@
 
 _DEFAULT_SINCE_MS = 30_000.0
 # A node's time of day comes to the second.
-_DATE_STEP_MS = 1_000.0
+_DATE_RESOLUTION_MS = 1_000.0
 
 
 async def timeline(context: Context) -> ExitCode:
@@ -30,29 +30,35 @@
     invocation = context.invocation
     fleet = await find_fleet(context.client, invocation.nodes)
     if not isinstance(fleet, Fleet):
-        return failed(context, fleet, "find the nodes")
+        return report_failure(context, fleet, "find the nodes")
     for name in fleet.unreachable:
         context.output.note(
             f"data centre {name} is cut off from some nodes; next: add --node with the"
             " admin address of a node there, so that all of its nodes are asked"
         )
-    wanted = Wanted(_after(context, fleet), invocation.call, invocation.root)
-    nodes = chosen(context, fleet)
-    found = await fetch(context.client, nodes, wanted, context.output.note)
-    code = _write(context, found)
+    event_filter = EventFilter(
+        _earliest_stamp(context, fleet), invocation.call, invocation.root
+    )
+    nodes = filter_nodes(context, fleet)
+    merged = await fetch(context.client, nodes, event_filter, context.output.note)
+    code = _write(context, merged)
     if code is not ExitCode.DONE:
         return code
-    if not found.events and (invocation.call or invocation.root):
+    if not merged.events and (invocation.call or invocation.root):
         context.output.note(
             "no process has an event of it; next: check the id (the root is the ticket"
             " that the caller sent as Idempotency-Key), and ask sooner: old events get"
             " overwritten"
         )
         return ExitCode.NOT_FOUND
-    return ExitCode.DONE if found.whole and not fleet.silent else ExitCode.INCOMPLETE
+    return (
+        ExitCode.DONE
+        if merged.complete and not fleet.unresponsive
+        else ExitCode.INCOMPLETE
+    )
 
 
-def _after(context: Context, fleet: Fleet) -> int:
+def _earliest_stamp(context: Context, fleet: Fleet) -> int:
     """Return the stamp from which events are wanted, by the clock of a node."""
     invocation = context.invocation
     since = invocation.since
@@ -65,47 +71,50 @@
 
 def _now(fleet: Fleet) -> Milliseconds:
     """Return the nodes' time of day; the own clock where it agrees, as it is finer."""
-    own = time.time() * MS_PER_S
-    if not fleet.wall or abs(own - fleet.wall) < 2 * _DATE_STEP_MS:
-        return own
-    return fleet.wall
+    local_now = time.time() * MS_PER_S
+    if (
+        not fleet.server_time
+        or abs(local_now - fleet.server_time) < 2 * _DATE_RESOLUTION_MS
+    ):
+        return local_now
+    return fleet.server_time
 
 
-def _write(context: Context, found: Timeline) -> ExitCode:
+def _write(context: Context, merged: Timeline) -> ExitCode:
     if context.invocation.format in ("svg", "html"):
-        return _write_picture(context, found)
+        return _write_picture(context, merged)
     write = json_lines if context.invocation.format == "json" else text_lines
     if context.invocation.out:
-        return _write_file(context, "\n".join(write(found)) + "\n", found)
-    for line in write(found):
+        return _write_file(context, "\n".join(write(merged)) + "\n", merged)
+    for line in write(merged):
         context.output.line(line)
     return ExitCode.DONE
 
 
-def _write_picture(context: Context, found: Timeline) -> ExitCode:
-    draw = svg if context.invocation.format == "svg" else page
-    picture = draw(found, _title(context))
+def _write_picture(context: Context, merged: Timeline) -> ExitCode:
+    render = render_svg if context.invocation.format == "svg" else render_html
+    picture = render(merged, _title(context))
     if isinstance(picture, TooLarge):
         context.output.note(str(picture))
         return ExitCode.USAGE
     if context.invocation.out:
-        return _write_file(context, picture, found)
+        return _write_file(context, picture, merged)
     context.output.line(picture)
     return ExitCode.DONE
 
 
-def _write_file(context: Context, text: str, found: Timeline) -> ExitCode:
+def _write_file(context: Context, text: str, merged: Timeline) -> ExitCode:
     path = context.invocation.out
     try:
         Path(path).write_text(text, encoding="utf-8")
     except OSError as exc:
         context.output.note(f"--out {path}: can't be written: {exc}")
         return ExitCode.USAGE
-    for line in gaps(found):
+    for line in gap_lines(merged):
         context.output.note(line)
-    n_processes = len(found.processes)
+    n_processes = len(merged.processes)
     context.output.note(
-        f"{path}: {len(found.events)} events, {n_processes} processes answered"
+        f"{path}: {len(merged.events)} events, {n_processes} processes answered"
     )
     return ExitCode.DONE
 
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/top.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/top.py
@@ -11,10 +11,10 @@
 from fuchsiagap.core.clock import MS_PER_S
 from fuchsiagap.core.telemetry.events import EventKind
 from fuchsiagap_ctl.admin_client import Reply
-from fuchsiagap_ctl.commands.command import failed
-from fuchsiagap_ctl.commands.status import admitted, chosen
+from fuchsiagap_ctl.commands.command import report_failure
+from fuchsiagap_ctl.commands.status import admission_level, filter_nodes
 from fuchsiagap_ctl.exit_codes import ExitCode
-from fuchsiagap_ctl.fleet import Fleet, ask_nodes, find_fleet
+from fuchsiagap_ctl.fleet import Fleet, find_fleet, request_nodes
 from fuchsiagap_ctl.output import table
 
 if TYPE_CHECKING:
@@ -26,7 +26,7 @@
 
 _MAX_ROWS = 40
 _EVENTS = "fuchsiagap_events"
-_RATES = (
+_RATE_KINDS = (
     EventKind.CALL_RECEIVED,
     EventKind.CALL_ADMITTED,
     EventKind.CALL_REFUSED,
@@ -45,7 +45,7 @@
     "queued",
     "admitted",
 )
-_CLEAR = "\033[2J\033[H"
+_CLEAR_SCREEN = "\033[2J\033[H"
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +66,7 @@
     rates: dict[EventKind, float]
 
     @property
-    def busy(self) -> tuple[float, float]:
+    def load(self) -> tuple[float, float]:
         share = self.backend["in_flight"] / max(self.backend["limit"], 1)
         return float(self.backend["queued"]), share
 
@@ -75,50 +75,54 @@
     """Write pictures until there were enough of them."""
     invocation = context.invocation
     samples: dict[str, _Sample] = {}
-    n_pictures = 0
+    n_refreshes = 0
     while True:
         fleet = await find_fleet(context.client, invocation.nodes)
         if not isinstance(fleet, Fleet):
-            return failed(context, fleet, "read the status")
-        nodes = [node for node in chosen(context, fleet) if not node.gone]
-        rows, silent = await _rows(context, nodes, samples)
-        _write(context, rows, silent)
-        n_pictures += 1
-        if n_pictures == invocation.count:
-            return ExitCode.INCOMPLETE if silent or fleet.silent else ExitCode.DONE
+            return report_failure(context, fleet, "read the status")
+        nodes = [node for node in filter_nodes(context, fleet) if not node.gone]
+        rows, unresponsive = await _collect_rows(context, nodes, samples)
+        _write(context, rows, unresponsive)
+        n_refreshes += 1
+        if n_refreshes == invocation.count:
+            return (
+                ExitCode.INCOMPLETE
+                if unresponsive or fleet.unresponsive
+                else ExitCode.DONE
+            )
         await trio.sleep(invocation.interval / MS_PER_S)
 
 
-async def _rows(
+async def _collect_rows(
     context: Context, nodes: Sequence[FleetNode], samples: dict[str, _Sample]
 ) -> tuple[list[_Row], list[str]]:
     """Ask all nodes, and return their rows, the busiest first, and the silent."""
     params = {"members": "no"}
-    states = await ask_nodes(context.client, nodes, "/v1/status", params)
-    texts = await ask_nodes(context.client, nodes, "/v1/metrics")
+    statuses = await request_nodes(context.client, nodes, "/v1/status", params)
+    metrics = await request_nodes(context.client, nodes, "/v1/metrics")
     rows: list[_Row] = []
-    silent: list[str] = []
-    for (node, state), (_, text) in zip(states, texts, strict=True):
+    unresponsive: list[str] = []
+    for (node, state), (_, text) in zip(statuses, metrics, strict=True):
         if not _ok(state) or not _ok(text):
-            silent.append(node.name)
+            unresponsive.append(node.name)
             continue
         assert isinstance(state, Reply) and isinstance(text, Reply)
-        sample = _Sample(trio.current_time(), _totals(text.body["text"]))
+        sample = _Sample(trio.current_time(), _event_totals(text.body["text"]))
         rates = _rates(samples.get(node.name), sample)
         samples[node.name] = sample
-        levels = admitted(state.body["levels"])
+        levels = admission_level(state.body["levels"])
         rows.append(_Row(node, state.body["backend"], levels, rates))
-    rows.sort(key=lambda row: row.busy, reverse=True)
-    return rows, silent
+    rows.sort(key=lambda row: row.load, reverse=True)
+    return rows, unresponsive
 
 
 def _ok(answer: Answer) -> bool:
     return isinstance(answer, Reply) and answer.ok
 
 
-def _totals(text: str) -> dict[EventKind, float]:
+def _event_totals(text: str) -> dict[EventKind, float]:
     """Return how many events of the shown kinds there were."""
-    totals = dict.fromkeys(_RATES, 0.0)
+    totals = dict.fromkeys(_RATE_KINDS, 0.0)
     for family in text_string_to_metric_families(text):
         if family.name != _EVENTS:
             continue
@@ -133,33 +137,33 @@
     """Return what was counted per second since the sample before; empty if none."""
     if before is None or now.at_s <= before.at_s:
         return {}
-    passed_s = now.at_s - before.at_s
+    elapsed_s = now.at_s - before.at_s
     # A counter that went down is that of a new process.
     return {
-        kind: max(now.totals[kind] - before.totals[kind], 0.0) / passed_s
-        for kind in _RATES
+        kind: max(now.totals[kind] - before.totals[kind], 0.0) / elapsed_s
+        for kind in _RATE_KINDS
     }
 
 
-def _write(context: Context, rows: list[_Row], silent: list[str]) -> None:
+def _write(context: Context, rows: list[_Row], unresponsive: list[str]) -> None:
     if context.invocation.json:
         context.output.json(
-            {"nodes": [_as_json(row) for row in rows], "silent": silent}
+            {"nodes": [_as_json(row) for row in rows], "silent": unresponsive}
         )
         return
     if context.invocation.count != 1:
-        context.output.line(_CLEAR)
+        context.output.line(_CLEAR_SCREEN)
     for line in table(_HEADER, [_cells(row) for row in rows[:_MAX_ROWS]]):
         context.output.line(line)
     if len(rows) > _MAX_ROWS:
         n_more = len(rows) - _MAX_ROWS
         context.output.line(f"{n_more} less busy nodes not shown; narrow with --team")
-    if silent:
-        context.output.line(f"no answer from {', '.join(silent)}")
+    if unresponsive:
+        context.output.line(f"no answer from {', '.join(unresponsive)}")
 
 
 def _cells(row: _Row) -> tuple[object, ...]:
-    rates = [round(row.rates[kind], 1) if row.rates else "-" for kind in _RATES]
+    rates = [round(row.rates[kind], 1) if row.rates else "-" for kind in _RATE_KINDS]
     return (
         row.node.data_centre,
         ",".join(row.node.services),
--- /dev/null
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/explain/diagnosis.py
@@ -0,0 +1,240 @@
+"""The way of one request over the nodes, and the likely cause of its end."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from fuchsiagap_ctl.explain.log_lines import LogLine
+
+# Milliseconds before and after a request's own lines in which changes of state are
+# looked at: the longest time until a silent link is given up, and some.
+_STATE_CHANGE_MARGIN_MS = 4_000.0
+# Changes that are named as likely causes at most.
+_MAX_LISTED_CHANGES = 4
+# Changes of state that may decide what becomes of a request.
+_STATE_EVENTS = frozenset(
+    {
+        "admission-changed",
+        "backend-changed",
+        "backend-crashed",
+        "backend-unreachable",
+        "config-adopted",
+        "ending",
+        "fault",
+        "link-down",
+        "link-failed",
+        "link-silent",
+        "node-gone",
+        "node-suspected",
+        "started",
+        "stopping",
+        "store-lost",
+    }
+)
+
+
+@dataclass(frozen=True, slots=True)
+class Diagnosis:
+    """What the lines tell of a request.
+
+    Parameters
+    ----------
+    request_lines : tuple of LogLine
+        Lines of the request.
+    call_lines : tuple of LogLine
+        Lines of the calls made for it.
+    state_changes : tuple of LogLine
+        Changes of state at the same time on the nodes concerned.
+    cause : str
+        The likely cause, for people.
+    """
+
+    request_lines: tuple[LogLine, ...]
+    call_lines: tuple[LogLine, ...]
+    state_changes: tuple[LogLine, ...]
+    cause: str
+
+
+def diagnose(lines: Sequence[LogLine], request: str) -> Diagnosis | None:
+    """Return what the lines tell of a request; None if none names it."""
+    request_lines = [line for line in lines if line.request == request]
+    call_lines = [line for line in lines if line.request.startswith(f"{request}.")]
+    if not request_lines and not call_lines:
+        return None
+    state_changes = _state_changes_near(lines, request_lines + call_lines)
+    quarantine_cause = _quarantine_cause(lines, request_lines + call_lines)
+    cause = quarantine_cause or _event_cause(request_lines, call_lines, state_changes)
+    return Diagnosis(
+        _sorted(request_lines), _sorted(call_lines), _sorted(state_changes), cause
+    )
+
+
+def _quarantine_cause(lines: Sequence[LogLine], related: Sequence[LogLine]) -> str:
+    """Return the cause of a request that no server may run; empty if it is another."""
+    refused = [line for line in related if line.event == "quarantine-refused"]
+    if not refused:
+        return ""
+    fingerprint = refused[-1].fields.get("fingerprint")
+    hold_events = [
+        line
+        for line in _sorted(lines)
+        if line.event == "quarantine-held"
+        and line.fields.get("fingerprint") == fingerprint
+    ]
+    explanation = (
+        f"not sent: requests like it crash servers (fingerprint {fingerprint})"
+    )
+    return f"{explanation}; {hold_events[-1].text()}" if hold_events else explanation
+
+
+def _sorted(lines: Sequence[LogLine]) -> tuple[LogLine, ...]:
+    return tuple(sorted(lines, key=lambda line: (line.wall, line.monotonic)))
+
+
+def _state_changes_near(
+    lines: Sequence[LogLine], related: Sequence[LogLine]
+) -> list[LogLine]:
+    nodes = {line.node for line in related}
+    first = min(line.wall for line in related) - _STATE_CHANGE_MARGIN_MS
+    last = max(line.wall for line in related) + _STATE_CHANGE_MARGIN_MS
+    return [
+        line
+        for line in lines
+        if line.node in nodes
+        and line.event in _STATE_EVENTS
+        and first <= line.wall <= last
+    ]
+
+
+def _event_cause(
+    request_lines: list[LogLine],
+    call_lines: list[LogLine],
+    state_changes: list[LogLine],
+) -> str:
+    for line in request_lines:
+        if line.event == "refused":
+            return _admission_cause(line, state_changes)
+        if line.event == "key-refused":
+            return _api_key_cause(line)
+        if line.event == "quota-refused":
+            return _quota_cause(line)
+    given_up = [line for line in request_lines if line.event == "given-up"]
+    if given_up:
+        return _failure_cause(given_up[-1], call_lines, state_changes)
+    failed = [line for line in call_lines if line.event == "given-up"]
+    if failed:
+        return f"a call made for it ended without an answer: {failed[-1].text()}"
+    repeats = [
+        line
+        for line in request_lines + call_lines
+        if line.fields.get("arrivals", 1) != 1
+    ]
+    if repeats:
+        return f"it was repeated on its way: {repeats[-1].text()}"
+    return "it was answered at the first try; its time was spent at backend servers"
+
+
+_API_KEY_CAUSES = {
+    "no-key": "401, not sent: it carried no API key, or more than one",
+    "unknown-key": "401, not sent: no workspace of the configuration holds its API key",
+    "knowledge-too-old": (
+        "503, not sent: the node could not know any more which API keys had been"
+        " taken away"
+    ),
+}
+
+
+def _api_key_cause(line: LogLine) -> str:
+    cause = str(line.fields.get("cause"))
+    explanation = _API_KEY_CAUSES.get(cause, cause)
+    age = line.fields.get("age")
+    if cause == "knowledge-too-old" and age is not None:
+        return f"{explanation}: it last heard {age} ms before"
+    return explanation
+
+
+def _quota_cause(line: LogLine) -> str:
+    workspace = line.fields.get("workspace")
+    if line.fields.get("cause") == "over":
+        explanation = (
+            f"429, not sent: workspace {workspace} was at its limit over all nodes"
+        )
+    else:
+        explanation = (
+            f"503, not sent: the owner of the quota of {workspace} did not answer"
+        )
+    return f"{explanation}; told to come back after {line.fields.get('retry_after')} ms"
+
+
+def _admission_cause(line: LogLine, state_changes: list[LogLine]) -> str:
+    route = line.fields.get("route")
+    level_changes = [
+        change
+        for change in state_changes
+        if change.event == "admission-changed"
+        and change.fields.get("route") == route
+        and change.wall <= line.wall
+    ]
+    explanation = (
+        f"refused at the entry: {line.fields.get('share')} of its rank was let in"
+    )
+    if "retry_after" in line.fields:
+        explanation += f", told to come back after {line.fields['retry_after']} ms"
+    if level_changes:
+        return f"{explanation}; since {level_changes[-1].text()}"
+    return (
+        f"{explanation}; the refusals had begun earlier (admission-changed of {route})"
+    )
+
+
+_FAILURE_CAUSES = {
+    "link lost": "the link to the node of its backend server ended",
+    "deadline passed": "no answer came before the timeout of its route",
+    "no backend server": "no backend server of its service could be reached",
+    "leaving": "the backend server it was sent to was leaving, and no other was left",
+    "queue full": "the backend server's queue was full, and so were the others'",
+}
+
+
+def _failure_cause(
+    line: LogLine, call_lines: list[LogLine], state_changes: list[LogLine]
+) -> str:
+    cause = str(line.fields.get("cause"))
+    explanation = _FAILURE_CAUSES.get(cause, cause)
+    ran = "may have run" if line.fields.get("ran") else "did not run"
+    parts = [f"{explanation}; it {ran}"]
+    failed = [call for call in call_lines if call.event == "given-up"]
+    if failed:
+        parts.append(f"a call made for it ended before: {failed[0].text()}")
+    parts += [
+        f"before it: {change.text()}"
+        for change in _latest_changes_before(line, state_changes)
+    ]
+    return "; ".join(parts)
+
+
+def _latest_changes_before(
+    line: LogLine, state_changes: list[LogLine]
+) -> list[LogLine]:
+    """Return what last changed before a line, once for each thing that changed.
+
+    What a node wrote later cannot be a cause; its own clock decides, since the time of
+    day may jump.
+    """
+    before = [
+        change
+        for change in state_changes
+        if change.event != "admission-changed"
+        and (change.monotonic <= line.monotonic if change.node == line.node else True)
+        and (change.wall <= line.wall or change.node == line.node)
+    ]
+    latest: dict[tuple[str, str], LogLine] = {}
+    for change in sorted(before, key=lambda change: change.wall):
+        subject = str(change.fields.get("to", change.fields.get("node", "")))
+        latest.pop((change.event, subject), None)
+        latest[change.event, subject] = change
+    return list(latest.values())[-_MAX_LISTED_CHANGES:]
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/explain/lines.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/explain/log_lines.py
@@ -9,18 +9,18 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-_COMMON = frozenset({"t", "wall", "node", "event", "request"})
+_COMMON_KEYS = frozenset({"t", "wall", "node", "event", "request"})
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class LogLine:
     """One line of one node.
 
     Parameters
     ----------
     wall : float
         Time of day in milliseconds; hosts' clocks may differ.
-    at : float
+    monotonic : float
         The node's own steady clock in milliseconds.
     node, event : str
         Who wrote it, and what happened.
@@ -31,7 +31,7 @@
     """
 
     wall: float
-    at: float
+    monotonic: float
     node: str
     event: str
     request: str
@@ -39,58 +39,58 @@
 
     def text(self) -> str:
         """Return the line for people."""
-        told = " ".join(f"{key}={value}" for key, value in self.fields.items())
-        return f"{self.wall:.0f} {self.node} {self.event} {told}".rstrip()
+        details = " ".join(f"{key}={value}" for key, value in self.fields.items())
+        return f"{self.wall:.0f} {self.node} {self.event} {details}".rstrip()
 
 
 @dataclass(frozen=True, slots=True)
-class Read:
+class ParsedLog:
     """What a text of collected lines held.
 
     Parameters
     ----------
-    lines : tuple of Line
+    lines : tuple of LogLine
         Lines of nodes.
-    unread : int
+    n_unparsed : int
         Lines that are no line of a node.
-    dropped : int
+    n_dropped : int
         Lines that nodes say they have dropped.
     """
 
-    lines: tuple[Line, ...]
-    unread: int
-    dropped: int
+    lines: tuple[LogLine, ...]
+    n_unparsed: int
+    n_dropped: int
 
 
-def read_lines(text: Iterable[str]) -> Read:
+def parse_log(text: Iterable[str]) -> ParsedLog:
     """Read collected lines, whatever stands before the JSON of each."""
     lines = []
-    unread = 0
-    dropped = 0
+    n_unparsed = 0
+    n_dropped = 0
     for raw in text:
-        line = _line(raw)
+        line = _parse_line(raw)
         if line is None:
-            unread += bool(raw.strip())
+            n_unparsed += bool(raw.strip())
             continue
         lines.append(line)
         before = line.fields.get("dropped_before", 0)
-        dropped += before if isinstance(before, int) else 0
-    return Read(tuple(lines), unread, dropped)
+        n_dropped += before if isinstance(before, int) else 0
+    return ParsedLog(tuple(lines), n_unparsed, n_dropped)
 
 
-def _line(raw: str) -> Line | None:
+def _parse_line(raw: str) -> LogLine | None:
     start = raw.find("{")
     if start < 0:
         return None
     try:
         data = json.loads(raw[start:])
-        return Line(
+        return LogLine(
             float(data["wall"]),
             float(data["t"]),
             str(data["node"]),
             str(data["event"]),
             str(data.get("request", "")),
-            {key: value for key, value in data.items() if key not in _COMMON},
+            {key: value for key, value in data.items() if key not in _COMMON_KEYS},
         )
     except (ValueError, KeyError, TypeError, AttributeError):
         return None
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/fleet.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/fleet.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from fuchsiagap_ctl.admin_client import NoReply, Reply, joined
+from fuchsiagap_ctl.admin_client import NoReply, Reply, merge_failures
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping, Sequence
@@ -15,11 +15,11 @@
     from fuchsiagap.core.clock import Milliseconds
     from fuchsiagap_ctl.admin_client import AdminClient, Answer
 
-_MAX_ASKED_AT_ONCE = 48
-_NOTE_EVERY = 100
+_MAX_CONCURRENT_REQUESTS = 48
+_NODES_PER_PROGRESS_NOTE = 100
 _GONE = frozenset({"dead", "left"})
 _NOT_ADMIN = "what listens there is not a node's administration API"
-_SURENESS = ("left", "leaving", "alive", "suspect", "dead")
+_STATE_PRECEDENCE = ("left", "leaving", "alive", "suspect", "dead")
 _MEMBERS = "members"
 _NO_ADDRESS = "its admin address is not known"
 
@@ -59,18 +59,18 @@
     ----------
     nodes : tuple of FleetNode
         Sorted by data centre, services and name.
-    silent : tuple of NoReply
+    unresponsive : tuple of NoReply
         Given addresses that did not answer.
     unreachable : tuple of str
         Data centres that some asked node can't reach.
-    wall : float
+    server_time : float
         Time of day in milliseconds of a node that answered.
     """
 
     nodes: tuple[FleetNode, ...]
-    silent: tuple[NoReply, ...]
+    unresponsive: tuple[NoReply, ...]
     unreachable: tuple[str, ...]
-    wall: Milliseconds
+    server_time: Milliseconds
 
 
 async def find_fleet(client: AdminClient, addresses: Sequence[str]) -> Fleet | Answer:
@@ -90,24 +90,24 @@
     Fleet, Reply or NoReply
         The nodes; or the failure, if no address gave any.
     """
-    answers = await _ask(client, addresses, "/v1/status", None, None)
-    silent = tuple(answer for answer in answers if isinstance(answer, NoReply))
+    answers = await _request_all(client, addresses, "/v1/status", None, None)
+    unresponsive = tuple(answer for answer in answers if isinstance(answer, NoReply))
     replies = [answer for answer in answers if isinstance(answer, Reply)]
-    useful = [reply for reply in replies if reply.ok and _MEMBERS in reply.body]
-    if not useful:
-        return _useless(replies) or joined(silent)
+    with_members = [reply for reply in replies if reply.ok and _MEMBERS in reply.body]
+    if not with_members:
+        return _no_members_failure(replies) or merge_failures(unresponsive)
     nodes: dict[str, FleetNode] = {}
     unreachable: set[str] = set()
-    for reply in useful:
+    for reply in with_members:
         unreachable.update(reply.body.get("unreachable_data_centres", ()))
         for node in _members(reply.body):
-            nodes[node.name] = _newer(nodes.get(node.name), node)
+            nodes[node.name] = _preferred_view(nodes.get(node.name), node)
     ordered = sorted(nodes.values(), key=lambda n: (n.data_centre, n.services, n.name))
-    wall = max(reply.wall for reply in useful)
-    return Fleet(tuple(ordered), silent, tuple(sorted(unreachable)), wall)
+    server_time = max(reply.server_time for reply in with_members)
+    return Fleet(tuple(ordered), unresponsive, tuple(sorted(unreachable)), server_time)
 
 
-async def ask_nodes(
+async def request_nodes(
     client: AdminClient,
     nodes: Sequence[FleetNode],
     path: str,
@@ -134,22 +134,22 @@
     list of (FleetNode, Reply or NoReply)
         In the order of `nodes`.
     """
-    asked = [node for node in nodes if node.address and not node.gone]
-    addresses = [node.address for node in asked]
-    answers = iter(await _ask(client, addresses, path, params, note))
-    paired: list[tuple[FleetNode, Answer]] = []
+    reachable = [node for node in nodes if node.address and not node.gone]
+    addresses = [node.address for node in reachable]
+    answers = iter(await _request_all(client, addresses, path, params, note))
+    pairs: list[tuple[FleetNode, Answer]] = []
     for node in nodes:
         if node.gone:
             detail = f"it is {node.state}, and its memory gone"
-            paired.append((node, NoReply(node.address, False, detail)))
+            pairs.append((node, NoReply(node.address, False, detail)))
         elif not node.address:
-            paired.append((node, NoReply("", False, _NO_ADDRESS)))
+            pairs.append((node, NoReply("", False, _NO_ADDRESS)))
         else:
-            paired.append((node, next(answers)))
-    return paired
+            pairs.append((node, next(answers)))
+    return pairs
 
 
-async def _ask(
+async def _request_all(
     client: AdminClient,
     addresses: Sequence[str],
     path: str,
@@ -157,19 +157,19 @@
     note: Callable[[str], None] | None,
 ) -> list[Answer]:
     answers: dict[int, Answer] = {}
-    limit = trio.CapacityLimiter(_MAX_ASKED_AT_ONCE)
+    limiter = trio.CapacityLimiter(_MAX_CONCURRENT_REQUESTS)
 
-    async def ask_one(index: int) -> None:
-        async with limit:
-            answers[index] = await client.ask(
+    async def request_one(index: int) -> None:
+        async with limiter:
+            answers[index] = await client.request(
                 addresses[index], "GET", path, params=params, with_token=False
             )
-        if note and len(answers) % _NOTE_EVERY == 0:
+        if note and len(answers) % _NODES_PER_PROGRESS_NOTE == 0:
             note(f"{len(answers)} of {len(addresses)} nodes asked")
 
     async with trio.open_nursery() as nursery:
         for index in range(len(addresses)):
-            nursery.start_soon(ask_one, index)
+            nursery.start_soon(request_one, index)
     return [answers[index] for index in range(len(addresses))]
 
 
@@ -192,21 +192,27 @@
     return list(found.values())
 
 
-def _useless(replies: list[Reply]) -> Answer | None:
+def _no_members_failure(replies: list[Reply]) -> Answer | None:
     """Return why none of the replies tells of nodes; None if there are none."""
     for reply in replies:
         if not reply.ok:
             return reply
-        return NoReply(reply.node, sent=True, detail=f"{reply.node}: {_NOT_ADMIN}")
+        return NoReply(
+            reply.node, maybe_sent=True, detail=f"{reply.node}: {_NOT_ADMIN}"
+        )
     return None
 
 
-def _newer(known: FleetNode | None, said: FleetNode) -> FleetNode:
+def _preferred_view(known: FleetNode | None, candidate: FleetNode) -> FleetNode:
     """Take the later life; of two views of one life, the surer one.
 
     Leaving and having left are a node's own word. Of the rest, a view that reaches the
     node is surer than one that does not.
     """
     if known is None:
-        return said
-    return max(known, said, key=lambda n: (n.incarnation, -_SURENESS.index(n.state)))
+        return candidate
+    return max(
+        known,
+        candidate,
+        key=lambda n: (n.incarnation, -_STATE_PRECEDENCE.index(n.state)),
+    )
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/invocation.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/invocation.py
@@ -103,33 +103,33 @@
     FlagValues
         Flags may stand before, between and after the words.
     """
-    found: flags.FlagValues = flags.FlagValues()  # type: ignore[no-untyped-call]
-    found.set_gnu_getopt()
-    _define_text(found)
+    all_flags: flags.FlagValues = flags.FlagValues()  # type: ignore[no-untyped-call]
+    all_flags.set_gnu_getopt()
+    _define_text(all_flags)
     text = "Write what programs read."
-    flags.DEFINE_bool("json", False, text, flag_values=found)
+    flags.DEFINE_bool("json", False, text, flag_values=all_flags)
     text = "Do what can't be undone without asking."
-    flags.DEFINE_bool("yes", False, text, flag_values=found)
+    flags.DEFINE_bool("yes", False, text, flag_values=all_flags)
     text = "Show what the command does, and its flags."
-    flags.DEFINE_bool("help", False, text, short_name="h", flag_values=found)
+    flags.DEFINE_bool("help", False, text, short_name="h", flag_values=all_flags)
     text = "Version the change was made from; by default as the text's first line says."
-    flags.DEFINE_integer("version", -1, text, flag_values=found)
+    flags.DEFINE_integer("version", -1, text, flag_values=all_flags)
     text = "How many pictures of `top`; 0 for no end."
-    flags.DEFINE_integer("count", 0, text, lower_bound=0, flag_values=found)
+    flags.DEFINE_integer("count", 0, text, lower_bound=0, flag_values=all_flags)
     text = "Read settings as in force at the node, or as the platform holds them."
     sources = ["node", "platform"]
-    flags.DEFINE_enum("source", "node", sources, text, flag_values=found)
+    flags.DEFINE_enum("source", "node", sources, text, flag_values=all_flags)
     text = "Format of the time line; by default that of the name after --out."
-    flags.DEFINE_enum("format", None, _FORMATS, text, flag_values=found)
-    return found
+    flags.DEFINE_enum("format", None, _FORMATS, text, flag_values=all_flags)
+    return all_flags
 
 
-def _define_text(found: flags.FlagValues) -> None:
+def _define_text(all_flags: flags.FlagValues) -> None:
     text = (
         "Admin address IP:PORT of a node; may be given more than once, or as"
         f" {NODES_VARIABLE} with commas. Any one that answers will do."
     )
-    flags.DEFINE_multi_string("node", [], text, flag_values=found)
+    flags.DEFINE_multi_string("node", [], text, flag_values=all_flags)
     for name, default, text in (
         ("token-file", "", f"File with the bearer token, or {TOKEN_FILE_VARIABLE}."),
         ("timeout", "5s", "How long one node may take for one answer."),
@@ -143,7 +143,7 @@
         ("wait", "60s", "How long to wait until it is done; 0s for not at all."),
         ("interval", "2s", "Time between two pictures of `top`."),
     ):
-        flags.DEFINE_string(name, default, text, flag_values=found)
+        flags.DEFINE_string(name, default, text, flag_values=all_flags)
 
 
 def parse_duration(text: str) -> Milliseconds | UsageFault:
@@ -176,13 +176,13 @@
 
 
 def read_invocation(
-    found: flags.FlagValues, words: list[str]
+    all_flags: flags.FlagValues, words: list[str]
 ) -> Invocation | UsageFault:
     """Turn parsed flags and words into an invocation.
 
     Parameters
     ----------
-    found : FlagValues
+    all_flags : FlagValues
         Parsed flags.
     words : list of str
         What is no flag, without the program's name.
@@ -192,7 +192,7 @@
     Invocation or UsageFault
         The invocation, or the first fault.
     """
-    given: dict[str, Any] = found.flag_values_dict()
+    given: dict[str, Any] = all_flags.flag_values_dict()
     durations: dict[str, Milliseconds] = {}
     for name in ("timeout", "wait", "interval", "since"):
         duration = parse_duration(given[name] or "0s")
@@ -204,7 +204,7 @@
         return token
     return Invocation(
         words=tuple(words),
-        nodes=_nodes(given["node"]),
+        nodes=_node_addresses(given["node"]),
         token=token,
         json=given["json"],
         call=given["call"],
@@ -222,7 +222,7 @@
     )
 
 
-def _nodes(given: list[str]) -> tuple[str, ...]:
+def _node_addresses(given: list[str]) -> tuple[str, ...]:
     texts = given or [os.environ.get(NODES_VARIABLE, "")]
     addresses = (part.strip() for text in texts for part in text.split(","))
     return tuple(dict.fromkeys(address for address in addresses if address))
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/main.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/main.py
@@ -64,24 +64,24 @@
     transport: Callable[[], httpx.AsyncBaseTransport] | None = None,
 ) -> ExitCode:
     """Run one command line within a running loop; as `main`."""
-    found = define_flags()
+    all_flags = define_flags()
     try:
-        words = found(list(argv))[1:]
+        words = all_flags(list(argv))[1:]
     except flags.Error as exc:
-        return _misunderstood(output, str(exc))
+        return _report_usage_error(output, str(exc))
     command = find_command(words)
-    if found["help"].value or not words:
-        _write_help(output, command, found)
+    if all_flags["help"].value or not words:
+        _write_help(output, command, all_flags)
         return ExitCode.DONE
     if command is None:
-        return _misunderstood(output, f"there is no command {' '.join(words)!r}")
+        return _report_usage_error(output, f"there is no command {' '.join(words)!r}")
     if len(words) - len(command.name.split()) != len(command.arguments):
-        return _misunderstood(output, f"expected: {command.usage}")
-    invocation = read_invocation(found, words)
+        return _report_usage_error(output, f"expected: {command.usage}")
+    invocation = read_invocation(all_flags, words)
     if isinstance(invocation, UsageFault):
-        return _misunderstood(output, invocation.detail)
+        return _report_usage_error(output, invocation.detail)
     if not invocation.nodes and not command.offline:
-        return _misunderstood(
+        return _report_usage_error(
             output, f"no node to ask: give --node IP:PORT or set {NODES_VARIABLE}"
         )
     async with make_http(invocation, transport) as http:
@@ -98,14 +98,14 @@
     return None
 
 
-def _misunderstood(output: Output, detail: str) -> ExitCode:
+def _report_usage_error(output: Output, detail: str) -> ExitCode:
     output.note(f"fuchsiagap: {detail}")
     output.note("next: `fuchsiagap --help` lists the commands and flags")
     return ExitCode.USAGE
 
 
 def _write_help(
-    output: Output, command: Command | None, found: flags.FlagValues
+    output: Output, command: Command | None, all_flags: flags.FlagValues
 ) -> None:
     if command is None:
         output.line("usage: fuchsiagap COMMAND [ARGUMENTS] [FLAGS]")
@@ -120,14 +120,14 @@
         names = (*command.flags, *_COMMON_FLAGS)
     output.line("")
     for name in names:
-        summary = (found[name].help or "").partition(";\n")[0]
+        summary = (all_flags[name].help or "").partition(";\n")[0]
         lines = textwrap.wrap(summary, _HELP_WIDTH)
         output.line(f"  --{name:12} {lines[0]}")
         for more in lines[1:]:
             output.line(f"{'':17}{more}")
 
 
-def _keep_words(argv: list[str]) -> list[str]:
+def _parse_program_name(argv: list[str]) -> list[str]:
     """Leave the flags to `main`; absl itself sees the program's name only."""
     flags.FLAGS(argv[:1])
     return argv
@@ -148,7 +148,7 @@
 
 def run() -> None:
     """Entry point of the binary."""
-    app.run(_main, flags_parser=_keep_words)
+    app.run(_main, flags_parser=_parse_program_name)
 
 
 if __name__ == "__main__":
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/output.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/output.py
@@ -12,7 +12,7 @@
 
 
 # What stands in a column of numbers where there is none.
-_NO_NUMBER = frozenset({"?", "-"})
+_MISSING_NUMBERS = frozenset({"?", "-"})
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,14 +70,16 @@
     cells = [[_cell(value) for value in row] for row in rows]
     columns = list(zip(header, *cells, strict=True))
     widths = [max(len(cell) for cell in column) for column in columns]
-    to_the_right = [
+    right_aligned = [
         _is_numeric([row[index] for row in rows]) for index in range(len(header))
     ]
     lines = []
     for cell_row in (list(header), *cells):
         padded = (
-            cell.rjust(width) if right else cell.ljust(width)
-            for cell, width, right in zip(cell_row, widths, to_the_right, strict=True)
+            cell.rjust(width) if align_right else cell.ljust(width)
+            for cell, width, align_right in zip(
+                cell_row, widths, right_aligned, strict=True
+            )
         )
         lines.append("  ".join(padded).rstrip())
     return lines
@@ -86,7 +88,7 @@
 def _is_numeric(values: Sequence[object]) -> bool:
     numbers = [value for value in values if isinstance(value, int | float)]
     others = {value for value in values if not isinstance(value, int | float)}
-    return bool(numbers) and others <= _NO_NUMBER
+    return bool(numbers) and others <= _MISSING_NUMBERS
 
 
 def _cell(value: object) -> str:
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/commands/test_nodes.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/commands/test_nodes.py
@@ -6,11 +6,11 @@
 from testtools import TestCase
 
 from fuchsiagap_ctl.exit_codes import ExitCode
-from fuchsiagap_ctl.tests.fake_nodes import FakeNodes, a_member, a_status
+from fuchsiagap_ctl.tests.fake_nodes import FakeNodes, member_record, status_body
 
-CERTS_1 = a_member("certs-1")
-CERTS_2 = a_member("certs-2", "leaving")
-GONE = a_member("certs-3", "dead")
+CERTS_1 = member_record("certs-1")
+CERTS_2 = member_record("certs-2", "leaving")
+GONE = member_record("certs-3", "dead")
 
 
 class TestStatus(TestCase):
@@ -18,7 +18,7 @@
         super().setUp()
         self.nodes = FakeNodes()
         members = (CERTS_1, CERTS_2, GONE)
-        self.nodes.add("certs-1", GET_status=a_status("certs-1", *members))
+        self.nodes.add("certs-1", GET_status=status_body("certs-1", *members))
 
     def test_text_is_as_documented(self) -> None:
         level = {"route": "certs", "level_priority": 4, "level_cohort": 63}
@@ -27,7 +27,7 @@
             "backend": {"in_flight": 32, "queued": 12, "limit": 32},
             "platform": {"up": False},
         }
-        self.nodes.add("certs-2", GET_status=a_status("certs-2", **busy))
+        self.nodes.add("certs-2", GET_status=status_body("certs-2", **busy))
         self.assertEqual(ExitCode.DONE, self.nodes.run("status"))
         self.assertEqual(
             [
@@ -57,10 +57,10 @@
         self.assertEqual(32, shown["certs-1"]["backend"]["limit"])
 
     def test_views_of_cut_off_data_centres_are_joined(self) -> None:
-        self.nodes.add("certs-2", GET_status=a_status("certs-2"))
-        seen = a_member("bookings-1", services=["bookings"])
-        lost = a_member("certs-1", "dead")
-        there = a_status("bookings-1", unreachable_data_centres=["hall-a"])
+        self.nodes.add("certs-2", GET_status=status_body("certs-2"))
+        seen = member_record("bookings-1", services=["bookings"])
+        lost = member_record("certs-1", "dead")
+        there = status_body("bookings-1", unreachable_data_centres=["hall-a"])
         there["members"] = {
             "hall-b": {"salt-fog": [seen]},
             "hall-a": {"salt-fog": [lost]},
@@ -87,12 +87,12 @@
 
     def drain(self, state: str, calls: list[int], *flags: str) -> ExitCode:
         """Drain certs-2, which then has so many calls and ends as `state`."""
-        before = a_status("certs-1", CERTS_1, a_member("certs-2"))
-        after = a_status("certs-1", CERTS_1, a_member("certs-2", state))
+        before = status_body("certs-1", CERTS_1, member_record("certs-2"))
+        after = status_body("certs-1", CERTS_1, member_record("certs-2", state))
         self.nodes.add("certs-1", GET_status=[before, after])
         busy = [{"calls": {"serving": n, "entered": 0}} for n in calls]
         stopped = httpx.ConnectError("connection refused")
-        replies: list[object] = [a_status("certs-2", **one) for one in busy]
+        replies: list[object] = [status_body("certs-2", **one) for one in busy]
         self.nodes.add("certs-2", GET_status=[*replies, stopped])
         self.nodes.add("certs-2", POST_drain=(202, {"draining": True}))
         return self.nodes.run("drain", "certs-2", *flags)
@@ -104,20 +104,20 @@
 
     def test_an_end_that_nobody_heard_of_is_not_called_done(self) -> None:
         self.assertEqual(ExitCode.INCOMPLETE, self.drain("dead", [0]))
-        self.assertIn("have not heard that it left", self.nodes.said)
+        self.assertIn("have not heard that it left", self.nodes.notes_text)
 
     def test_a_drain_that_takes_longer_says_so(self) -> None:
         code = self.drain("leaving", [5] * 100, "--wait=30ms")
         self.assertEqual(ExitCode.TIMED_OUT, code)
-        self.assertIn("still draining", self.nodes.said)
+        self.assertIn("still draining", self.nodes.notes_text)
 
     def test_unknown_node_and_wrong_token(self) -> None:
-        self.nodes.add("certs-1", GET_status=a_status("certs-1", CERTS_1))
+        self.nodes.add("certs-1", GET_status=status_body("certs-1", CERTS_1))
         self.assertEqual(ExitCode.NOT_FOUND, self.nodes.run("drain", "certs-9"))
         refused = (403, {"detail": "not that of the operators", "next": "use it"})
         self.nodes.add("certs-1", POST_drain=refused)
         self.assertEqual(ExitCode.NOT_ALLOWED, self.nodes.run("drain", "certs-1"))
-        self.assertIn("next: use it", self.nodes.said)
+        self.assertIn("next: use it", self.nodes.notes_text)
 
 
 class TestTicket(TestCase):
@@ -139,7 +139,7 @@
     def test_malformed_ticket_is_not_sent(self) -> None:
         self.assertEqual(ExitCode.USAGE, self.nodes.run("ticket", "nonsense"))
         self.assertEqual([], self.nodes.requests)
-        self.assertIn("NODE.INCARNATION.SEQUENCE", self.nodes.said)
+        self.assertIn("NODE.INCARNATION.SEQUENCE", self.nodes.notes_text)
 
     def test_settle_needs_yes_since_it_burns(self) -> None:
         words = ["ticket", "settle", "n1.1f.a", "POST", "/salt-fog/certs/issue"]
@@ -161,8 +161,8 @@
 class TestTop(TestCase):
     def test_rates_between_two_pictures_and_the_busiest_first(self) -> None:
         nodes = FakeNodes()
-        status = a_status("certs-1", CERTS_1, a_member("certs-2"))
-        busy = a_status("certs-2", backend={"in_flight": 9, "queued": 4, "limit": 9})
+        status = status_body("certs-1", CERTS_1, member_record("certs-2"))
+        busy = status_body("certs-2", backend={"in_flight": 9, "queued": 4, "limit": 9})
         line = (
             "# TYPE fuchsiagap_events_total counter\n"
             'fuchsiagap_events_total{{kind="call-admitted"}} {}\n'
@@ -181,7 +181,7 @@
 
     def test_a_silent_node_is_named(self) -> None:
         nodes = FakeNodes()
-        status = a_status("certs-1", CERTS_1, a_member("certs-2"))
+        status = status_body("certs-1", CERTS_1, member_record("certs-2"))
         nodes.add("certs-1", GET_status=status, GET_metrics="")
         self.assertEqual(ExitCode.INCOMPLETE, nodes.run("top", "--count=1"))
         self.assertIn("no answer from certs-2", nodes.lines)
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/commands/test_settings.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/commands/test_settings.py
@@ -5,16 +5,21 @@
 import httpx
 from testtools import TestCase
 
-from fuchsiagap_ctl.commands.settings import stamped, unstamped
+from fuchsiagap_ctl.commands.settings import add_version_line, split_version_line
 from fuchsiagap_ctl.exit_codes import ExitCode
-from fuchsiagap_ctl.tests.fake_nodes import FakeNodes, a_folder, a_member, a_status
+from fuchsiagap_ctl.tests.fake_nodes import (
+    FakeNodes,
+    member_record,
+    status_body,
+    temp_folder,
+)
 
 TEXT = "[certs/issue]\nmatch = POST /issue\n"
 GET = "GET_settings_salt-fog"
 PUT = "PUT_settings_salt-fog"
 DELETE = "DELETE_settings_salt-fog"
 ACCEPTED = {"team": "salt-fog", "version": 9, "current": 9, "change_id": "x"}
-FORCE = {"teams": [{"team": "salt-fog", "version": 9, "deleted": False}]}
+IN_FORCE = {"teams": [{"team": "salt-fog", "version": 9, "deleted": False}]}
 UNSETTLED = (504, {"error": "unsettled", "detail": "the platform does not answer"})
 
 
@@ -22,9 +27,9 @@
     def setUp(self) -> None:
         super().setUp()
         self.nodes = FakeNodes()
-        members = (a_member("certs-1"), a_member("certs-2"))
-        self.nodes.add("certs-1", GET_status=a_status("certs-1", *members))
-        self.file = a_folder(self) / "team.ini"
+        members = (member_record("certs-1"), member_record("certs-2"))
+        self.nodes.add("certs-1", GET_status=status_body("certs-1", *members))
+        self.file = temp_folder(self) / "team.ini"
         self.file.write_text(TEXT)
 
     def put(self, *flags: str) -> ExitCode:
@@ -39,15 +44,15 @@
         code = self.nodes.run("settings", "get", "salt-fog")
         self.assertEqual(ExitCode.DONE, code)
         text = "".join(line + "\n" for line in self.nodes.lines)
-        self.assertEqual(stamped("salt-fog", 7, TEXT), text)
-        self.assertEqual((7, TEXT), unstamped(text))
+        self.assertEqual(add_version_line("salt-fog", 7, TEXT), text)
+        self.assertEqual((7, TEXT), split_version_line(text))
 
     def test_get_of_deleted_settings(self) -> None:
         reply = {"team": "salt-fog", "version": 8, "deleted": True, "text": ""}
         self.nodes.add("certs-1", **{GET: reply})
         code = self.nodes.run("settings", "get", "salt-fog")
         self.assertEqual(ExitCode.NOT_FOUND, code)
-        self.assertIn("deleted, version 8", self.nodes.said)
+        self.assertIn("deleted, version 8", self.nodes.notes_text)
 
     def test_the_second_node_is_asked_if_the_first_is_down(self) -> None:
         reply = {"team": "salt-fog", "version": 7, "deleted": False, "text": TEXT}
@@ -58,14 +63,14 @@
         self.assertEqual(reply, self.nodes.json)
 
     def test_diff_leaves_out_the_first_line(self) -> None:
-        self.file.write_text(stamped("salt-fog", 7, TEXT))
+        self.file.write_text(add_version_line("salt-fog", 7, TEXT))
         diff = "--- salt-fog version 7\n+++ text given\n+x"
         reply = {"version": 7, "diff": diff, "valid": True, "faults": []}
         self.nodes.add("certs-1", **{"POST_settings_salt-fog_diff": reply})
         code = self.nodes.run("settings", "diff", "salt-fog", str(self.file))
         self.assertEqual(ExitCode.DONE, code)
         self.assertEqual(diff.splitlines(), self.nodes.lines)
-        self.assertEqual([{"text": TEXT}], self.nodes.sent("POST"))
+        self.assertEqual([{"text": TEXT}], self.nodes.sent_bodies("POST"))
 
     def test_history_as_a_table(self) -> None:
         change = {
@@ -91,11 +96,11 @@
 class TestChange(SettingsCase):
     def test_put_is_done_when_every_node_has_it_in_force(self) -> None:
         old = {"teams": [{"team": "salt-fog", "version": 7}]}
-        self.nodes.add("certs-1", **{PUT: ACCEPTED, "GET_settings": FORCE})
-        self.nodes.add("certs-2", GET_settings=[old, FORCE])
-        self.file.write_text(stamped("salt-fog", 7, TEXT))
+        self.nodes.add("certs-1", **{PUT: ACCEPTED, "GET_settings": IN_FORCE})
+        self.nodes.add("certs-2", GET_settings=[old, IN_FORCE])
+        self.file.write_text(add_version_line("salt-fog", 7, TEXT))
         self.assertEqual(ExitCode.DONE, self.put())
-        (sent,) = self.nodes.sent("PUT")
+        (sent,) = self.nodes.sent_bodies("PUT")
         self.assertEqual((7, TEXT), (sent["expected_version"], sent["text"]))
         self.assertEqual(
             [
@@ -107,14 +112,16 @@
         )
 
     def test_put_names_the_nodes_that_do_not_take_it_over(self) -> None:
-        self.nodes.add("certs-1", **{PUT: ACCEPTED, "GET_settings": FORCE})
+        self.nodes.add("certs-1", **{PUT: ACCEPTED, "GET_settings": IN_FORCE})
         self.assertEqual(ExitCode.INCOMPLETE, self.put("--wait=50ms"))
-        self.assertIn("not seen in force on certs-2", self.nodes.said)
+        self.assertIn("not seen in force on certs-2", self.nodes.notes_text)
 
     def test_put_without_a_version_is_for_a_team_without_settings(self) -> None:
         self.nodes.add("certs-1", **{PUT: ACCEPTED})
         self.assertEqual(ExitCode.DONE, self.put("--wait=0s"))
-        self.assertEqual([0], [s["expected_version"] for s in self.nodes.sent("PUT")])
+        self.assertEqual(
+            [0], [s["expected_version"] for s in self.nodes.sent_bodies("PUT")]
+        )
 
     def test_the_loser_of_a_race_sees_the_winners_change(self) -> None:
         conflict = {
@@ -128,35 +135,38 @@
         self.nodes.add("certs-1", **{PUT: (409, conflict)})
         self.assertEqual(ExitCode.CONFLICT, self.put("--version=7"))
         self.assertEqual(["-theirs", "+ours"], self.nodes.lines)
-        self.assertIn("version 8 of salt-fog stands, made by ops", self.nodes.said)
-        self.assertIn("--version 8", self.nodes.said)
+        self.assertIn(
+            "version 8 of salt-fog stands, made by ops", self.nodes.notes_text
+        )
+        self.assertIn("--version 8", self.nodes.notes_text)
 
     def test_a_lost_answer_is_settled_under_the_same_id(self) -> None:
         lost = httpx.ReadTimeout("timed out")
-        self.nodes.add("certs-1", **{PUT: [lost, ACCEPTED], "GET_settings": FORCE})
-        self.nodes.add("certs-2", **{PUT: UNSETTLED, "GET_settings": FORCE})
+        self.nodes.add("certs-1", **{PUT: [lost, ACCEPTED], "GET_settings": IN_FORCE})
+        self.nodes.add("certs-2", **{PUT: UNSETTLED, "GET_settings": IN_FORCE})
         self.assertEqual(ExitCode.DONE, self.put())
-        ids = {sent["change_id"] for sent in self.nodes.sent("PUT")}
+        ids = {sent["change_id"] for sent in self.nodes.sent_bodies("PUT")}
         self.assertEqual(1, len(ids))
-        self.assertEqual(3, len(self.nodes.sent("PUT")))
+        self.assertEqual(3, len(self.nodes.sent_bodies("PUT")))
 
     def test_an_open_end_names_the_id_to_ask_again_with(self) -> None:
         self.nodes.add("certs-1", **{PUT: UNSETTLED})
         code = self.put("--wait=50ms", "--timeout=50ms")
         self.assertEqual(ExitCode.MAYBE_APPLIED, code)
-        (sent,) = self.nodes.sent("PUT")
-        self.assertIn(f"--change-id {sent['change_id']}", self.nodes.said)
+        (sent,) = self.nodes.sent_bodies("PUT")
+        self.assertIn(f"--change-id {sent['change_id']}", self.nodes.notes_text)
 
     def test_what_may_have_arrived_is_sent_on_as_a_repeat(self) -> None:
         lost = httpx.ReadTimeout("timed out")
         gone = httpx.ConnectError("connection refused")
         unsettled = (504, {**UNSETTLED[1], "expected_version": 12})
-        self.nodes.add("certs-1", **{PUT: [gone, lost], "GET_settings": FORCE})
+        self.nodes.add("certs-1", **{PUT: [gone, lost], "GET_settings": IN_FORCE})
         replies = [lost, unsettled, ACCEPTED]
-        self.nodes.add("certs-2", **{PUT: replies, "GET_settings": FORCE})
+        self.nodes.add("certs-2", **{PUT: replies, "GET_settings": IN_FORCE})
         self.assertEqual(ExitCode.DONE, self.put())
         sent = [
-            (s.get("repeat"), s["expected_version"]) for s in self.nodes.sent("PUT")
+            (s.get("repeat"), s["expected_version"])
+            for s in self.nodes.sent_bodies("PUT")
         ]
         repeats = [(True, 0), (True, 0), (True, 12), (True, 12)]
         self.assertEqual([(None, 0), (None, 0), *repeats], sent)
@@ -167,16 +177,16 @@
             self.nodes.add("certs-1", **{PUT: (status, {"detail": "no"})})
             code = self.put("--change-id=4f", "--version=7")
             self.assertEqual(ExitCode.MAYBE_APPLIED, code)
-            (sent,) = self.nodes.sent("PUT")
+            (sent,) = self.nodes.sent_bodies("PUT")
             self.assertEqual((True, 7), (sent["repeat"], sent["expected_version"]))
-            self.assertIn("--change-id 4f --version 7", self.nodes.said)
+            self.assertIn("--change-id 4f --version 7", self.nodes.notes_text)
 
     def test_platform_down_changes_nothing_and_is_not_repeated(self) -> None:
         reply = {"error": "platform-unavailable", "detail": "no answer", "next": "wait"}
         self.nodes.add("certs-1", **{PUT: (503, reply)})
         self.assertEqual(ExitCode.PLATFORM_DOWN, self.put())
-        self.assertEqual(1, len(self.nodes.sent("PUT")))
-        self.assertIn("next: wait", self.nodes.said)
+        self.assertEqual(1, len(self.nodes.sent_bodies("PUT")))
+        self.assertIn("next: wait", self.nodes.notes_text)
 
     def test_invalid_settings_are_not_sent(self) -> None:
         self.file.write_text("# one\n[certs/issue]\npriority = 11\n")
@@ -192,5 +202,5 @@
         self.assertEqual([], self.nodes.requests)
         self.nodes.run(*words, "--yes", "--version=7")
         self.assertEqual(
-            [7], [s["expected_version"] for s in self.nodes.sent("DELETE")]
+            [7], [s["expected_version"] for s in self.nodes.sent_bodies("DELETE")]
         )
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/commands/test_timeline.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/commands/test_timeline.py
@@ -12,32 +12,34 @@
 from fuchsiagap_ctl.tests.fake_nodes import (
     DATE,
     FakeNodes,
-    a_folder,
-    a_member,
-    a_page,
-    a_status,
-    an_event,
+    event_record,
+    events_page,
+    member_record,
+    status_body,
+    temp_folder,
 )
 
 if TYPE_CHECKING:
     import httpx
 
 START = stamp_at(1_800_000_000_000.0)
-RECEIVED = an_event("certs-1", START + 1, "call-received")
-ADMITTED = an_event("certs-2", START + 2, "call-admitted")
-ANSWERED = an_event("certs-1", START + 3, "call-answered")
+RECEIVED = event_record("certs-1", START + 1, "call-received")
+ADMITTED = event_record("certs-2", START + 2, "call-admitted")
+ANSWERED = event_record("certs-1", START + 3, "call-answered")
 
 
 class TestTimeline(TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.nodes = FakeNodes()
-        self.members = [a_member("certs-1"), a_member("certs-2")]
-        self.answer_as("certs-1", a_page(RECEIVED, ANSWERED))
-        self.answer_as("certs-2", a_page(ADMITTED))
+        self.members = [member_record("certs-1"), member_record("certs-2")]
+        self.reply_with("certs-1", events_page(RECEIVED, ANSWERED))
+        self.reply_with("certs-2", events_page(ADMITTED))
 
-    def answer_as(self, node: str, page: object) -> None:
-        self.nodes.add(node, GET_status=a_status(node, *self.members), GET_events=page)
+    def reply_with(self, node: str, page: object) -> None:
+        self.nodes.add(
+            node, GET_status=status_body(node, *self.members), GET_events=page
+        )
 
     def kinds(self) -> list[str]:
         found = [json.loads(line) for line in self.nodes.lines]
@@ -52,16 +54,16 @@
     def test_pages_are_read_to_the_end(self) -> None:
         def page(req: httpx.Request) -> object:
             if int(req.url.params["after"]) < START + 1:
-                return a_page(RECEIVED, more=True)
-            return a_page(ANSWERED)
+                return events_page(RECEIVED, more=True)
+            return events_page(ANSWERED)
 
-        self.answer_as("certs-1", page)
+        self.reply_with("certs-1", page)
         self.nodes.run("timeline", "--root=r1", "--json")
         self.assertEqual(3, len(self.kinds()))
 
     def test_a_node_that_does_not_answer_is_named(self) -> None:
-        self.members += [a_member("certs-3"), a_member("certs-4", "dead")]
-        self.answer_as("certs-1", a_page(RECEIVED))
+        self.members += [member_record("certs-3"), member_record("certs-4", "dead")]
+        self.reply_with("certs-1", events_page(RECEIVED))
         code = self.nodes.run("timeline", "--call=c1")
         self.assertEqual(ExitCode.INCOMPLETE, code)
         text = "\n".join(self.nodes.lines)
@@ -71,17 +73,17 @@
         )
 
     def test_an_overwritten_ring_is_named(self) -> None:
-        self.answer_as("certs-2", a_page(ADMITTED, overwritten=True))
+        self.reply_with("certs-2", events_page(ADMITTED, overwritten=True))
         code = self.nodes.run("timeline", "--call=c1")
         self.assertEqual(ExitCode.INCOMPLETE, code)
         self.assertIn("older events of certs-2", "\n".join(self.nodes.lines))
 
     def test_a_call_that_nobody_knows(self) -> None:
-        self.answer_as("certs-1", a_page())
-        self.answer_as("certs-2", a_page())
+        self.reply_with("certs-1", events_page())
+        self.reply_with("certs-2", events_page())
         code = self.nodes.run("timeline", "--call=c9")
         self.assertEqual(ExitCode.NOT_FOUND, code)
-        self.assertIn("Idempotency-Key", self.nodes.said)
+        self.assertIn("Idempotency-Key", self.nodes.notes_text)
 
     def test_since_goes_by_the_nodes_clock_where_the_own_is_wrong(self) -> None:
         self.nodes.run("timeline", "--since=30s")
@@ -91,18 +93,20 @@
         self.assertEqual(1_800_000_005_000.0 - 30_000.0, after)
 
     def test_an_unknown_kind_of_a_newer_node_is_shown(self) -> None:
-        self.answer_as("certs-2", a_page(an_event("certs-2", START + 2, "call-frozen")))
+        self.reply_with(
+            "certs-2", events_page(event_record("certs-2", START + 2, "call-frozen"))
+        )
         self.nodes.run("timeline", "--call=c1")
         self.assertIn("call-frozen", "\n".join(self.nodes.lines))
 
     def test_a_cut_off_data_centre_is_named(self) -> None:
-        cut = a_status("certs-1", *self.members, unreachable_data_centres=["hall-b"])
+        cut = status_body("certs-1", *self.members, unreachable_data_centres=["hall-b"])
         self.nodes.add("certs-1", GET_status=cut)
         self.nodes.run("timeline", "--call=c1")
-        self.assertIn("data centre hall-b is cut off", self.nodes.said)
+        self.assertIn("data centre hall-b is cut off", self.nodes.notes_text)
 
     def test_pictures_go_to_a_file(self) -> None:
-        folder = a_folder(self)
+        folder = temp_folder(self)
         for name, start in (("a.svg", "<?xml"), ("a.html", "<!doctype html>")):
             path = folder / name
             code = self.nodes.run("timeline", "--call=c1", f"--out={path}")
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/explain/test_explain.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/explain/test_explain.py
@@ -9,14 +9,14 @@
 from fuchsiagap.core.quarantine.quarantine import HeldRequest
 from fuchsiagap.core.retries.backend_budget import ServiceRetryLimits
 from fuchsiagap_ctl.exit_codes import ExitCode
-from fuchsiagap_ctl.explain.lines import read_lines
-from fuchsiagap_ctl.explain.story import tell
-from fuchsiagap_ctl.tests.fake_nodes import FakeNodes, a_folder
+from fuchsiagap_ctl.explain.diagnosis import diagnose
+from fuchsiagap_ctl.explain.log_lines import parse_log
+from fuchsiagap_ctl.tests.fake_nodes import FakeNodes, temp_folder
 from fuchsiagap_standins.mesh.backend_server import Behaviour, Manner
 from fuchsiagap_standins.mesh.deployment import a_deployment, a_route
 from fuchsiagap_standins.mesh.virtual import run_on_loopback
 
-GUILTY = (b"GET", "api.example", b"/read/1", (), b"")
+CRASHING_REQUEST = (b"GET", "api.example", b"/read/1", (), b"")
 NO_REPEATS = ServiceRetryLimits(0.0, 0.0, 10_000.0)
 
 
@@ -31,7 +31,9 @@
             await deployment.settle()
             await act(caller, served)
             buffers = (caller.node.event_log, served.node.event_log)
-            return [line.decode() for tell in buffers for line in tell.lines()]
+            return [
+                line.decode() for event_log in buffers for line in event_log.lines()
+            ]
 
     return run_on_loopback(main)
 
@@ -45,41 +47,41 @@
                 served.scope.cancel()
 
         route = a_route("write", idempotent=False)
-        story = tell(
-            read_lines(lines_of(Behaviour(work=900.0), route, act)).lines, "r1"
+        diagnosis = diagnose(
+            parse_log(lines_of(Behaviour(work=900.0), route, act)).lines, "r1"
         )
-        self.assertIn("link to the node", story.cause)
-        self.assertIn("may have run", story.cause)
-        self.assertIn("link-down", [line.event for line in story.around])
+        self.assertIn("link to the node", diagnosis.cause)
+        self.assertIn("may have run", diagnosis.cause)
+        self.assertIn("link-down", [line.event for line in diagnosis.state_changes])
 
     def test_broken_answer_of_a_backend_server(self):
         async def act(caller, served):
             await caller.send("/read/1", "r1")
 
         lines = lines_of(Behaviour(Manner.CUT), a_route("read"), act)
-        story = tell(read_lines(lines).lines, "r1")
-        self.assertIn("broken answer", story.cause)
+        diagnosis = diagnose(parse_log(lines).lines, "r1")
+        self.assertIn("broken answer", diagnosis.cause)
 
     def test_request_that_crashes_servers_is_told_apart(self):
         async def act(caller, served):
-            held = HeldRequest(fingerprint(*GUILTY), "certs", 4, 0.0)
+            held = HeldRequest(fingerprint(*CRASHING_REQUEST), "certs", 4, 0.0)
             caller.node.reports.handle(held, "certs-1")
             answer = await caller.send("/read/1", "r1")
             self.assertEqual(503, answer.status)
             self.assertEqual([], served.server.heads)
 
         lines = lines_of(Behaviour(), a_route("read"), act)
-        story = tell(read_lines(lines).lines, "r1")
-        self.assertIn("requests like it crash servers", story.cause)
-        self.assertIn("crashes=4", story.cause)
+        diagnosis = diagnose(parse_log(lines).lines, "r1")
+        self.assertIn("requests like it crash servers", diagnosis.cause)
+        self.assertIn("crashes=4", diagnosis.cause)
 
     def test_refused_by_every_server(self):
         async def act(caller, served):
             await caller.send("/read/1", "r1")
 
         lines = lines_of(Behaviour(Manner.REFUSE), a_route("read"), act)
-        story = tell(read_lines(lines).lines, "r1")
-        self.assertIn("did not run", story.cause)
+        diagnosis = diagnose(parse_log(lines).lines, "r1")
+        self.assertIn("did not run", diagnosis.cause)
 
     def test_refusal_at_the_entry_names_what_was_full(self):
         lines = [
@@ -88,10 +90,10 @@
             ),
             _line(2_000, "refused", "r1", route="read", share=0.4, retry_after=250),
         ]
-        story = tell(read_lines(lines).lines, "r1")
-        self.assertIn("0.4 of its rank", story.cause)
-        self.assertIn("after 250 ms", story.cause)
-        self.assertIn("fullness=1.2", story.cause)
+        diagnosis = diagnose(parse_log(lines).lines, "r1")
+        self.assertIn("0.4 of its rank", diagnosis.cause)
+        self.assertIn("after 250 ms", diagnosis.cause)
+        self.assertIn("fullness=1.2", diagnosis.cause)
 
     def test_causes_are_what_changed_before_the_end_and_not_after(self):
         lines = [
@@ -102,7 +104,7 @@
             _line(2_000, "given-up", "r1", cause="no backend server", ran=False),
             _line(2_500, "backend-changed", state="ready"),
         ]
-        cause = tell(read_lines(lines).lines, "r1").cause
+        cause = diagnose(parse_log(lines).lines, "r1").cause
         self.assertNotIn("state=ready", cause)
         for word in ("1100 n-1 link-down to=n-2", "link-down to=n-3", "draining"):
             self.assertIn(word, cause)
@@ -113,12 +115,12 @@
             _line(1_000, "given-up", "r1.a", cause="queue full", ran=False),
             _line(1_010, "answered", "r10", arrivals=1),
         ]
-        story = tell(read_lines(lines).lines, "r1")
-        self.assertEqual(["r1.a"], [line.request for line in story.calls])
-        self.assertIn("queue full", story.cause)
+        diagnosis = diagnose(parse_log(lines).lines, "r1")
+        self.assertEqual(["r1.a"], [line.request for line in diagnosis.call_lines])
+        self.assertIn("queue full", diagnosis.cause)
 
     def test_command_writes_the_story_and_what_is_missing(self):
-        path = a_folder(self) / "all.log"
+        path = temp_folder(self) / "all.log"
         lines = [
             "no line of a node",
             "12.5 host-a " + _line(2_000, "given-up", "r1", cause="leaving", ran=False),
@@ -128,8 +130,8 @@
         nodes = FakeNodes()
         self.assertEqual(ExitCode.DONE, nodes.run("explain", "r1", str(path)))
         self.assertIn("likely cause: the backend server", "\n".join(nodes.lines))
-        self.assertIn("1 lines are no lines of a node", nodes.said)
-        self.assertIn("dropped 7 lines", nodes.said)
+        self.assertIn("1 lines are no lines of a node", nodes.notes_text)
+        self.assertIn("dropped 7 lines", nodes.notes_text)
         self.assertEqual(ExitCode.NOT_FOUND, nodes.run("explain", "r9", str(path)))
         self.assertEqual(ExitCode.USAGE, nodes.run("explain", "r1", "/nowhere/x"))
 
@@ -146,7 +148,7 @@
     def cause_of(self, **fields):
         """Return the cause that a line of a node leads to."""
         line = {"t": 1.0, "wall": 1.0, "node": "n", "request": "r1", "route": "read"}
-        return tell(read_lines([json.dumps(line | fields)]).lines, "r1").cause
+        return diagnose(parse_log([json.dumps(line | fields)]).lines, "r1").cause
 
     def test_key_quota_and_old_knowledge_are_told_apart(self):
         unknown = self.cause_of(event="key-refused", cause="unknown-key", age=90)
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/fake_nodes.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/fake_nodes.py
@@ -27,13 +27,13 @@
 Replies = dict[str, Any]
 
 
-def a_folder(case: TestCase) -> Path:
+def temp_folder(case: TestCase) -> Path:
     folder = tempfile.TemporaryDirectory()
     case.addCleanup(folder.cleanup)
     return Path(folder.name)
 
 
-def a_member(node: str, state: str = "alive", **changes: Any) -> dict[str, Any]:
+def member_record(node: str, state: str = "alive", **changes: Any) -> dict[str, Any]:
     return {
         "node": node,
         "services": ["certs"],
@@ -45,7 +45,7 @@
     }
 
 
-def a_status(node: str, *members: dict[str, Any], **changes: Any) -> dict[str, Any]:
+def status_body(node: str, *members: dict[str, Any], **changes: Any) -> dict[str, Any]:
     level = {"route": "certs", "level_priority": 9, "level_cohort": 127}
     return {
         "node": {"name": node, "incarnation": 1, "draining": False},
@@ -60,7 +60,7 @@
     }
 
 
-def an_event(process: str, stamp: int, kind: str, **changes: Any) -> dict[str, Any]:
+def event_record(process: str, stamp: int, kind: str, **changes: Any) -> dict[str, Any]:
     return {
         "stamp": stamp,
         "process": process,
@@ -72,7 +72,7 @@
     }
 
 
-def a_page(*events: dict[str, Any], **changes: Any) -> dict[str, Any]:
+def events_page(*events: dict[str, Any], **changes: Any) -> dict[str, Any]:
     return {"events": list(events), "overwritten": False, "more": False, **changes}
 
 
@@ -106,7 +106,7 @@
         return run_virtual(run_line, argv, output, transport)
 
     @property
-    def said(self) -> str:
+    def notes_text(self) -> str:
         return "\n".join(self.notes)
 
     @property
@@ -114,7 +114,7 @@
         (line,) = self.lines
         return json.loads(line)
 
-    def sent(self, method: str) -> list[Any]:
+    def sent_bodies(self, method: str) -> list[Any]:
         return [json.loads(r.content) for r in self.requests if r.method == method]
 
     def _handle(self, req: httpx.Request) -> httpx.Response:
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/test_main.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/test_main.py
@@ -12,7 +12,12 @@
 from fuchsiagap_ctl.invocation import UsageFault, parse_duration
 from fuchsiagap_ctl.main import main
 from fuchsiagap_ctl.output import Output
-from fuchsiagap_ctl.tests.fake_nodes import FakeNodes, a_folder, a_member, a_status
+from fuchsiagap_ctl.tests.fake_nodes import (
+    FakeNodes,
+    member_record,
+    status_body,
+    temp_folder,
+)
 
 
 class TestMain(TestCase):
@@ -43,12 +48,12 @@
             ["status", "--token-file", "/nowhere/token"],
         ):
             self.assertEqual(ExitCode.USAGE, self.nodes.run(*words), words)
-            self.assertTrue(self.nodes.said, words)
+            self.assertTrue(self.nodes.notes_text, words)
         self.assertEqual(ExitCode.USAGE, self.nodes.run("status", nodes=()))
-        self.assertIn("--node IP:PORT", self.nodes.said)
+        self.assertIn("--node IP:PORT", self.nodes.notes_text)
 
     def test_no_node_answers_on_any_command_that_asks(self) -> None:
-        path = a_folder(self) / "team.ini"
+        path = temp_folder(self) / "team.ini"
         path.write_text("[team]\n")
         words = {"TEAM": "salt-fog", "FILE": str(path), "TICKET": "n1.1.1"}
         for command in COMMANDS:
@@ -59,13 +64,15 @@
                 *command.name.split(), *arguments, "--yes", "--version=1"
             )
             self.assertEqual(ExitCode.NO_NODE, code, command.name)
-            self.assertIn("connection refused", self.nodes.said)
-            self.assertIn("next: ", self.nodes.said)
+            self.assertIn("connection refused", self.nodes.notes_text)
+            self.assertIn("next: ", self.nodes.notes_text)
 
     def test_the_token_goes_only_where_it_is_needed(self) -> None:
-        path = a_folder(self) / "token"
+        path = temp_folder(self) / "token"
         path.write_text("s3cret\n")
-        self.nodes.add("certs-1", GET_status=a_status("certs-1", a_member("certs-1")))
+        self.nodes.add(
+            "certs-1", GET_status=status_body("certs-1", member_record("certs-1"))
+        )
         for command in ("status", "timeline", "top"):
             self.nodes.run(command, "--count=1", f"--token-file={path}")
         self.assertTrue(self.nodes.requests)
@@ -86,7 +93,7 @@
     def test_an_address_that_is_not_for_operators(self) -> None:
         self.nodes.add("certs-1", GET_status="<html>hello</html>")
         self.assertEqual(ExitCode.NO_NODE, self.nodes.run("status"))
-        self.assertIn("not a node's administration API", self.nodes.said)
+        self.assertIn("not a node's administration API", self.nodes.notes_text)
 
     def test_a_team_is_one_part_of_the_path(self) -> None:
         self.nodes.add("certs-1")
@@ -106,7 +113,7 @@
             self.assertIsInstance(parse_duration(text), UsageFault, text)
 
     def test_settings_check_is_offline_and_lists_every_fault(self) -> None:
-        path = a_folder(self) / "team.ini"
+        path = temp_folder(self) / "team.ini"
         path.write_text("[certs/issue]\nmatch = POST /issue\npriority = 11\nfoo = 1\n")
         words = ["settings", "check", "salt-fog", str(path)]
         code = self.nodes.run(*words, nodes=())
@@ -121,7 +128,7 @@
         self.assertEqual([], self.nodes.requests)
 
     def test_token_of_the_file_is_sent_and_never_shown(self) -> None:
-        path = a_folder(self) / "token"
+        path = temp_folder(self) / "token"
         path.write_text("s3cret\n")
         reply = (403, {"detail": "the token is none of salt-fog"})
         self.nodes.add("certs-1", **{"GET_settings_salt-fog": reply})
@@ -129,6 +136,6 @@
         self.assertEqual(ExitCode.NOT_ALLOWED, self.nodes.run(*words))
         (req,) = self.nodes.requests
         self.assertEqual("Bearer s3cret", req.headers["authorization"])
-        self.assertIn("--token-file", self.nodes.said)
+        self.assertIn("--token-file", self.nodes.notes_text)
         shown = json.dumps([self.nodes.lines, self.nodes.notes])
         self.assertNotIn("s3cret", shown)
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/test_real_api.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/test_real_api.py
@@ -14,7 +14,7 @@
 from fuchsiagap_ctl.exit_codes import ExitCode
 from fuchsiagap_ctl.main import run_line
 from fuchsiagap_ctl.output import Output
-from fuchsiagap_ctl.tests.fake_nodes import a_folder
+from fuchsiagap_ctl.tests.fake_nodes import temp_folder
 from fuchsiagap_node.core.edges.admin import admin_app
 from fuchsiagap_standins.platform import PlatformFaults
 from fuchsiagap_standins.settings_nodes import (
@@ -55,7 +55,7 @@
         super().setUp()
         self.lines: list[str] = []
         self.notes: list[str] = []
-        self.folder = a_folder(self)
+        self.folder = temp_folder(self)
         (self.folder / "token").write_text(OPERATORS_TOKEN)
         self.file = self.folder / "team.ini"
         self.file.write_text(TEXT)
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/timeline/test_merge.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/timeline/test_merge.py
@@ -9,8 +9,8 @@
 
 from fuchsiagap.core.telemetry.events import EventKind, EventRing
 from fuchsiagap.core.telemetry.hlc import HybridClock
-from fuchsiagap_ctl.timeline.merge import MissingNode, Ring, Timeline, merge
-from fuchsiagap_ctl.timeline.picture import MAX_LANES, TooLarge, page, svg
+from fuchsiagap_ctl.timeline.merge import MissingNode, RingContents, Timeline, merge
+from fuchsiagap_ctl.timeline.picture import MAX_LANES, TooLarge, render_html, render_svg
 from fuchsiagap_ctl.timeline.text import json_lines, text_lines
 
 NOW = 1_800_000_000_000.0
@@ -35,7 +35,7 @@
         self.rings[receiver].record(EventKind.CALL_RECEIVED, call, "r1")
 
     def timeline(self, missing: tuple[MissingNode, ...] = ()) -> Timeline:
-        rings = (Ring(n, r.since().events) for n, r in self.rings.items())
+        rings = (RingContents(n, r.since().events) for n, r in self.rings.items())
         return merge(rings, missing)
 
 
@@ -82,8 +82,10 @@
         )
 
     def test_overwritten_rings_are_named_in_text_and_json(self) -> None:
-        timeline = merge([Ring("node-a", (), overwritten=True), Ring("node-b", ())])
-        self.assertFalse(timeline.whole)
+        timeline = merge(
+            [RingContents("node-a", (), overwritten=True), RingContents("node-b", ())]
+        )
+        self.assertFalse(timeline.complete)
         text = "\n".join(text_lines(timeline))
         self.assertIn("older events of node-a had been overwritten", text)
         (last,) = map(json.loads, json_lines(timeline))
@@ -97,7 +99,7 @@
         relay.send("entry", "certs-1", "c1")
         missing = MissingNode("certs-2", "10.0.0.9:7002", "timed out")
         timeline = relay.timeline((missing,))
-        picture = svg(timeline, "call c1")
+        picture = render_svg(timeline, "call c1")
         assert isinstance(picture, str)
         for expected in (
             "<svg",
@@ -107,12 +109,12 @@
             "missing: certs-2",
         ):
             self.assertIn(expected, picture)
-        self.assertEqual(picture, svg(timeline, "call c1"))
+        self.assertEqual(picture, render_svg(timeline, "call c1"))
 
     def test_page_escapes_what_callers_chose(self) -> None:
         relay = Relay({"entry": 0.0, "certs-1": 0.0})
         relay.send("entry", "certs-1", "<script>x</script>")
-        document = page(relay.timeline(), "call <b>")
+        document = render_html(relay.timeline(), "call <b>")
         assert isinstance(document, str)
         self.assertNotIn("<script>", document)
         self.assertNotIn("<b>", document)
@@ -121,9 +123,9 @@
         relay = Relay({f"node-{n}": 0.0 for n in range(MAX_LANES + 1)})
         for ring in relay.rings.values():
             ring.record(EventKind.LINK_UP)
-        fault = svg(relay.timeline(), "since 1h")
+        fault = render_svg(relay.timeline(), "since 1h")
         self.assertIsInstance(fault, TooLarge)
         self.assertIn("--call", str(fault))
 
     def test_an_empty_time_line_can_be_drawn(self) -> None:
-        self.assertIn("<svg", str(svg(merge([]), "call c1")))
+        self.assertIn("<svg", str(render_svg(merge([]), "call c1")))
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/timeline/fetch.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/timeline/fetch.py
@@ -9,7 +9,7 @@
 
 from fuchsiagap.core.telemetry.events import Event, EventKind
 from fuchsiagap_ctl.admin_client import NoReply
-from fuchsiagap_ctl.timeline.merge import MissingNode, Ring, Timeline, merge
+from fuchsiagap_ctl.timeline.merge import MissingNode, RingContents, Timeline, merge
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
@@ -18,17 +18,17 @@
     from fuchsiagap_ctl.admin_client import AdminClient
     from fuchsiagap_ctl.fleet import FleetNode
 
-_MAX_ASKED_AT_ONCE = 24
+_MAX_CONCURRENT_REQUESTS = 24
 # A ring that is written faster than it is read must not be read for ever.
 _MAX_PAGES = 100
 # Small pages, since a node does nothing else while it writes one.
 _PAGE_EVENTS = 1_000
-_NOTE_EVERY = 100
-_KINDS = {str(kind): kind for kind in EventKind}
+_NODES_PER_PROGRESS_NOTE = 100
+_KIND_BY_NAME = {str(kind): kind for kind in EventKind}
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class EventFilter:
     """Which events are wanted.
 
     Parameters
@@ -47,7 +47,7 @@
 async def fetch(
     client: AdminClient,
     nodes: Sequence[FleetNode],
-    wanted: Wanted,
+    event_filter: EventFilter,
     note: Callable[[str], None],
 ) -> Timeline:
     """Fetch the events of all nodes and merge them.
@@ -58,7 +58,7 @@
         Asks nodes.
     nodes : sequence of FleetNode
         All nodes; those that are gone are named as missing.
-    wanted : Wanted
+    event_filter : EventFilter
         Which events.
     note : callable
         Takes lines of progress.
@@ -68,41 +68,43 @@
     Timeline
         What was found, and who is missing.
     """
-    found: list[Ring | MissingNode] = []
-    limit = trio.CapacityLimiter(_MAX_ASKED_AT_ONCE)
+    results: list[RingContents | MissingNode] = []
+    limiter = trio.CapacityLimiter(_MAX_CONCURRENT_REQUESTS)
 
     async def fetch_one(node: FleetNode) -> None:
-        async with limit:
-            found.append(await _fetch_ring(client, node, wanted))
-        if len(found) % _NOTE_EVERY == 0:
-            note(f"events of {len(found)} of {len(nodes)} nodes read")
+        async with limiter:
+            results.append(await _fetch_ring(client, node, event_filter))
+        if len(results) % _NODES_PER_PROGRESS_NOTE == 0:
+            note(f"events of {len(results)} of {len(nodes)} nodes read")
 
     async with trio.open_nursery() as nursery:
         for node in nodes:
             nursery.start_soon(fetch_one, node)
     return merge(
-        (one for one in found if isinstance(one, Ring)),
-        (one for one in found if isinstance(one, MissingNode)),
+        (one for one in results if isinstance(one, RingContents)),
+        (one for one in results if isinstance(one, MissingNode)),
     )
 
 
 async def _fetch_ring(
-    client: AdminClient, node: FleetNode, wanted: Wanted
-) -> Ring | MissingNode:
+    client: AdminClient, node: FleetNode, event_filter: EventFilter
+) -> RingContents | MissingNode:
     if node.gone or not node.address:
-        why = f"it is {node.state}" if node.gone else "its admin address is not known"
-        return MissingNode(node.name, node.address, why)
+        reason = (
+            f"it is {node.state}" if node.gone else "its admin address is not known"
+        )
+        return MissingNode(node.name, node.address, reason)
     events: list[Event] = []
     overwritten = False
-    after = wanted.after
+    after = event_filter.after
     for _ in range(_MAX_PAGES):
         params = {
             "after": str(after),
-            "call": wanted.call,
-            "root": wanted.root,
+            "call": event_filter.call,
+            "root": event_filter.root,
             "limit": str(_PAGE_EVENTS),
         }
-        answer = await client.ask(
+        answer = await client.request(
             node.address, "GET", "/v1/events", params=params, with_token=False
         )
         if isinstance(answer, NoReply):
@@ -116,20 +118,20 @@
         if not page["more"]:
             break
         after = events[-1].stamp
-    return Ring(node.name, tuple(events), overwritten)
+    return RingContents(node.name, tuple(events), overwritten)
 
 
-def _event(found: dict[str, Any]) -> Event:
+def _event(record: dict[str, Any]) -> Event:
     return Event(
-        stamp=found["stamp"],
-        process=found["process"],
-        kind=_kind(found["kind"]),
-        call_id=found["call_id"],
-        root_id=found["root_id"],
-        detail=found["detail"],
+        stamp=record["stamp"],
+        process=record["process"],
+        kind=_kind(record["kind"]),
+        call_id=record["call_id"],
+        root_id=record["root_id"],
+        detail=record["detail"],
     )
 
 
 def _kind(name: str) -> EventKind:
     """Return the kind; a newer node's unknown one stays the text it is."""
-    return _KINDS.get(name) or cast("EventKind", name)
+    return _KIND_BY_NAME.get(name) or cast("EventKind", name)
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/timeline/merge.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/timeline/merge.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ring:
+class RingContents:
     """What one process sent.
 
     Parameters
@@ -71,17 +71,19 @@
     missing: tuple[MissingNode, ...] = ()
 
     @property
-    def whole(self) -> bool:
+    def complete(self) -> bool:
         """Whether nothing is known to be missing."""
         return not self.overwritten and not self.missing
 
 
-def merge(rings: Iterable[Ring], missing: Iterable[MissingNode] = ()) -> Timeline:
+def merge(
+    rings: Iterable[RingContents], missing: Iterable[MissingNode] = ()
+) -> Timeline:
     """Merge rings by the hybrid logical clock.
 
     Parameters
     ----------
-    rings : iterable of Ring
+    rings : iterable of RingContents
         One for each process that answered.
     missing : iterable of MissingNode
         The others.
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/timeline/picture.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/timeline/picture.py
@@ -9,7 +9,7 @@
 
 from fuchsiagap.core.telemetry.events import EventKind
 from fuchsiagap.core.telemetry.hlc import wall_of
-from fuchsiagap_ctl.timeline.text import gaps, text_lines, time_of_day
+from fuchsiagap_ctl.timeline.text import gap_lines, text_lines, time_of_day
 
 if TYPE_CHECKING:
     from fuchsiagap.core.telemetry.events import Event
@@ -18,7 +18,7 @@
 MAX_LANES = 200
 MAX_EVENTS = 20_000
 # With more events than this their names would cover each other.
-_MAX_NAMED_EVENTS = 80
+_MAX_ANNOTATED_EVENTS = 80
 
 _WIDTH_INCHES = 14.0
 _LANE_INCHES = 0.45
@@ -26,32 +26,32 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Look:
+class _EventStyle:
     """How events of some kinds look, and what the legend calls them."""
 
     colour: str
     name: str
 
 
-_CUT = _Look("tab:brown", "cancelled, expired")
-_LOOKS = {
-    EventKind.CALL_ANSWERED: _Look("tab:green", "answered"),
-    EventKind.CALL_REFUSED: _Look("tab:orange", "refused"),
-    EventKind.CALL_UNKNOWN: _Look("tab:red", "unknown"),
-    EventKind.CALL_CANCELLED: _CUT,
-    EventKind.CALL_EXPIRED: _CUT,
-    EventKind.CALL_RETRIED: _Look("tab:purple", "retried"),
-    EventKind.VIOLATION: _Look("black", "violation"),
+_ABORTED_STYLE = _EventStyle("tab:brown", "cancelled, expired")
+_STYLES = {
+    EventKind.CALL_ANSWERED: _EventStyle("tab:green", "answered"),
+    EventKind.CALL_REFUSED: _EventStyle("tab:orange", "refused"),
+    EventKind.CALL_UNKNOWN: _EventStyle("tab:red", "unknown"),
+    EventKind.CALL_CANCELLED: _ABORTED_STYLE,
+    EventKind.CALL_EXPIRED: _ABORTED_STYLE,
+    EventKind.CALL_RETRIED: _EventStyle("tab:purple", "retried"),
+    EventKind.VIOLATION: _EventStyle("black", "violation"),
 }
-_LEVEL = _Look("tab:olive", "level, limit, overload")
-_PREFIX_LOOKS = (
-    ("call-", _Look("tab:blue", "other step of a call")),
-    ("ticket", _Look("tab:pink", "ticket")),
-    ("level-", _LEVEL),
-    ("limit-", _LEVEL),
-    ("overload-", _LEVEL),
+_LEVEL_STYLE = _EventStyle("tab:olive", "level, limit, overload")
+_PREFIX_STYLES = (
+    ("call-", _EventStyle("tab:blue", "other step of a call")),
+    ("ticket", _EventStyle("tab:pink", "ticket")),
+    ("level-", _LEVEL_STYLE),
+    ("limit-", _LEVEL_STYLE),
+    ("overload-", _LEVEL_STYLE),
 )
-_OTHER_LOOK = _Look("tab:gray", "other")
+_OTHER_STYLE = _EventStyle("tab:gray", "other")
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,7 +75,7 @@
         )
 
 
-def svg(timeline: Timeline, title: str) -> str | TooLarge:
+def render_svg(timeline: Timeline, title: str) -> str | TooLarge:
     """Draw a time line.
 
     Parameters
@@ -107,7 +107,7 @@
     return out.getvalue()
 
 
-def page(timeline: Timeline, title: str) -> str | TooLarge:
+def render_html(timeline: Timeline, title: str) -> str | TooLarge:
     """Return an HTML page with the picture and the text below it.
 
     Parameters
@@ -122,7 +122,7 @@
     str or TooLarge
         An HTML document without any link.
     """
-    picture = svg(timeline, title)
+    picture = render_svg(timeline, title)
     if isinstance(picture, TooLarge):
         return picture
     drawing = picture[picture.index("<svg") :]
@@ -144,17 +144,17 @@
     events = timeline.events
     start = wall_of(events[0].stamp) if events else 0.0
     _draw_calls(axes, events, lanes, start)
-    for look, group in _by_look(events).items():
+    for style, group in _group_by_style(events).items():
         axes.scatter(
             [wall_of(event.stamp) - start for event in group],
             [lanes[event.process] for event in group],
-            color=look.colour,
-            label=look.name,
+            color=style.colour,
+            label=style.name,
             s=18,
             zorder=3,
         )
-    if len(events) <= _MAX_NAMED_EVENTS:
-        _name_events(axes, events, lanes, start)
+    if len(events) <= _MAX_ANNOTATED_EVENTS:
+        _annotate_events(axes, events, lanes, start)
     if events:
         axes.legend(loc="upper left", bbox_to_anchor=(1.0, 1.0), fontsize=7)
     axes.set_yticks(range(len(lanes)), list(lanes))
@@ -162,7 +162,7 @@
     axes.grid(axis="y", alpha=0.3)
     since = f" after {time_of_day(start)} UTC" if events else ""
     axes.set_xlabel(f"milliseconds{since}")
-    axes.set_title("\n".join([title, *gaps(timeline)]), fontsize=9)
+    axes.set_title("\n".join([title, *gap_lines(timeline)]), fontsize=9)
 
 
 def _draw_calls(
@@ -173,23 +173,23 @@
     for event in events:
         if event.call_id:
             calls.setdefault(event.call_id, []).append(event)
-    for chain in calls.values():
+    for call_events in calls.values():
         axes.plot(
-            [wall_of(event.stamp) - start for event in chain],
-            [lanes[event.process] for event in chain],
+            [wall_of(event.stamp) - start for event in call_events],
+            [lanes[event.process] for event in call_events],
             linewidth=0.8,
             alpha=0.5,
         )
 
 
-def _name_events(
+def _annotate_events(
     axes: Any, events: tuple[Event, ...], lanes: dict[str, int], start: float
 ) -> None:
     for event in events:
-        place = (wall_of(event.stamp) - start, lanes[event.process])
+        position = (wall_of(event.stamp) - start, lanes[event.process])
         axes.annotate(
             str(event.kind),
-            place,
+            position,
             xytext=(2, 4),
             textcoords="offset points",
             fontsize=6,
@@ -197,17 +197,17 @@
         )
 
 
-def _by_look(events: tuple[Event, ...]) -> dict[_Look, list[Event]]:
-    groups: dict[_Look, list[Event]] = {}
+def _group_by_style(events: tuple[Event, ...]) -> dict[_EventStyle, list[Event]]:
+    groups: dict[_EventStyle, list[Event]] = {}
     for event in events:
-        groups.setdefault(_look(event.kind), []).append(event)
+        groups.setdefault(_style_of(event.kind), []).append(event)
     return groups
 
 
-def _look(kind: EventKind) -> _Look:
-    if kind in _LOOKS:
-        return _LOOKS[kind]
-    for prefix, look in _PREFIX_LOOKS:
+def _style_of(kind: EventKind) -> _EventStyle:
+    if kind in _STYLES:
+        return _STYLES[kind]
+    for prefix, style in _PREFIX_STYLES:
         if kind.startswith(prefix):
-            return look
-    return _OTHER_LOOK
+            return style
+    return _OTHER_STYLE
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/timeline/text.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/timeline/text.py
@@ -30,8 +30,8 @@
     str
         First what is missing, then one line an event.
     """
-    yield _title(timeline)
-    yield from gaps(timeline)
+    yield _summary(timeline)
+    yield from gap_lines(timeline)
     if not timeline.events:
         return
     start = wall_of(timeline.events[0].stamp)
@@ -40,11 +40,11 @@
         wall = wall_of(event.stamp)
         yield (
             f"{time_of_day(wall)} {wall - start:+10.3f} ms  {event.process:{width}}"
-            f"  {event.kind:20} {_said(event)}"
+            f"  {event.kind:20} {_details(event)}"
         ).rstrip()
 
 
-def gaps(timeline: Timeline) -> Iterator[str]:
+def gap_lines(timeline: Timeline) -> Iterator[str]:
     """Yield a line for each node of which something is missing."""
     for node in timeline.missing:
         yield (
@@ -97,7 +97,7 @@
     return moment.isoformat(timespec="microseconds")
 
 
-def _title(timeline: Timeline) -> str:
+def _summary(timeline: Timeline) -> str:
     n_events, n_processes = len(timeline.events), len(timeline.processes)
     title = f"{n_events} events, {n_processes} processes answered"
     if not timeline.events:
@@ -106,11 +106,11 @@
     return f"{title}, {day} UTC"
 
 
-def _said(event: Event) -> str:
-    words = []
+def _details(event: Event) -> str:
+    parts = []
     if event.call_id:
-        words.append(f"call={event.call_id}")
+        parts.append(f"call={event.call_id}")
     if event.root_id and event.root_id != event.call_id:
-        words.append(f"root={event.root_id}")
-    words.extend(f"{name}={value}" for name, value in event.detail.items())
-    return " ".join(words)
+        parts.append(f"root={event.root_id}")
+    parts.extend(f"{name}={value}" for name, value in event.detail.items())
+    return " ".join(parts)
