--- a/packages/fuchsiagap-client/src/fuchsiagap_client/__init__.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/__init__.py
@@ -1,4 +1,7 @@
-"""The callers' library: truthful outcomes, and repeats that are safe.
+"""Client library that sends requests to nodes and retries them safely.
+
+Every request ends as `Answered`, as `Refused` (it did not run and never will), or as
+`Unknown` (it may have run).
 
 Examples
 --------
--- a/packages/fuchsiagap-client/src/fuchsiagap_client/core/__init__.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/core/__init__.py
@@ -1,1 +1,1 @@
-"""The parts of the callers' library."""
+"""Implementation of the client library."""
--- a/packages/fuchsiagap-client/src/fuchsiagap_client/core/attempt.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/core/attempt.py
@@ -1,4 +1,4 @@
-"""One HTTP exchange with one node, and what it says of the request."""
+"""HTTP requests to one node, and the outcomes that its responses state."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeRequest:
-    """What is sent to a node.
+    """An HTTP request to a node.
 
     Parameters
     ----------
     node : str
-        ``IP:PORT``.
+        ``IP:PORT`` of the node.
     method, path : str
         HTTP method; path with query.
     headers : tuple of (str, str)
-        All headers.
+        All headers besides those that HTTP itself needs.
     body : bytes
         The whole body.
     """
@@ -45,12 +45,12 @@
 async def send_to_node(
     http: httpx.AsyncClient, node_req: NodeRequest, timeout: Milliseconds
 ) -> httpx.Response | Refused | Unknown:
-    """Send a request and wait for the whole response.
+    """Send a request and read its response to the end.
 
     Parameters
     ----------
     http : httpx.AsyncClient
-        The connections.
+        Connection pool.
     node_req : NodeRequest
         The request.
     timeout : float
@@ -59,7 +59,7 @@
     Returns
     -------
     httpx.Response or Refused or Unknown
-        `Refused` only if nothing was sent, `Unknown` if no whole response came.
+        `Refused` only if nothing was sent, `Unknown` if no complete response arrived.
     """
     url = f"http://{node_req.node}{node_req.path}"
     detail = f"no answer from {node_req.node} within {timeout:.0f} ms"
@@ -92,12 +92,12 @@
     Parameters
     ----------
     response : httpx.Response
-        A response whose body was read.
+        A response whose body has been read.
 
     Returns
     -------
     Answered, Refused or Unknown
-        `Unknown` if the response is not whole or does not say which it is.
+        `Unknown` if the response is incomplete or does not state a valid outcome.
     """
     fault = _incomplete_reason(response)
     if fault:
@@ -123,16 +123,20 @@
 
 
 def _incomplete_reason(response: httpx.Response) -> str:
-    """Return why the body may not be whole; empty if it is."""
+    """Return why the body may be incomplete; empty if it is complete."""
     length = response.headers.get("content-length")
     if response.request.method == "HEAD" or response.status_code in (204, 304):
         return ""
     if length is None:
         chunked = response.headers.get("transfer-encoding", "").lower() == "chunked"
-        return "" if chunked else "the response does not say how long it is"
+        return (
+            ""
+            if chunked
+            else "the response has neither content-length nor chunked transfer-encoding"
+        )
     n_bytes = response.num_bytes_downloaded
     if not length.isdigit() or int(length) != n_bytes:
-        return f"content-length is {length!r:.20}, {n_bytes} bytes came"
+        return f"content-length is {length!r:.20}, but {n_bytes} bytes were received"
     return ""
 
 
--- a/packages/fuchsiagap-client/src/fuchsiagap_client/core/client.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/core/client.py
@@ -1,4 +1,4 @@
-"""A client of several nodes."""
+"""The public client, which sends requests to any of several nodes."""
 
 from __future__ import annotations
 
@@ -23,22 +23,22 @@
 
 
 class Client(ClientState):
-    """A client; `open_client` makes one."""
+    """A client of several nodes; opened with `open_client`."""
 
     async def send(self, req: Request) -> Outcome:
-        """Send a request, and repeat it as far as that is safe and allowed.
+        """Send a request, and retry it while that is safe and the allowance permits.
 
         Parameters
         ----------
         req : Request
-            The request. It gets a ticket of its own, and all its copies bear it.
+            The request. All its attempts carry the same ticket.
 
         Returns
         -------
         Answered, Refused or Unknown
-            `Refused` only if the request was not run and never will be: if a copy
-            is unaccounted for, its ticket is burnt first. Cancelling the task gives
-            the request up.
+            `Refused` only if the request did not run and never will: if an attempt
+            got no answer, the ticket is burnt first, so that a late attempt is refused.
+            Cancelling the task abandons the request.
         """
         return await send(self, req)
 
@@ -49,26 +49,26 @@
     transport: httpx.AsyncBaseTransport | None = None,
     rng: random.Random | None = None,
 ) -> AsyncIterator[Client]:
-    """Open a client for the time of a block; `trio` must run.
+    """Open a client as an async context manager; requires a running trio loop.
 
     Parameters
     ----------
     cfg : ClientSettings
-        Its settings.
+        Settings of the client.
     transport : httpx.AsyncBaseTransport, optional
-        By default connections over TCP.
+        Transport of the HTTP requests; by default TCP connections.
     rng : random.Random, optional
-        Source of the jitter.
+        Random number generator for the backoff jitter.
 
     Yields
     ------
     Client
-        The client, whose connections close at the end of the block.
+        The client; its connections are closed on exit from the context.
 
     Raises
     ------
     ValueError
-        If the settings cannot work, with every fault.
+        If the settings are invalid; the message lists every fault.
     """
     faults = check_settings(cfg)
     if faults is not None:
--- a/packages/fuchsiagap-client/src/fuchsiagap_client/core/nodes.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/core/nodes.py
@@ -1,4 +1,4 @@
-"""Which node gets the next attempt."""
+"""Selection of the node for the next attempt."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class NodeSelector:
-    """The nodes of a client, and which of them are passed over now.
+    """Selects a node for each attempt, and avoids nodes that were unreachable.
 
     Parameters
     ----------
@@ -32,15 +32,16 @@
         Parameters
         ----------
         preferred : str
-            The node that issued the ticket: it needs no relay. Empty if unknown.
+            The node that issued the ticket, which need not relay the request to
+            another node; empty if there is none.
         tried : tuple of str
-            NodeSelector this request went to before, the latest last.
+            Nodes that earlier attempts were sent to, the latest last.
 
         Returns
         -------
         str
-            A node that was not tried if there is one, else the one tried longest
-            ago; nodes that could not be reached of late come last.
+            A reachable node that has not been tried, or else the one tried longest
+            ago. Nodes marked unreachable are chosen only if all nodes are.
         """
         candidates = [preferred] if preferred in self.cfg.nodes else []
         candidates += [node for node in self.cfg.nodes if node != preferred]
@@ -50,7 +51,7 @@
         )
 
     def mark_unreachable(self, node: str) -> None:
-        """Pass over a node that could not be reached."""
+        """Avoid a node for `ClientSettings.node_pause` milliseconds."""
         self._unreachable_until[node] = self.clock.now() + self.cfg.node_pause
 
     def _is_unreachable(self, node: str) -> bool:
@@ -58,7 +59,7 @@
 
 
 def _last_attempt(node: str, tried: tuple[str, ...]) -> int:
-    """Return how recently a node was tried; -1 if never."""
+    """Return the index of the latest attempt sent to a node; -1 if there is none."""
     for index in range(len(tried) - 1, -1, -1):
         if tried[index] == node:
             return index
--- a/packages/fuchsiagap-client/src/fuchsiagap_client/core/request.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/core/request.py
@@ -1,4 +1,4 @@
-"""A request as its caller states it."""
+"""A request to a service, as the caller specifies it."""
 
 from __future__ import annotations
 
@@ -8,30 +8,30 @@
 if TYPE_CHECKING:
     from fuchsiagap import Milliseconds
 
-# Only what changes nothing at all; the settings of the route decide for the nodes.
+# Methods that never change state. Nodes go by the route's settings instead.
 _SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One request of a caller.
+    """One request to a service.
 
     Parameters
     ----------
     method : str
-        HTTP method, in capitals.
+        HTTP method, in upper case.
     path : str
-        ``/TEAM/SERVICE/...`` with the query.
+        ``/TEAM/SERVICE/...``, with the query.
     body : bytes
         The whole body.
     headers : tuple of (str, str)
         End-to-end headers.
     timeout : float, optional
-        Milliseconds; by default that of the client.
+        Milliseconds the request may take, retries included; by default the client's.
     allowance : int, optional
-        Extra attempts; by default that of the client.
+        Retries, nested calls included; by default the client's.
     priority : int, optional
-        A less important priority than the route's; 9 is the least.
+        A lower priority than the route's; 0 is the highest priority, 9 the lowest.
     """
 
     method: str
@@ -44,5 +44,5 @@
 
     @property
     def safe(self) -> bool:
-        """Whether the method promises to change nothing."""
+        """Whether the method is safe, that is, never changes state."""
         return self.method in _SAFE_METHODS
--- a/packages/fuchsiagap-client/src/fuchsiagap_client/core/sending.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/core/sending.py
@@ -1,10 +1,10 @@
-"""A request and its copies: when it is repeated, and what is said in the end.
+"""Sending of one request: its attempts, the retries and the final outcome.
 
-All copies bear one ticket, so that a non-idempotent request runs at most once. A
-copy that was certainly not started leaves nothing behind. One that got no answer is
-unaccounted for: it may have run, or may come late and run still. From then on the
-request is called `Refused` only after its ticket was burnt. Once it is, the request
-may start afresh with another ticket.
+All attempts of a request carry the same ticket, so that a non-idempotent request runs
+at most once. An attempt without an answer may have run, or may arrive late and run
+later. From then on, the outcome is `Refused` only after the ticket is burnt, which
+means that the ticket is invalid and no attempt with it ran or ever will. The request
+is then retried with a new ticket.
 """
 
 from __future__ import annotations
@@ -51,27 +51,30 @@
         Reason.DEADLINE,
     }
 )
-# No home started the copy. If there was no other copy, the request was not run.
+# The node that issued the ticket (its home) has stopped or has dropped its records, so
+# it did not start the attempt. Without an earlier attempt, the request did not run.
 _TICKET_LOST = frozenset({Reason.HOME_GONE, Reason.TICKET_FORGOTTEN})
 _JSON = (("content-type", "application/json"),)
 
 
 @dataclass(slots=True)
 class _SendState:
-    """A request in progress.
+    """State of a request between its attempts.
 
     Parameters
     ----------
+    req : Request
+        The request.
     issued : IssuedTicket or None
-        The ticket of all copies.
+        The ticket of all attempts; None for a safe request without a ticket.
     deadline : float
         Milliseconds on the clock of this process.
     allowance : Allowance
-        Extra attempts left.
+        Retries left.
     maybe_run : bool
-        Whether a copy with this ticket may have run, or may run still.
+        Whether an attempt with this ticket may have run or may still run.
     tried : tuple of str
-        NodeSelector that got a copy.
+        Nodes that attempts were sent to, the latest last.
     """
 
     req: Request
@@ -83,7 +86,7 @@
 
 
 async def send(client: ClientState, req: Request) -> Outcome:
-    """Send a request, and repeat it as far as that is safe and allowed.
+    """Send a request, and retry it while that is safe and the allowance permits.
 
     Parameters
     ----------
@@ -95,7 +98,7 @@
     Returns
     -------
     Answered, Refused or Unknown
-        What became of the request, not only of its last copy.
+        Outcome of the request over all its attempts.
     """
     cfg = client.cfg
     timeout = cfg.timeout if req.timeout is None else req.timeout
@@ -121,7 +124,20 @@
 
 
 async def _take_ticket(client: ClientState, send_state: _SendState) -> Refused | None:
-    """Give the request a ticket no copy was sent with; return why there is none."""
+    """Assign an unused ticket to the request.
+
+    Parameters
+    ----------
+    client : ClientState
+        The client.
+    send_state : _SendState
+        The request; without a ticket, a safe request is sent nevertheless.
+
+    Returns
+    -------
+    Refused or None
+        Why the request cannot be sent; None if it can.
+    """
     issued = await client.ticket_pool.take(send_state.deadline)
     if isinstance(issued, IssuedTicket):
         send_state.issued = issued
@@ -137,9 +153,11 @@
     if time_left <= 0:
         return Refused(Reason.DEADLINE, detail="the deadline passed")
     send_state.tried = (*send_state.tried, node)
-    # Half stays here: the share of a copy that gets no answer is lost.
+    # Half is kept for later attempts: a share lent to an attempt that gets no answer
+    # is lost.
     share = send_state.allowance.lend_up_to(send_state.allowance.remaining // 2)
-    # The node gives up first, so that it can say what it knows.
+    # The node's deadline is earlier than the client's, so that the node can still
+    # report the outcome.
     timeout = max(time_left - client.cfg.settle_time, time_left / 2)
     attempt = _attempt_request(send_state, node, timeout, share)
     response = await send_to_node(
@@ -160,7 +178,7 @@
 def _attempt_timeout(
     client: ClientState, time_left: Milliseconds, timeout: Milliseconds
 ) -> float:
-    """Return how many milliseconds to wait for one copy."""
+    """Return how many milliseconds to wait for the response to one attempt."""
     if client.cfg.attempt_timeout > 0:
         return min(timeout, client.cfg.attempt_timeout)
     return (time_left + timeout) / 2
@@ -201,13 +219,13 @@
 def _record_outcome(
     client: ClientState, send_state: _SendState, node: str, outcome: Outcome
 ) -> None:
-    """Learn from a copy's outcome."""
+    """Update the request and the client from the outcome of an attempt."""
     if isinstance(outcome, Answered):
         return
     if outcome.reason is Reason.CONNECTION_LOST:
         client.nodes.mark_unreachable(node)
     if outcome.reason is Reason.TICKET_BURNT:
-        # No copy with this ticket has run or ever will.
+        # No attempt with this ticket ran or ever will.
         send_state.maybe_run = False
     if outcome.reason in _TICKET_LOST:
         if send_state.issued is not None:
@@ -219,7 +237,7 @@
 async def _wait_to_retry(
     client: ClientState, send_state: _SendState, outcome: Refused | Unknown
 ) -> bool:
-    """Wait out the backoff; False if there is to be no other copy."""
+    """Wait for the backoff; return False if the request is not to be retried."""
     if isinstance(outcome, Refused):
         retriable = outcome.reason in _RETRIABLE_REFUSALS
     else:
@@ -236,7 +254,11 @@
 def _backoff(
     client: ClientState, send_state: _SendState, outcome: Refused | Unknown
 ) -> Milliseconds:
-    """Return the wait before the next copy: what the node asks for, and jitter."""
+    """Return the time to wait before the next attempt.
+
+    It is the node's `retry_after` plus jitter, or, without one, exponential backoff
+    with full jitter.
+    """
     cfg = client.cfg
     bound = min(cfg.backoff * 2.0 ** (len(send_state.tried) - 1), cfg.backoff_max)
     if isinstance(outcome, Refused) and outcome.retry_after > 0:
@@ -248,7 +270,7 @@
 async def _final_outcome(
     client: ClientState, send_state: _SendState, outcome: Refused | Unknown
 ) -> Outcome:
-    """Return the outcome of the request, whose last copy was not answered."""
+    """Return the outcome of a request whose last attempt was not answered."""
     if not send_state.maybe_run:
         if isinstance(outcome, Unknown) and outcome.reason in _TICKET_LOST:
             return Refused(outcome.reason, detail=outcome.detail)
@@ -258,7 +280,7 @@
         if settled is not None:
             return settled
     if isinstance(outcome, Refused):
-        # True of the last copy, but not of an earlier one.
+        # Only the last attempt is known not to have run; an earlier one may have.
         return Unknown(outcome.reason, detail=outcome.detail)
     return outcome
 
@@ -266,13 +288,19 @@
 async def _settle(
     client: ClientState, send_state: _SendState
 ) -> Answered | Refused | None:
-    """Ask what became of the request; burn its ticket if it was not started."""
+    """Ask a node for the outcome; the ticket is burnt if the request has not started.
+
+    Returns
+    -------
+    Answered, Refused or None
+        The outcome of the request; None if it cannot be determined in time.
+    """
     assert send_state.issued is not None
     wait = send_state.deadline - client.clock.now()
     if wait <= 0:
         return None
     node = client.nodes.choose(send_state.issued.node, send_state.tried[-1:])
-    # The node's word must come back in time.
+    # The node waits for half the time, so that its response arrives in time.
     node_wait = int(wait / 2)
     req = send_state.req
     settle_query = {"method": req.method, "path": req.path, "wait": node_wait}
--- a/packages/fuchsiagap-client/src/fuchsiagap_client/core/settings.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/core/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a client."""
+"""Settings of a client and their validation."""
 
 from __future__ import annotations
 
@@ -11,35 +11,40 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientSettings:
-    """How a client calls, and how hard it may retry.
+    """Settings of a client: its nodes, timeouts, retries and connections.
 
     Parameters
     ----------
     nodes : tuple of str
-        ``IP:PORT`` for callers of several nodes, those of the own data centre first.
+        ``IP:PORT`` of each node's endpoint for callers; nodes in the client's data
+        centre come first.
     timeout : float
-        Milliseconds a request may take, repeats included.
+        Milliseconds a request may take, retries included.
     allowance : int
-        Extra attempts of a request over the whole chain, the client's own included.
+        Retries of a request, those by the client and those of all nested calls
+        together.
     attempt_timeout : float
-        Milliseconds to wait for one attempt before the request is repeated through
-        another node; 0 waits until the deadline. It costs an extra attempt, and an
-        idempotent request may then run twice at one time.
+        Milliseconds to wait for the response to one attempt before a retry through
+        another node; 0 waits until the deadline. The retry counts against the
+        allowance, and two attempts of an idempotent request may then run at the same
+        time.
     connect_timeout : float
-        Milliseconds to open a connection.
+        Milliseconds allowed for opening a connection.
     node_pause : float
-        Milliseconds a node that could not be reached is passed over.
+        Milliseconds for which a node that could not be reached is avoided.
     backoff, backoff_max : float
-        Bound of the wait before the first repeat and before any, in milliseconds.
+        Upper bounds, in milliseconds, of the random wait before the first retry and
+        before any retry.
     settle_time : float
-        Milliseconds kept back from the deadline to ask what became of a request.
+        Milliseconds reserved before the deadline for asking a node for the outcome of
+        a request whose attempts got no answer.
     ticket_batch : int
-        Tickets fetched at once.
+        Number of tickets per request to a node for tickets.
     ticket_age : float
-        Milliseconds after which an unused ticket is thrown away. NodeSelector remember
-        unused tickets for two minutes at least.
+        Milliseconds after which an unused ticket is discarded. Nodes accept unused
+        tickets for at least two minutes.
     max_connections : int
-        Connections to all nodes.
+        Maximum number of connections to all nodes together.
     """
 
     nodes: tuple[str, ...]
@@ -58,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InvalidClientSettings:
-    """Settings that cannot work.
+    """The result of validating invalid settings.
 
     Parameters
     ----------
--- a/packages/fuchsiagap-client/src/fuchsiagap_client/core/state.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/core/state.py
@@ -1,4 +1,4 @@
-"""What the requests of one client share."""
+"""State that the requests of one client share."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class ClientState:
-    """State of a client.
+    """State that the requests of one client share.
 
     Parameters
     ----------
     cfg : ClientSettings
-        Its settings.
+        Settings of the client.
     clock : Clock
         The clock of this process.
     rng : random.Random
         Source of the jitter.
     http : httpx.AsyncClient
-        The connections.
+        Connection pool.
     nodes : NodeSelector
-        Which node gets an attempt.
+        Selects the node for each attempt.
     ticket_pool : TicketPool
-        Unused tickets.
+        Pool of unused tickets.
     """
 
     cfg: ClientSettings
--- a/packages/fuchsiagap-client/src/fuchsiagap_client/core/tickets.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/core/tickets.py
@@ -1,4 +1,4 @@
-"""Tickets in stock, fetched in batches before a request needs one."""
+"""Pool of unused tickets, which are fetched from nodes in batches."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IssuedTicket:
-    """A ticket that no request was sent with yet.
+    """A ticket and the node that issued it.
 
     Parameters
     ----------
@@ -35,7 +35,7 @@
     node : str
         ``IP:PORT`` of the node that issued it.
     expires : float
-        Milliseconds on the clock of this process.
+        Milliseconds on the clock of this process, after which it is not used.
     """
 
     ticket: Ticket
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True, eq=False)
 class TicketPool:
-    """Unused tickets of a client.
+    """Pool of the unused tickets of a client.
 
     Parameters
     ----------
@@ -54,9 +54,9 @@
     clock : Clock
         The clock of this process.
     http : httpx.AsyncClient
-        The connections.
+        Connection pool.
     nodes : NodeSelector
-        Which node is asked.
+        Selects the node that tickets are requested from.
     """
 
     cfg: ClientSettings
@@ -67,19 +67,19 @@
     _fetch_lock: trio.Lock = field(default_factory=trio.Lock)
 
     async def take(self, deadline: Milliseconds) -> IssuedTicket | Refused:
-        """Take a ticket; no other request will get the same.
+        """Take a ticket from the pool, which no other request gets.
 
         Parameters
         ----------
         deadline : float
-            Milliseconds on the clock of this process.
+            Milliseconds on the clock of this process; no ticket is requested later.
 
         Returns
         -------
         IssuedTicket or Refused
-            `Refused` if no node gave any in time.
+            `Refused` if no node issued a ticket in time.
         """
-        failure = Refused(Reason.NEEDS_TICKET, detail="no ticket came in time")
+        failure = Refused(Reason.NEEDS_TICKET, detail="no node issued a ticket in time")
         tried: tuple[str, ...] = ()
         while True:
             issued = self._pop()
@@ -88,7 +88,7 @@
             if len(tried) >= len(self.cfg.nodes) or self.clock.now() >= deadline:
                 return failure
             async with self._fetch_lock:
-                # Another request may have fetched while this one waited.
+                # Another request may have fetched tickets during the wait for the lock.
                 if self._unused:
                     continue
                 node = self.nodes.choose("", tried)
@@ -96,7 +96,7 @@
                 failure = await self._fetch(node, deadline) or failure
 
     def discard_same_issuer(self, ticket: Ticket) -> None:
-        """Throw away the tickets of a life that is over."""
+        """Discard all unused tickets of the node incarnation that issued this one."""
         kept = [issued for issued in self._unused if issued.ticket.life != ticket.life]
         self._unused = deque(kept)
 
@@ -120,7 +120,7 @@
         if not tickets:
             outcome = read_outcome(response)
             wait = outcome.retry_after if isinstance(outcome, Refused) else 0.0
-            detail = f"{node} gave no tickets: {response.text:.200}"
+            detail = f"{node} issued no tickets: {response.text:.200}"
             return Refused(Reason.NEEDS_TICKET, wait, detail=detail)
         expires = requested_at + self.cfg.ticket_age
         self._unused.extend(IssuedTicket(ticket, node, expires) for ticket in tickets)
--- a/packages/fuchsiagap-client/src/fuchsiagap_client/tests/core/test_client.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/tests/core/test_client.py
@@ -1,4 +1,4 @@
-"""A client says truly what became of a request, and repeats it only where safe."""
+"""The client reports outcomes correctly and retries only where that is safe."""
 
 from __future__ import annotations
 
@@ -50,8 +50,8 @@
         self.assertEqual(1, len({sent.ticket for sent in nodes.calls}))
 
 
-class TestOneCopy(ClientCase):
-    def test_the_request_goes_whole_to_the_home_of_its_ticket(self) -> None:
+class TestSingleAttempt(ClientCase):
+    def test_complete_request_is_sent_to_the_issuer_of_its_ticket(self) -> None:
         nodes = FakeNodes([answered(b"cert", 201, etag="7")])
         outcome = self.send(nodes)
         headers = (("content-length", "4"), ("etag", "7"))
@@ -65,18 +65,18 @@
         self.assertEqual(expected, own)
         self.assertEqual(b"{}", sent.body)
 
-    def test_tickets_come_in_batches_and_are_used_once(self) -> None:
+    def test_tickets_are_fetched_in_batches_and_used_once(self) -> None:
         nodes = FakeNodes([answered()])
         self.run_client(nodes, *[READ] * 10, ticket_batch=4)
         self.assertEqual(3, nodes.n_batches)
         self.assertEqual(10, len({sent.ticket for sent in nodes.calls}))
 
-    def test_old_tickets_are_thrown_away(self) -> None:
+    def test_expired_tickets_are_discarded(self) -> None:
         nodes = FakeNodes([replace(answered(), delay_s=1.0)])
         self.run_client(nodes, *[READ] * 3, ticket_age=1500.0)
         self.assertEqual(2, nodes.n_batches)
 
-    def test_an_answer_that_is_not_whole_is_no_answer(self) -> None:
+    def test_incomplete_response_is_an_unknown_outcome(self) -> None:
         whole = answered(b"whole")
         short = replace(whole, body=b"who")
         endless = replace(whole, headers={call_headers.OUTCOME: "answered"})
@@ -86,14 +86,14 @@
             self.assertIsInstance(outcome, Unknown)
             self.assertEqual(Reason.INCOMPLETE_ANSWER, outcome.reason)
 
-    def test_without_a_ticket_only_safe_requests_go(self) -> None:
+    def test_only_safe_requests_are_sent_without_a_ticket(self) -> None:
         nodes = FakeNodes([answered()], tickets=refused(Reason.OVERLOAD))
         self.assertEqual(Reason.NEEDS_TICKET, self.send(nodes).reason)
         self.assertEqual([], nodes.calls)
         self.assertIsInstance(self.send(nodes, READ), Answered)
         self.assertEqual("", nodes.calls[0].ticket)
 
-    def test_settings_that_cannot_work_name_every_fault(self) -> None:
+    def test_invalid_settings_list_every_fault(self) -> None:
         self.cfg = ClientSettings(nodes=("here",), timeout=0.0)
         fault = self.assertRaises(ValueError, self.send, FakeNodes([]))
         self.assertIn("nodes: got 'here', expected IP:PORT; timeout", str(fault))
@@ -112,8 +112,8 @@
     return outcome.status, outcome.body, outcome.headers
 
 
-class TestRepeats(ClientCase):
-    def test_a_lost_answer_is_asked_for_through_another_node(self) -> None:
+class TestRetries(ClientCase):
+    def test_lost_answer_is_retried_through_another_node(self) -> None:
         nodes = FakeNodes([httpx.ReadError, answered(fuchsiagap_repeated="1")])
         outcome = self.send(nodes, ticket_batch=1)
         self.assertTrue(outcome.repeated)
@@ -121,7 +121,7 @@
         self.assertEqual((N2, "1"), (sent.node, sent.headers[call_headers.REPEAT]))
         self.assertEqual("10-0-0-1.1.0", sent.ticket)
 
-    def test_a_refusal_is_repeated_after_the_time_asked_for(self) -> None:
+    def test_refused_request_is_retried_after_retry_after(self) -> None:
         wait = {call_headers.RETRY_AFTER: "700"}
         busy = refused(Reason.OVERLOAD, **wait)
         nodes = FakeNodes([busy, busy, answered()])
@@ -132,7 +132,7 @@
         self.assert_one_ticket(nodes)
         self.assertEqual("0", nodes.calls[-1].headers[call_headers.REPEAT])
 
-    def test_no_copy_is_sent_that_would_come_too_late(self) -> None:
+    def test_no_retry_that_would_miss_the_deadline(self) -> None:
         busy = refused(Reason.OVERLOAD, **{"retry-after": "9"})
         nodes = FakeNodes([busy])
         outcome = self.send(nodes)
@@ -141,43 +141,45 @@
         )
         self.assertEqual(1, len(nodes.calls))
 
-    def test_copies_stay_within_the_allowance(self) -> None:
+    def test_retries_stay_within_the_allowance(self) -> None:
         for allowance in (0, 1, 3, 8):
             nodes = FakeNodes([refused(Reason.OVERLOAD)])
             self.assertIsInstance(self.send(nodes, allowance=allowance), Refused)
             shares = [int(sent.headers[OWN[1]]) for sent in nodes.calls]
             self.assertEqual(allowance, sum(shares) + len(shares) - 1)
 
-    def test_what_the_nodes_give_back_is_used(self) -> None:
+    def test_allowance_returned_by_nodes_is_used(self) -> None:
         back = {call_headers.ALLOWANCE: "1"}
         nodes = FakeNodes([refused(Reason.OVERLOAD, **back)])
         self.send(nodes, allowance=3)
         self.assertEqual(4, len(nodes.calls))
 
-    def test_a_request_nobody_may_repeat_is_not_repeated(self) -> None:
+    def test_permanent_refusals_are_not_retried(self) -> None:
         for reason in (Reason.NO_ROUTE, Reason.REFUSED_BELOW, Reason.BAD_REQUEST):
             nodes = FakeNodes([refused(reason), answered()])
             self.assertEqual(reason, self.send(nodes).reason)
 
-    def test_nodes_that_are_down_are_passed_over(self) -> None:
+    def test_unreachable_nodes_are_avoided(self) -> None:
         nodes = FakeNodes([answered()], down={N1})
         outcomes = self.run_client(nodes, ISSUE, ISSUE, ticket_batch=1)
         self.assertEqual([200, 200], [outcome.status for outcome in outcomes])
         nodes = FakeNodes([answered()], down={N1, N2, N3})
         self.assertIsInstance(self.send(nodes), Refused)
 
-    def test_an_attempt_timeout_repeats_elsewhere_with_the_same_ticket(self) -> None:
+    def test_attempt_timeout_retries_through_another_node_with_the_same_ticket(
+        self,
+    ) -> None:
         nodes = FakeNodes([replace(answered(), delay_s=60.0), answered()])
         self.assertIsInstance(self.send(nodes, attempt_timeout=300.0), Answered)
         self.assertEqual([N1, N2], [sent.node for sent in nodes.calls])
         self.assert_one_ticket(nodes)
 
 
-class TestTruth(ClientCase):
+class TestOutcomes(ClientCase):
     def script(self, *replies: Reply | type[httpx.TransportError]) -> FakeNodes:
         return FakeNodes([*replies, refused(Reason.OVERLOAD)])
 
-    def test_never_not_run_while_a_copy_is_unaccounted_for(self) -> None:
+    def test_outcome_is_unknown_while_an_attempt_may_have_run(self) -> None:
         nodes = self.script(httpx.ReadTimeout)
         outcome = self.send(nodes)
         self.assertIsInstance(outcome, Unknown)
@@ -186,12 +188,14 @@
         question = json.loads(asked.body)
         self.assertEqual(("POST", ISSUE.path), (question["method"], question["path"]))
 
-    def test_not_run_once_its_ticket_is_burnt(self) -> None:
+    def test_outcome_is_refused_once_the_ticket_is_burnt(self) -> None:
         nodes = self.script(httpx.ReadError)
         nodes.settle_reply = refused(Reason.TICKET_BURNT)
         self.assertEqual(Reason.TICKET_BURNT, self.send(nodes).reason)
 
-    def test_a_request_starts_afresh_once_its_ticket_is_burnt(self) -> None:
+    def test_request_is_retried_with_a_new_ticket_once_its_ticket_is_burnt(
+        self,
+    ) -> None:
         burnt = refused(Reason.TICKET_BURNT)
         nodes = FakeNodes([httpx.ReadError, burnt, answered()])
         self.assertIsInstance(self.send(nodes), Answered)
@@ -199,7 +203,7 @@
         self.assertNotEqual(first.ticket, second.ticket)
         self.assertEqual("0", second.headers[call_headers.REPEAT])
 
-    def test_only_a_burnt_ticket_says_not_run(self) -> None:
+    def test_only_a_burnt_ticket_settles_as_refused(self) -> None:
         for settle_reply in (
             refused(Reason.NO_ROUTE),
             unknown(Reason.TICKET_IN_PROGRESS),
@@ -208,24 +212,24 @@
             nodes.settle_reply = settle_reply
             self.assertIsInstance(self.send(nodes), Unknown)
 
-    def test_the_answer_of_an_earlier_copy_is_found(self) -> None:
+    def test_settling_returns_the_answer_of_an_earlier_attempt(self) -> None:
         nodes = self.script(httpx.ReadError)
         nodes.settle_reply = answered(b"cert")
         self.assertEqual(b"cert", self.send(nodes).body)
 
-    def test_a_request_that_may_be_idempotent_is_not_settled(self) -> None:
+    def test_safe_request_is_not_settled(self) -> None:
         nodes = self.script(httpx.ReadError)
         nodes.settle_reply = refused(Reason.TICKET_BURNT)
         self.assertIsInstance(self.send(nodes, READ), Unknown)
         self.assertEqual([], nodes.settle_requests)
 
-    def test_there_is_time_left_to_settle_a_request_nobody_answers(self) -> None:
+    def test_time_is_reserved_to_settle_an_unanswered_request(self) -> None:
         nodes = FakeNodes([replace(answered(), delay_s=60.0)])
         nodes.settle_reply = refused(Reason.TICKET_BURNT)
         outcome = self.send(nodes)
         self.assertEqual(Reason.TICKET_BURNT, outcome.reason)
 
-    def test_a_ticket_whose_home_is_gone_is_replaced_if_it_was_not_used(self) -> None:
+    def test_ticket_of_a_stopped_issuer_is_replaced_if_unused(self) -> None:
         for reason in (Reason.HOME_GONE, Reason.TICKET_FORGOTTEN):
             nodes = FakeNodes([unknown(reason), answered()])
             self.assertIsInstance(self.send(nodes), Answered)
@@ -234,13 +238,13 @@
             nodes = FakeNodes([unknown(reason)])
             self.assertIsInstance(self.send(nodes), Refused)
 
-    def test_a_ticket_whose_home_is_gone_is_unknown_if_it_was_used(self) -> None:
+    def test_outcome_is_unknown_if_the_issuer_of_a_used_ticket_stopped(self) -> None:
         for reason in (Reason.HOME_GONE, Reason.TICKET_FORGOTTEN):
             nodes = FakeNodes([httpx.ReadError, unknown(reason)])
             self.assertIsInstance(self.send(nodes), Unknown)
             self.assert_one_ticket(nodes)
 
-    def test_a_caller_who_leaves_is_not_kept(self) -> None:
+    def test_cancellation_ends_the_request_at_once(self) -> None:
         async def main() -> float:
             nodes = FakeNodes([replace(answered(), delay_s=60.0)])
             async with open_client(self.cfg, nodes.transport()) as client:
--- a/packages/fuchsiagap-client/src/fuchsiagap_client/tests/fake_nodes.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/tests/fake_nodes.py
@@ -1,4 +1,4 @@
-"""Nodes as a fake ASGI application, and the faults of the way to them."""
+"""Fake nodes as an ASGI application, with injected network faults."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """What a fake node replies."""
+    """A response of a fake node."""
 
     status: int
     headers: Headers
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True)
 class ReceivedRequest:
-    """One request that reached a node."""
+    """A request that a fake node received."""
 
     node: str
     method: str
@@ -72,17 +72,23 @@
 
 @dataclass(slots=True)
 class FakeNodes:
-    """Nodes that hand out tickets and reply to calls by a script.
+    """Fake nodes that issue tickets and reply to calls from a script.
 
     Parameters
     ----------
     script : list
-        The replies to calls, or the exceptions of the transport, in order; the
-        last one stays.
+        Replies to calls, or exceptions of the transport, in order; the last one is
+        repeated.
     settle_reply : Reply
-        The reply to questions about a ticket.
+        The reply to each request that settles a ticket.
+    tickets : Reply, optional
+        The reply to each request for tickets; by default tickets are issued.
     down : set of str
         Nodes that cannot be reached.
+    calls, settle_requests : list of ReceivedRequest
+        Calls, and requests to settle tickets, that reached a node.
+    n_batches, n_issued : int
+        Requests for tickets that were answered, and tickets issued.
     """
 
     script: list[Reply | type[httpx.TransportError]]
