--- a/packages/fuchsiagap-client/src/fuchsiagap_client/core/tickets.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/core/tickets.py
@@ -35,7 +35,7 @@
     node : str
         ``IP:PORT`` of the node that issued it.
     expires : float
-        Milliseconds on the clock of this process, after which it is not used.
+        Milliseconds on the clock of this process, when the pool discards the ticket.
     """
 
     ticket: Ticket
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/__init__.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/__init__.py
@@ -1,1 +1,1 @@
-"""The command line of the operators of fuchsiagap."""
+"""The ``fuchsiagap`` command line for operators."""
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/admin_client.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/admin_client.py
@@ -1,4 +1,4 @@
-"""Asking nodes over their administration API."""
+"""Client of the nodes' administration API."""
 
 from __future__ import annotations
 
@@ -23,18 +23,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """What a node answered.
+    """The HTTP response of a node.
 
     Parameters
     ----------
     node : str
-        Its admin address.
+        Admin address of the node.
     status : int
         HTTP status.
     body : dict
-        The JSON object; any other text stands under ``"text"``.
+        The JSON object. A JSON value of another type is under ``"items"``, text that
+        is not JSON under ``"text"``; empty if over `MAX_BODY_BYTES`.
     server_time : float
-        The node's time of day in milliseconds, to the second; 0 if it said none.
+        Unix time in milliseconds from the ``Date`` header, to the second; 0 without
+        one.
     """
 
     node: str
@@ -44,22 +46,22 @@
 
     @property
     def ok(self) -> bool:
-        """Whether the node did what it was asked."""
+        """Whether the request succeeded."""
         return self.status < 300
 
 
 @dataclass(frozen=True, slots=True)
 class NoReply:
-    """A node did not answer.
+    """The failure of a request that got no response.
 
     Parameters
     ----------
     node : str
-        Its admin address.
-    sent : bool
-        Whether it may have got the request, and have done it.
+        Admin address of the node, or of several, separated by commas.
+    maybe_sent : bool
+        Whether the node may have received and executed the request.
     detail : str
-        Why, for people.
+        Description of the failure.
     """
 
     node: str
@@ -72,12 +74,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminClient:
-    """Asks nodes over one pool of connections.
+    """Sends requests to nodes over one connection pool.
 
     Parameters
     ----------
     http : httpx.AsyncClient
-        The pool.
+        Connection pool.
     token : str
         Bearer token; empty for none.
     """
@@ -95,25 +97,25 @@
         body: Mapping[str, Any] | None = None,
         with_token: bool = True,
     ) -> Answer:
-        """Ask one node.
+        """Send a request to one node.
 
         Parameters
         ----------
         node : str
             Admin address, ``IP:PORT``.
         method, path : str
-            Of the request.
+            HTTP method and path.
         params : mapping, optional
-            Of the query.
+            Query parameters.
         body : mapping, optional
-            JSON object of the request.
+            JSON object to send as the body.
         with_token : bool, default=True
-            Whether the token goes along; what needs none is asked without.
+            Whether to send the token; False for endpoints that do not need it.
 
         Returns
         -------
         Reply or NoReply
-            Every HTTP status is a `Reply`.
+            A `Reply` for every response, whatever its HTTP status.
         """
         bearer = self.token if with_token else ""
         headers = {"authorization": f"Bearer {bearer}"} if bearer else {}
@@ -128,23 +130,23 @@
             return NoReply(node, maybe_sent=True, detail=_error_text(exc))
         except httpx.InvalidURL as exc:
             return NoReply(
-                node, maybe_sent=False, detail=f"{node!r} is no address: {exc}"
+                node, maybe_sent=False, detail=f"{node!r} is not a valid address: {exc}"
             )
         return Reply(node, res.status_code, _json_object(res), _server_time(res))
 
     async def request_any(
         self, nodes: tuple[str, ...], method: str, path: str, **kwargs: Any
     ) -> Answer:
-        """Ask nodes in turn until one answers; for what is safe to repeat.
+        """Send an idempotent request to one node after another until one answers.
 
         Parameters
         ----------
         nodes : tuple of str
             Admin addresses, at least one.
         method, path : str
-            Of the request.
+            HTTP method and path.
         **kwargs
-            As for `ask`.
+            As for `request`.
 
         Returns
         -------
@@ -174,19 +176,20 @@
     invocation: Invocation,
     transport: Callable[[], httpx.AsyncBaseTransport] | None = None,
 ) -> httpx.AsyncClient:
-    """Return the pool of connections of one invocation.
+    """Return the connection pool for one invocation.
 
     Parameters
     ----------
     invocation : Invocation
-        Gives the timeout.
+        Provides the timeout.
     transport : callable, optional
-        Makes the transport; tests pass a fake.
+        Creates the HTTP transport; by default TCP. Tests pass a fake.
 
     Returns
     -------
     httpx.AsyncClient
-        To be used with ``async with``. Proxies of the environment are not used.
+        Client for use with ``async with``. Proxy variables of the environment are
+        ignored.
     """
     return httpx.AsyncClient(
         timeout=invocation.timeout / MS_PER_S,
@@ -214,7 +217,7 @@
 
 
 def _error_text(exc: BaseException) -> str:
-    """Return the system's own word where there is one below the library's."""
+    """Return the operating system's message if the cause is an `OSError`."""
     cause: BaseException | None = exc
     while cause is not None:
         if isinstance(cause, OSError) and cause.errno:
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/__init__.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The commands, one module each."""
+"""Implementation of the commands."""
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/change.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/change.py
@@ -1,4 +1,4 @@
-"""``settings put|delete``: change a team's settings, and see it in force."""
+"""The commands ``settings put`` and ``settings delete``."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 async def put(context: Context) -> ExitCode:
-    """Put a file in force as the settings of a team."""
+    """Change the settings of a team to those of a file."""
     team, path = argument(context, -2), argument(context, -1)
     text = read_text(path)
     if text is None:
@@ -51,11 +51,11 @@
 
 
 async def delete(context: Context) -> ExitCode:
-    """Delete the settings of a team; its calls are refused afterwards."""
+    """Delete the settings of a team; calls to its services are then refused."""
     team = argument(context, -1)
     if not context.invocation.yes or context.invocation.version < 0:
         context.output.note(
-            f"this refuses every call to the services of {team}; next: add --yes, and"
+            f"all calls to the services of {team} will be refused; next: add --yes, and"
             f" --version with the number that `fuchsiagap settings get {team}` shows"
         )
         return ExitCode.USAGE
@@ -64,14 +64,14 @@
 
 @dataclass(slots=True)
 class _Change:
-    """A change that is asked for until its end is known.
+    """A change that is requested again until its outcome is known.
 
     Parameters
     ----------
     method, path : str
-        Of the request.
+        HTTP method and path of the request.
     body : dict
-        Of the request, without `repeat`.
+        Body of the request, without `repeat`.
     maybe_applied : bool
         Whether an earlier request with this change id may have taken effect.
     """
@@ -103,8 +103,8 @@
 
 
 async def _retry_until_settled(context: Context, change: _Change) -> Answer:
-    """Repeat the change under its id, which is safe, until its end is known."""
-    answer: Answer = NoReply("", True, "no answer in time")
+    """Repeat the change, idempotent by its id, until its outcome is known."""
+    answer: Answer = NoReply("", True, "no response in time")
     with trio.move_on_after(_retry_time_s(context)) as waiting:
         while True:
             answer = await _send_once(context, change)
@@ -112,16 +112,21 @@
                 return answer
             if not change.maybe_applied:
                 return answer
-            context.output.note("not settled yet; asking again, which is safe")
+            context.output.note(
+                "outcome not known yet; repeating the request, which is safe"
+            )
             await trio.sleep(_RETRY_PAUSE_S)
     if waiting.cancelled_caught:
-        # What was under way may have arrived.
+        # The cancelled request may have reached a node.
         change.maybe_applied = True
     return answer
 
 
 async def _send_once(context: Context, change: _Change) -> Answer:
-    """Ask nodes in turn; those after a request that may have arrived, to repeat it."""
+    """Send the change to one node after another until one answers.
+
+    After a request that a node may have received, the next one is marked as a repeat.
+    """
     failures: list[NoReply] = []
     for node in context.invocation.nodes:
         repeat = {"repeat": True} if change.maybe_applied else {}
@@ -139,14 +144,15 @@
 
 def _record_unsettled(change: _Change, answer: Reply) -> None:
     change.maybe_applied = True
-    # The version that the request met: 0 is for deleted settings too.
+    # The version that the node found: an expected version of 0 also matches deleted
+    # settings, which have a version of their own.
     version = answer.body.get("expected_version")
     if isinstance(version, int):
         change.body["expected_version"] = version
 
 
 def _retry_time_s(context: Context) -> float:
-    """Return how long to go on; at least one whole answer is waited for."""
+    """Return the seconds to retry for; never less than the timeout of a response."""
     invocation = context.invocation
     return max(invocation.wait, invocation.timeout) / MS_PER_S
 
@@ -160,7 +166,7 @@
         "next: repeat the same command with"
         f" --change-id {change.body['change_id']}"
         f" --version {change.body['expected_version']};"
-        " it finds out, and can't take effect twice"
+        " it determines the outcome, and can't take effect twice"
     )
     return ExitCode.MAYBE_APPLIED
 
@@ -174,11 +180,11 @@
         context.output.line(line)
     context.output.note(
         f"not changed: version {body['version']} of {body['team']} stands, made by"
-        f" {body['by'] or 'somebody'}, and the text was written for version"
+        f" {body['by'] or 'an unknown user'}, and the change is based on version"
         f" {body['expected_version']}"
     )
     context.output.note(
-        "next: look at the difference above, merge, and put the result with"
+        "next: merge the difference shown above, and put the result with"
         f" --version {body['version']}"
     )
     return ExitCode.CONFLICT
@@ -187,7 +193,7 @@
 async def _wait_until_in_force(
     context: Context, team: str, accepted: dict[str, Any]
 ) -> ExitCode:
-    """Wait until every node that answers has the version, or a later one."""
+    """Wait until the version, or a later one, is in force on every live node."""
     version = int(accepted["version"])
     lagging: list[str] = [_NOT_CHECKED]
     n_nodes = 0
@@ -237,7 +243,7 @@
         else ""
     )
     context.output.note(
-        f"accepted, but not seen in force on {listed}{more}; next: the nodes take it"
-        " over as soon as they reach another one; see `fuchsiagap status`"
+        f"accepted, but not seen in force on {listed}{more}; next: see `fuchsiagap"
+        " status`; a node applies the change as soon as it reaches another node"
     )
     return ExitCode.INCOMPLETE
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/check.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/check.py
@@ -1,4 +1,4 @@
-"""``settings check``: validate a settings text without any node."""
+"""The command ``settings check``, which validates settings without a node."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 async def check(context: Context) -> ExitCode:
-    """Validate a file as the settings of a team; offline."""
+    """Validate a file as the settings of a team."""
     team, path = argument(context, -2), argument(context, -1)
     text = read_text(path)
     if text is None:
@@ -35,9 +35,9 @@
     Parameters
     ----------
     context : Context
-        Of the command.
+        Context of the command.
     team, path, text : str
-        The team, where the text is from, and the text.
+        Name of the team, path of the file and its text.
 
     Returns
     -------
@@ -70,7 +70,7 @@
         context.output.line(str(fault))
     n_faults = len(faults)
     context.output.note(
-        f"{n_faults} fault{'s' * (n_faults > 1)}; next: mend each line named above"
+        f"{n_faults} fault{'s' * (n_faults > 1)}; next: correct each line listed above"
     )
 
 
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/command.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/command.py
@@ -1,4 +1,4 @@
-"""What a command is, and what all commands share."""
+"""Definition of a command, and helpers that all commands share."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Context:
-    """What a command works with.
+    """Arguments, client and output of a running command.
 
     Parameters
     ----------
     invocation : Invocation
-        The command line.
+        The parsed command line.
     client : AdminClient
-        Asks nodes.
+        Sends requests to nodes.
     output : Output
-        Where it writes.
+        Writes results and messages.
     """
 
     invocation: Invocation
@@ -40,22 +40,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """One command.
+    """A command of the program.
 
     Parameters
     ----------
     name : str
-        Its words, for example ``"settings put"``.
+        Name with the subcommand, for example ``"settings put"``.
     arguments : tuple of str
-        Names of the words that follow.
+        Names of the arguments that follow.
     summary : str
-        One line that says what it does.
+        One line of help.
     flags : tuple of str
-        Flags that matter to it, besides those of all commands.
+        Flags that apply to it, besides those common to all commands.
     run : callable
-        Does it, and returns the exit code.
+        Runs the command and returns the exit code.
     offline : bool
-        Whether it asks no node.
+        Whether it runs without contacting a node.
     """
 
     name: str
@@ -67,36 +67,36 @@
 
     @property
     def usage(self) -> str:
-        """The command line, for people."""
+        """The command line with placeholders, for the help."""
         return " ".join(["fuchsiagap", self.name, *self.arguments])
 
 
 def argument(context: Context, index: int) -> str:
-    """Return a word of the command line; -1 is the last."""
+    """Return a positional argument of the command line; -1 is the last."""
     return context.invocation.words[index]
 
 
 def quote_segment(word: str) -> str:
-    """Return a word as one part of a path."""
+    """Percent-encode a word as one path segment."""
     return quote(word, safe="")
 
 
 def report_failure(context: Context, answer: Answer, action: str) -> ExitCode:
-    """Say why a node did not do what it was asked, and what to do next.
+    """Write why a request failed, and what to do next.
 
     Parameters
     ----------
     context : Context
-        Of the command.
+        Context of the command.
     answer : Reply or NoReply
         The failure.
     action : str
-        What was asked, as ``"read the settings of salt-fog"``.
+        The requested action, such as ``"read the settings of salt-fog"``.
 
     Returns
     -------
     ExitCode
-        The code that fits.
+        The exit code for the failure.
     """
     if isinstance(answer, NoReply):
         return _report_no_reply(context, answer, action)
@@ -107,13 +107,13 @@
     code = _CODES.get(answer.status, ExitCode.REFUSED)
     if code is ExitCode.NOT_ALLOWED:
         context.output.note(
-            f"next: name the file with the token by --token-file or {TOKEN_VARIABLE}"
+            f"next: give the file with the token by --token-file or {TOKEN_VARIABLE}"
         )
     return code
 
 
 def refusal_detail(reply: Reply) -> str:
-    """Return what a node said of its refusal, for people."""
+    """Return the detail of an error response, or else its status."""
     detail = reply.body.get("detail")
     if isinstance(detail, str) and detail:
         return detail
@@ -135,6 +135,6 @@
     context.output.note(f"could not {action}: no node answered: {answer.detail}")
     context.output.note(
         "next: check that the node runs and that the address is its admin address;"
-        f" give more of them by --node or {NODES_VARIABLE}"
+        f" give more addresses by --node or {NODES_VARIABLE}"
     )
     return ExitCode.NO_NODE
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/drain.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/drain.py
@@ -1,4 +1,4 @@
-"""``drain``: stop a node gracefully, and wait until it has left."""
+"""The command ``drain``, which stops a node gracefully."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
     from fuchsiagap_ctl.fleet import FleetNode
 
 _POLL_S = 0.5
-# Others may need a moment longer than the node itself to hear that it left.
+# The leave of a node takes some time to propagate to the other nodes.
 _PROPAGATION_TIMEOUT_S = 5.0
 _LEFT = "left"
 
 
 async def drain(context: Context) -> ExitCode:
-    """Drain one node by its name."""
+    """Drain the node with the given name, and wait until it has left."""
     name = argument(context, -1)
     fleet = await find_fleet(context.client, context.invocation.nodes)
     if not isinstance(fleet, Fleet):
@@ -38,7 +38,7 @@
     answer = await context.client.request(node.address, "POST", "/v1/drain")
     if not isinstance(answer, Reply) or not answer.ok:
         return report_failure(context, answer, f"drain node {name}")
-    context.output.note(f"{name} refuses new work and finishes what it has")
+    context.output.note(f"{name} refuses new calls and finishes those in progress")
     return await _wait_until_left(context, node)
 
 
@@ -49,14 +49,14 @@
         await _wait_until_stopped(context, node)
         return _report_state(context, node, await _final_state(context, node))
     context.output.note(
-        f"{node.name} is still draining; next: look at its calls with `fuchsiagap"
-        f" status`, or wait again with `fuchsiagap drain {node.name}`, which is safe"
+        f"{node.name} is still draining; next: see its calls with `fuchsiagap status`,"
+        f" or wait again with `fuchsiagap drain {node.name}`, which is safe"
     )
     return ExitCode.TIMED_OUT
 
 
 async def _wait_until_stopped(context: Context, node: FleetNode) -> None:
-    """Return when the process has ended, or another one has its address."""
+    """Wait until the process has ended or another one has its address."""
     n_reported = -1
     while True:
         params = {"members": "no"}
@@ -76,7 +76,10 @@
 
 
 async def _final_state(context: Context, node: FleetNode) -> str:
-    """Return the state that the other nodes know, once they know of its end."""
+    """Return the state of the node as seen by the others, once it is gone for them.
+
+    Without any other node to query, the node is taken to have left.
+    """
     others = [a for a in context.invocation.nodes if a != node.address]
     if not others:
         return _LEFT
@@ -104,7 +107,7 @@
     if state in (_LEFT, "draining"):
         return ExitCode.DONE
     context.output.note(
-        f"{node.name} is gone, but the others have not heard that it left; next: see"
-        " its log for how it ended"
+        f"{node.name} is gone, but the other nodes have not heard that it left; next:"
+        " see its log for how it ended"
     )
     return ExitCode.INCOMPLETE
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/explain.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/explain.py
@@ -1,4 +1,4 @@
-"""``explain``: what became of a request, from collected log lines."""
+"""The command ``explain``, which diagnoses a request from log lines."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 async def explain(context: Context) -> ExitCode:
-    """Write the way of a request and the likely cause of its end; offline."""
+    """Write the path of a request and the likely cause of its outcome."""
     request, path = argument(context, -2), argument(context, -1)
     text = read_text(path)
     if text is None:
@@ -27,8 +27,9 @@
     diagnosis = diagnose(parsed.lines, request)
     if diagnosis is None:
         context.output.note(
-            f"no line of {len(parsed.lines)} names {request}; answers at the first try"
-            " are sampled, the others are all written unless dropped"
+            f"none of {len(parsed.lines)} lines is of request {request}; requests"
+            " answered at the first attempt are sampled, all others are logged unless"
+            " dropped"
         )
         _report_skipped_lines(context, parsed)
         return ExitCode.NOT_FOUND
@@ -43,8 +44,8 @@
 def _write(context: Context, diagnosis: Diagnosis) -> None:
     for title, lines in (
         ("the request", diagnosis.request_lines),
-        ("calls made for it", diagnosis.call_lines),
-        ("changes at the same time", diagnosis.state_changes),
+        ("nested calls", diagnosis.call_lines),
+        ("state changes at about the same time", diagnosis.state_changes),
     ):
         if lines:
             context.output.line(f"{title}:")
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/settings.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/settings.py
@@ -1,4 +1,4 @@
-"""``settings get|diff|history``: read a team's settings."""
+"""The commands ``settings get``, ``settings diff`` and ``settings history``."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 def add_version_line(team: str, version: int, text: str) -> str:
-    """Return a text with a first line that says which version it is."""
+    """Prepend a comment line with the version to the text of settings."""
     return _VERSION_LINE_FORMAT.format(team=team, version=version) + text
 
 
 def split_version_line(text: str) -> tuple[int, str]:
-    """Return the version that the first line says, -1 if none, and the text."""
+    """Return the version in the first line, or -1 without one, and the other lines."""
     found = _VERSION_LINE.match(text)
     if found is None:
         return -1, text
@@ -35,7 +35,7 @@
 
 
 async def get(context: Context) -> ExitCode:
-    """Write a team's text, with its version in the first line."""
+    """Write a team's settings, with their version in the first line."""
     team = argument(context, -1)
     answer = await _read(context, team, "")
     if not isinstance(answer, Reply) or not answer.ok:
@@ -53,7 +53,7 @@
 
 
 async def diff(context: Context) -> ExitCode:
-    """Write what a file would change."""
+    """Write the difference between a file and a team's settings."""
     team, path = argument(context, -2), argument(context, -1)
     text = read_text(path)
     if text is None:
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/status.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/status.py
@@ -1,4 +1,4 @@
-"""``status``: every node with its backend server, limit and level."""
+"""The command ``status``, which shows every node and its backend server."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 async def status(context: Context) -> ExitCode:
-    """Write the state of every node; needs no platform."""
+    """Write the state of every node; works while the platform is unavailable."""
     fleet = await find_fleet(context.client, context.invocation.nodes)
     if not isinstance(fleet, Fleet):
         return report_failure(context, fleet, "read the status")
@@ -52,7 +52,7 @@
 
 
 def filter_nodes(context: Context, fleet: Fleet) -> list[FleetNode]:
-    """Return the nodes of the team and the data centre that the flags name."""
+    """Return the nodes selected by the flags for the team and the data centre."""
     team, data_centre = context.invocation.team, context.invocation.data_centre
     return [
         node
@@ -63,7 +63,7 @@
 
 
 def admission_level(levels: Sequence[dict[str, Any]]) -> str:
-    """Return the strictest level of a node's routes, for people."""
+    """Describe the strictest admission level of a node's routes."""
     strictest = min(
         ((one["level_priority"], one["level_cohort"]) for one in levels),
         default=_ALL_ADMITTED,
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/table.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/table.py
@@ -1,4 +1,4 @@
-"""Every command of the program."""
+"""Table of all commands."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 _CHANGE_FLAGS = ("version", "change-id", "wait")
 _FILTER_FLAGS = ("team", "data-centre")
 
-# The longer name of two that begin alike stands first.
+# A command whose name starts with the name of another one must come before it.
 COMMANDS = (
     Command(
         "settings check",
         ("TEAM", "FILE"),
-        "Validate settings, offline; `-` is standard input.",
+        "Validate a file of settings, offline; `-` is standard input.",
         (),
         check,
         offline=True,
@@ -29,42 +29,42 @@
     Command(
         "settings get",
         ("TEAM",),
-        "Write a team's settings, with their version in the first line.",
+        "Show a team's settings, with their version in the first line.",
         ("source",),
         get,
     ),
     Command(
         "settings put",
         ("TEAM", "FILE"),
-        "Put settings in force, and wait until they are so on every node.",
+        "Change a team's settings, and wait until they are in force on every node.",
         _CHANGE_FLAGS,
         put,
     ),
     Command(
         "settings diff",
         ("TEAM", "FILE"),
-        "Write what a file would change.",
+        "Show what a file would change.",
         ("source",),
         diff,
     ),
     Command(
         "settings history",
         ("TEAM",),
-        "Write the latest changes, newest first.",
+        "Show the latest changes, newest first.",
         ("source",),
         history,
     ),
     Command(
         "settings delete",
         ("TEAM",),
-        "Delete a team's settings; its calls are refused afterwards.",
+        "Delete a team's settings; calls to its services are then refused.",
         ("yes", *_CHANGE_FLAGS),
         delete,
     ),
     Command(
         "status",
         (),
-        "Write every node with its backend server, limit and level.",
+        "Show every node with its backend server, limit and admission level.",
         _FILTER_FLAGS,
         status,
     ),
@@ -78,28 +78,29 @@
     Command(
         "ticket settle",
         ("TICKET", "METHOD", "PATH"),
-        "Find out what became of a request; one that has not started never will.",
+        "Show the outcome of a request; one that has not started never will.",
         ("yes", "wait"),
         settle,
     ),
     Command(
         "ticket",
         ("TICKET",),
-        "Write which node answers for a ticket; changes nothing.",
+        "Show which node keeps the records of a ticket; changes nothing.",
         (),
         home,
     ),
     Command(
         "timeline",
         (),
-        "Write what happened over all processes, in one order.",
+        "Show the events of all processes, merged into one order.",
         ("call", "root", "since", "format", "out", *_FILTER_FLAGS),
         timeline,
     ),
     Command(
         "explain",
         ("REQUEST", "FILE"),
-        "Write what became of a request, from collected log lines; offline.",
+        "Show the path of a request and the likely cause of its outcome, from collected"
+        " log lines; offline.",
         (),
         explain,
         offline=True,
@@ -107,7 +108,7 @@
     Command(
         "top",
         (),
-        "Write the busiest backend servers, again and again.",
+        "Show the busiest backend servers, refreshed at an interval.",
         ("interval", "count", *_FILTER_FLAGS),
         top,
     ),
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/ticket.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/ticket.py
@@ -1,4 +1,4 @@
-"""``ticket`` and ``ticket settle``: what became of a non-idempotent request."""
+"""The commands ``ticket`` and ``ticket settle``, for non-idempotent requests."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 async def home(context: Context) -> ExitCode:
-    """Say which node answers for a ticket; changes nothing."""
+    """Write which node keeps the records of a ticket."""
     text = argument(context, -1)
     if not _is_ticket(context, text):
         return ExitCode.USAGE
@@ -33,7 +33,7 @@
 
 
 async def settle(context: Context) -> ExitCode:
-    """Find out what became of a request; one that has not started never will."""
+    """Write the outcome of a request; the ticket of an unstarted request is burnt."""
     text, method, path = (argument(context, index) for index in (-3, -2, -1))
     if not _is_ticket(context, text):
         return ExitCode.USAGE
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/timeline.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/timeline.py
@@ -1,4 +1,4 @@
-"""``timeline``: what happened, over all processes, in one order."""
+"""The command ``timeline``, which merges the events of all processes."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
     from fuchsiagap_ctl.timeline.merge import Timeline
 
 _DEFAULT_SINCE_MS = 30_000.0
-# A node's time of day comes to the second.
+# Resolution of the HTTP ``Date`` header.
 _DATE_RESOLUTION_MS = 1_000.0
 
 
 async def timeline(context: Context) -> ExitCode:
-    """Collect the events of all nodes, merge and write them."""
+    """Fetch the events of all nodes, merge and write them."""
     invocation = context.invocation
     fleet = await find_fleet(context.client, invocation.nodes)
     if not isinstance(fleet, Fleet):
@@ -47,8 +47,8 @@
     if not merged.events and (invocation.call or invocation.root):
         context.output.note(
             "no process has an event of it; next: check the id (the root is the ticket"
-            " that the caller sent as Idempotency-Key), and ask sooner: old events get"
-            " overwritten"
+            " that the caller sent as Idempotency-Key), and run the command sooner:"
+            " old events are overwritten"
         )
         return ExitCode.NOT_FOUND
     return (
@@ -59,7 +59,7 @@
 
 
 def _earliest_stamp(context: Context, fleet: Fleet) -> int:
-    """Return the stamp from which events are wanted, by the clock of a node."""
+    """Return the stamp after which events are fetched, by the clock of a node."""
     invocation = context.invocation
     since = invocation.since
     if not since:
@@ -70,7 +70,11 @@
 
 
 def _now(fleet: Fleet) -> Milliseconds:
-    """Return the nodes' time of day; the own clock where it agrees, as it is finer."""
+    """Return the current Unix time of the nodes in milliseconds.
+
+    It is the local time if that agrees with the ``Date`` header of a node, which has a
+    resolution of one second only.
+    """
     local_now = time.time() * MS_PER_S
     if (
         not fleet.server_time
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/top.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/top.py
@@ -1,4 +1,4 @@
-"""``top``: the busiest backend servers, again and again."""
+"""The command ``top``, which shows the busiest backend servers."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Sample:
-    """What one node's counters were at one moment."""
+    """Event counters of one node at one time."""
 
     at_s: float
     totals: dict[EventKind, float]
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Row:
-    """One node in one picture."""
+    """One node in the output."""
 
     node: FleetNode
     backend: dict[str, Any]
@@ -72,7 +72,7 @@
 
 
 async def top(context: Context) -> ExitCode:
-    """Write pictures until there were enough of them."""
+    """Write the busiest backend servers at an interval, `count` times."""
     invocation = context.invocation
     samples: dict[str, _Sample] = {}
     n_refreshes = 0
@@ -96,7 +96,7 @@
 async def _collect_rows(
     context: Context, nodes: Sequence[FleetNode], samples: dict[str, _Sample]
 ) -> tuple[list[_Row], list[str]]:
-    """Ask all nodes, and return their rows, the busiest first, and the silent."""
+    """Query all nodes; return rows, the busiest first, and unresponsive nodes."""
     params = {"members": "no"}
     statuses = await request_nodes(context.client, nodes, "/v1/status", params)
     metrics = await request_nodes(context.client, nodes, "/v1/metrics")
@@ -121,7 +121,7 @@
 
 
 def _event_totals(text: str) -> dict[EventKind, float]:
-    """Return how many events of the shown kinds there were."""
+    """Return the total of each shown kind of event from a metrics page."""
     totals = dict.fromkeys(_RATE_KINDS, 0.0)
     for family in text_string_to_metric_families(text):
         if family.name != _EVENTS:
@@ -134,11 +134,11 @@
 
 
 def _rates(before: _Sample | None, now: _Sample) -> dict[EventKind, float]:
-    """Return what was counted per second since the sample before; empty if none."""
+    """Return the events per second between two samples; empty for the first one."""
     if before is None or now.at_s <= before.at_s:
         return {}
     elapsed_s = now.at_s - before.at_s
-    # A counter that went down is that of a new process.
+    # A counter decreases when the process has restarted.
     return {
         kind: max(now.totals[kind] - before.totals[kind], 0.0) / elapsed_s
         for kind in _RATE_KINDS
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/exit_codes.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes of the command line; ``docs/cli.md`` lists them for people."""
+"""Exit codes of the command line, listed in ``docs/cli.md``."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ExitCode(IntEnum):
-    """How a command ended."""
+    """Result of a command."""
 
     DONE = 0
     BUG = 1
@@ -26,10 +26,10 @@
 
 MEANINGS = {
     ExitCode.DONE: "Done.",
-    ExitCode.BUG: "A bug of this program; the traceback is on standard error.",
-    ExitCode.USAGE: "The command line is not understood.",
-    ExitCode.INVALID_SETTINGS: "The settings are not valid; every fault is listed.",
-    ExitCode.CONFLICT: "Somebody else's change came first; theirs is shown.",
+    ExitCode.BUG: "A bug in this program; the traceback is on standard error.",
+    ExitCode.USAGE: "The command line is invalid.",
+    ExitCode.INVALID_SETTINGS: "The settings are invalid; every fault is listed.",
+    ExitCode.CONFLICT: "Another change was made first; the difference is shown.",
     ExitCode.NOT_FOUND: "There is no such team, node, call or ticket.",
     ExitCode.NOT_ALLOWED: "The token is missing or is not one of the team's.",
     ExitCode.NO_NODE: "None of the given nodes answered.",
@@ -39,6 +39,6 @@
         "The change may have taken effect; repeat it with its --change-id."
     ),
     ExitCode.REFUSED: "The node refused the request; its reason is shown.",
-    ExitCode.TIMED_OUT: "It did not finish within --wait; it may still do so.",
-    ExitCode.STOPPED: "Stopped by Ctrl-C; what was asked for may still happen.",
+    ExitCode.TIMED_OUT: "Not finished within --wait; it may still finish.",
+    ExitCode.STOPPED: "Interrupted by Ctrl-C; a requested change may take effect.",
 }
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/explain/__init__.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/explain/__init__.py
@@ -1,1 +1,1 @@
-"""What became of one request, from the collected log lines of many nodes."""
+"""Diagnosis of one request from the collected log lines of many nodes."""
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/explain/diagnosis.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/explain/diagnosis.py
@@ -1,4 +1,4 @@
-"""The way of one request over the nodes, and the likely cause of its end."""
+"""Path of one request over the nodes, and the likely cause of its outcome."""
 
 from __future__ import annotations
 
@@ -10,12 +10,13 @@
 
     from fuchsiagap_ctl.explain.log_lines import LogLine
 
-# Milliseconds before and after a request's own lines in which changes of state are
-# looked at: the longest time until a silent link is given up, and some.
+# State changes are considered from this long before the first to this long after the
+# last line of the request, in milliseconds. This is more than the longest time until a
+# silent link is closed.
 _STATE_CHANGE_MARGIN_MS = 4_000.0
-# Changes that are named as likely causes at most.
+# Maximum number of state changes listed in a likely cause.
 _MAX_LISTED_CHANGES = 4
-# Changes of state that may decide what becomes of a request.
+# State changes that may determine the outcome of a request.
 _STATE_EVENTS = frozenset(
     {
         "admission-changed",
@@ -39,18 +40,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Diagnosis:
-    """What the lines tell of a request.
+    """What is known of a request from log lines.
 
     Parameters
     ----------
     request_lines : tuple of LogLine
-        Lines of the request.
+        Lines of the request itself.
     call_lines : tuple of LogLine
-        Lines of the calls made for it.
+        Lines of its nested calls.
     state_changes : tuple of LogLine
-        Changes of state at the same time on the nodes concerned.
+        State changes on the nodes involved at about the same time.
     cause : str
-        The likely cause, for people.
+        The likely cause of the outcome, in words.
     """
 
     request_lines: tuple[LogLine, ...]
@@ -60,7 +61,7 @@
 
 
 def diagnose(lines: Sequence[LogLine], request: str) -> Diagnosis | None:
-    """Return what the lines tell of a request; None if none names it."""
+    """Return the diagnosis of a request; None if no line concerns it."""
     request_lines = [line for line in lines if line.request == request]
     call_lines = [line for line in lines if line.request.startswith(f"{request}.")]
     if not request_lines and not call_lines:
@@ -74,7 +75,7 @@
 
 
 def _quarantine_cause(lines: Sequence[LogLine], related: Sequence[LogLine]) -> str:
-    """Return the cause of a request that no server may run; empty if it is another."""
+    """Return the cause if the request was quarantined; empty if it was not."""
     refused = [line for line in related if line.event == "quarantine-refused"]
     if not refused:
         return ""
@@ -127,23 +128,23 @@
         return _failure_cause(given_up[-1], call_lines, state_changes)
     failed = [line for line in call_lines if line.event == "given-up"]
     if failed:
-        return f"a call made for it ended without an answer: {failed[-1].text()}"
+        return f"a nested call ended without an answer: {failed[-1].text()}"
     repeats = [
         line
         for line in request_lines + call_lines
         if line.fields.get("arrivals", 1) != 1
     ]
     if repeats:
-        return f"it was repeated on its way: {repeats[-1].text()}"
-    return "it was answered at the first try; its time was spent at backend servers"
+        return f"it was retried: {repeats[-1].text()}"
+    return "it was answered at the first attempt; its time was spent at backend servers"
 
 
 _API_KEY_CAUSES = {
-    "no-key": "401, not sent: it carried no API key, or more than one",
-    "unknown-key": "401, not sent: no workspace of the configuration holds its API key",
+    "no-key": "401, not sent: it had no API key, or more than one",
+    "unknown-key": "401, not sent: no workspace in the configuration has its API key",
     "knowledge-too-old": (
-        "503, not sent: the node could not know any more which API keys had been"
-        " taken away"
+        "503, not sent: the node's configuration was too old to exclude that the API"
+        " key had been revoked"
     ),
 }
 
@@ -153,7 +154,7 @@
     explanation = _API_KEY_CAUSES.get(cause, cause)
     age = line.fields.get("age")
     if cause == "knowledge-too-old" and age is not None:
-        return f"{explanation}: it last heard {age} ms before"
+        return f"{explanation}; it was last confirmed {age} ms before"
     return explanation
 
 
@@ -161,13 +162,13 @@
     workspace = line.fields.get("workspace")
     if line.fields.get("cause") == "over":
         explanation = (
-            f"429, not sent: workspace {workspace} was at its limit over all nodes"
+            f"429, not sent: workspace {workspace} had reached its quota over all nodes"
         )
     else:
         explanation = (
             f"503, not sent: the owner of the quota of {workspace} did not answer"
         )
-    return f"{explanation}; told to come back after {line.fields.get('retry_after')} ms"
+    return f"{explanation}; told to retry after {line.fields.get('retry_after')} ms"
 
 
 def _admission_cause(line: LogLine, state_changes: list[LogLine]) -> str:
@@ -180,22 +181,22 @@
         and change.wall <= line.wall
     ]
     explanation = (
-        f"refused at the entry: {line.fields.get('share')} of its rank was let in"
+        f"refused at the entry: {line.fields.get('share')} of its rank was admitted"
     )
     if "retry_after" in line.fields:
-        explanation += f", told to come back after {line.fields['retry_after']} ms"
+        explanation += f", told to retry after {line.fields['retry_after']} ms"
     if level_changes:
         return f"{explanation}; since {level_changes[-1].text()}"
     return (
-        f"{explanation}; the refusals had begun earlier (admission-changed of {route})"
+        f"{explanation}; the refusals began earlier (see admission-changed of {route})"
     )
 
 
 _FAILURE_CAUSES = {
-    "link lost": "the link to the node of its backend server ended",
-    "deadline passed": "no answer came before the timeout of its route",
-    "no backend server": "no backend server of its service could be reached",
-    "leaving": "the backend server it was sent to was leaving, and no other was left",
+    "link lost": "the link to the node of its backend server was lost",
+    "deadline passed": "no answer arrived before the timeout of its route",
+    "no backend server": "no backend server of its service was reachable",
+    "leaving": "the backend server it was sent to was draining, and there was no other",
     "queue full": "the backend server's queue was full, and so were the others'",
 }
 
@@ -209,7 +210,7 @@
     parts = [f"{explanation}; it {ran}"]
     failed = [call for call in call_lines if call.event == "given-up"]
     if failed:
-        parts.append(f"a call made for it ended before: {failed[0].text()}")
+        parts.append(f"a nested call had ended without an answer: {failed[0].text()}")
     parts += [
         f"before it: {change.text()}"
         for change in _latest_changes_before(line, state_changes)
@@ -220,10 +221,10 @@
 def _latest_changes_before(
     line: LogLine, state_changes: list[LogLine]
 ) -> list[LogLine]:
-    """Return what last changed before a line, once for each thing that changed.
+    """Return the latest state changes before a line, one for each event and subject.
 
-    What a node wrote later cannot be a cause; its own clock decides, since the time of
-    day may jump.
+    A later change cannot be a cause. Lines of the same node are compared by its
+    monotonic clock, since the time of day may jump.
     """
     before = [
         change
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/explain/log_lines.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/explain/log_lines.py
@@ -1,4 +1,4 @@
-"""Log lines of nodes, as they were collected."""
+"""Parsing of collected log lines of nodes."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """One line of one node.
+    """One log line of a node.
 
     Parameters
     ----------
     wall : float
-        Time of day in milliseconds; hosts' clocks may differ.
+        Unix time in milliseconds; the clocks of hosts may differ.
     monotonic : float
-        The node's own steady clock in milliseconds.
+        Monotonic clock of the node in milliseconds.
     node, event : str
-        Who wrote it, and what happened.
+        Name of the node and of the event.
     request : str
-        Identifier of the request; empty if it concerns none.
+        Identifier of the request; empty if the event concerns none.
     fields : mapping of str to object
-        What decided it.
+        Other fields of the event.
     """
 
     wall: float
@@ -38,23 +38,23 @@
     fields: Mapping[str, object]
 
     def text(self) -> str:
-        """Return the line for people."""
+        """Return the line as readable text."""
         details = " ".join(f"{key}={value}" for key, value in self.fields.items())
         return f"{self.wall:.0f} {self.node} {self.event} {details}".rstrip()
 
 
 @dataclass(frozen=True, slots=True)
 class ParsedLog:
-    """What a text of collected lines held.
+    """The result of parsing collected log lines.
 
     Parameters
     ----------
     lines : tuple of LogLine
-        Lines of nodes.
+        Parsed lines.
     n_unparsed : int
-        Lines that are no line of a node.
+        Non-blank lines that are not valid log lines of a node.
     n_dropped : int
-        Lines that nodes say they have dropped.
+        Lines that nodes dropped, by their own count.
     """
 
     lines: tuple[LogLine, ...]
@@ -63,7 +63,7 @@
 
 
 def parse_log(text: Iterable[str]) -> ParsedLog:
-    """Read collected lines, whatever stands before the JSON of each."""
+    """Parse collected lines; text before the JSON object of a line is ignored."""
     lines = []
     n_unparsed = 0
     n_dropped = 0
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/fleet.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/fleet.py
@@ -1,4 +1,4 @@
-"""All nodes, as the nodes that were asked know them."""
+"""Discovery of all nodes through the membership lists of some nodes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 _MAX_CONCURRENT_REQUESTS = 48
 _NODES_PER_PROGRESS_NOTE = 100
 _GONE = frozenset({"dead", "left"})
-_NOT_ADMIN = "what listens there is not a node's administration API"
+_NOT_ADMIN = "this is not a node's administration API"
 _STATE_PRECEDENCE = ("left", "leaving", "alive", "suspect", "dead")
 _MEMBERS = "members"
 _NO_ADDRESS = "its admin address is not known"
@@ -26,16 +26,16 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetNode:
-    """A node as others know it.
+    """A node as listed in the membership of other nodes.
 
     Parameters
     ----------
     name, data_centre, state, address : str
-        `address` is that for operators.
+        Name, data centre and membership state of the node, and its admin address.
     incarnation : int
-        The life of its process.
+        Incarnation of its process; higher after each restart.
     services : tuple of str
-        ``TEAM/SERVICE`` of its backend server.
+        ``TEAM/SERVICE`` of each service of its backend server.
     """
 
     name: str
@@ -47,24 +47,24 @@
 
     @property
     def gone(self) -> bool:
-        """Whether it is dead or has left, so that it can't be asked."""
+        """Whether the node is dead or has left the membership."""
         return self.state in _GONE
 
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """All nodes that the asked nodes know.
+    """All nodes in the membership lists of the queried nodes.
 
     Parameters
     ----------
     nodes : tuple of FleetNode
         Sorted by data centre, services and name.
     unresponsive : tuple of NoReply
-        Given addresses that did not answer.
+        Queried addresses that did not answer.
     unreachable : tuple of str
-        Data centres that some asked node can't reach.
+        Data centres that a queried node can't reach.
     server_time : float
-        Time of day in milliseconds of a node that answered.
+        Latest Unix time in milliseconds reported by a node that answered.
     """
 
     nodes: tuple[FleetNode, ...]
@@ -74,21 +74,22 @@
 
 
 async def find_fleet(client: AdminClient, addresses: Sequence[str]) -> Fleet | Answer:
-    """Ask every given address for the nodes it knows, and join what they say.
+    """Query every given address for its membership list, and merge the lists.
 
-    With data centres cut off from each other, an address in each gives them all.
+    While data centres can't reach each other, all nodes are found only with an address
+    in each data centre.
 
     Parameters
     ----------
     client : AdminClient
-        Asks nodes.
+        Sends the requests.
     addresses : sequence of str
         Admin addresses.
 
     Returns
     -------
     Fleet, Reply or NoReply
-        The nodes; or the failure, if no address gave any.
+        The nodes, or the failure if no address returned a membership list.
     """
     answers = await _request_all(client, addresses, "/v1/status", None, None)
     unresponsive = tuple(answer for answer in answers if isinstance(answer, NoReply))
@@ -114,20 +115,21 @@
     params: Mapping[str, str] | None = None,
     note: Callable[[str], None] | None = None,
 ) -> list[tuple[FleetNode, Answer]]:
-    """Ask many nodes the same, some of them at a time.
+    """Send the same GET request to many nodes, with bounded concurrency.
 
     Parameters
     ----------
     client : AdminClient
-        Asks nodes.
+        Sends the requests.
     nodes : sequence of FleetNode
-        Whom to ask; the gone ones and those without an address are not asked.
+        Nodes to query; those that are gone or have no known address are skipped and
+        get a `NoReply`.
     path : str
-        What to ask, by GET.
+        Path of the request.
     params : mapping, optional
-        Of the query.
+        Query parameters.
     note : callable, optional
-        Takes a line of progress now and then.
+        Called with a line of progress after every 100 responses.
 
     Returns
     -------
@@ -140,7 +142,7 @@
     pairs: list[tuple[FleetNode, Answer]] = []
     for node in nodes:
         if node.gone:
-            detail = f"it is {node.state}, and its memory gone"
+            detail = f"it is {node.state}, and its data is lost"
             pairs.append((node, NoReply(node.address, False, detail)))
         elif not node.address:
             pairs.append((node, NoReply("", False, _NO_ADDRESS)))
@@ -193,7 +195,7 @@
 
 
 def _no_members_failure(replies: list[Reply]) -> Answer | None:
-    """Return why none of the replies tells of nodes; None if there are none."""
+    """Return the failure if no reply has a membership list; None without replies."""
     for reply in replies:
         if not reply.ok:
             return reply
@@ -204,10 +206,11 @@
 
 
 def _preferred_view(known: FleetNode | None, candidate: FleetNode) -> FleetNode:
-    """Take the later life; of two views of one life, the surer one.
+    """Return the view of the later incarnation, or else the more reliable state.
 
-    Leaving and having left are a node's own word. Of the rest, a view that reaches the
-    node is surer than one that does not.
+    A node announces itself that it is leaving or has left, so these states take
+    precedence. Of the others, the view of a queried node that reaches the node takes
+    precedence over one that does not.
     """
     if known is None:
         return candidate
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/invocation.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/invocation.py
@@ -1,4 +1,4 @@
-"""What one command line asks for."""
+"""Definition and parsing of the command-line flags."""
 
 from __future__ import annotations
 
@@ -20,42 +20,44 @@
 
 @dataclass(frozen=True, slots=True)
 class Invocation:
-    """One command line.
+    """A parsed command line.
 
     Parameters
     ----------
     words : tuple of str
-        What is no flag: the command, its subcommand and their arguments.
+        Everything but the flags: the command, its subcommand and their arguments.
     nodes : tuple of str
-        Admin addresses, ``IP:PORT``; any one of them will do.
+        Admin addresses, ``IP:PORT``; one that answers is enough.
     token : str
         Bearer token; empty if none was given.
     json : bool
-        Whether programs read the output.
+        Whether to write JSON in place of text.
     timeout : float
-        Milliseconds for one answer of one node.
+        Milliseconds to wait for each response of a node.
     call, root : str
-        Of the time line.
+        Call and root request whose events ``timeline`` shows; empty for all.
     since : float
-        Milliseconds before now; 0 if not given.
+        Start of the timeline, in milliseconds before now; 0 if not given.
     format, out : str
-        Of the time line: the format, and a file in place of standard output.
+        Format of the timeline, and the file to write it to; an empty `out` is
+        standard output.
     team, data_centre : str
-        Show only these.
+        Team and data centre to show; empty for all.
     version : int
-        The settings version that a change was made from; 0 for none, -1 if not given.
+        Version of the settings that a change is based on; 0 for none, -1 if not
+        given.
     change_id : str
-        Of a change that is repeated; empty for a new one.
+        Id of the change to repeat; empty for a new change.
     source : str
-        Where settings are read: ``"node"`` or ``"platform"``.
+        Where to read settings from: ``"node"`` or ``"platform"``.
     wait : float
-        Milliseconds that a command waits for its end; 0 for not at all.
+        Milliseconds to wait for the command to take effect; 0 does not wait.
     interval : float
-        Milliseconds between two pictures of ``top``.
+        Milliseconds between two refreshes of ``top``.
     count : int
-        How many of them; 0 for no end.
+        Number of refreshes of ``top``; 0 for no limit.
     yes : bool
-        Whether to do what can't be undone.
+        Whether an action that can't be undone is confirmed.
     """
 
     words: tuple[str, ...]
@@ -81,12 +83,12 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageFault:
-    """A command line that is not understood.
+    """The result of parsing an invalid command line.
 
     Parameters
     ----------
     detail : str
-        What was given, what was expected and what to do.
+        What was given, what is expected and what to do.
     """
 
     detail: str
@@ -96,63 +98,75 @@
 
 
 def define_flags() -> flags.FlagValues:
-    """Return the flags of every command, not parsed yet.
+    """Define the flags of all commands.
 
     Returns
     -------
     FlagValues
-        Flags may stand before, between and after the words.
+        The unparsed flags, which may stand anywhere on the command line.
     """
     all_flags: flags.FlagValues = flags.FlagValues()  # type: ignore[no-untyped-call]
     all_flags.set_gnu_getopt()
     _define_text(all_flags)
-    text = "Write what programs read."
+    text = "Write JSON in place of text."
     flags.DEFINE_bool("json", False, text, flag_values=all_flags)
-    text = "Do what can't be undone without asking."
+    text = "Confirm an action that can't be undone."
     flags.DEFINE_bool("yes", False, text, flag_values=all_flags)
-    text = "Show what the command does, and its flags."
+    text = "Show a description of the command and its flags."
     flags.DEFINE_bool("help", False, text, short_name="h", flag_values=all_flags)
-    text = "Version the change was made from; by default as the text's first line says."
+    text = "Version the change is based on; by default read from the file's first line."
     flags.DEFINE_integer("version", -1, text, flag_values=all_flags)
-    text = "How many pictures of `top`; 0 for no end."
+    text = "Number of refreshes of `top`; 0 for no limit."
     flags.DEFINE_integer("count", 0, text, lower_bound=0, flag_values=all_flags)
-    text = "Read settings as in force at the node, or as the platform holds them."
+    text = "Read the settings in force at the node, or those stored on the platform."
     sources = ["node", "platform"]
     flags.DEFINE_enum("source", "node", sources, text, flag_values=all_flags)
-    text = "Format of the time line; by default that of the name after --out."
+    text = "Format of the timeline; by default that of the file name given by --out."
     flags.DEFINE_enum("format", None, _FORMATS, text, flag_values=all_flags)
     return all_flags
 
 
 def _define_text(all_flags: flags.FlagValues) -> None:
     text = (
-        "Admin address IP:PORT of a node; may be given more than once, or as"
-        f" {NODES_VARIABLE} with commas. Any one that answers will do."
+        "Admin address IP:PORT of a node; may be given more than once, or in"
+        f" {NODES_VARIABLE} separated by commas. One that answers is enough."
     )
     flags.DEFINE_multi_string("node", [], text, flag_values=all_flags)
     for name, default, text in (
-        ("token-file", "", f"File with the bearer token, or {TOKEN_FILE_VARIABLE}."),
-        ("timeout", "5s", "How long one node may take for one answer."),
-        ("call", "", "Events of this call."),
-        ("root", "", "Events of all calls of this root request."),
-        ("since", "", "Events of the last, for example, 500ms, 30s, 2m or 1h."),
+        (
+            "token-file",
+            "",
+            f"File with the bearer token; by default {TOKEN_FILE_VARIABLE}.",
+        ),
+        ("timeout", "5s", "How long to wait for each response of a node."),
+        ("call", "", "Show only events of this call."),
+        ("root", "", "Show only events of calls of this root request."),
+        (
+            "since",
+            "",
+            "Show only events of the last, for example, 500ms, 30s, 2m or 1h.",
+        ),
         ("out", "", "File to write in place of standard output."),
         ("team", "", "Show only this team."),
         ("data-centre", "", "Show only this data centre."),
-        ("change-id", "", "Id of a change to repeat; by default a new one."),
-        ("wait", "60s", "How long to wait until it is done; 0s for not at all."),
-        ("interval", "2s", "Time between two pictures of `top`."),
+        ("change-id", "", "Id of the change to repeat; by default a new one."),
+        (
+            "wait",
+            "60s",
+            "How long to wait for the command to take effect; 0s does not wait.",
+        ),
+        ("interval", "2s", "Time between two refreshes of `top`."),
     ):
         flags.DEFINE_string(name, default, text, flag_values=all_flags)
 
 
 def parse_duration(text: str) -> Milliseconds | UsageFault:
-    """Read a duration such as ``30s``.
+    """Parse a duration such as ``30s``.
 
     Parameters
     ----------
     text : str
-        A number and ``ms``, ``s``, ``m`` or ``h``.
+        A number followed by ``ms``, ``s``, ``m`` or ``h``.
 
     Returns
     -------
@@ -185,12 +199,12 @@
     all_flags : FlagValues
         Parsed flags.
     words : list of str
-        What is no flag, without the program's name.
+        The arguments that are not flags, without the program's name.
 
     Returns
     -------
     Invocation or UsageFault
-        The invocation, or the first fault.
+        The invocation, or the first fault found.
     """
     given: dict[str, Any] = all_flags.flag_values_dict()
     durations: dict[str, Milliseconds] = {}
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/main.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/main.py
@@ -1,4 +1,4 @@
-"""The binary ``fuchsiagap``: the command line of the operators."""
+"""Entry point of the ``fuchsiagap`` command line for operators."""
 
 from __future__ import annotations
 
@@ -44,16 +44,16 @@
     Parameters
     ----------
     argv : sequence of str
-        The program's name, flags and words.
+        The program's name, then flags, command and arguments.
     output : Output
-        Where to write.
+        Writes results and messages.
     transport : callable, optional
-        Makes the transport to the nodes; tests pass a fake.
+        Creates the HTTP transport to the nodes; by default TCP. Tests pass a fake.
 
     Returns
     -------
     ExitCode
-        How it ended.
+        Exit code of the process.
     """
     return trio.run(run_line, argv, output, transport)
 
@@ -63,7 +63,7 @@
     output: Output,
     transport: Callable[[], httpx.AsyncBaseTransport] | None = None,
 ) -> ExitCode:
-    """Run one command line within a running loop; as `main`."""
+    """Run one command line within a running trio loop; see `main`."""
     all_flags = define_flags()
     try:
         words = all_flags(list(argv))[1:]
@@ -90,7 +90,7 @@
 
 
 def find_command(words: Sequence[str]) -> Command | None:
-    """Return the command that the words begin with, if there is one."""
+    """Return the command whose name the words start with; None if there is none."""
     for command in COMMANDS:
         name = command.name.split()
         if list(words[: len(name)]) == name:
@@ -128,26 +128,26 @@
 
 
 def _parse_program_name(argv: list[str]) -> list[str]:
-    """Leave the flags to `main`; absl itself sees the program's name only."""
+    """Pass only the program's name to absl, since `main` parses the flags itself."""
     flags.FLAGS(argv[:1])
     return argv
 
 
 def _main(argv: list[str]) -> int:
-    # Its lines of every request would stand among the command's own.
+    # httpx logs a line for each request, which would clutter the command's messages.
     logging.getLogger("httpx").setLevel(logging.WARNING)
     try:
         return main(argv, standard_output())
     except KeyboardInterrupt:
         return ExitCode.STOPPED
     except BrokenPipeError:
-        # The reader of the output has gone, as `head` does.
+        # The reader of the output has closed the pipe, as `head` does.
         sys.stderr.close()
         return ExitCode.DONE
 
 
 def run() -> None:
-    """Entry point of the binary."""
+    """Run the command line of the process and exit with its exit code."""
     app.run(_main, flags_parser=_parse_program_name)
 
 
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/output.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/output.py
@@ -1,4 +1,4 @@
-"""Writing for people and for programs."""
+"""Output of commands as text, tables and JSON."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
     from collections.abc import Callable, Sequence
 
 
-# What stands in a column of numbers where there is none.
+# Placeholders for missing values in columns of numbers.
 _MISSING_NUMBERS = frozenset({"?", "-"})
 
 
 @dataclass(frozen=True, slots=True)
 class Output:
-    """Where a command writes.
+    """Output streams of a command.
 
     Parameters
     ----------
@@ -36,7 +36,7 @@
 
 
 def standard_output() -> Output:
-    """Return the process's own output; each line is flushed at once."""
+    """Return the output to standard output and standard error, flushed line by line."""
 
     def line(text: str) -> None:
         print(text, flush=True)
@@ -48,19 +48,19 @@
 
 
 def table(header: Sequence[str], rows: Sequence[Sequence[object]]) -> list[str]:
-    """Return the lines of a table, numbers to the right.
+    """Return the lines of a text table, with columns of numbers right-aligned.
 
     Parameters
     ----------
     header : sequence of str
         Names of the columns.
     rows : sequence of sequence
-        Values, as many as there are names.
+        One value for each column.
 
     Returns
     -------
     list of str
-        The header first.
+        The header, then the rows.
 
     Examples
     --------
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/commands/test_nodes.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/commands/test_nodes.py
@@ -1,4 +1,4 @@
-"""Status, drain, tickets and top against nodes that are up, down or leaving."""
+"""Commands about nodes and tickets, with nodes that are up, down or leaving."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
         self.assertIsNone(shown["certs-2"])
         self.assertEqual(32, shown["certs-1"]["backend"]["limit"])
 
-    def test_views_of_cut_off_data_centres_are_joined(self) -> None:
+    def test_views_of_partitioned_data_centres_are_merged(self) -> None:
         self.nodes.add("certs-2", GET_status=status_body("certs-2"))
         seen = member_record("bookings-1", services=["bookings"])
         lost = member_record("certs-1", "dead")
@@ -73,7 +73,7 @@
         self.assertIn("certs-1     alive", text)
         self.assertIn("hall-b       salt-fog/bookings  bookings-1", text)
 
-    def test_team_and_data_centre_choose(self) -> None:
+    def test_filters_by_team_and_data_centre(self) -> None:
         self.nodes.run("status", "--data-centre=hall-b")
         self.assertNotIn("certs-1", "".join(self.nodes.lines))
         self.nodes.run("status", "--team=salt-fog")
@@ -86,7 +86,7 @@
         self.nodes = FakeNodes()
 
     def drain(self, state: str, calls: list[int], *flags: str) -> ExitCode:
-        """Drain certs-2, which then has so many calls and ends as `state`."""
+        """Drain certs-2, which reports these numbers of calls and ends in `state`."""
         before = status_body("certs-1", CERTS_1, member_record("certs-2"))
         after = status_body("certs-1", CERTS_1, member_record("certs-2", state))
         self.nodes.add("certs-1", GET_status=[before, after])
@@ -102,11 +102,11 @@
         self.assertEqual(["certs-2: left"], self.nodes.lines)
         self.assertIn("2 calls in progress at certs-2", self.nodes.notes)
 
-    def test_an_end_that_nobody_heard_of_is_not_called_done(self) -> None:
+    def test_unannounced_end_of_a_drained_node_is_incomplete(self) -> None:
         self.assertEqual(ExitCode.INCOMPLETE, self.drain("dead", [0]))
         self.assertIn("have not heard that it left", self.nodes.notes_text)
 
-    def test_a_drain_that_takes_longer_says_so(self) -> None:
+    def test_drain_that_exceeds_the_wait_times_out(self) -> None:
         code = self.drain("leaving", [5] * 100, "--wait=30ms")
         self.assertEqual(ExitCode.TIMED_OUT, code)
         self.assertIn("still draining", self.nodes.notes_text)
@@ -141,7 +141,7 @@
         self.assertEqual([], self.nodes.requests)
         self.assertIn("NODE.INCARNATION.SEQUENCE", self.nodes.notes_text)
 
-    def test_settle_needs_yes_since_it_burns(self) -> None:
+    def test_settle_requires_yes_since_it_may_burn_the_ticket(self) -> None:
         words = ["ticket", "settle", "n1.1f.a", "POST", "/salt-fog/certs/issue"]
         self.assertEqual(ExitCode.USAGE, self.nodes.run(*words))
         self.assertEqual([], self.nodes.requests)
@@ -159,7 +159,7 @@
 
 
 class TestTop(TestCase):
-    def test_rates_between_two_pictures_and_the_busiest_first(self) -> None:
+    def test_rates_between_two_refreshes_with_the_busiest_first(self) -> None:
         nodes = FakeNodes()
         status = status_body("certs-1", CERTS_1, member_record("certs-2"))
         busy = status_body("certs-2", backend={"in_flight": 9, "queued": 4, "limit": 9})
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/commands/test_settings.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/commands/test_settings.py
@@ -1,4 +1,4 @@
-"""Reading and changing settings, with races, lost answers and an absent platform."""
+"""Reading and changing settings, with conflicts, lost answers and platform outages."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class TestRead(SettingsCase):
-    def test_get_writes_the_version_that_put_reads(self) -> None:
+    def test_get_writes_the_version_line_that_put_parses(self) -> None:
         reply = {"team": "salt-fog", "version": 7, "deleted": False, "text": TEXT}
         self.nodes.add("certs-1", **{GET: reply})
         code = self.nodes.run("settings", "get", "salt-fog")
@@ -54,7 +54,7 @@
         self.assertEqual(ExitCode.NOT_FOUND, code)
         self.assertIn("deleted, version 8", self.nodes.notes_text)
 
-    def test_the_second_node_is_asked_if_the_first_is_down(self) -> None:
+    def test_second_node_is_queried_if_the_first_is_down(self) -> None:
         reply = {"team": "salt-fog", "version": 7, "deleted": False, "text": TEXT}
         self.nodes.add("certs-2", **{GET: reply})
         nodes = ("gone", "certs-2")
@@ -62,7 +62,7 @@
         self.assertEqual(ExitCode.DONE, code)
         self.assertEqual(reply, self.nodes.json)
 
-    def test_diff_leaves_out_the_first_line(self) -> None:
+    def test_diff_omits_the_version_line(self) -> None:
         self.file.write_text(add_version_line("salt-fog", 7, TEXT))
         diff = "--- salt-fog version 7\n+++ text given\n+x"
         reply = {"version": 7, "diff": diff, "valid": True, "faults": []}
@@ -94,7 +94,7 @@
 
 
 class TestChange(SettingsCase):
-    def test_put_is_done_when_every_node_has_it_in_force(self) -> None:
+    def test_put_waits_until_every_node_has_it_in_force(self) -> None:
         old = {"teams": [{"team": "salt-fog", "version": 7}]}
         self.nodes.add("certs-1", **{PUT: ACCEPTED, "GET_settings": IN_FORCE})
         self.nodes.add("certs-2", GET_settings=[old, IN_FORCE])
@@ -111,19 +111,19 @@
             self.nodes.notes,
         )
 
-    def test_put_names_the_nodes_that_do_not_take_it_over(self) -> None:
+    def test_put_names_nodes_where_it_is_not_in_force(self) -> None:
         self.nodes.add("certs-1", **{PUT: ACCEPTED, "GET_settings": IN_FORCE})
         self.assertEqual(ExitCode.INCOMPLETE, self.put("--wait=50ms"))
         self.assertIn("not seen in force on certs-2", self.nodes.notes_text)
 
-    def test_put_without_a_version_is_for_a_team_without_settings(self) -> None:
+    def test_put_without_a_version_expects_no_settings(self) -> None:
         self.nodes.add("certs-1", **{PUT: ACCEPTED})
         self.assertEqual(ExitCode.DONE, self.put("--wait=0s"))
         self.assertEqual(
             [0], [s["expected_version"] for s in self.nodes.sent_bodies("PUT")]
         )
 
-    def test_the_loser_of_a_race_sees_the_winners_change(self) -> None:
+    def test_conflict_shows_the_concurrent_change(self) -> None:
         conflict = {
             "error": "conflict",
             "team": "salt-fog",
@@ -140,7 +140,7 @@
         )
         self.assertIn("--version 8", self.nodes.notes_text)
 
-    def test_a_lost_answer_is_settled_under_the_same_id(self) -> None:
+    def test_lost_answer_is_retried_with_the_same_change_id(self) -> None:
         lost = httpx.ReadTimeout("timed out")
         self.nodes.add("certs-1", **{PUT: [lost, ACCEPTED], "GET_settings": IN_FORCE})
         self.nodes.add("certs-2", **{PUT: UNSETTLED, "GET_settings": IN_FORCE})
@@ -149,14 +149,14 @@
         self.assertEqual(1, len(ids))
         self.assertEqual(3, len(self.nodes.sent_bodies("PUT")))
 
-    def test_an_open_end_names_the_id_to_ask_again_with(self) -> None:
+    def test_unknown_outcome_names_the_change_id_to_repeat(self) -> None:
         self.nodes.add("certs-1", **{PUT: UNSETTLED})
         code = self.put("--wait=50ms", "--timeout=50ms")
         self.assertEqual(ExitCode.MAYBE_APPLIED, code)
         (sent,) = self.nodes.sent_bodies("PUT")
         self.assertIn(f"--change-id {sent['change_id']}", self.nodes.notes_text)
 
-    def test_what_may_have_arrived_is_sent_on_as_a_repeat(self) -> None:
+    def test_change_that_may_have_been_received_is_sent_as_a_repeat(self) -> None:
         lost = httpx.ReadTimeout("timed out")
         gone = httpx.ConnectError("connection refused")
         unsettled = (504, {**UNSETTLED[1], "expected_version": 12})
@@ -171,7 +171,7 @@
         repeats = [(True, 0), (True, 0), (True, 12), (True, 12)]
         self.assertEqual([(None, 0), (None, 0), *repeats], sent)
 
-    def test_a_given_id_is_a_repeat_and_never_said_to_change_nothing(self) -> None:
+    def test_failed_repeat_with_a_given_id_may_have_been_applied(self) -> None:
         for status in (403, 503):
             self.nodes.requests.clear()
             self.nodes.add("certs-1", **{PUT: (status, {"detail": "no"})})
@@ -181,7 +181,7 @@
             self.assertEqual((True, 7), (sent["repeat"], sent["expected_version"]))
             self.assertIn("--change-id 4f --version 7", self.nodes.notes_text)
 
-    def test_platform_down_changes_nothing_and_is_not_repeated(self) -> None:
+    def test_platform_outage_changes_nothing_and_is_not_retried(self) -> None:
         reply = {"error": "platform-unavailable", "detail": "no answer", "next": "wait"}
         self.nodes.add("certs-1", **{PUT: (503, reply)})
         self.assertEqual(ExitCode.PLATFORM_DOWN, self.put())
@@ -194,7 +194,7 @@
         self.assertEqual([], self.nodes.requests)
         self.assertIn(f"{self.file}:3:", "".join(self.nodes.lines))
 
-    def test_delete_asks_for_yes_and_for_the_version(self) -> None:
+    def test_delete_requires_yes_and_the_version(self) -> None:
         self.nodes.add("certs-1", **{DELETE: ACCEPTED})
         words = ["settings", "delete", "salt-fog", "--wait=0s"]
         self.assertEqual(ExitCode.USAGE, self.nodes.run(*words, "--yes"))
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/commands/test_timeline.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/commands/test_timeline.py
@@ -1,4 +1,4 @@
-"""The time line of many nodes: paged, merged, and honest about what is missing."""
+"""Fetching and merging of the events of many nodes; missing events are reported."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
         expected = ["call-received", "call-admitted", "call-answered"]
         self.assertEqual(expected, self.kinds())
 
-    def test_pages_are_read_to_the_end(self) -> None:
+    def test_all_pages_are_read(self) -> None:
         def page(req: httpx.Request) -> object:
             if int(req.url.params["after"]) < START + 1:
                 return events_page(RECEIVED, more=True)
@@ -78,14 +78,14 @@
         self.assertEqual(ExitCode.INCOMPLETE, code)
         self.assertIn("older events of certs-2", "\n".join(self.nodes.lines))
 
-    def test_a_call_that_nobody_knows(self) -> None:
+    def test_unknown_call(self) -> None:
         self.reply_with("certs-1", events_page())
         self.reply_with("certs-2", events_page())
         code = self.nodes.run("timeline", "--call=c9")
         self.assertEqual(ExitCode.NOT_FOUND, code)
         self.assertIn("Idempotency-Key", self.nodes.notes_text)
 
-    def test_since_goes_by_the_nodes_clock_where_the_own_is_wrong(self) -> None:
+    def test_since_uses_the_clock_of_the_nodes_if_the_local_one_differs(self) -> None:
         self.nodes.run("timeline", "--since=30s")
         asked = [r for r in self.nodes.requests if r.url.path == "/v1/events"]
         after = wall_of(int(asked[0].url.params["after"]))
@@ -99,13 +99,13 @@
         self.nodes.run("timeline", "--call=c1")
         self.assertIn("call-frozen", "\n".join(self.nodes.lines))
 
-    def test_a_cut_off_data_centre_is_named(self) -> None:
+    def test_unreachable_data_centre_is_named(self) -> None:
         cut = status_body("certs-1", *self.members, unreachable_data_centres=["hall-b"])
         self.nodes.add("certs-1", GET_status=cut)
         self.nodes.run("timeline", "--call=c1")
         self.assertIn("data centre hall-b is cut off", self.nodes.notes_text)
 
-    def test_pictures_go_to_a_file(self) -> None:
+    def test_pictures_are_written_to_a_file(self) -> None:
         folder = temp_folder(self)
         for name, start in (("a.svg", "<?xml"), ("a.html", "<!doctype html>")):
             path = folder / name
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/explain/test_explain.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/explain/test_explain.py
@@ -1,4 +1,4 @@
-"""The way of a failed request, from lines that real nodes wrote."""
+"""Diagnosis of failed requests from log lines of real nodes."""
 
 import json
 
@@ -21,7 +21,7 @@
 
 
 def lines_of(behaviour, route, act):
-    """Return the lines of two nodes around what `act` does with them."""
+    """Return the log lines of a calling and a called node while `act` runs."""
 
     async def main():
         async with a_deployment(route) as deployment:
@@ -62,7 +62,7 @@
         diagnosis = diagnose(parse_log(lines).lines, "r1")
         self.assertIn("broken answer", diagnosis.cause)
 
-    def test_request_that_crashes_servers_is_told_apart(self):
+    def test_quarantined_request_is_named_as_the_cause(self):
         async def act(caller, served):
             held = HeldRequest(fingerprint(*CRASHING_REQUEST), "certs", 4, 0.0)
             caller.node.reports.handle(held, "certs-1")
@@ -83,7 +83,7 @@
         diagnosis = diagnose(parse_log(lines).lines, "r1")
         self.assertIn("did not run", diagnosis.cause)
 
-    def test_refusal_at_the_entry_names_what_was_full(self):
+    def test_refusal_at_the_entry_names_the_overloaded_service(self):
         lines = [
             _line(
                 1_000, "admission-changed", route="read", service="certs", fullness=1.2
@@ -95,7 +95,7 @@
         self.assertIn("after 250 ms", diagnosis.cause)
         self.assertIn("fullness=1.2", diagnosis.cause)
 
-    def test_causes_are_what_changed_before_the_end_and_not_after(self):
+    def test_only_state_changes_before_the_end_are_causes(self):
         lines = [
             _line(1_000, "link-down", to="n-2"),
             _line(1_100, "link-down", to="n-2"),
@@ -110,7 +110,7 @@
             self.assertIn(word, cause)
         self.assertNotIn("1000 n-1", cause)
 
-    def test_call_below_is_found_by_its_identifier(self):
+    def test_nested_call_is_found_by_its_identifier(self):
         lines = [
             _line(1_000, "given-up", "r1.a", cause="queue full", ran=False),
             _line(1_010, "answered", "r10", arrivals=1),
@@ -119,7 +119,7 @@
         self.assertEqual(["r1.a"], [line.request for line in diagnosis.call_lines])
         self.assertIn("queue full", diagnosis.cause)
 
-    def test_command_writes_the_story_and_what_is_missing(self):
+    def test_command_writes_the_diagnosis_and_what_is_missing(self):
         path = temp_folder(self) / "all.log"
         lines = [
             "no line of a node",
@@ -137,7 +137,7 @@
 
 
 def _line(wall, event, request="", **fields):
-    """Return a line as a node writes it."""
+    """Return a log line in the format of a node."""
     data = {"t": wall, "wall": wall, "node": "n-1", "event": event}
     if request:
         data["request"] = request
@@ -146,11 +146,11 @@
 
 class TestWorkspaces(TestCase):
     def cause_of(self, **fields):
-        """Return the cause that a line of a node leads to."""
+        """Return the cause that is diagnosed from one log line."""
         line = {"t": 1.0, "wall": 1.0, "node": "n", "request": "r1", "route": "read"}
         return diagnose(parse_log([json.dumps(line | fields)]).lines, "r1").cause
 
-    def test_key_quota_and_old_knowledge_are_told_apart(self):
+    def test_causes_of_key_and_quota_refusals_are_distinguished(self):
         unknown = self.cause_of(event="key-refused", cause="unknown-key", age=90)
         old = self.cause_of(event="key-refused", cause="knowledge-too-old", age=4_800)
         over = self.cause_of(
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/fake_nodes.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/fake_nodes.py
@@ -1,4 +1,4 @@
-"""Nodes as the command line sees them: an administration API without nodes."""
+"""Fake administration API of nodes, without the nodes."""
 
 from __future__ import annotations
 
@@ -78,10 +78,19 @@
 
 @dataclass
 class FakeNodes:
-    """Nodes by admin address, with what each replies to ``METHOD /path``.
-
-    A reply is a JSON value, a (status, JSON value), a text, an exception to raise, or
-    a function of the request; a list is used up one by one, but for its last.
+    """Fake nodes, and the output of the commands run against them.
+
+    Parameters
+    ----------
+    replies : dict of str to dict
+        For each admin address, the reply to each ``METHOD /path``: a JSON value, a
+        (status, JSON value) pair, text, an exception to raise, or a function of the
+        request. A list holds the replies to successive requests; its last item is
+        repeated.
+    requests : list of httpx.Request
+        Requests that reached the nodes.
+    lines, notes : list of str
+        Standard output and standard error of the latest command.
     """
 
     replies: dict[str, Replies] = field(default_factory=dict)
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/test_main.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/test_main.py
@@ -1,4 +1,4 @@
-"""The command line: what is understood, and how it ends when it is not."""
+"""Parsing of the command line, its errors, and handling of the token."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
             for flag in command.flags:
                 self.assertIn(f"--{flag} ", "\n".join(self.nodes.lines))
 
-    def test_what_is_not_understood_says_what_to_do(self) -> None:
+    def test_usage_errors_say_what_to_do(self) -> None:
         for words in (
             ["frobnicate"],
             ["settings"],
@@ -52,7 +52,7 @@
         self.assertEqual(ExitCode.USAGE, self.nodes.run("status", nodes=()))
         self.assertIn("--node IP:PORT", self.nodes.notes_text)
 
-    def test_no_node_answers_on_any_command_that_asks(self) -> None:
+    def test_every_online_command_reports_that_no_node_answers(self) -> None:
         path = temp_folder(self) / "team.ini"
         path.write_text("[team]\n")
         words = {"TEAM": "salt-fog", "FILE": str(path), "TICKET": "n1.1.1"}
@@ -67,7 +67,7 @@
             self.assertIn("connection refused", self.nodes.notes_text)
             self.assertIn("next: ", self.nodes.notes_text)
 
-    def test_the_token_goes_only_where_it_is_needed(self) -> None:
+    def test_token_is_sent_only_where_it_is_needed(self) -> None:
         path = temp_folder(self) / "token"
         path.write_text("s3cret\n")
         self.nodes.add(
@@ -79,9 +79,9 @@
         for req in self.nodes.requests:
             self.assertNotIn("authorization", req.headers, req.url)
 
-    def test_a_closed_port_is_told_in_the_systems_words(self) -> None:
+    def test_closed_port_is_reported_with_the_system_error(self) -> None:
         with socket.socket() as sock:
-            # Bound and not listening, so that nobody else can listen there.
+            # Bound but not listening, so that no other process can listen on the port.
             sock.bind(("127.0.0.1", 0))
             port = sock.getsockname()[1]
             notes: list[str] = []
@@ -90,12 +90,12 @@
             self.assertEqual(ExitCode.NO_NODE, main(argv, output))
         self.assertIn(f"127.0.0.1:{port}: connection refused", notes[0])
 
-    def test_an_address_that_is_not_for_operators(self) -> None:
+    def test_address_without_an_administration_api(self) -> None:
         self.nodes.add("certs-1", GET_status="<html>hello</html>")
         self.assertEqual(ExitCode.NO_NODE, self.nodes.run("status"))
         self.assertIn("not a node's administration API", self.nodes.notes_text)
 
-    def test_a_team_is_one_part_of_the_path(self) -> None:
+    def test_team_is_quoted_as_one_path_segment(self) -> None:
         self.nodes.add("certs-1")
         code = self.nodes.run("settings", "get", "../status")
         self.assertEqual(ExitCode.NOT_FOUND, code)
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/test_pages.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""The operators' pages are those of this program, and their commands are understood."""
+"""The operators' pages match the program, and the commands on them are valid."""
 
 from __future__ import annotations
 
@@ -42,14 +42,14 @@
 
 
 class TestPages(TestCase):
-    def test_tables_are_those_of_the_program(self) -> None:
+    def test_generated_tables_are_up_to_date(self) -> None:
         self.assertEqual(0, _tool().main(["--check"]), "run tools/operator_pages.py")
 
     def test_every_event_and_invariant_has_a_meaning(self) -> None:
         self.assertEqual(set(EventKind), set(EVENTS))
         self.assertEqual(set(Invariant), set(INVARIANTS))
 
-    def test_commands_on_the_pages_are_understood(self) -> None:
+    def test_commands_on_the_pages_are_valid(self) -> None:
         pages = [ROOT / "docs" / "cli.md", *(ROOT / "docs/operators").glob("*.md")]
         nodes = FakeNodes()
         for page in pages:
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/test_real_api.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/test_real_api.py
@@ -1,4 +1,4 @@
-"""The commands against the administration API of real nodes, in one process."""
+"""Commands against the administration API of real nodes in one process."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class _ToNodes(httpx.AsyncBaseTransport):
-    """Passes requests to the application of the node that is asked."""
+    """Transport that passes requests to the application of the addressed node."""
 
     def __init__(self, fleet: SettingsFleet) -> None:
         self._fleet = fleet
@@ -80,7 +80,7 @@
 
         run_virtual(run)
 
-    def test_put_get_race_history_and_delete(self) -> None:
+    def test_put_get_conflict_history_and_delete(self) -> None:
         async def use(fleet: SettingsFleet, run: Run) -> None:
             put = ("settings", "put", "salt-fog", str(self.file))
             self.assertEqual(ExitCode.DONE, await run(*put), self.notes)
@@ -88,7 +88,7 @@
             self.assertEqual(ExitCode.DONE, await run("settings", "get", "salt-fog"))
             self.file.write_text("\n".join(self.lines) + "\npriority = 2\n")
             self.assertEqual(ExitCode.DONE, await run(*put), self.notes)
-            # The same text again was written for a version that is no more.
+            # The file is based on a version that is no longer current.
             self.assertEqual(ExitCode.CONFLICT, await run(*put))
             await run("settings", "history", "salt-fog", "--json")
             changes = json.loads(self.lines[0])["changes"]
@@ -99,7 +99,7 @@
 
         self.with_fleet(use)
 
-    def test_platform_down_changes_nothing_and_status_goes_on(self) -> None:
+    def test_platform_outage_changes_nothing_and_status_still_works(self) -> None:
         async def use(fleet: SettingsFleet, run: Run) -> None:
             fleet.store.set_faults(PlatformFaults(outage=True))
             put = ("settings", "put", "salt-fog", str(self.file))
@@ -108,7 +108,7 @@
 
         self.with_fleet(use)
 
-    def test_a_repeat_in_an_outage_stays_open_until_it_finds_out(self) -> None:
+    def test_outcome_of_a_repeat_is_unknown_until_the_outage_ends(self) -> None:
         async def use(fleet: SettingsFleet, run: Run) -> None:
             put = ("settings", "put", "salt-fog", str(self.file), "--wait=20s")
             fleet.store.set_faults(PlatformFaults(lose_answers=1.0))
@@ -131,7 +131,7 @@
 
         self.with_fleet(use)
 
-    def test_time_line_names_the_node_that_crashed(self) -> None:
+    def test_timeline_names_the_node_that_crashed(self) -> None:
         async def use(fleet: SettingsFleet, run: Run) -> None:
             cause = fleet.nodes["certs-1"].telemetry
             effect = fleet.nodes["certs-2"].telemetry
@@ -151,7 +151,7 @@
 
         self.with_fleet(use)
 
-    def test_top_ticket_and_drain_speak_the_nodes_language(self) -> None:
+    def test_top_ticket_and_drain_against_real_nodes(self) -> None:
         async def use(fleet: SettingsFleet, run: Run) -> None:
             code = await run("top", "--count=2", "--json")
             self.assertEqual(ExitCode.DONE, code, self.notes)
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/timeline/test_merge.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/timeline/test_merge.py
@@ -1,4 +1,4 @@
-"""One order over processes whose clocks differ, and what is missing is named."""
+"""Merging of events from processes with skewed clocks, and rendering of the result."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Relay:
-    """Processes with skewed clocks that pass calls on."""
+    """Processes with skewed clocks that forward calls to each other."""
 
     def __init__(self, skews: dict[str, float]) -> None:
         self.time = NOW
@@ -40,7 +40,7 @@
 
 
 class TestMerge(TestCase):
-    def test_cause_before_effect_although_clocks_are_skewed(self) -> None:
+    def test_causes_precede_effects_despite_skewed_clocks(self) -> None:
         rng = random.Random(11)
         names = [f"node-{number}" for number in range(6)]
         relay = Relay({name: rng.uniform(-60_000, 60_000) for name in names})
@@ -94,7 +94,7 @@
 
 
 class TestPicture(TestCase):
-    def test_a_lane_for_each_process_and_the_gaps_named(self) -> None:
+    def test_picture_has_a_lane_for_each_process_and_names_gaps(self) -> None:
         relay = Relay({"entry": 0.0, "certs-1": 0.0})
         relay.send("entry", "certs-1", "c1")
         missing = MissingNode("certs-2", "10.0.0.9:7002", "timed out")
@@ -111,7 +111,7 @@
             self.assertIn(expected, picture)
         self.assertEqual(picture, render_svg(timeline, "call c1"))
 
-    def test_page_escapes_what_callers_chose(self) -> None:
+    def test_html_escapes_text_from_callers(self) -> None:
         relay = Relay({"entry": 0.0, "certs-1": 0.0})
         relay.send("entry", "certs-1", "<script>x</script>")
         document = render_html(relay.timeline(), "call <b>")
@@ -119,7 +119,7 @@
         self.assertNotIn("<script>", document)
         self.assertNotIn("<b>", document)
 
-    def test_too_many_lanes_say_what_to_do(self) -> None:
+    def test_too_many_lanes_are_rejected_with_advice(self) -> None:
         relay = Relay({f"node-{n}": 0.0 for n in range(MAX_LANES + 1)})
         for ring in relay.rings.values():
             ring.record(EventKind.LINK_UP)
@@ -127,5 +127,5 @@
         self.assertIsInstance(fault, TooLarge)
         self.assertIn("--call", str(fault))
 
-    def test_an_empty_time_line_can_be_drawn(self) -> None:
+    def test_empty_timeline_is_rendered(self) -> None:
         self.assertIn("<svg", str(render_svg(merge([]), "call c1")))
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/timeline/__init__.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/timeline/__init__.py
@@ -1,1 +1,1 @@
-"""One ordered time line out of the event rings of many processes."""
+"""Merging and rendering of the event rings of many processes as one timeline."""
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/timeline/fetch.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/timeline/fetch.py
@@ -1,4 +1,4 @@
-"""Fetch the event rings of many nodes."""
+"""Fetching of the event rings of many nodes."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
     from fuchsiagap_ctl.fleet import FleetNode
 
 _MAX_CONCURRENT_REQUESTS = 24
-# A ring that is written faster than it is read must not be read for ever.
+# Bounds the reading of a ring that is written faster than it is read.
 _MAX_PAGES = 100
-# Small pages, since a node does nothing else while it writes one.
+# Small pages, since a node is blocked while it serializes one.
 _PAGE_EVENTS = 1_000
 _NODES_PER_PROGRESS_NOTE = 100
 _KIND_BY_NAME = {str(kind): kind for kind in EventKind}
@@ -29,14 +29,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EventFilter:
-    """Which events are wanted.
+    """Selects events.
 
     Parameters
     ----------
     after : int
         Only events with a higher stamp.
     call, root : str
-        Only those of this call, or of this root request; empty for all.
+        Only events of this call, or of this root request; empty for all.
     """
 
     after: Stamp = 0
@@ -55,18 +55,19 @@
     Parameters
     ----------
     client : AdminClient
-        Asks nodes.
+        Sends the requests.
     nodes : sequence of FleetNode
-        All nodes; those that are gone are named as missing.
+        Nodes to query; those that are gone or have no known address are reported as
+        missing.
     event_filter : EventFilter
-        Which events.
+        Selects the events to fetch.
     note : callable
-        Takes lines of progress.
+        Called with lines of progress.
 
     Returns
     -------
     Timeline
-        What was found, and who is missing.
+        The events, and the nodes that are missing.
     """
     results: list[RingContents | MissingNode] = []
     limiter = trio.CapacityLimiter(_MAX_CONCURRENT_REQUESTS)
@@ -75,7 +76,7 @@
         async with limiter:
             results.append(await _fetch_ring(client, node, event_filter))
         if len(results) % _NODES_PER_PROGRESS_NOTE == 0:
-            note(f"events of {len(results)} of {len(nodes)} nodes read")
+            note(f"events of {len(results)} of {len(nodes)} nodes fetched")
 
     async with trio.open_nursery() as nursery:
         for node in nodes:
@@ -133,5 +134,5 @@
 
 
 def _kind(name: str) -> EventKind:
-    """Return the kind; a newer node's unknown one stays the text it is."""
+    """Return the event kind; the unknown kind of a newer node stays a plain string."""
     return _KIND_BY_NAME.get(name) or cast("EventKind", name)
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/timeline/merge.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/timeline/merge.py
@@ -1,4 +1,4 @@
-"""Merge the events of many processes into one order."""
+"""Merging of the events of many processes into one total order."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RingContents:
-    """What one process sent.
+    """Events read from the event ring of one process.
 
     Parameters
     ----------
     process : str
         Name of the process.
     events : tuple of Event
-        In the order of their stamps.
+        Events in the order of their stamps.
     overwritten : bool
-        Whether older events that were asked for had been overwritten.
+        Whether some of the requested events had been overwritten by later ones.
     """
 
     process: str
@@ -34,12 +34,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MissingNode:
-    """A node whose events are not in the time line.
+    """A node whose events are not in the timeline.
 
     Parameters
     ----------
     name, address : str
-        The node, and its admin address.
+        Name and admin address of the node.
     detail : str
         Why it did not answer.
     """
@@ -51,16 +51,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Timeline:
-    """Events of many processes, causes before their effects.
+    """Events of many processes in an order that puts causes before effects.
 
     Parameters
     ----------
     events : tuple of Event
-        Ordered by stamp, then by process.
+        Events ordered by stamp, then by process.
     processes : tuple of str
-        All processes that answered, in the order of their names.
+        Names of the processes that answered, sorted.
     overwritten : tuple of str
-        Those of them whose older events had been overwritten.
+        Names of those processes whose older events had been overwritten.
     missing : tuple of MissingNode
         Nodes that did not answer.
     """
@@ -72,26 +72,26 @@
 
     @property
     def complete(self) -> bool:
-        """Whether nothing is known to be missing."""
+        """Whether no node is missing and no events had been overwritten."""
         return not self.overwritten and not self.missing
 
 
 def merge(
     rings: Iterable[RingContents], missing: Iterable[MissingNode] = ()
 ) -> Timeline:
-    """Merge rings by the hybrid logical clock.
+    """Merge events by the stamps of the hybrid logical clock.
 
     Parameters
     ----------
     rings : iterable of RingContents
-        One for each process that answered.
+        Events of each process that answered.
     missing : iterable of MissingNode
-        The others.
+        Nodes that did not answer.
 
     Returns
     -------
     Timeline
-        One order of all events.
+        The merged events.
     """
     by_name = sorted(rings, key=attrgetter("process"))
     order = attrgetter("stamp", "process")
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/timeline/picture.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/timeline/picture.py
@@ -1,4 +1,4 @@
-"""A time line as an SVG or HTML picture with a lane for each process."""
+"""Rendering of a timeline as SVG or HTML, with one lane for each process."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 MAX_LANES = 200
 MAX_EVENTS = 20_000
-# With more events than this their names would cover each other.
+# The names of more events than this would overlap.
 _MAX_ANNOTATED_EVENTS = 80
 
 _WIDTH_INCHES = 14.0
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _EventStyle:
-    """How events of some kinds look, and what the legend calls them."""
+    """Marker colour and legend label of some kinds of events."""
 
     colour: str
     name: str
@@ -56,12 +56,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TooLarge:
-    """A time line that no picture can show.
+    """The result of rendering a timeline that is too large for a picture.
 
     Parameters
     ----------
     lanes, events : int
-        What was asked for.
+        Number of processes and of events in the timeline.
     """
 
     lanes: int
@@ -69,31 +69,31 @@
 
     def __str__(self) -> str:
         return (
-            f"a picture of {self.lanes} processes and {self.events} events can't be"
-            f" read: at most {MAX_LANES} and {MAX_EVENTS} fit; narrow it with --call,"
-            " --root or a shorter --since, or use --format text"
+            f"a picture of {self.lanes} processes and {self.events} events is not"
+            f" legible: at most {MAX_LANES} and {MAX_EVENTS} fit; narrow it with"
+            " --call, --root or a shorter --since, or use --format text"
         )
 
 
 def render_svg(timeline: Timeline, title: str) -> str | TooLarge:
-    """Draw a time line.
+    """Render a timeline as an SVG document.
 
     Parameters
     ----------
     timeline : Timeline
-        The time line.
+        The timeline.
     title : str
-        What was asked for.
+        Title of the picture.
 
     Returns
     -------
     str or TooLarge
-        An SVG document.
+        The SVG document.
     """
     lanes = _lanes(timeline)
     if len(lanes) > MAX_LANES or len(timeline.events) > MAX_EVENTS:
         return TooLarge(len(lanes), len(timeline.events))
-    # Imported here, since it takes longer than any other command runs.
+    # Imported lazily, since the import takes longer than any other command runs.
     import matplotlib
     from matplotlib.figure import Figure
 
@@ -108,19 +108,19 @@
 
 
 def render_html(timeline: Timeline, title: str) -> str | TooLarge:
-    """Return an HTML page with the picture and the text below it.
+    """Render a timeline as an HTML page with the picture and the text below it.
 
     Parameters
     ----------
     timeline : Timeline
-        The time line.
+        The timeline.
     title : str
-        What was asked for.
+        Title of the page and the picture.
 
     Returns
     -------
     str or TooLarge
-        An HTML document without any link.
+        A self-contained HTML document.
     """
     picture = render_svg(timeline, title)
     if isinstance(picture, TooLarge):
@@ -135,7 +135,7 @@
 
 
 def _lanes(timeline: Timeline) -> dict[str, int]:
-    """Return the row of each process, in the order of their first events."""
+    """Return the row of each process, ordered by the first event of each."""
     names = dict.fromkeys(event.process for event in timeline.events)
     return {name: row for row, name in enumerate(names)}
 
@@ -168,7 +168,7 @@
 def _draw_calls(
     axes: Any, events: tuple[Event, ...], lanes: dict[str, int], start: float
 ) -> None:
-    """Join the events of each call over the lanes."""
+    """Connect the events of each call across the lanes with a line."""
     calls: dict[str, list[Event]] = {}
     for event in events:
         if event.call_id:
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/timeline/text.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/timeline/text.py
@@ -1,4 +1,4 @@
-"""A time line as text and as JSON lines."""
+"""Rendering of a timeline as text or JSON lines."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 def text_lines(timeline: Timeline) -> Iterator[str]:
-    """Yield the lines of a time line for people.
+    """Yield the lines of a timeline as text.
 
     Parameters
     ----------
     timeline : Timeline
-        The time line.
+        The timeline.
 
     Yields
     ------
     str
-        First what is missing, then one line an event.
+        A summary, a line for each gap, then a line for each event.
     """
     yield _summary(timeline)
     yield from gap_lines(timeline)
@@ -45,7 +45,7 @@
 
 
 def gap_lines(timeline: Timeline) -> Iterator[str]:
-    """Yield a line for each node of which something is missing."""
+    """Yield a line for each node with missing or overwritten events."""
     for node in timeline.missing:
         yield (
             f"missing: {node.name} ({node.address}) did not answer: {node.detail};"
@@ -59,17 +59,17 @@
 
 
 def json_lines(timeline: Timeline) -> Iterator[str]:
-    """Yield each event as a JSON object, then one object that says what is missing.
+    """Yield each event as a JSON object, then one that lists what is missing.
 
     Parameters
     ----------
     timeline : Timeline
-        The time line.
+        The timeline.
 
     Yields
     ------
     str
-        One line.
+        A JSON object on one line.
     """
     for event in timeline.events:
         time = _iso(wall_of(event.stamp))
@@ -88,7 +88,7 @@
 
 
 def time_of_day(wall: float) -> str:
-    """Return hours to microseconds in UTC of milliseconds since the epoch."""
+    """Return the UTC time of day, in microseconds, of a Unix time in milliseconds."""
     return datetime.fromtimestamp(wall / MS_PER_S, UTC).strftime("%H:%M:%S.%f")
 
 
