--- a/packages/fuchsiagap-client/src/fuchsiagap_client/core/sending.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/core/sending.py
@@ -2,9 +2,9 @@
 
 All attempts of a request carry the same ticket, so that a non-idempotent request runs
 at most once. An attempt without an answer may have run, or may arrive late and run
-later. From then on, the outcome is `Refused` only after the ticket is burnt, which
-means that the ticket is invalid and no attempt with it ran or ever will. The request
-is then retried with a new ticket.
+later. After such an attempt, the outcome is `Refused` only if the ticket is burnt, that
+is, invalidated because no attempt with it had started. The request may then be retried
+with a new ticket.
 """
 
 from __future__ import annotations
@@ -107,12 +107,12 @@
     send_state = _SendState(req, None, deadline, Allowance(granted))
     outcome: Outcome | None = await _take_ticket(client, send_state)
     while outcome is None:
-        attempt = await _send_attempt(client, send_state)
-        if isinstance(attempt, Answered):
-            return replace(attempt, allowance=send_state.allowance.remaining)
-        if not await _wait_to_retry(client, send_state, attempt):
-            outcome = await _final_outcome(client, send_state, attempt)
-        elif _needs_new_ticket(send_state, attempt):
+        attempt_outcome = await _send_attempt(client, send_state)
+        if isinstance(attempt_outcome, Answered):
+            return replace(attempt_outcome, allowance=send_state.allowance.remaining)
+        if not await _wait_to_retry(client, send_state, attempt_outcome):
+            outcome = await _final_outcome(client, send_state, attempt_outcome)
+        elif _needs_new_ticket(send_state, attempt_outcome):
             outcome = await _take_ticket(client, send_state)
     return replace(outcome, allowance=send_state.allowance.remaining)
 
@@ -159,9 +159,9 @@
     # The node's deadline is earlier than the client's, so that the node can still
     # report the outcome.
     timeout = max(time_left - client.cfg.settle_time, time_left / 2)
-    attempt = _attempt_request(send_state, node, timeout, share)
+    node_req = _attempt_request(send_state, node, timeout, share)
     response = await send_to_node(
-        client.http, attempt, _attempt_timeout(client, time_left, timeout)
+        client.http, node_req, _attempt_timeout(client, time_left, timeout)
     )
     outcome = _to_outcome(response)
     _record_outcome(client, send_state, node, outcome)
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/admin_client.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/admin_client.py
@@ -151,8 +151,7 @@
         Returns
         -------
         Reply or NoReply
-            The first reply; if none came, one `NoReply` that names every node, and
-            `sent` if any of them may have got the request.
+            The first reply, or one `NoReply` for all nodes if none replies.
         """
         failures: list[NoReply] = []
         for node in nodes:
@@ -164,7 +163,7 @@
 
 
 def merge_failures(failures: Sequence[NoReply]) -> NoReply:
-    """Return one failure that names every node, and is sent if any of them was."""
+    """Merge failures; `maybe_sent` is set if any node may have got the request."""
     return NoReply(
         node=", ".join(failure.node for failure in failures),
         maybe_sent=any(failure.maybe_sent for failure in failures),
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/explain.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/explain.py
@@ -75,6 +75,6 @@
 
 def _report_skipped_lines(context: Context, parsed: ParsedLog) -> None:
     if parsed.n_unparsed:
-        context.output.note(f"{parsed.n_unparsed} lines are no lines of a node")
+        context.output.note(f"{parsed.n_unparsed} lines are not log lines of a node")
     if parsed.n_dropped:
         context.output.note(f"nodes dropped {parsed.n_dropped} lines")
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/fleet.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/fleet.py
@@ -167,7 +167,7 @@
                 addresses[index], "GET", path, params=params, with_token=False
             )
         if note and len(answers) % _NODES_PER_PROGRESS_NOTE == 0:
-            note(f"{len(answers)} of {len(addresses)} nodes asked")
+            note(f"{len(answers)} of {len(addresses)} nodes queried")
 
     async with trio.open_nursery() as nursery:
         for index in range(len(addresses)):
