--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/change.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/change.py
@@ -180,7 +180,7 @@
         context.output.line(line)
     context.output.note(
         f"not changed: version {body['version']} of {body['team']} stands, made by"
-        f" {body['by'] or 'an unknown user'}, and the change is based on version"
+        f" {body['by'] or 'somebody'}, and the change is based on version"
         f" {body['expected_version']}"
     )
     context.output.note(
