--- a/packages/fuchsiagap-client/src/fuchsiagap_client/__init__.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/__init__.py
@@ -6,6 +6,7 @@
 Examples
 --------
 >>> import trio
+>>> from fuchsiagap_client import Answered, Refused, Unknown
 >>> from fuchsiagap_client import ClientSettings, Request, open_client
 >>> async def main() -> None:
 ...     cfg = ClientSettings(nodes=("10.0.0.1:8080", "10.0.1.1:8080"))
--- a/packages/fuchsiagap-client/src/fuchsiagap_client/core/attempt.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/core/attempt.py
@@ -1,4 +1,4 @@
-"""HTTP requests to one node, and the outcomes that its responses state."""
+"""Sending of HTTP requests to one node, and reading of outcomes from its responses."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     method, path : str
         HTTP method; path with query.
     headers : tuple of (str, str)
-        All headers besides those that HTTP itself needs.
+        All headers except those that the HTTP client adds.
     body : bytes
         The whole body.
     """
@@ -54,7 +54,7 @@
     node_req : NodeRequest
         The request.
     timeout : float
-        Milliseconds to wait.
+        Milliseconds to wait for the complete response.
 
     Returns
     -------
@@ -87,7 +87,7 @@
 
 
 def read_outcome(response: httpx.Response) -> Outcome:
-    """Return the outcome that a node's response states.
+    """Return the outcome of a request, as stated in the headers of a response.
 
     Parameters
     ----------
--- a/packages/fuchsiagap-client/src/fuchsiagap_client/core/client.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/core/client.py
@@ -37,7 +37,8 @@
         -------
         Answered, Refused or Unknown
             `Refused` only if the request did not run and never will: if an attempt
-            got no answer, the ticket is burnt first, so that a late attempt is refused.
+            got no answer, the ticket is invalidated (burnt) first, so that a late
+            attempt is refused.
             Cancelling the task abandons the request.
         """
         return await send(self, req)
--- a/packages/fuchsiagap-client/src/fuchsiagap_client/core/request.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/core/request.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from fuchsiagap import Milliseconds
 
-# Methods that never change state. Nodes go by the route's settings instead.
+# Methods that never change state. Nodes use the `idempotent` setting of the route.
 _SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
 
 
@@ -29,7 +29,8 @@
     timeout : float, optional
         Milliseconds the request may take, retries included; by default the client's.
     allowance : int, optional
-        Retries, nested calls included; by default the client's.
+        Maximum number of retries, those of nested calls included; by default the
+        client's.
     priority : int, optional
         A lower priority than the route's; 0 is the highest priority, 9 the lowest.
     """
--- a/packages/fuchsiagap-client/src/fuchsiagap_client/core/sending.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/core/sending.py
@@ -178,7 +178,11 @@
 def _attempt_timeout(
     client: ClientState, time_left: Milliseconds, timeout: Milliseconds
 ) -> float:
-    """Return how many milliseconds to wait for the response to one attempt."""
+    """Return how many milliseconds to wait for the response to one attempt.
+
+    Without `ClientSettings.attempt_timeout`, the wait ends midway between the node's
+    deadline and the client's.
+    """
     if client.cfg.attempt_timeout > 0:
         return min(timeout, client.cfg.attempt_timeout)
     return (time_left + timeout) / 2
--- a/packages/fuchsiagap-client/src/fuchsiagap_client/core/settings.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/core/settings.py
@@ -21,8 +21,8 @@
     timeout : float
         Milliseconds a request may take, retries included.
     allowance : int
-        Retries of a request, those by the client and those of all nested calls
-        together.
+        Maximum number of retries of a request, those by the client and those of all
+        nested calls together.
     attempt_timeout : float
         Milliseconds to wait for the response to one attempt before a retry through
         another node; 0 waits until the deadline. The retry counts against the
--- a/packages/fuchsiagap-client/src/fuchsiagap_client/core/tickets.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/core/tickets.py
@@ -67,7 +67,7 @@
     _fetch_lock: trio.Lock = field(default_factory=trio.Lock)
 
     async def take(self, deadline: Milliseconds) -> IssuedTicket | Refused:
-        """Take a ticket from the pool, which no other request gets.
+        """Take a ticket that no other request gets; if there is none, fetch a batch.
 
         Parameters
         ----------
--- a/packages/fuchsiagap-client/src/fuchsiagap_client/tests/core/test_client.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/tests/core/test_client.py
@@ -59,10 +59,10 @@
         (sent,) = nodes.calls
         self.assertEqual((N1, "POST", ISSUE.path), (sent.node, sent.method, sent.path))
         self.assertEqual("10-0-0-1.1.0", sent.ticket)
-        own = {name: sent.headers[name] for name in OWN}
+        sent_headers = {name: sent.headers[name] for name in CLIENT_HEADERS}
         expected = {"fuchsiagap-deadline-ms": "4800", "fuchsiagap-allowance": "3"}
         expected |= {"fuchsiagap-priority": "2", call_headers.REPEAT: "0"}
-        self.assertEqual(expected, own)
+        self.assertEqual(expected, sent_headers)
         self.assertEqual(b"{}", sent.body)
 
     def test_tickets_are_fetched_in_batches_and_used_once(self) -> None:
@@ -78,10 +78,10 @@
 
     def test_incomplete_response_is_an_unknown_outcome(self) -> None:
         whole = answered(b"whole")
-        short = replace(whole, body=b"who")
-        endless = replace(whole, headers={call_headers.OUTCOME: "answered"})
-        foreign = replace(whole, headers={"content-length": "5"})
-        for reply in (short, endless, foreign):
+        truncated = replace(whole, body=b"who")
+        without_length = replace(whole, headers={call_headers.OUTCOME: "answered"})
+        without_outcome = replace(whole, headers={"content-length": "5"})
+        for reply in (truncated, without_length, without_outcome):
             outcome = self.send(FakeNodes([reply]), allowance=0)
             self.assertIsInstance(outcome, Unknown)
             self.assertEqual(Reason.INCOMPLETE_ANSWER, outcome.reason)
@@ -99,7 +99,7 @@
         self.assertIn("nodes: got 'here', expected IP:PORT; timeout", str(fault))
 
 
-OWN = (
+CLIENT_HEADERS = (
     "fuchsiagap-deadline-ms",
     "fuchsiagap-allowance",
     "fuchsiagap-priority",
@@ -145,7 +145,7 @@
         for allowance in (0, 1, 3, 8):
             nodes = FakeNodes([refused(Reason.OVERLOAD)])
             self.assertIsInstance(self.send(nodes, allowance=allowance), Refused)
-            shares = [int(sent.headers[OWN[1]]) for sent in nodes.calls]
+            shares = [int(sent.headers[CLIENT_HEADERS[1]]) for sent in nodes.calls]
             self.assertEqual(allowance, sum(shares) + len(shares) - 1)
 
     def test_allowance_returned_by_nodes_is_used(self) -> None:
@@ -185,8 +185,8 @@
         self.assertIsInstance(outcome, Unknown)
         (asked,) = nodes.settle_requests
         self.assertIn(nodes.calls[0].ticket, asked.path)
-        question = json.loads(asked.body)
-        self.assertEqual(("POST", ISSUE.path), (question["method"], question["path"]))
+        query = json.loads(asked.body)
+        self.assertEqual(("POST", ISSUE.path), (query["method"], query["path"]))
 
     def test_outcome_is_refused_once_the_ticket_is_burnt(self) -> None:
         nodes = self.script(httpx.ReadError)
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/admin_client.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/admin_client.py
@@ -216,7 +216,7 @@
 
 
 def _error_text(exc: BaseException) -> str:
-    """Return the operating system's message if the cause is an `OSError`."""
+    """Return the message of the underlying `OSError`, or else of the exception."""
     cause: BaseException | None = exc
     while cause is not None:
         if isinstance(cause, OSError) and cause.errno:
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/change.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/change.py
@@ -34,7 +34,7 @@
 
 
 async def put(context: Context) -> ExitCode:
-    """Change the settings of a team to those of a file."""
+    """Replace the settings of a team by those in a file."""
     team, path = argument(context, -2), argument(context, -1)
     text = read_text(path)
     if text is None:
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True)
 class _Change:
-    """A change that is requested again until its outcome is known.
+    """A change of settings, sent repeatedly until its outcome is known.
 
     Parameters
     ----------
@@ -103,7 +103,10 @@
 
 
 async def _retry_until_settled(context: Context, change: _Change) -> Answer:
-    """Repeat the change, idempotent by its id, until its outcome is known."""
+    """Send the change, and repeat it while its outcome is unknown.
+
+    A repeat is safe, since the change id prevents that it takes effect twice.
+    """
     answer: Answer = NoReply("", True, "no response in time")
     with trio.move_on_after(_retry_time_s(context)) as waiting:
         while True:
@@ -144,15 +147,16 @@
 
 def _record_unsettled(change: _Change, answer: Reply) -> None:
     change.maybe_applied = True
-    # The version that the node found: an expected version of 0 also matches deleted
-    # settings, which have a version of their own.
+    # The node returns the version that it found. That differs from an expected version
+    # of 0 if the settings are deleted: 0 matches them too, although the deletion has a
+    # version of its own.
     version = answer.body.get("expected_version")
     if isinstance(version, int):
         change.body["expected_version"] = version
 
 
 def _retry_time_s(context: Context) -> float:
-    """Return the seconds to retry for; never less than the timeout of a response."""
+    """Return how many seconds to retry; at least the timeout of one response."""
     invocation = context.invocation
     return max(invocation.wait, invocation.timeout) / MS_PER_S
 
@@ -179,7 +183,7 @@
     for line in body.get("diff", "").splitlines():
         context.output.line(line)
     context.output.note(
-        f"not changed: version {body['version']} of {body['team']} stands, made by"
+        f"not changed: version {body['version']} of {body['team']} is current, made by"
         f" {body['by'] or 'somebody'}, and the change is based on version"
         f" {body['expected_version']}"
     )
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/check.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/check.py
@@ -30,7 +30,7 @@
 
 
 def report_faults(context: Context, team: str, path: str, text: str) -> ExitCode | None:
-    """Write every fault of a settings text.
+    """Write the faults of a settings text if it is invalid.
 
     Parameters
     ----------
@@ -42,7 +42,7 @@
     Returns
     -------
     ExitCode or None
-        None if the text is valid.
+        `ExitCode.INVALID_SETTINGS`, or None if the text is valid.
     """
     settings = parse_team(team, text)
     if not isinstance(settings, SettingsFaults):
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/drain.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/drain.py
@@ -76,9 +76,10 @@
 
 
 async def _final_state(context: Context, node: FleetNode) -> str:
-    """Return the state of the node as seen by the others, once it is gone for them.
+    """Wait until the other nodes list the node as gone; return the state they list.
 
-    Without any other node to query, the node is taken to have left.
+    The wait ends after `_PROPAGATION_TIMEOUT_S`. Without any other node to query, the
+    node is taken to have left.
     """
     others = [a for a in context.invocation.nodes if a != node.address]
     if not others:
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/explain.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/explain.py
@@ -27,7 +27,7 @@
     diagnosis = diagnose(parsed.lines, request)
     if diagnosis is None:
         context.output.note(
-            f"none of {len(parsed.lines)} lines is of request {request}; requests"
+            f"none of {len(parsed.lines)} lines concerns request {request}; requests"
             " answered at the first attempt are sampled, all others are logged unless"
             " dropped"
         )
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/status.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/status.py
@@ -17,6 +17,7 @@
     from fuchsiagap_ctl.commands.command import Context
     from fuchsiagap_ctl.fleet import FleetNode
 
+# Priority and cohort of the admission level that admits all calls.
 _ALL_ADMITTED = (9, 127)
 _HEADER = (
     "data centre",
@@ -119,7 +120,7 @@
     ]
     summary = f"platform: up for {platform_states.count(True)} nodes"
     if platform_states.count(None):
-        summary += f", not asked by {platform_states.count(None)}"
+        summary += f", not contacted by {platform_states.count(None)}"
     if platform_states.count(False):
         summary += f", down for {platform_states.count(False)}; they go on without it"
     return summary
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/table.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/table.py
@@ -78,7 +78,7 @@
     Command(
         "ticket settle",
         ("TICKET", "METHOD", "PATH"),
-        "Show the outcome of a request; one that has not started never will.",
+        "Show the outcome of a request; if it has not started, it is refused for good.",
         ("yes", "wait"),
         settle,
     ),
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/ticket.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/ticket.py
@@ -39,8 +39,8 @@
         return ExitCode.USAGE
     if not context.invocation.yes:
         context.output.note(
-            f"if the request with ticket {text} has not started, it never will; next:"
-            " add --yes if that is what you want"
+            f"if the request with ticket {text} has not started, it is refused for"
+            " good; next: add --yes to confirm"
         )
         return ExitCode.USAGE
     wait = min(context.invocation.wait, context.invocation.timeout / 2, _MAX_WAIT_MS)
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/timeline.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/timeline.py
@@ -34,7 +34,7 @@
     for name in fleet.unreachable:
         context.output.note(
             f"data centre {name} is cut off from some nodes; next: add --node with the"
-            " admin address of a node there, so that all of its nodes are asked"
+            " admin address of a node there, so that all of its nodes are queried"
         )
     event_filter = EventFilter(
         _earliest_stamp(context, fleet), invocation.call, invocation.root
@@ -46,9 +46,9 @@
         return code
     if not merged.events and (invocation.call or invocation.root):
         context.output.note(
-            "no process has an event of it; next: check the id (the root is the ticket"
-            " that the caller sent as Idempotency-Key), and run the command sooner:"
-            " old events are overwritten"
+            "no process has an event of this call or root request; next: check the id"
+            " (the root is the ticket that the caller sent as Idempotency-Key), and run"
+            " the command sooner: old events are overwritten"
         )
         return ExitCode.NOT_FOUND
     return (
@@ -72,8 +72,8 @@
 def _now(fleet: Fleet) -> Milliseconds:
     """Return the current Unix time of the nodes in milliseconds.
 
-    It is the local time if that agrees with the ``Date`` header of a node, which has a
-    resolution of one second only.
+    The ``Date`` header of a node has a resolution of one second. The local time, which
+    is more precise, is returned if it differs from the header by less than two seconds.
     """
     local_now = time.time() * MS_PER_S
     if (
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/top.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/top.py
@@ -102,16 +102,16 @@
     metrics = await request_nodes(context.client, nodes, "/v1/metrics")
     rows: list[_Row] = []
     unresponsive: list[str] = []
-    for (node, state), (_, text) in zip(statuses, metrics, strict=True):
-        if not _ok(state) or not _ok(text):
+    for (node, status), (_, page) in zip(statuses, metrics, strict=True):
+        if not _ok(status) or not _ok(page):
             unresponsive.append(node.name)
             continue
-        assert isinstance(state, Reply) and isinstance(text, Reply)
-        sample = _Sample(trio.current_time(), _event_totals(text.body["text"]))
+        assert isinstance(status, Reply) and isinstance(page, Reply)
+        sample = _Sample(trio.current_time(), _event_totals(page.body["text"]))
         rates = _rates(samples.get(node.name), sample)
         samples[node.name] = sample
-        levels = admission_level(state.body["levels"])
-        rows.append(_Row(node, state.body["backend"], levels, rates))
+        admitted = admission_level(status.body["levels"])
+        rows.append(_Row(node, status.body["backend"], admitted, rates))
     rows.sort(key=lambda row: row.load, reverse=True)
     return rows, unresponsive
 
@@ -134,7 +134,7 @@
 
 
 def _rates(before: _Sample | None, now: _Sample) -> dict[EventKind, float]:
-    """Return the events per second between two samples; empty for the first one."""
+    """Return the events per second since the sample before; empty if there is none."""
     if before is None or now.at_s <= before.at_s:
         return {}
     elapsed_s = now.at_s - before.at_s
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/exit_codes.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/exit_codes.py
@@ -30,10 +30,10 @@
     ExitCode.USAGE: "The command line is invalid.",
     ExitCode.INVALID_SETTINGS: "The settings are invalid; every fault is listed.",
     ExitCode.CONFLICT: "Another change was made first; the difference is shown.",
-    ExitCode.NOT_FOUND: "There is no such team, node, call or ticket.",
-    ExitCode.NOT_ALLOWED: "The token is missing or is not one of the team's.",
+    ExitCode.NOT_FOUND: "There is no such team, node, call, request or ticket.",
+    ExitCode.NOT_ALLOWED: "The token is missing or does not allow the action.",
     ExitCode.NO_NODE: "None of the given nodes answered.",
-    ExitCode.INCOMPLETE: "Done, but some nodes did not answer; they are named.",
+    ExitCode.INCOMPLETE: "Done, but incomplete; what is missing is shown.",
     ExitCode.PLATFORM_DOWN: "The platform is unavailable; nothing was changed.",
     ExitCode.MAYBE_APPLIED: (
         "The change may have taken effect; repeat it with its --change-id."
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/explain/diagnosis.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/explain/diagnosis.py
@@ -10,13 +10,12 @@
 
     from fuchsiagap_ctl.explain.log_lines import LogLine
 
-# State changes are considered from this long before the first to this long after the
-# last line of the request, in milliseconds. This is more than the longest time until a
-# silent link is closed.
+# Milliseconds before the first and after the last line of a request in which state
+# changes are considered: more than the longest silence after which a link is closed.
 _STATE_CHANGE_MARGIN_MS = 4_000.0
 # Maximum number of state changes listed in a likely cause.
 _MAX_LISTED_CHANGES = 4
-# State changes that may determine the outcome of a request.
+# Log events of state changes that may determine the outcome of a request.
 _STATE_EVENTS = frozenset(
     {
         "admission-changed",
@@ -181,7 +180,8 @@
         and change.wall <= line.wall
     ]
     explanation = (
-        f"refused at the entry: {line.fields.get('share')} of its rank was admitted"
+        f"refused at the entry: a share of {line.fields.get('share')} of its rank was"
+        " admitted"
     )
     if "retry_after" in line.fields:
         explanation += f", told to retry after {line.fields['retry_after']} ms"
@@ -223,8 +223,9 @@
 ) -> list[LogLine]:
     """Return the latest state changes before a line, one for each event and subject.
 
-    A later change cannot be a cause. Lines of the same node are compared by its
-    monotonic clock, since the time of day may jump.
+    The subject is the node that an event names, if any. A later change cannot be a
+    cause. Lines of the same node are compared by its monotonic clock, since the time of
+    day may jump.
     """
     before = [
         change
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/fleet.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/fleet.py
@@ -206,11 +206,11 @@
 
 
 def _preferred_view(known: FleetNode | None, candidate: FleetNode) -> FleetNode:
-    """Return the view of the later incarnation, or else the more reliable state.
+    """Return the view of the later incarnation, or else with the more reliable state.
 
-    A node announces itself that it is leaving or has left, so these states take
-    precedence. Of the others, the view of a queried node that reaches the node takes
-    precedence over one that does not.
+    A node itself announces that it is leaving or has left, so these states take
+    precedence. Of the others, alive takes precedence over suspect and dead: a queried
+    node that reaches the node is more reliable than one that does not.
     """
     if known is None:
         return candidate
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/invocation.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/invocation.py
@@ -171,7 +171,7 @@
     Returns
     -------
     float or UsageFault
-        Milliseconds.
+        Milliseconds, or the fault if the text is not a duration.
 
     Examples
     --------
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/main.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/main.py
@@ -82,7 +82,7 @@
         return _report_usage_error(output, invocation.detail)
     if not invocation.nodes and not command.offline:
         return _report_usage_error(
-            output, f"no node to ask: give --node IP:PORT or set {NODES_VARIABLE}"
+            output, f"no node is given: add --node IP:PORT or set {NODES_VARIABLE}"
         )
     async with make_http(invocation, transport) as http:
         client = AdminClient(http, invocation.token)
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/output.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/output.py
@@ -36,7 +36,7 @@
 
 
 def standard_output() -> Output:
-    """Return the output to standard output and standard error, flushed line by line."""
+    """Return an `Output` on standard output and error, flushed after each line."""
 
     def line(text: str) -> None:
         print(text, flush=True)
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/commands/test_nodes.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/commands/test_nodes.py
@@ -45,7 +45,7 @@
             self.nodes.lines,
         )
 
-    def test_a_silent_node_is_named(self) -> None:
+    def test_unresponsive_node_is_named(self) -> None:
         self.assertEqual(ExitCode.INCOMPLETE, self.nodes.run("status"))
         self.assertIn(
             "certs-2 (certs-2:7100) did not answer: connection refused",
@@ -179,7 +179,7 @@
         self.assertEqual(0.0, first["per_second"]["call-admitted"])
         self.assertGreater(second["per_second"]["call-admitted"], 0.0)
 
-    def test_a_silent_node_is_named(self) -> None:
+    def test_unresponsive_node_is_named(self) -> None:
         nodes = FakeNodes()
         status = status_body("certs-1", CERTS_1, member_record("certs-2"))
         nodes.add("certs-1", GET_status=status, GET_metrics="")
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/commands/test_settings.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/commands/test_settings.py
@@ -136,7 +136,7 @@
         self.assertEqual(ExitCode.CONFLICT, self.put("--version=7"))
         self.assertEqual(["-theirs", "+ours"], self.nodes.lines)
         self.assertIn(
-            "version 8 of salt-fog stands, made by ops", self.nodes.notes_text
+            "version 8 of salt-fog is current, made by ops", self.nodes.notes_text
         )
         self.assertIn("--version 8", self.nodes.notes_text)
 
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/fake_nodes.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/fake_nodes.py
@@ -1,4 +1,4 @@
-"""Fake administration API of nodes, without the nodes."""
+"""Fake administration API of nodes, with scripted replies."""
 
 from __future__ import annotations
 
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/test_real_api.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/test_real_api.py
@@ -75,7 +75,7 @@
                     argv = ["fuchsiagap", *words, *flags]
                     return await run_line(argv, output, lambda: _ToNodes(fleet))
 
-                await fleet.until(lambda: _all_know_all(fleet))
+                await fleet.until(lambda: _membership_is_complete(fleet))
                 await use(fleet, run_one)
 
         run_virtual(run)
@@ -113,12 +113,12 @@
             put = ("settings", "put", "salt-fog", str(self.file), "--wait=20s")
             fleet.store.set_faults(PlatformFaults(lose_answers=1.0))
 
-            async def fall_silent() -> None:
+            async def start_outage() -> None:
                 await trio.sleep(1)
                 fleet.store.set_faults(PlatformFaults(outage=True))
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(fall_silent)
+                nursery.start_soon(start_outage)
                 code = await run(*put)
             self.assertEqual(ExitCode.MAYBE_APPLIED, code, self.notes)
             flags = self.notes[-1].partition("with ")[2].partition(";")[0].split()
@@ -165,7 +165,7 @@
         self.with_fleet(use)
 
 
-def _all_know_all(fleet: SettingsFleet) -> bool:
+def _membership_is_complete(fleet: SettingsFleet) -> bool:
     return all(
         len(state.membership.members()) == len(NAMES) for state in fleet.nodes.values()
     )
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/timeline/fetch.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/timeline/fetch.py
@@ -29,12 +29,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EventFilter:
-    """Selects events.
+    """Filter for the events to fetch.
 
     Parameters
     ----------
     after : int
-        Only events with a higher stamp.
+        Only events with a higher stamp of the hybrid logical clock.
     call, root : str
         Only events of this call, or of this root request; empty for all.
     """
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/timeline/merge.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/timeline/merge.py
@@ -41,7 +41,7 @@
     name, address : str
         Name and admin address of the node.
     detail : str
-        Why it did not answer.
+        Why its events could not be fetched.
     """
 
     name: str
@@ -62,7 +62,7 @@
     overwritten : tuple of str
         Names of those processes whose older events had been overwritten.
     missing : tuple of MissingNode
-        Nodes that did not answer.
+        Nodes whose events could not be fetched, sorted by name.
     """
 
     events: tuple[Event, ...]
@@ -86,7 +86,7 @@
     rings : iterable of RingContents
         Events of each process that answered.
     missing : iterable of MissingNode
-        Nodes that did not answer.
+        Nodes whose events could not be fetched.
 
     Returns
     -------
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/timeline/picture.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/timeline/picture.py
@@ -15,6 +15,7 @@
     from fuchsiagap.core.telemetry.events import Event
     from fuchsiagap_ctl.timeline.merge import Timeline
 
+# A picture with more processes or events than this is not legible.
 MAX_LANES = 200
 MAX_EVENTS = 20_000
 # The names of more events than this would overlap.
@@ -88,7 +89,7 @@
     Returns
     -------
     str or TooLarge
-        The SVG document.
+        The SVG document, or `TooLarge` if a limit on lanes or events is exceeded.
     """
     lanes = _lanes(timeline)
     if len(lanes) > MAX_LANES or len(timeline.events) > MAX_EVENTS:
@@ -120,7 +121,7 @@
     Returns
     -------
     str or TooLarge
-        A self-contained HTML document.
+        A self-contained HTML document, or `TooLarge` as for `render_svg`.
     """
     picture = render_svg(timeline, title)
     if isinstance(picture, TooLarge):
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/timeline/text.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/timeline/text.py
@@ -54,7 +54,7 @@
     for process in timeline.overwritten:
         yield (
             f"overwritten: older events of {process} had been overwritten in its"
-            " ring; ask sooner, or for a shorter time"
+            " ring; run the command sooner, or with a shorter --since"
         )
 
 
