--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/top.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/top.py
@@ -110,8 +110,8 @@
         sample = _Sample(trio.current_time(), _event_totals(page.body["text"]))
         rates = _rates(samples.get(node.name), sample)
         samples[node.name] = sample
-        admitted = admission_level(status.body["levels"])
-        rows.append(_Row(node, status.body["backend"], admitted, rates))
+        level_text = admission_level(status.body["levels"])
+        rows.append(_Row(node, status.body["backend"], level_text, rates))
     rows.sort(key=lambda row: row.load, reverse=True)
     return rows, unresponsive
 
