--- a/packages/fuchsiagap-client/src/fuchsiagap_client/__init__.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/__init__.py
@@ -1,8 +1,12 @@
-"""The callers' library: truthful outcomes, and repeats that are safe.
+"""Client library that sends requests to nodes and retries them safely.
+
+Every request ends as `Answered`, as `Refused` (it did not run and never will), or as
+`Unknown` (it may have run).
 
 Examples
 --------
 >>> import trio
+>>> from fuchsiagap_client import Answered, Refused, Unknown
 >>> from fuchsiagap_client import ClientSettings, Request, open_client
 >>> async def main() -> None:
 ...     cfg = ClientSettings(nodes=("10.0.0.1:8080", "10.0.1.1:8080"))
--- a/packages/fuchsiagap-client/src/fuchsiagap_client/core/client.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/core/client.py
@@ -1,4 +1,4 @@
-"""A client of several nodes."""
+"""The public client, which sends requests to any of several nodes."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 from fuchsiagap import Outcome, trio_clock
 from fuchsiagap.core.clock import MS_PER_S
-from fuchsiagap_client.core.nodes import Nodes
+from fuchsiagap_client.core.nodes import NodeSelector
 from fuchsiagap_client.core.sending import send
 from fuchsiagap_client.core.settings import ClientSettings, check_settings
 from fuchsiagap_client.core.state import ClientState
-from fuchsiagap_client.core.tickets import TicketStock
+from fuchsiagap_client.core.tickets import TicketPool
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
@@ -23,22 +23,23 @@
 
 
 class Client(ClientState):
-    """A client; `open_client` makes one."""
+    """A client of several nodes; opened with `open_client`."""
 
     async def send(self, req: Request) -> Outcome:
-        """Send a request, and repeat it as far as that is safe and allowed.
+        """Send a request, and retry it while that is safe and the allowance permits.
 
         Parameters
         ----------
         req : Request
-            The request. It gets a ticket of its own, and all its copies bear it.
+            The request. All its attempts carry the same ticket.
 
         Returns
         -------
         Answered, Refused or Unknown
-            `Refused` only if the request was not run and never will be: if a copy
-            is unaccounted for, its ticket is burnt first. Cancelling the task gives
-            the request up.
+            `Refused` only if the request did not run and never will: if an attempt
+            got no answer, the ticket is invalidated (burnt) first, so that a late
+            attempt is refused.
+            Cancelling the task abandons the request.
         """
         return await send(self, req)
 
@@ -49,37 +50,37 @@
     transport: httpx.AsyncBaseTransport | None = None,
     rng: random.Random | None = None,
 ) -> AsyncIterator[Client]:
-    """Open a client for the time of a block; `trio` must run.
+    """Open a client as an async context manager; requires a running trio loop.
 
     Parameters
     ----------
     cfg : ClientSettings
-        Its settings.
+        Settings of the client.
     transport : httpx.AsyncBaseTransport, optional
-        By default connections over TCP.
+        Transport of the HTTP requests; by default TCP connections.
     rng : random.Random, optional
-        Source of the jitter.
+        Random number generator for the backoff jitter.
 
     Yields
     ------
     Client
-        The client, whose connections close at the end of the block.
+        The client; its connections are closed on exit from the context.
 
     Raises
     ------
     ValueError
-        If the settings cannot work, with every fault.
+        If the settings are invalid; the message lists every fault.
     """
     faults = check_settings(cfg)
     if faults is not None:
         raise ValueError(str(faults))
     clock = trio_clock()
-    nodes = Nodes(cfg, clock)
+    nodes = NodeSelector(cfg, clock)
     async with httpx.AsyncClient(
         transport=transport,
         timeout=httpx.Timeout(None, connect=cfg.connect_timeout / MS_PER_S),
         limits=httpx.Limits(max_connections=cfg.max_connections),
         trust_env=False,
     ) as http:
-        stock = TicketStock(cfg, clock, http, nodes)
-        yield Client(cfg, clock, rng or random.Random(), http, nodes, stock)
+        ticket_pool = TicketPool(cfg, clock, http, nodes)
+        yield Client(cfg, clock, rng or random.Random(), http, nodes, ticket_pool)
--- a/packages/fuchsiagap-client/src/fuchsiagap_client/core/state.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/core/state.py
@@ -1,4 +1,4 @@
-"""What the requests of one client share."""
+"""State that the requests of one client share."""
 
 from __future__ import annotations
 
@@ -11,34 +11,34 @@
     import httpx
 
     from fuchsiagap import Clock
-    from fuchsiagap_client.core.nodes import Nodes
+    from fuchsiagap_client.core.nodes import NodeSelector
     from fuchsiagap_client.core.settings import ClientSettings
-    from fuchsiagap_client.core.tickets import TicketStock
+    from fuchsiagap_client.core.tickets import TicketPool
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class ClientState:
-    """State of a client.
+    """State that the requests of one client share.
 
     Parameters
     ----------
     cfg : ClientSettings
-        Its settings.
+        Settings of the client.
     clock : Clock
         The clock of this process.
     rng : random.Random
         Source of the jitter.
     http : httpx.AsyncClient
-        The connections.
-    nodes : Nodes
-        Which node gets an attempt.
-    stock : TicketStock
-        Unused tickets.
+        Connection pool.
+    nodes : NodeSelector
+        Selects the node for each attempt.
+    ticket_pool : TicketPool
+        Pool of unused tickets.
     """
 
     cfg: ClientSettings
     clock: Clock
     rng: random.Random
     http: httpx.AsyncClient
-    nodes: Nodes
-    stock: TicketStock
+    nodes: NodeSelector
+    ticket_pool: TicketPool
--- a/packages/fuchsiagap-client/src/fuchsiagap_client/tests/fake_nodes.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/tests/fake_nodes.py
@@ -1,4 +1,4 @@
-"""Nodes as a fake ASGI application, and the faults of the way to them."""
+"""Fake nodes as an ASGI application, with injected network faults."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """What a fake node replies."""
+    """A response of a fake node."""
 
     status: int
     headers: Headers
@@ -55,8 +55,8 @@
 
 
 @dataclass(slots=True)
-class Sent:
-    """One request that reached a node."""
+class ReceivedRequest:
+    """A request that a fake node received."""
 
     node: str
     method: str
@@ -72,25 +72,31 @@
 
 @dataclass(slots=True)
 class FakeNodes:
-    """Nodes that hand out tickets and reply to calls by a script.
+    """Fake nodes that issue tickets and reply to calls from a script.
 
     Parameters
     ----------
     script : list
-        The replies to calls, or the exceptions of the transport, in order; the
-        last one stays.
-    settled : Reply
-        The reply to questions about a ticket.
+        Replies to calls, or exceptions of the transport, in order; the last one is
+        repeated.
+    settle_reply : Reply
+        The reply to each request that settles a ticket.
+    tickets : Reply, optional
+        The reply to each request for tickets; by default tickets are issued.
     down : set of str
         Nodes that cannot be reached.
+    calls, settle_requests : list of ReceivedRequest
+        Calls, and requests to settle tickets, that reached a node.
+    n_batches, n_issued : int
+        Requests for tickets that were answered, and tickets issued.
     """
 
     script: list[Reply | type[httpx.TransportError]]
-    settled: Reply = field(default_factory=lambda: unknown(Reason.HOME_GONE))
+    settle_reply: Reply = field(default_factory=lambda: unknown(Reason.HOME_GONE))
     tickets: Reply | None = None
     down: set[str] = field(default_factory=set)
-    calls: list[Sent] = field(default_factory=list)
-    settles: list[Sent] = field(default_factory=list)
+    calls: list[ReceivedRequest] = field(default_factory=list)
+    settle_requests: list[ReceivedRequest] = field(default_factory=list)
     n_batches: int = 0
     n_issued: int = 0
 
@@ -109,7 +115,9 @@
         path = scope["raw_path"].decode()
         if scope["query_string"]:
             path += "?" + scope["query_string"].decode()
-        sent = Sent(node, scope["method"], path, headers, body, trio.current_time())
+        sent = ReceivedRequest(
+            node, scope["method"], path, headers, body, trio.current_time()
+        )
         reply = self._reply(sent)
         await trio.sleep(reply.delay_s)
         raw = [(name.encode(), value.encode()) for name, value in reply.headers.items()]
@@ -117,18 +125,18 @@
         await send({"type": "http.response.start", **status})
         await send({"type": "http.response.body", "body": reply.body})
 
-    def _reply(self, sent: Sent) -> Reply:
+    def _reply(self, sent: ReceivedRequest) -> Reply:
         if sent.path == "/tickets":
             return self.tickets or self._issue(sent)
         if sent.path.startswith("/tickets/"):
-            self.settles.append(sent)
-            return self.settled
+            self.settle_requests.append(sent)
+            return self.settle_reply
         self.calls.append(sent)
         reply = self.next()
         assert isinstance(reply, Reply)
         return reply
 
-    def _issue(self, sent: Sent) -> Reply:
+    def _issue(self, sent: ReceivedRequest) -> Reply:
         count = json.loads(sent.body)["count"]
         life = f"{sent.node.split(':')[0].replace('.', '-')}.{self.n_batches + 1:x}"
         texts = [f"{life}.{n:x}" for n in range(count)]
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/check.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/check.py
@@ -1,4 +1,4 @@
-"""``settings check``: validate a settings text without any node."""
+"""The command ``settings check``, which validates settings without a node."""
 
 from __future__ import annotations
 
@@ -20,29 +20,29 @@
 
 
 async def check(context: Context) -> ExitCode:
-    """Validate a file as the settings of a team; offline."""
+    """Validate a file as the settings of a team."""
     team, path = argument(context, -2), argument(context, -1)
     text = read_text(path)
     if text is None:
         context.output.note(f"{path}: can't be read as UTF-8 text")
         return ExitCode.USAGE
-    return report_faults(context, team, path, text) or _valid(context, path)
+    return report_faults(context, team, path, text) or _report_valid(context, path)
 
 
 def report_faults(context: Context, team: str, path: str, text: str) -> ExitCode | None:
-    """Write every fault of a settings text.
+    """Write the faults of a settings text if it is invalid.
 
     Parameters
     ----------
     context : Context
-        Of the command.
+        Context of the command.
     team, path, text : str
-        The team, where the text is from, and the text.
+        Name of the team, path of the file and its text.
 
     Returns
     -------
     ExitCode or None
-        None if the text is valid.
+        `ExitCode.INVALID_SETTINGS`, or None if the text is valid.
     """
     settings = parse_team(team, text)
     if not isinstance(settings, SettingsFaults):
@@ -70,11 +70,11 @@
         context.output.line(str(fault))
     n_faults = len(faults)
     context.output.note(
-        f"{n_faults} fault{'s' * (n_faults > 1)}; next: mend each line named above"
+        f"{n_faults} fault{'s' * (n_faults > 1)}; next: correct each line listed above"
     )
 
 
-def _valid(context: Context, path: str) -> ExitCode:
+def _report_valid(context: Context, path: str) -> ExitCode:
     if context.invocation.json:
         context.output.json({"valid": True, "faults": []})
     else:
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/fleet.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/fleet.py
@@ -1,4 +1,4 @@
-"""All nodes, as the nodes that were asked know them."""
+"""Discovery of all nodes through the membership lists of some nodes."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import trio
 
-from fuchsiagap_ctl.admin_client import NoReply, Reply, joined
+from fuchsiagap_ctl.admin_client import NoReply, Reply, merge_failures
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping, Sequence
@@ -15,27 +15,27 @@
     from fuchsiagap.core.clock import Milliseconds
     from fuchsiagap_ctl.admin_client import AdminClient, Answer
 
-_MAX_ASKED_AT_ONCE = 48
-_NOTE_EVERY = 100
+_MAX_CONCURRENT_REQUESTS = 48
+_NODES_PER_PROGRESS_NOTE = 100
 _GONE = frozenset({"dead", "left"})
-_NOT_ADMIN = "what listens there is not a node's administration API"
-_SURENESS = ("left", "leaving", "alive", "suspect", "dead")
+_NOT_ADMIN = "this is not a node's administration API"
+_STATE_PRECEDENCE = ("left", "leaving", "alive", "suspect", "dead")
 _MEMBERS = "members"
 _NO_ADDRESS = "its admin address is not known"
 
 
 @dataclass(frozen=True, slots=True)
 class FleetNode:
-    """A node as others know it.
+    """A node as listed in the membership of other nodes.
 
     Parameters
     ----------
     name, data_centre, state, address : str
-        `address` is that for operators.
+        Name, data centre and membership state of the node, and its admin address.
     incarnation : int
-        The life of its process.
+        Incarnation of its process; higher after each restart.
     services : tuple of str
-        ``TEAM/SERVICE`` of its backend server.
+        ``TEAM/SERVICE`` of each service of its backend server.
     """
 
     name: str
@@ -47,109 +47,111 @@
 
     @property
     def gone(self) -> bool:
-        """Whether it is dead or has left, so that it can't be asked."""
+        """Whether the node is dead or has left the membership."""
         return self.state in _GONE
 
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """All nodes that the asked nodes know.
+    """All nodes in the membership lists of the queried nodes.
 
     Parameters
     ----------
     nodes : tuple of FleetNode
         Sorted by data centre, services and name.
-    silent : tuple of NoReply
-        Given addresses that did not answer.
+    unresponsive : tuple of NoReply
+        Queried addresses that did not answer.
     unreachable : tuple of str
-        Data centres that some asked node can't reach.
-    wall : float
-        Time of day in milliseconds of a node that answered.
+        Data centres that a queried node can't reach.
+    server_time : float
+        Latest Unix time in milliseconds reported by a node that answered.
     """
 
     nodes: tuple[FleetNode, ...]
-    silent: tuple[NoReply, ...]
+    unresponsive: tuple[NoReply, ...]
     unreachable: tuple[str, ...]
-    wall: Milliseconds
+    server_time: Milliseconds
 
 
 async def find_fleet(client: AdminClient, addresses: Sequence[str]) -> Fleet | Answer:
-    """Ask every given address for the nodes it knows, and join what they say.
+    """Query every given address for its membership list, and merge the lists.
 
-    With data centres cut off from each other, an address in each gives them all.
+    While data centres can't reach each other, all nodes are found only with an address
+    in each data centre.
 
     Parameters
     ----------
     client : AdminClient
-        Asks nodes.
+        Sends the requests.
     addresses : sequence of str
         Admin addresses.
 
     Returns
     -------
     Fleet, Reply or NoReply
-        The nodes; or the failure, if no address gave any.
+        The nodes, or the failure if no address returned a membership list.
     """
-    answers = await _ask(client, addresses, "/v1/status", None, None)
-    silent = tuple(answer for answer in answers if isinstance(answer, NoReply))
+    answers = await _request_all(client, addresses, "/v1/status", None, None)
+    unresponsive = tuple(answer for answer in answers if isinstance(answer, NoReply))
     replies = [answer for answer in answers if isinstance(answer, Reply)]
-    useful = [reply for reply in replies if reply.ok and _MEMBERS in reply.body]
-    if not useful:
-        return _useless(replies) or joined(silent)
+    with_members = [reply for reply in replies if reply.ok and _MEMBERS in reply.body]
+    if not with_members:
+        return _no_members_failure(replies) or merge_failures(unresponsive)
     nodes: dict[str, FleetNode] = {}
     unreachable: set[str] = set()
-    for reply in useful:
+    for reply in with_members:
         unreachable.update(reply.body.get("unreachable_data_centres", ()))
         for node in _members(reply.body):
-            nodes[node.name] = _newer(nodes.get(node.name), node)
+            nodes[node.name] = _preferred_view(nodes.get(node.name), node)
     ordered = sorted(nodes.values(), key=lambda n: (n.data_centre, n.services, n.name))
-    wall = max(reply.wall for reply in useful)
-    return Fleet(tuple(ordered), silent, tuple(sorted(unreachable)), wall)
+    server_time = max(reply.server_time for reply in with_members)
+    return Fleet(tuple(ordered), unresponsive, tuple(sorted(unreachable)), server_time)
 
 
-async def ask_nodes(
+async def request_nodes(
     client: AdminClient,
     nodes: Sequence[FleetNode],
     path: str,
     params: Mapping[str, str] | None = None,
     note: Callable[[str], None] | None = None,
 ) -> list[tuple[FleetNode, Answer]]:
-    """Ask many nodes the same, some of them at a time.
+    """Send the same GET request to many nodes, with bounded concurrency.
 
     Parameters
     ----------
     client : AdminClient
-        Asks nodes.
+        Sends the requests.
     nodes : sequence of FleetNode
-        Whom to ask; the gone ones and those without an address are not asked.
+        Nodes to query; those that are gone or have no known address are skipped and
+        get a `NoReply`.
     path : str
-        What to ask, by GET.
+        Path of the request.
     params : mapping, optional
-        Of the query.
+        Query parameters.
     note : callable, optional
-        Takes a line of progress now and then.
+        Called with a line of progress after every 100 responses.
 
     Returns
     -------
     list of (FleetNode, Reply or NoReply)
         In the order of `nodes`.
     """
-    asked = [node for node in nodes if node.address and not node.gone]
-    addresses = [node.address for node in asked]
-    answers = iter(await _ask(client, addresses, path, params, note))
-    paired: list[tuple[FleetNode, Answer]] = []
+    reachable = [node for node in nodes if node.address and not node.gone]
+    addresses = [node.address for node in reachable]
+    answers = iter(await _request_all(client, addresses, path, params, note))
+    pairs: list[tuple[FleetNode, Answer]] = []
     for node in nodes:
         if node.gone:
-            detail = f"it is {node.state}, and its memory gone"
-            paired.append((node, NoReply(node.address, False, detail)))
+            detail = f"it is {node.state}, and its data is lost"
+            pairs.append((node, NoReply(node.address, False, detail)))
         elif not node.address:
-            paired.append((node, NoReply("", False, _NO_ADDRESS)))
+            pairs.append((node, NoReply("", False, _NO_ADDRESS)))
         else:
-            paired.append((node, next(answers)))
-    return paired
+            pairs.append((node, next(answers)))
+    return pairs
 
 
-async def _ask(
+async def _request_all(
     client: AdminClient,
     addresses: Sequence[str],
     path: str,
@@ -157,19 +159,19 @@
     note: Callable[[str], None] | None,
 ) -> list[Answer]:
     answers: dict[int, Answer] = {}
-    limit = trio.CapacityLimiter(_MAX_ASKED_AT_ONCE)
+    limiter = trio.CapacityLimiter(_MAX_CONCURRENT_REQUESTS)
 
-    async def ask_one(index: int) -> None:
-        async with limit:
-            answers[index] = await client.ask(
+    async def request_one(index: int) -> None:
+        async with limiter:
+            answers[index] = await client.request(
                 addresses[index], "GET", path, params=params, with_token=False
             )
-        if note and len(answers) % _NOTE_EVERY == 0:
-            note(f"{len(answers)} of {len(addresses)} nodes asked")
+        if note and len(answers) % _NODES_PER_PROGRESS_NOTE == 0:
+            note(f"{len(answers)} of {len(addresses)} nodes queried")
 
     async with trio.open_nursery() as nursery:
         for index in range(len(addresses)):
-            nursery.start_soon(ask_one, index)
+            nursery.start_soon(request_one, index)
     return [answers[index] for index in range(len(addresses))]
 
 
@@ -192,21 +194,28 @@
     return list(found.values())
 
 
-def _useless(replies: list[Reply]) -> Answer | None:
-    """Return why none of the replies tells of nodes; None if there are none."""
+def _no_members_failure(replies: list[Reply]) -> Answer | None:
+    """Return the failure if no reply has a membership list; None without replies."""
     for reply in replies:
         if not reply.ok:
             return reply
-        return NoReply(reply.node, sent=True, detail=f"{reply.node}: {_NOT_ADMIN}")
+        return NoReply(
+            reply.node, maybe_sent=True, detail=f"{reply.node}: {_NOT_ADMIN}"
+        )
     return None
 
 
-def _newer(known: FleetNode | None, said: FleetNode) -> FleetNode:
-    """Take the later life; of two views of one life, the surer one.
+def _preferred_view(known: FleetNode | None, candidate: FleetNode) -> FleetNode:
+    """Return the view of the later incarnation, or else with the more reliable state.
 
-    Leaving and having left are a node's own word. Of the rest, a view that reaches the
-    node is surer than one that does not.
+    A node itself announces that it is leaving or has left, so these states take
+    precedence. Of the others, alive takes precedence over suspect and dead: a queried
+    node that reaches the node is more reliable than one that does not.
     """
     if known is None:
-        return said
-    return max(known, said, key=lambda n: (n.incarnation, -_SURENESS.index(n.state)))
+        return candidate
+    return max(
+        known,
+        candidate,
+        key=lambda n: (n.incarnation, -_STATE_PRECEDENCE.index(n.state)),
+    )
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/main.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/main.py
@@ -1,4 +1,4 @@
-"""The binary ``fuchsiagap``: the command line of the operators."""
+"""Entry point of the ``fuchsiagap`` command line for operators."""
 
 from __future__ import annotations
 
@@ -44,16 +44,16 @@
     Parameters
     ----------
     argv : sequence of str
-        The program's name, flags and words.
+        The program's name, then flags, command and arguments.
     output : Output
-        Where to write.
+        Writes results and messages.
     transport : callable, optional
-        Makes the transport to the nodes; tests pass a fake.
+        Creates the HTTP transport to the nodes; by default TCP. Tests pass a fake.
 
     Returns
     -------
     ExitCode
-        How it ended.
+        Exit code of the process.
     """
     return trio.run(run_line, argv, output, transport)
 
@@ -63,26 +63,26 @@
     output: Output,
     transport: Callable[[], httpx.AsyncBaseTransport] | None = None,
 ) -> ExitCode:
-    """Run one command line within a running loop; as `main`."""
-    found = define_flags()
+    """Run one command line within a running trio loop; see `main`."""
+    all_flags = define_flags()
     try:
-        words = found(list(argv))[1:]
+        words = all_flags(list(argv))[1:]
     except flags.Error as exc:
-        return _misunderstood(output, str(exc))
+        return _report_usage_error(output, str(exc))
     command = find_command(words)
-    if found["help"].value or not words:
-        _write_help(output, command, found)
+    if all_flags["help"].value or not words:
+        _write_help(output, command, all_flags)
         return ExitCode.DONE
     if command is None:
-        return _misunderstood(output, f"there is no command {' '.join(words)!r}")
+        return _report_usage_error(output, f"there is no command {' '.join(words)!r}")
     if len(words) - len(command.name.split()) != len(command.arguments):
-        return _misunderstood(output, f"expected: {command.usage}")
-    invocation = read_invocation(found, words)
+        return _report_usage_error(output, f"expected: {command.usage}")
+    invocation = read_invocation(all_flags, words)
     if isinstance(invocation, UsageFault):
-        return _misunderstood(output, invocation.detail)
+        return _report_usage_error(output, invocation.detail)
     if not invocation.nodes and not command.offline:
-        return _misunderstood(
-            output, f"no node to ask: give --node IP:PORT or set {NODES_VARIABLE}"
+        return _report_usage_error(
+            output, f"no node is given: add --node IP:PORT or set {NODES_VARIABLE}"
         )
     async with make_http(invocation, transport) as http:
         client = AdminClient(http, invocation.token)
@@ -90,7 +90,7 @@
 
 
 def find_command(words: Sequence[str]) -> Command | None:
-    """Return the command that the words begin with, if there is one."""
+    """Return the command whose name the words start with; None if there is none."""
     for command in COMMANDS:
         name = command.name.split()
         if list(words[: len(name)]) == name:
@@ -98,14 +98,14 @@
     return None
 
 
-def _misunderstood(output: Output, detail: str) -> ExitCode:
+def _report_usage_error(output: Output, detail: str) -> ExitCode:
     output.note(f"fuchsiagap: {detail}")
     output.note("next: `fuchsiagap --help` lists the commands and flags")
     return ExitCode.USAGE
 
 
 def _write_help(
-    output: Output, command: Command | None, found: flags.FlagValues
+    output: Output, command: Command | None, all_flags: flags.FlagValues
 ) -> None:
     if command is None:
         output.line("usage: fuchsiagap COMMAND [ARGUMENTS] [FLAGS]")
@@ -120,35 +120,35 @@
         names = (*command.flags, *_COMMON_FLAGS)
     output.line("")
     for name in names:
-        summary = (found[name].help or "").partition(";\n")[0]
+        summary = (all_flags[name].help or "").partition(";\n")[0]
         lines = textwrap.wrap(summary, _HELP_WIDTH)
         output.line(f"  --{name:12} {lines[0]}")
         for more in lines[1:]:
             output.line(f"{'':17}{more}")
 
 
-def _keep_words(argv: list[str]) -> list[str]:
-    """Leave the flags to `main`; absl itself sees the program's name only."""
+def _parse_program_name(argv: list[str]) -> list[str]:
+    """Pass only the program's name to absl, since `main` parses the flags itself."""
     flags.FLAGS(argv[:1])
     return argv
 
 
 def _main(argv: list[str]) -> int:
-    # Its lines of every request would stand among the command's own.
+    # httpx logs a line for each request, which would clutter the command's messages.
     logging.getLogger("httpx").setLevel(logging.WARNING)
     try:
         return main(argv, standard_output())
     except KeyboardInterrupt:
         return ExitCode.STOPPED
     except BrokenPipeError:
-        # The reader of the output has gone, as `head` does.
+        # The reader of the output has closed the pipe, as `head` does.
         sys.stderr.close()
         return ExitCode.DONE
 
 
 def run() -> None:
-    """Entry point of the binary."""
-    app.run(_main, flags_parser=_keep_words)
+    """Run the command line of the process and exit with its exit code."""
+    app.run(_main, flags_parser=_parse_program_name)
 
 
 if __name__ == "__main__":
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/output.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/output.py
@@ -1,4 +1,4 @@
-"""Writing for people and for programs."""
+"""Output of commands as text, tables and JSON."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
     from collections.abc import Callable, Sequence
 
 
-# What stands in a column of numbers where there is none.
-_NO_NUMBER = frozenset({"?", "-"})
+# Placeholders for missing values in columns of numbers.
+_MISSING_NUMBERS = frozenset({"?", "-"})
 
 
 @dataclass(frozen=True, slots=True)
 class Output:
-    """Where a command writes.
+    """Output streams of a command.
 
     Parameters
     ----------
@@ -36,7 +36,7 @@
 
 
 def standard_output() -> Output:
-    """Return the process's own output; each line is flushed at once."""
+    """Return an `Output` on standard output and error, flushed after each line."""
 
     def line(text: str) -> None:
         print(text, flush=True)
@@ -48,19 +48,19 @@
 
 
 def table(header: Sequence[str], rows: Sequence[Sequence[object]]) -> list[str]:
-    """Return the lines of a table, numbers to the right.
+    """Return the lines of a text table, with columns of numbers right-aligned.
 
     Parameters
     ----------
     header : sequence of str
         Names of the columns.
     rows : sequence of sequence
-        Values, as many as there are names.
+        One value for each column.
 
     Returns
     -------
     list of str
-        The header first.
+        The header, then the rows.
 
     Examples
     --------
@@ -70,14 +70,16 @@
     cells = [[_cell(value) for value in row] for row in rows]
     columns = list(zip(header, *cells, strict=True))
     widths = [max(len(cell) for cell in column) for column in columns]
-    to_the_right = [
+    right_aligned = [
         _is_numeric([row[index] for row in rows]) for index in range(len(header))
     ]
     lines = []
     for cell_row in (list(header), *cells):
         padded = (
-            cell.rjust(width) if right else cell.ljust(width)
-            for cell, width, right in zip(cell_row, widths, to_the_right, strict=True)
+            cell.rjust(width) if align_right else cell.ljust(width)
+            for cell, width, align_right in zip(
+                cell_row, widths, right_aligned, strict=True
+            )
         )
         lines.append("  ".join(padded).rstrip())
     return lines
@@ -86,7 +88,7 @@
 def _is_numeric(values: Sequence[object]) -> bool:
     numbers = [value for value in values if isinstance(value, int | float)]
     others = {value for value in values if not isinstance(value, int | float)}
-    return bool(numbers) and others <= _NO_NUMBER
+    return bool(numbers) and others <= _MISSING_NUMBERS
 
 
 def _cell(value: object) -> str:
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/commands/test_nodes.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/commands/test_nodes.py
@@ -1,4 +1,4 @@
-"""Status, drain, tickets and top against nodes that are up, down or leaving."""
+"""Commands about nodes and tickets, with nodes that are up, down or leaving."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from testtools import TestCase
 
 from fuchsiagap_ctl.exit_codes import ExitCode
-from fuchsiagap_ctl.tests.fake_nodes import FakeNodes, a_member, a_status
+from fuchsiagap_ctl.tests.fake_nodes import FakeNodes, member_record, status_body
 
-CERTS_1 = a_member("certs-1")
-CERTS_2 = a_member("certs-2", "leaving")
-GONE = a_member("certs-3", "dead")
+CERTS_1 = member_record("certs-1")
+CERTS_2 = member_record("certs-2", "leaving")
+GONE = member_record("certs-3", "dead")
 
 
 class TestStatus(TestCase):
@@ -18,7 +18,7 @@
         super().setUp()
         self.nodes = FakeNodes()
         members = (CERTS_1, CERTS_2, GONE)
-        self.nodes.add("certs-1", GET_status=a_status("certs-1", *members))
+        self.nodes.add("certs-1", GET_status=status_body("certs-1", *members))
 
     def test_text_is_as_documented(self) -> None:
         level = {"route": "certs", "level_priority": 4, "level_cohort": 63}
@@ -27,7 +27,7 @@
             "backend": {"in_flight": 32, "queued": 12, "limit": 32},
             "platform": {"up": False},
         }
-        self.nodes.add("certs-2", GET_status=a_status("certs-2", **busy))
+        self.nodes.add("certs-2", GET_status=status_body("certs-2", **busy))
         self.assertEqual(ExitCode.DONE, self.nodes.run("status"))
         self.assertEqual(
             [
@@ -45,7 +45,7 @@
             self.nodes.lines,
         )
 
-    def test_a_silent_node_is_named(self) -> None:
+    def test_unresponsive_node_is_named(self) -> None:
         self.assertEqual(ExitCode.INCOMPLETE, self.nodes.run("status"))
         self.assertIn(
             "certs-2 (certs-2:7100) did not answer: connection refused",
@@ -56,11 +56,11 @@
         self.assertIsNone(shown["certs-2"])
         self.assertEqual(32, shown["certs-1"]["backend"]["limit"])
 
-    def test_views_of_cut_off_data_centres_are_joined(self) -> None:
-        self.nodes.add("certs-2", GET_status=a_status("certs-2"))
-        seen = a_member("bookings-1", services=["bookings"])
-        lost = a_member("certs-1", "dead")
-        there = a_status("bookings-1", unreachable_data_centres=["hall-a"])
+    def test_views_of_partitioned_data_centres_are_merged(self) -> None:
+        self.nodes.add("certs-2", GET_status=status_body("certs-2"))
+        seen = member_record("bookings-1", services=["bookings"])
+        lost = member_record("certs-1", "dead")
+        there = status_body("bookings-1", unreachable_data_centres=["hall-a"])
         there["members"] = {
             "hall-b": {"salt-fog": [seen]},
             "hall-a": {"salt-fog": [lost]},
@@ -73,7 +73,7 @@
         self.assertIn("certs-1     alive", text)
         self.assertIn("hall-b       salt-fog/bookings  bookings-1", text)
 
-    def test_team_and_data_centre_choose(self) -> None:
+    def test_filters_by_team_and_data_centre(self) -> None:
         self.nodes.run("status", "--data-centre=hall-b")
         self.assertNotIn("certs-1", "".join(self.nodes.lines))
         self.nodes.run("status", "--team=salt-fog")
@@ -86,13 +86,13 @@
         self.nodes = FakeNodes()
 
     def drain(self, state: str, calls: list[int], *flags: str) -> ExitCode:
-        """Drain certs-2, which then has so many calls and ends as `state`."""
-        before = a_status("certs-1", CERTS_1, a_member("certs-2"))
-        after = a_status("certs-1", CERTS_1, a_member("certs-2", state))
+        """Drain certs-2, which reports these numbers of calls and ends in `state`."""
+        before = status_body("certs-1", CERTS_1, member_record("certs-2"))
+        after = status_body("certs-1", CERTS_1, member_record("certs-2", state))
         self.nodes.add("certs-1", GET_status=[before, after])
         busy = [{"calls": {"serving": n, "entered": 0}} for n in calls]
         stopped = httpx.ConnectError("connection refused")
-        replies: list[object] = [a_status("certs-2", **one) for one in busy]
+        replies: list[object] = [status_body("certs-2", **one) for one in busy]
         self.nodes.add("certs-2", GET_status=[*replies, stopped])
         self.nodes.add("certs-2", POST_drain=(202, {"draining": True}))
         return self.nodes.run("drain", "certs-2", *flags)
@@ -102,22 +102,22 @@
         self.assertEqual(["certs-2: left"], self.nodes.lines)
         self.assertIn("2 calls in progress at certs-2", self.nodes.notes)
 
-    def test_an_end_that_nobody_heard_of_is_not_called_done(self) -> None:
+    def test_unannounced_end_of_a_drained_node_is_incomplete(self) -> None:
         self.assertEqual(ExitCode.INCOMPLETE, self.drain("dead", [0]))
-        self.assertIn("have not heard that it left", self.nodes.said)
+        self.assertIn("have not heard that it left", self.nodes.notes_text)
 
-    def test_a_drain_that_takes_longer_says_so(self) -> None:
+    def test_drain_that_exceeds_the_wait_times_out(self) -> None:
         code = self.drain("leaving", [5] * 100, "--wait=30ms")
         self.assertEqual(ExitCode.TIMED_OUT, code)
-        self.assertIn("still draining", self.nodes.said)
+        self.assertIn("still draining", self.nodes.notes_text)
 
     def test_unknown_node_and_wrong_token(self) -> None:
-        self.nodes.add("certs-1", GET_status=a_status("certs-1", CERTS_1))
+        self.nodes.add("certs-1", GET_status=status_body("certs-1", CERTS_1))
         self.assertEqual(ExitCode.NOT_FOUND, self.nodes.run("drain", "certs-9"))
         refused = (403, {"detail": "not that of the operators", "next": "use it"})
         self.nodes.add("certs-1", POST_drain=refused)
         self.assertEqual(ExitCode.NOT_ALLOWED, self.nodes.run("drain", "certs-1"))
-        self.assertIn("next: use it", self.nodes.said)
+        self.assertIn("next: use it", self.nodes.notes_text)
 
 
 class TestTicket(TestCase):
@@ -139,9 +139,9 @@
     def test_malformed_ticket_is_not_sent(self) -> None:
         self.assertEqual(ExitCode.USAGE, self.nodes.run("ticket", "nonsense"))
         self.assertEqual([], self.nodes.requests)
-        self.assertIn("NODE.INCARNATION.SEQUENCE", self.nodes.said)
+        self.assertIn("NODE.INCARNATION.SEQUENCE", self.nodes.notes_text)
 
-    def test_settle_needs_yes_since_it_burns(self) -> None:
+    def test_settle_requires_yes_since_it_may_burn_the_ticket(self) -> None:
         words = ["ticket", "settle", "n1.1f.a", "POST", "/salt-fog/certs/issue"]
         self.assertEqual(ExitCode.USAGE, self.nodes.run(*words))
         self.assertEqual([], self.nodes.requests)
@@ -159,10 +159,10 @@
 
 
 class TestTop(TestCase):
-    def test_rates_between_two_pictures_and_the_busiest_first(self) -> None:
+    def test_rates_between_two_refreshes_with_the_busiest_first(self) -> None:
         nodes = FakeNodes()
-        status = a_status("certs-1", CERTS_1, a_member("certs-2"))
-        busy = a_status("certs-2", backend={"in_flight": 9, "queued": 4, "limit": 9})
+        status = status_body("certs-1", CERTS_1, member_record("certs-2"))
+        busy = status_body("certs-2", backend={"in_flight": 9, "queued": 4, "limit": 9})
         line = (
             "# TYPE fuchsiagap_events_total counter\n"
             'fuchsiagap_events_total{{kind="call-admitted"}} {}\n'
@@ -179,9 +179,9 @@
         self.assertEqual(0.0, first["per_second"]["call-admitted"])
         self.assertGreater(second["per_second"]["call-admitted"], 0.0)
 
-    def test_a_silent_node_is_named(self) -> None:
+    def test_unresponsive_node_is_named(self) -> None:
         nodes = FakeNodes()
-        status = a_status("certs-1", CERTS_1, a_member("certs-2"))
+        status = status_body("certs-1", CERTS_1, member_record("certs-2"))
         nodes.add("certs-1", GET_status=status, GET_metrics="")
         self.assertEqual(ExitCode.INCOMPLETE, nodes.run("top", "--count=1"))
         self.assertIn("no answer from certs-2", nodes.lines)
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/fake_nodes.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/fake_nodes.py
@@ -1,4 +1,4 @@
-"""Nodes as the command line sees them: an administration API without nodes."""
+"""Fake administration API of nodes, with scripted replies."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 Replies = dict[str, Any]
 
 
-def a_folder(case: TestCase) -> Path:
+def temp_folder(case: TestCase) -> Path:
     folder = tempfile.TemporaryDirectory()
     case.addCleanup(folder.cleanup)
     return Path(folder.name)
 
 
-def a_member(node: str, state: str = "alive", **changes: Any) -> dict[str, Any]:
+def member_record(node: str, state: str = "alive", **changes: Any) -> dict[str, Any]:
     return {
         "node": node,
         "services": ["certs"],
@@ -45,7 +45,7 @@
     }
 
 
-def a_status(node: str, *members: dict[str, Any], **changes: Any) -> dict[str, Any]:
+def status_body(node: str, *members: dict[str, Any], **changes: Any) -> dict[str, Any]:
     level = {"route": "certs", "level_priority": 9, "level_cohort": 127}
     return {
         "node": {"name": node, "incarnation": 1, "draining": False},
@@ -60,7 +60,7 @@
     }
 
 
-def an_event(process: str, stamp: int, kind: str, **changes: Any) -> dict[str, Any]:
+def event_record(process: str, stamp: int, kind: str, **changes: Any) -> dict[str, Any]:
     return {
         "stamp": stamp,
         "process": process,
@@ -72,16 +72,25 @@
     }
 
 
-def a_page(*events: dict[str, Any], **changes: Any) -> dict[str, Any]:
+def events_page(*events: dict[str, Any], **changes: Any) -> dict[str, Any]:
     return {"events": list(events), "overwritten": False, "more": False, **changes}
 
 
 @dataclass
 class FakeNodes:
-    """Nodes by admin address, with what each replies to ``METHOD /path``.
-
-    A reply is a JSON value, a (status, JSON value), a text, an exception to raise, or
-    a function of the request; a list is used up one by one, but for its last.
+    """Fake nodes, and the output of the commands run against them.
+
+    Parameters
+    ----------
+    replies : dict of str to dict
+        For each admin address, the reply to each ``METHOD /path``: a JSON value, a
+        (status, JSON value) pair, text, an exception to raise, or a function of the
+        request. A list holds the replies to successive requests; its last item is
+        repeated.
+    requests : list of httpx.Request
+        Requests that reached the nodes.
+    lines, notes : list of str
+        Standard output and standard error of the latest command.
     """
 
     replies: dict[str, Replies] = field(default_factory=dict)
@@ -106,7 +115,7 @@
         return run_virtual(run_line, argv, output, transport)
 
     @property
-    def said(self) -> str:
+    def notes_text(self) -> str:
         return "\n".join(self.notes)
 
     @property
@@ -114,7 +123,7 @@
         (line,) = self.lines
         return json.loads(line)
 
-    def sent(self, method: str) -> list[Any]:
+    def sent_bodies(self, method: str) -> list[Any]:
         return [json.loads(r.content) for r in self.requests if r.method == method]
 
     def _handle(self, req: httpx.Request) -> httpx.Response:
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/timeline/picture.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/timeline/picture.py
@@ -1,4 +1,4 @@
-"""A time line as an SVG or HTML picture with a lane for each process."""
+"""Rendering of a timeline as SVG or HTML, with one lane for each process."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 
 from fuchsiagap.core.telemetry.events import EventKind
 from fuchsiagap.core.telemetry.hlc import wall_of
-from fuchsiagap_ctl.timeline.text import gaps, text_lines, time_of_day
+from fuchsiagap_ctl.timeline.text import gap_lines, text_lines, time_of_day
 
 if TYPE_CHECKING:
     from fuchsiagap.core.telemetry.events import Event
     from fuchsiagap_ctl.timeline.merge import Timeline
 
+# A picture with more processes or events than this is not legible.
 MAX_LANES = 200
 MAX_EVENTS = 20_000
-# With more events than this their names would cover each other.
-_MAX_NAMED_EVENTS = 80
+# The names of more events than this would overlap.
+_MAX_ANNOTATED_EVENTS = 80
 
 _WIDTH_INCHES = 14.0
 _LANE_INCHES = 0.45
@@ -26,42 +27,42 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Look:
-    """How events of some kinds look, and what the legend calls them."""
+class _EventStyle:
+    """Marker colour and legend label of some kinds of events."""
 
     colour: str
     name: str
 
 
-_CUT = _Look("tab:brown", "cancelled, expired")
-_LOOKS = {
-    EventKind.CALL_ANSWERED: _Look("tab:green", "answered"),
-    EventKind.CALL_REFUSED: _Look("tab:orange", "refused"),
-    EventKind.CALL_UNKNOWN: _Look("tab:red", "unknown"),
-    EventKind.CALL_CANCELLED: _CUT,
-    EventKind.CALL_EXPIRED: _CUT,
-    EventKind.CALL_RETRIED: _Look("tab:purple", "retried"),
-    EventKind.VIOLATION: _Look("black", "violation"),
+_ABORTED_STYLE = _EventStyle("tab:brown", "cancelled, expired")
+_STYLES = {
+    EventKind.CALL_ANSWERED: _EventStyle("tab:green", "answered"),
+    EventKind.CALL_REFUSED: _EventStyle("tab:orange", "refused"),
+    EventKind.CALL_UNKNOWN: _EventStyle("tab:red", "unknown"),
+    EventKind.CALL_CANCELLED: _ABORTED_STYLE,
+    EventKind.CALL_EXPIRED: _ABORTED_STYLE,
+    EventKind.CALL_RETRIED: _EventStyle("tab:purple", "retried"),
+    EventKind.VIOLATION: _EventStyle("black", "violation"),
 }
-_LEVEL = _Look("tab:olive", "level, limit, overload")
-_PREFIX_LOOKS = (
-    ("call-", _Look("tab:blue", "other step of a call")),
-    ("ticket", _Look("tab:pink", "ticket")),
-    ("level-", _LEVEL),
-    ("limit-", _LEVEL),
-    ("overload-", _LEVEL),
+_LEVEL_STYLE = _EventStyle("tab:olive", "level, limit, overload")
+_PREFIX_STYLES = (
+    ("call-", _EventStyle("tab:blue", "other step of a call")),
+    ("ticket", _EventStyle("tab:pink", "ticket")),
+    ("level-", _LEVEL_STYLE),
+    ("limit-", _LEVEL_STYLE),
+    ("overload-", _LEVEL_STYLE),
 )
-_OTHER_LOOK = _Look("tab:gray", "other")
+_OTHER_STYLE = _EventStyle("tab:gray", "other")
 
 
 @dataclass(frozen=True, slots=True)
 class TooLarge:
-    """A time line that no picture can show.
+    """The result of rendering a timeline that is too large for a picture.
 
     Parameters
     ----------
     lanes, events : int
-        What was asked for.
+        Number of processes and of events in the timeline.
     """
 
     lanes: int
@@ -69,31 +70,31 @@
 
     def __str__(self) -> str:
         return (
-            f"a picture of {self.lanes} processes and {self.events} events can't be"
-            f" read: at most {MAX_LANES} and {MAX_EVENTS} fit; narrow it with --call,"
-            " --root or a shorter --since, or use --format text"
+            f"a picture of {self.lanes} processes and {self.events} events is not"
+            f" legible: at most {MAX_LANES} and {MAX_EVENTS} fit; narrow it with"
+            " --call, --root or a shorter --since, or use --format text"
         )
 
 
-def svg(timeline: Timeline, title: str) -> str | TooLarge:
-    """Draw a time line.
+def render_svg(timeline: Timeline, title: str) -> str | TooLarge:
+    """Render a timeline as an SVG document.
 
     Parameters
     ----------
     timeline : Timeline
-        The time line.
+        The timeline.
     title : str
-        What was asked for.
+        Title of the picture.
 
     Returns
     -------
     str or TooLarge
-        An SVG document.
+        The SVG document, or `TooLarge` if a limit on lanes or events is exceeded.
     """
     lanes = _lanes(timeline)
     if len(lanes) > MAX_LANES or len(timeline.events) > MAX_EVENTS:
         return TooLarge(len(lanes), len(timeline.events))
-    # Imported here, since it takes longer than any other command runs.
+    # Imported lazily, since the import takes longer than any other command runs.
     import matplotlib
     from matplotlib.figure import Figure
 
@@ -107,22 +108,22 @@
     return out.getvalue()
 
 
-def page(timeline: Timeline, title: str) -> str | TooLarge:
-    """Return an HTML page with the picture and the text below it.
+def render_html(timeline: Timeline, title: str) -> str | TooLarge:
+    """Render a timeline as an HTML page with the picture and the text below it.
 
     Parameters
     ----------
     timeline : Timeline
-        The time line.
+        The timeline.
     title : str
-        What was asked for.
+        Title of the page and the picture.
 
     Returns
     -------
     str or TooLarge
-        An HTML document without any link.
+        A self-contained HTML document, or `TooLarge` as for `render_svg`.
     """
-    picture = svg(timeline, title)
+    picture = render_svg(timeline, title)
     if isinstance(picture, TooLarge):
         return picture
     drawing = picture[picture.index("<svg") :]
@@ -135,7 +136,7 @@
 
 
 def _lanes(timeline: Timeline) -> dict[str, int]:
-    """Return the row of each process, in the order of their first events."""
+    """Return the row of each process, ordered by the first event of each."""
     names = dict.fromkeys(event.process for event in timeline.events)
     return {name: row for row, name in enumerate(names)}
 
@@ -144,17 +145,17 @@
     events = timeline.events
     start = wall_of(events[0].stamp) if events else 0.0
     _draw_calls(axes, events, lanes, start)
-    for look, group in _by_look(events).items():
+    for style, group in _group_by_style(events).items():
         axes.scatter(
             [wall_of(event.stamp) - start for event in group],
             [lanes[event.process] for event in group],
-            color=look.colour,
-            label=look.name,
+            color=style.colour,
+            label=style.name,
             s=18,
             zorder=3,
         )
-    if len(events) <= _MAX_NAMED_EVENTS:
-        _name_events(axes, events, lanes, start)
+    if len(events) <= _MAX_ANNOTATED_EVENTS:
+        _annotate_events(axes, events, lanes, start)
     if events:
         axes.legend(loc="upper left", bbox_to_anchor=(1.0, 1.0), fontsize=7)
     axes.set_yticks(range(len(lanes)), list(lanes))
@@ -162,34 +163,34 @@
     axes.grid(axis="y", alpha=0.3)
     since = f" after {time_of_day(start)} UTC" if events else ""
     axes.set_xlabel(f"milliseconds{since}")
-    axes.set_title("\n".join([title, *gaps(timeline)]), fontsize=9)
+    axes.set_title("\n".join([title, *gap_lines(timeline)]), fontsize=9)
 
 
 def _draw_calls(
     axes: Any, events: tuple[Event, ...], lanes: dict[str, int], start: float
 ) -> None:
-    """Join the events of each call over the lanes."""
+    """Connect the events of each call across the lanes with a line."""
     calls: dict[str, list[Event]] = {}
     for event in events:
         if event.call_id:
             calls.setdefault(event.call_id, []).append(event)
-    for chain in calls.values():
+    for call_events in calls.values():
         axes.plot(
-            [wall_of(event.stamp) - start for event in chain],
-            [lanes[event.process] for event in chain],
+            [wall_of(event.stamp) - start for event in call_events],
+            [lanes[event.process] for event in call_events],
             linewidth=0.8,
             alpha=0.5,
         )
 
 
-def _name_events(
+def _annotate_events(
     axes: Any, events: tuple[Event, ...], lanes: dict[str, int], start: float
 ) -> None:
     for event in events:
-        place = (wall_of(event.stamp) - start, lanes[event.process])
+        position = (wall_of(event.stamp) - start, lanes[event.process])
         axes.annotate(
             str(event.kind),
-            place,
+            position,
             xytext=(2, 4),
             textcoords="offset points",
             fontsize=6,
@@ -197,17 +198,17 @@
         )
 
 
-def _by_look(events: tuple[Event, ...]) -> dict[_Look, list[Event]]:
-    groups: dict[_Look, list[Event]] = {}
+def _group_by_style(events: tuple[Event, ...]) -> dict[_EventStyle, list[Event]]:
+    groups: dict[_EventStyle, list[Event]] = {}
     for event in events:
-        groups.setdefault(_look(event.kind), []).append(event)
+        groups.setdefault(_style_of(event.kind), []).append(event)
     return groups
 
 
-def _look(kind: EventKind) -> _Look:
-    if kind in _LOOKS:
-        return _LOOKS[kind]
-    for prefix, look in _PREFIX_LOOKS:
+def _style_of(kind: EventKind) -> _EventStyle:
+    if kind in _STYLES:
+        return _STYLES[kind]
+    for prefix, style in _PREFIX_STYLES:
         if kind.startswith(prefix):
-            return look
-    return _OTHER_LOOK
+            return style
+    return _OTHER_STYLE
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/timeline/text.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/timeline/text.py
@@ -1,4 +1,4 @@
-"""A time line as text and as JSON lines."""
+"""Rendering of a timeline as text or JSON lines."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 
 
 def text_lines(timeline: Timeline) -> Iterator[str]:
-    """Yield the lines of a time line for people.
+    """Yield the lines of a timeline as text.
 
     Parameters
     ----------
     timeline : Timeline
-        The time line.
+        The timeline.
 
     Yields
     ------
     str
-        First what is missing, then one line an event.
+        A summary, a line for each gap, then a line for each event.
     """
-    yield _title(timeline)
-    yield from gaps(timeline)
+    yield _summary(timeline)
+    yield from gap_lines(timeline)
     if not timeline.events:
         return
     start = wall_of(timeline.events[0].stamp)
@@ -40,12 +40,12 @@
         wall = wall_of(event.stamp)
         yield (
             f"{time_of_day(wall)} {wall - start:+10.3f} ms  {event.process:{width}}"
-            f"  {event.kind:20} {_said(event)}"
+            f"  {event.kind:20} {_details(event)}"
         ).rstrip()
 
 
-def gaps(timeline: Timeline) -> Iterator[str]:
-    """Yield a line for each node of which something is missing."""
+def gap_lines(timeline: Timeline) -> Iterator[str]:
+    """Yield a line for each node with missing or overwritten events."""
     for node in timeline.missing:
         yield (
             f"missing: {node.name} ({node.address}) did not answer: {node.detail};"
@@ -54,22 +54,22 @@
     for process in timeline.overwritten:
         yield (
             f"overwritten: older events of {process} had been overwritten in its"
-            " ring; ask sooner, or for a shorter time"
+            " ring; run the command sooner, or with a shorter --since"
         )
 
 
 def json_lines(timeline: Timeline) -> Iterator[str]:
-    """Yield each event as a JSON object, then one object that says what is missing.
+    """Yield each event as a JSON object, then one that lists what is missing.
 
     Parameters
     ----------
     timeline : Timeline
-        The time line.
+        The timeline.
 
     Yields
     ------
     str
-        One line.
+        A JSON object on one line.
     """
     for event in timeline.events:
         time = _iso(wall_of(event.stamp))
@@ -88,7 +88,7 @@
 
 
 def time_of_day(wall: float) -> str:
-    """Return hours to microseconds in UTC of milliseconds since the epoch."""
+    """Return the UTC time of day, in microseconds, of a Unix time in milliseconds."""
     return datetime.fromtimestamp(wall / MS_PER_S, UTC).strftime("%H:%M:%S.%f")
 
 
@@ -97,7 +97,7 @@
     return moment.isoformat(timespec="microseconds")
 
 
-def _title(timeline: Timeline) -> str:
+def _summary(timeline: Timeline) -> str:
     n_events, n_processes = len(timeline.events), len(timeline.processes)
     title = f"{n_events} events, {n_processes} processes answered"
     if not timeline.events:
@@ -106,11 +106,11 @@
     return f"{title}, {day} UTC"
 
 
-def _said(event: Event) -> str:
-    words = []
+def _details(event: Event) -> str:
+    parts = []
     if event.call_id:
-        words.append(f"call={event.call_id}")
+        parts.append(f"call={event.call_id}")
     if event.root_id and event.root_id != event.call_id:
-        words.append(f"root={event.root_id}")
-    words.extend(f"{name}={value}" for name, value in event.detail.items())
-    return " ".join(words)
+        parts.append(f"root={event.root_id}")
+    parts.extend(f"{name}={value}" for name, value in event.detail.items())
+    return " ".join(parts)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home.py
@@ -1,8 +1,9 @@
-"""A non-idempotent call at the home of its root's ticket: at most one run.
+"""Runs a non-idempotent call at most once, at the home of its root request's ticket.
 
-A run is a task of the home and not of the caller: a caller who leaves neither stops
-it nor makes it start again. It ends by the deadline of the copy that started it, and
-its outcome is kept.
+The home is the node that issued the ticket or took its window over; it keeps the
+record of each run. A run is a task of the home and not of the caller, so a caller that
+disconnects neither stops it nor causes a second one. It ends by the deadline of the
+copy that started it, and its outcome is kept for later copies.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
     Start,
     WindowFrozen,
 )
-from fuchsiagap_node.core.callpath.home_of import relayed
+from fuchsiagap_node.core.callpath.home_lookup import outcome_of_relay
 from fuchsiagap_node.core.wire.messages_call import HomeCallMessage, head_to_wire
 
 if TYPE_CHECKING:
@@ -42,15 +43,16 @@
     from fuchsiagap.core.tickets.window import TicketWindow
     from fuchsiagap_node.core.state import NodeState
 
+# Dispatches one call and returns its outcome.
 Run: TypeAlias = "Callable[[], Awaitable[Outcome]]"
 
-_HOW_TO_GET = "get tickets with POST /tickets and send one as Idempotency-Key"
-_GRACE_MS = 500.0
+_TICKET_HINT = "obtain a ticket with POST /tickets and send it as Idempotency-Key"
+_RUN_GRACE_MS = 500.0
 _LOG = logging.getLogger(__name__)
 
 
 async def run(state: NodeState) -> None:
-    """Be the parent of all runs, until cancelled.
+    """Host the tasks of all runs in one nursery, until cancelled.
 
     Parameters
     ----------
@@ -65,55 +67,58 @@
 
 
 async def at_home(state: NodeState, head: CallHead, body: bytes, run: Run) -> Outcome:
-    """Run a non-idempotent call, unless it was started before.
+    """Run a non-idempotent call, or return the outcome of its earlier run.
 
     Parameters
     ----------
     state : NodeState
-        The node that answers for the ticket.
+        The home of the ticket.
     head : CallHead
-        The call, with the ticket of its root.
+        Head of the call, with the ticket of its root request.
     body : bytes
-        The whole body.
+        The complete request body.
     run : callable
-        Dispatches the call; called at most once for each (ticket, child key), but
-        again after it returned `Refused`.
+        Dispatches the call. Called at most once for each (ticket, child key), unless
+        it returns `Refused`: then a later copy may run.
 
     Returns
     -------
     Answered, Refused or Unknown
-        The outcome of this run or of the earlier one, within the deadline.
+        The outcome of this run or of an earlier one.
+        ``Unknown(TICKET_IN_PROGRESS)`` if the run has not ended by the deadline of the
+        call.
     """
     ticket = head.ticket
     if ticket is None:
-        return needs_ticket(head)
+        return refuse_without_ticket(head)
     window = state.tickets.window_of(ticket)
     if window is None:
-        detail = f"{state.node} does not know the life that issued {ticket}"
+        detail = f"{state.node} has no records of the incarnation that issued {ticket}"
         return _forgotten(state, head, detail)
     runs = state.tickets.runs
     if runs is None:
-        runs = await _runs(state)
+        runs = await _wait_for_nursery(state)
     claim = window.claim(ticket.sequence, head.child_key, fingerprint(head, body))
-    # From the claim to the start of the task nothing waits, so no run gets lost.
+    # There is no checkpoint between the claim and the start of the task, so a
+    # cancellation cannot leave a claim without a run.
     if isinstance(claim, Start):
         record = claim.record
         runs.start_soon(_run_once, state, window, record, head, run)
-        return await await_end(state, record, head.deadline)
+        return await await_run_end(state, record, head.deadline)
     if isinstance(claim, WindowFrozen):
-        return await _follow(state, window, head, body)
-    return await _repeat(state, claim, head)
+        return await _forward_to_successor(state, window, head, body)
+    return await _handle_copy(state, claim, head)
 
 
-async def _runs(state: NodeState) -> trio.Nursery:
+async def _wait_for_nursery(state: NodeState) -> trio.Nursery:
     await state.tickets.ready.wait()
     assert state.tickets.runs is not None
     return state.tickets.runs
 
 
-def needs_ticket(head: CallHead) -> Refused:
-    """Return the refusal of a non-idempotent call whose root has no ticket."""
-    detail = f"{head.method} of route {head.route} may run once only: {_HOW_TO_GET}"
+def refuse_without_ticket(head: CallHead) -> Refused:
+    """Return the refusal of a non-idempotent call whose root request has no ticket."""
+    detail = f"{head.method} of route {head.route} is not idempotent: {_TICKET_HINT}"
     return Refused(Reason.NEEDS_TICKET, allowance=head.allowance, detail=detail)
 
 
@@ -132,15 +137,20 @@
         state.telemetry.report_violation(invariant, detail, head.call_id, head.root_id)
     record_event = state.telemetry.ring.record
     record_event(EventKind.TICKET_STARTED, head.call_id, head.root_id)
-    outcome: Outcome = Unknown(Reason.DEADLINE, detail="the deadline passed")
+    outcome: Outcome = Unknown(
+        Reason.DEADLINE, detail="the deadline of the run expired"
+    )
     try:
-        # The dispatch keeps the deadline and says more truly what came of it.
-        with _scope_until(state, head.deadline + _GRACE_MS):
+        # Dispatch enforces the deadline itself and returns a more precise outcome; this
+        # scope only ends a run that exceeds it.
+        with _scope_until(state, head.deadline + _RUN_GRACE_MS):
             outcome = await run()
     except Exception:
-        # A fault of the program: what it had done by then is not known.
-        _LOG.exception("run of %s failed", record.key)
-        outcome = Unknown(Reason.CONNECTION_LOST, detail="the home failed")
+        # A defect of the program; whether the call was run by then is unknown.
+        _LOG.exception("run %s failed with an unexpected error", record.key)
+        outcome = Unknown(
+            Reason.CONNECTION_LOST, detail="internal error at the home of the ticket"
+        )
     if isinstance(outcome, Refused):
         started.mark_refused(head.ticket, head.child_key)
     window.finish(record, outcome)
@@ -148,63 +158,65 @@
         record_event(EventKind.TICKET_KEPT, head.call_id, head.root_id)
 
 
-async def _repeat(state: NodeState, claim: Claim, head: CallHead) -> Outcome:
+async def _handle_copy(state: NodeState, claim: Claim, head: CallHead) -> Outcome:
     state.telemetry.metrics.count(Counter.TICKETS_REPEATED)
     ring = state.telemetry.ring
     ring.record(EventKind.TICKET_REPEATED, head.call_id, head.root_id)
     match claim:
         case InProgress(record):
-            outcome = await await_end(state, record, head.deadline)
-            return as_repeat(outcome, head.allowance)
+            outcome = await await_run_end(state, record, head.deadline)
+            return as_repeated(outcome, head.allowance)
         case KeptOutcome(outcome):
-            return as_repeat(outcome, head.allowance)
+            return as_repeated(outcome, head.allowance)
         case Burnt():
             if head.ticket is not None:
-                check_not_run(state, head.ticket)
-            detail = f"ticket {head.ticket} was asked about before it came"
+                check_not_started(state, head.ticket)
+            detail = f"ticket {head.ticket} was settled before its request arrived"
             return Refused(Reason.TICKET_BURNT, 0.0, head.allowance, detail=detail)
         case RequestMismatch():
-            detail = f"{head.ticket} {head.child_key} was used for another request"
+            detail = f"{head.ticket} {head.child_key} was used for a different request"
             return Unknown(Reason.BAD_REQUEST, head.allowance, detail=detail)
         case Forgotten(detail):
             return _forgotten(state, head, detail)
     raise AssertionError(claim)
 
 
-async def _follow(
+async def _forward_to_successor(
     state: NodeState, window: TicketWindow, head: CallHead, body: bytes
 ) -> Outcome:
-    """Send a call that was not started here after the window it belongs to."""
+    """Wait for the hand-over of a window, and forward the call to the successor."""
     with _scope_until(state, head.deadline):
         await window.hand_over_ended.wait()
     if window.handed_to is not None:
         msg = HomeCallMessage(head_to_wire(head, state.clock.now()), body)
         reply = await state.peers.ask(window.handed_to.address, msg)
-        return relayed(head, reply, first_copy=False)
-    detail = f"{state.node} is leaving, and its tickets found no other home"
+        return outcome_of_relay(head, reply, first_copy=False)
+    detail = f"{state.node} is shutting down, and no node took over its tickets"
     if window.may_have_been_handed_over:
+        # The successor may hold the window, and may have run the call.
         return Unknown(Reason.LEAVING, head.allowance, detail=detail)
     return Refused(Reason.LEAVING, allowance=head.allowance, detail=detail)
 
 
-async def await_end(
+async def await_run_end(
     state: NodeState, record: RunRecord, deadline: Milliseconds
 ) -> Outcome:
-    """Wait for the end of a run, until a deadline.
+    """Wait for the end of a run until a deadline, and return its outcome.
 
     Parameters
     ----------
     state : NodeState
-        The home.
+        The home of the ticket.
     record : RunRecord
-        The run.
+        Record of the run.
     deadline : float
         Milliseconds on the clock of this process.
 
     Returns
     -------
     Answered, Refused or Unknown
-        With no allowance if the run goes on: it may still spend it.
+        ``Unknown(TICKET_IN_PROGRESS)`` if the run is still in progress, with no
+        allowance, since the run may still spend it.
     """
     if record.final_outcome is None:
         if record.ended is None:
@@ -212,29 +224,33 @@
         with _scope_until(state, deadline):
             await record.ended.wait()
     if record.final_outcome is None:
-        detail = "it runs; the same ticket gets its outcome"
+        detail = "the request is in progress; repeat it with the same ticket"
         return Unknown(Reason.TICKET_IN_PROGRESS, detail=detail)
     return record.final_outcome
 
 
-def check_not_run(state: NodeState, ticket: Ticket) -> None:
-    """Report a ticket that is about to be called not run, though it was started.
+def check_not_started(state: NodeState, ticket: Ticket) -> None:
+    """Report a violation if the root request of a burnt ticket was started here.
+
+    Callers are told that the request of a burnt ticket was not run.
 
     Parameters
     ----------
     state : NodeState
-        The home.
+        The home of the ticket.
     ticket : Ticket
-        The root's ticket.
+        Ticket of the root request.
     """
     if (ticket, "") in state.tickets.started.runs:
-        detail = f"ticket {ticket} is called burnt, but its request was started here"
+        detail = (
+            f"ticket {ticket} is reported as burnt, but its request was started here"
+        )
         invariant = Invariant.FALSE_NOT_RUN
         state.telemetry.report_violation(invariant, detail, root_id=str(ticket))
 
 
-def as_repeat(outcome: Outcome, allowance: int) -> Outcome:
-    """Return the outcome for a copy that spent nothing of its own allowance."""
+def as_repeated(outcome: Outcome, allowance: int) -> Outcome:
+    """Return an earlier run's outcome for a copy, with the copy's unspent allowance."""
     if isinstance(outcome, Answered):
         return replace(outcome, allowance=allowance, load=None, repeated=True)
     return replace(outcome, allowance=allowance, load=None)
@@ -248,6 +264,6 @@
 
 
 def _scope_until(state: NodeState, deadline: Milliseconds) -> trio.CancelScope:
-    """Return a scope that is cancelled at a deadline; quicker than `move_on_after`."""
+    """Return a scope that is cancelled at a deadline; cheaper than `move_on_after`."""
     seconds = max(deadline - state.clock.now(), 0.0) / MS_PER_S
     return trio.CancelScope(deadline=trio.current_time() + seconds)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home_of.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home_lookup.py
@@ -1,4 +1,4 @@
-"""Where the home of a ticket is now, and what it means if it is not reached."""
+"""Finds the home of a ticket, and maps replies of a home to outcomes."""
 
 from __future__ import annotations
 
@@ -16,104 +16,110 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HomeHere:
-    """The node itself answers for the ticket."""
+class LocalHome:
+    """The node itself is the home of the ticket."""
 
 
 @dataclass(frozen=True, slots=True)
-class HomeAt:
-    """Another node answers for the ticket.
+class RemoteHome:
+    """Another node is the home of the ticket.
 
     Parameters
     ----------
     address : str
-        ``IP:PORT`` for other nodes.
+        ``IP:PORT`` of its peer listener.
     """
 
     address: str
 
 
 @dataclass(frozen=True, slots=True)
-class HomeGone:
-    """No node is known to answer for the ticket.
+class UnknownHome:
+    """No known node is the home of the ticket.
 
     Parameters
     ----------
     reason : Reason
-        `Reason.HOME_GONE` or `Reason.TICKET_FORGOTTEN`.
+        `Reason.HOME_GONE`, or `Reason.TICKET_FORGOTTEN` if this node would be the home
+        but has no records of the ticket.
     """
 
     reason: Reason
 
 
-# Successors of successors that are looked up, within the time members are kept.
+# Maximum number of hand-overs followed from one successor to the next. Nodes that have
+# left stay in the member list for a limited time, so longer chains are not expected.
 _MAX_HAND_OVERS = 8
-Home: TypeAlias = HomeHere | HomeAt | HomeGone
+Home: TypeAlias = LocalHome | RemoteHome | UnknownHome
 
 
-def home_of(state: NodeState, ticket: Ticket) -> Home:
-    """Return who answers for a ticket.
+def find_home(state: NodeState, ticket: Ticket) -> Home:
+    """Return the home of a ticket.
 
     Parameters
     ----------
     state : NodeState
-        The node that asks.
+        The node that looks it up.
     ticket : Ticket
         The ticket.
 
     Returns
     -------
-    HomeHere, HomeAt or HomeGone
-        Where to send a call that bears the ticket.
+    LocalHome, RemoteHome or UnknownHome
+        Where to send a call with the ticket.
     """
     if state.tickets.window_of(ticket) is not None:
-        return HomeHere()
+        return LocalHome()
     view = state.membership
     name = view.successor_of(ticket.node, ticket.incarnation)
     if not name and ticket.node == state.node:
-        return HomeGone(Reason.TICKET_FORGOTTEN)
+        return UnknownHome(Reason.TICKET_FORGOTTEN)
     member = view.get(name or ticket.node)
     for _ in range(_MAX_HAND_OVERS):
         if member is None or member.state is not MemberState.LEFT:
             break
-        # It handed over what it had taken over, too.
+        # A node that leaves hands over its adopted windows together with its own.
         member = view.get(member.successor)
     if member is None:
-        return HomeGone(Reason.HOME_GONE)
+        return UnknownHome(Reason.HOME_GONE)
     if member.node == state.node:
-        return HomeGone(Reason.TICKET_FORGOTTEN)
-    return HomeAt(member.address)
+        return UnknownHome(Reason.TICKET_FORGOTTEN)
+    return RemoteHome(member.address)
 
 
-def relayed(head: CallHead, reply: object, *, first_copy: bool) -> Outcome:
+def outcome_of_relay(head: CallHead, reply: object, *, first_copy: bool) -> Outcome:
     """Return the outcome of a call that was sent to its home.
 
     Parameters
     ----------
     head : CallHead
-        The call.
+        Head of the call.
     reply : object
-        What `Peers.ask` returned.
+        Result of `Peers.ask`.
     first_copy : bool
-        Whether the caller says that it sent no copy of the request before.
+        Whether the caller marked the request as its first copy.
 
     Returns
     -------
     Answered, Refused or Unknown
-        If the home was not reached, `Refused` only for a first copy: an earlier one
-        may have run.
+        If the call could not be sent, `Refused` for a first copy and `Unknown`
+        otherwise, since an earlier copy may have run.
     """
     if isinstance(reply, LinkLost) and not reply.sent:
         if first_copy:
             reason = Reason.HOME_GONE
             return Refused(reason, allowance=head.allowance, detail=reply.detail)
         return Unknown(Reason.HOME_GONE, head.allowance, detail=reply.detail)
-    return lost(reply)
+    return outcome_of_reply(reply)
 
 
-def lost(reply: object) -> Outcome:
-    """Return the outcome of what was sent to a home: the reply, or `Unknown`."""
+def outcome_of_reply(reply: object) -> Outcome:
+    """Return the reply of a home if it is an outcome, or else `Unknown`."""
     if isinstance(reply, (Answered, Refused, Unknown)):
         return reply
-    detail = reply.detail if isinstance(reply, LinkLost) else f"got {reply!r:.60}"
+    detail = (
+        reply.detail
+        if isinstance(reply, LinkLost)
+        else f"unexpected reply: {reply!r:.60}"
+    )
     return Unknown(Reason.CONNECTION_LOST, detail=detail)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/config.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/config.py
@@ -1,4 +1,4 @@
-"""A node's own settings: one INI file, and flags that override it."""
+"""Settings of a node, read from an INI file and ``--set`` flags that override it."""
 
 from __future__ import annotations
 
@@ -20,25 +20,25 @@
 )
 from fuchsiagap.core.telemetry.telemetry import TelemetrySettings
 from fuchsiagap.core.tickets.settings import TicketSettings
-from fuchsiagap_node.core.config_keys import NODE_TABLES
+from fuchsiagap_node.core.config_schema import NODE_SCHEMAS
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
     from fuchsiagap.core.clock import Milliseconds
 
-_ANY_HOST = ("0.0.0.0", "[::]")
-_FLAG = "--set"
+_WILDCARD_HOSTS = ("0.0.0.0", "[::]")
+_OVERRIDE_FLAG = "--set"
 
 
 @dataclass(frozen=True, slots=True)
 class ListenConfig:
-    """Where the node listens, each as ``IP:PORT``.
+    """Addresses the node listens on.
 
     Parameters
     ----------
     callers, peers, admin : str
-        For callers, other nodes and operators.
+        ``IP:PORT`` for callers, for other nodes and for operators.
     """
 
     callers: str
@@ -53,13 +53,13 @@
     Parameters
     ----------
     team, service : str
-        What it is an instance of.
+        Team and service of which it is an instance.
     address : str
-        ``IP:PORT`` where it listens.
+        ``IP:PORT`` it listens on.
     slots : int
-        Calls it can work on at once; a start value.
+        Calls it can run concurrently; the initial concurrency limit.
     connections : int
-        Most connections to it.
+        Maximum number of connections to it.
     """
 
     team: str
@@ -71,16 +71,16 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformConfig:
-    """The platform's object API.
+    """Address and timeouts of the platform's object API.
 
     Parameters
     ----------
     url : str
-        ``http://IP:PORT``.
+        Base URL as ``http://IP:PORT``.
     timeout : float
-        Milliseconds within which a call has to be answered.
+        Time limit of a request in milliseconds.
     watch_wait : float
-        Milliseconds a watch waits before it asks anew.
+        Time in milliseconds after which an empty watch request ends and is repeated.
     """
 
     url: str
@@ -90,12 +90,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PeersConfig:
-    """Other nodes.
+    """Other nodes to contact at the start.
 
     Parameters
     ----------
     first : tuple of str
-        ``IP:PORT`` of the nodes to ask first.
+        ``IP:PORT`` of the nodes to contact first.
     """
 
     first: tuple[str, ...]
@@ -103,18 +103,20 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitsConfig:
-    """What callers and other nodes may hold.
+    """Resource limits for callers and other nodes.
 
     Parameters
     ----------
     header_bytes, body_bytes : int
-        Of one request or answer.
+        Maximum size of the headers of a request, and of the body of a request or
+        response, in bytes.
     open_calls, open_body_bytes : int
-        Of all callers at one time.
+        Maximum number of open calls of all callers, and total size of their bodies in
+        bytes.
     link_calls : int
-        Calls of one other node that may run here at one time.
+        Maximum number of concurrent calls from one other node.
     link_queue_frames : int
-        Frames that may wait to be sent to one other node.
+        Maximum number of frames queued for sending to one other node.
     """
 
     header_bytes: int
@@ -127,12 +129,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminConfig:
-    """The operators' API.
+    """Settings of the operators' API.
 
     Parameters
     ----------
     token_digest : str
-        SHA-256 of the token that may create teams; empty for nobody.
+        Hexadecimal SHA-256 of the operators' token; empty if there is none.
     """
 
     token_digest: str
@@ -140,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeConfig:
-    """A node's own settings.
+    """Settings of a node.
 
     Parameters
     ----------
@@ -149,11 +151,11 @@
     host : str
         Name of its host.
     data_centre : str
-        Its data centre.
+        Name of its data centre.
     listen, backend, platform, peers, limits, admin, telemetry
-        One for each section of the INI file.
+        One object for each section of the INI file.
     gate, membership, retries, routing, tickets
-        Settings of the aggregates; tests and benchmarks vary them.
+        Settings of the components; not in the INI file, varied by tests and benchmarks.
     """
 
     name: str
@@ -179,26 +181,26 @@
 
     @property
     def peer_address(self) -> str:
-        """Where other nodes reach this one."""
+        """Address on which other nodes reach this one."""
         return self.listen.peers
 
     def with_addresses(self, callers: str, peers: str, admin: str) -> NodeConfig:
-        """Return the same settings with the addresses that were bound.
+        """Return the same settings with the bound addresses.
 
         Parameters
         ----------
         callers, peers, admin : str
-            ``IP:PORT`` of each, with the port taken where the file says port 0.
+            Bound ``IP:PORT`` of each listener, which differs where the file has port 0.
         """
         return replace(self, listen=ListenConfig(callers, peers, admin))
 
     def self_member(self, incarnation: int) -> Member:
-        """Return this node as it describes itself to others.
+        """Return this node as a member of the cluster.
 
         Parameters
         ----------
         incarnation : int
-            The life of the process.
+            Incarnation of the process.
         """
         return Member(
             node=self.name,
@@ -212,14 +214,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigFaults:
-    """The node's settings are not valid; the node does not start.
+    """Faults of invalid settings, with which the node does not start.
 
     Parameters
     ----------
     path : str
-        The file.
+        Path of the file.
     faults : tuple of Fault
-        Every fault at once; never empty.
+        All faults; never empty.
     """
 
     path: str
@@ -232,68 +234,68 @@
 def parse_node_config(
     text: str, path: str, overrides: Sequence[str] = ()
 ) -> NodeConfig | ConfigFaults:
-    """Read a node's settings.
+    """Parse and validate the settings of a node.
 
     Parameters
     ----------
     text : str
         Text of the INI file.
     path : str
-        The file, for the faults.
+        Path of the file, named in the faults.
     overrides : sequence of str
-        ``SECTION.KEY=VALUE`` items from the command line; they win over the file.
+        ``SECTION.KEY=VALUE`` items from the command line; they override the file.
 
     Returns
     -------
     NodeConfig or ConfigFaults
-        The settings, or every fault at once.
+        The settings, or all faults.
     """
     ini = apply_overrides(read_ini(path, text), overrides)
     faults = list(ini.faults)
     sections = {section.name: section for section in ini.sections}
     for section in ini.sections:
-        if section.name not in NODE_TABLES:
+        if section.name not in NODE_SCHEMAS:
             expected = describe_unknown_name(
-                section.name, list(NODE_TABLES), "a section of these"
+                section.name, list(NODE_SCHEMAS), "a section of these"
             )
             faults.append(Fault(path, section.name, "", "", expected, section.line))
-    found: dict[str, dict[str, Any]] = {}
-    for name, table in NODE_TABLES.items():
+    section_values: dict[str, dict[str, Any]] = {}
+    for name, schema in NODE_SCHEMAS.items():
         section = sections.get(name, Section(name, 0, ()))
-        given = read_entries(path, table, section, faults)
-        found[name] = with_defaults(path, table, section, given, faults)
-    faults.extend(_clashes(path, found))
+        parsed = read_entries(path, schema, section, faults)
+        section_values[name] = with_defaults(path, schema, section, parsed, faults)
+    faults.extend(_find_address_conflicts(path, section_values))
     if faults:
         return ConfigFaults(path, tuple(sorted(faults, key=lambda f: f.line)))
-    backend = BackendConfig(**found["backend"])
+    backend = BackendConfig(**section_values["backend"])
     return NodeConfig(
-        **found["node"],
-        listen=ListenConfig(**found["listen"]),
+        **section_values["node"],
+        listen=ListenConfig(**section_values["listen"]),
         backend=backend,
-        platform=PlatformConfig(**found["platform"]),
-        peers=PeersConfig(**found["peers"]),
-        limits=LimitsConfig(**found["limits"]),
-        admin=AdminConfig(**found["admin"]),
-        telemetry=TelemetrySettings(**found["telemetry"]),
+        platform=PlatformConfig(**section_values["platform"]),
+        peers=PeersConfig(**section_values["peers"]),
+        limits=LimitsConfig(**section_values["limits"]),
+        admin=AdminConfig(**section_values["admin"]),
+        telemetry=TelemetrySettings(**section_values["telemetry"]),
         gate=GateSettings(start_limit=backend.slots),
     )
 
 
 def apply_overrides(ini: ParsedIni, overrides: Sequence[str]) -> ParsedIni:
-    """Return an INI text with entries replaced or added.
+    """Return a parsed INI text with entries replaced or added.
 
     Parameters
     ----------
     ini : ParsedIni
-        The text as read.
+        The parsed text.
     overrides : sequence of str
-        ``SECTION.KEY=VALUE`` items; a later one wins over an earlier one. An
-        underscore in a key stands for a space.
+        ``SECTION.KEY=VALUE`` items; a later one overrides an earlier one. An
+        underscore in a key means a space.
 
     Returns
     -------
     ParsedIni
-        With a fault for each item of another form.
+        The text with the overrides, and a fault for each malformed item.
     """
     entries = {
         section.name: {entry.key: entry for entry in section.entries}
@@ -302,35 +304,37 @@
     lines = {section.name: section.line for section in ini.sections}
     faults = list(ini.faults)
     for item in overrides:
-        place, equals, value = item.partition("=")
-        name, dot, key = place.strip().partition(".")
+        location, equals, value = item.partition("=")
+        name, dot, key = location.strip().partition(".")
         key = key.replace("_", " ").lower()
         if not (equals and dot and name and key):
-            faults.append(Fault(_FLAG, "", "", item, "SECTION.KEY=VALUE"))
+            faults.append(Fault(_OVERRIDE_FLAG, "", "", item, "SECTION.KEY=VALUE"))
             continue
-        entries.setdefault(name, {})[key] = Entry(key, value.strip(), 0, _FLAG)
+        entries.setdefault(name, {})[key] = Entry(key, value.strip(), 0, _OVERRIDE_FLAG)
     sections = tuple(
-        Section(name, lines.get(name, 0), tuple(held.values()))
-        for name, held in entries.items()
+        Section(name, lines.get(name, 0), tuple(section_entries.values()))
+        for name, section_entries in entries.items()
     )
     return ParsedIni(sections, tuple(faults))
 
 
-def _clashes(path: str, found: dict[str, dict[str, Any]]) -> list[Fault]:
-    """Find addresses that cannot work together."""
+def _find_address_conflicts(
+    path: str, section_values: dict[str, dict[str, Any]]
+) -> list[Fault]:
+    """Return faults for addresses that are unusable or used twice."""
     faults = []
-    taken: dict[str, str] = {}
-    for key, address in found["listen"].items():
-        if key == "peers" and address.startswith(_ANY_HOST):
+    key_by_address: dict[str, str] = {}
+    for key, address in section_values["listen"].items():
+        if key == "peers" and address.startswith(_WILDCARD_HOSTS):
             expected = "an address that other nodes can dial"
             faults.append(Fault(path, "listen", key, address, expected))
-        if address in taken and not address.endswith(":0"):
-            expected = f"another address than that of {taken[address]!r}"
+        if address in key_by_address and not address.endswith(":0"):
+            expected = f"another address than that of {key_by_address[address]!r}"
             faults.append(Fault(path, "listen", key, address, expected))
-        taken.setdefault(address, key)
-    backend = found["backend"].get("address", "")
-    if backend in taken:
-        expected = f"another address than [listen] {taken[backend]}"
+        key_by_address.setdefault(address, key)
+    backend = section_values["backend"].get("address", "")
+    if backend in key_by_address:
+        expected = f"another address than [listen] {key_by_address[backend]}"
         faults.append(Fault(path, "backend", "address", backend, expected))
     if backend.endswith(":0"):
         expected = "a port from 1 to 65535"
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/handover.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/handover.py
@@ -1,12 +1,12 @@
-"""Handing the tickets of a stopping node to another one.
+"""Hands the ticket windows of a stopping node over to a successor.
 
-The window is frozen first, for good: nothing starts here any more, whatever becomes
-of the hand-over. The successor answers for it only once it has the whole window. So
-at no time may two nodes start a run.
+Each window is frozen first, permanently: no run of its tickets starts here any more,
+even if the hand-over fails. The successor becomes the home only once it has received
+the whole window. So two nodes can never both start runs of the same window.
 
 See Also
 --------
-fuchsiagap_node.core.drain.takeover : The successor's side.
+fuchsiagap_node.core.drain.takeover : The receiving end.
 """
 
 from __future__ import annotations
@@ -46,15 +46,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HandedOver:
-    """The successor answers for every window.
+class HandOverCompleted:
+    """The successor is now the home of all windows.
 
     Parameters
     ----------
     successor : str
-        Name of the node that has the tickets of the node's own life.
+        Name of the node that took over the tickets issued by this node.
     n_windows : int
-        Windows handed over: the node's own, and those it had taken over.
+        Number of windows handed over: the node's own and those adopted earlier.
     """
 
     successor: str
@@ -63,35 +63,38 @@
 
 @dataclass(frozen=True, slots=True)
 class HandOverFailed:
-    """At least one window was not handed over, as far as is known.
+    """The hand-over of at least one window failed, or its result is unknown.
 
     Parameters
     ----------
     detail : str
-        What happened, for people.
+        Description of the failure for logs.
     may_try_another : bool
-        Whether another peer may be tried. It may not once the last message of a
-        window was sent: that peer may answer for it.
+        Whether another peer may be tried. False once the last message of a window may
+        have arrived, since that peer may now be its home.
     """
 
     detail: str
     may_try_another: bool
 
 
-async def hand_over(state: NodeState, peer_address: str) -> HandedOver | HandOverFailed:
-    """Hand all windows of this node to another one, and wait for its runs to end.
+async def hand_over(
+    state: NodeState, peer_address: str
+) -> HandOverCompleted | HandOverFailed:
+    """Hand all windows over to a peer, and send the outcomes of runs in progress.
 
     Parameters
     ----------
     state : NodeState
-        The stopping node. Its windows stay frozen, also after a failure.
+        The stopping node. Its windows stay frozen even after a failure.
     peer_address : str
         ``IP:PORT`` of the successor.
 
     Returns
     -------
-    HandedOver or HandOverFailed
-        After a failure another peer may be tried if the result says so.
+    HandOverCompleted or HandOverFailed
+        The result. It is returned when the runs in progress of the windows handed over
+        have ended and their outcomes have been sent.
     """
     windows = state.tickets.windows()
     for window in windows:
@@ -103,13 +106,15 @@
         window.hand_over_ended.set()
     await _send_late_outcomes(state, windows)
     if failed is not None:
-        _LOG.warning("tickets were not handed to %s: %s", peer_address, failed.detail)
+        _LOG.warning(
+            "hand-over of tickets to %s failed: %s", peer_address, failed.detail
+        )
         return failed
     successor = state.tickets.own.handed_to
     assert successor is not None
     ring = state.telemetry.ring
     ring.record(EventKind.TICKETS_HANDED_OVER, to=successor.node, windows=len(windows))
-    return HandedOver(successor.node, len(windows))
+    return HandOverCompleted(successor.node, len(windows))
 
 
 async def _hand_over_window(
@@ -118,21 +123,21 @@
     if window.handed_to is not None:
         return None
     if window.may_have_been_handed_over:
-        detail = "the last message of an earlier hand-over was sent"
+        detail = "an earlier hand-over of the window may have succeeded"
         return HandOverFailed(detail, may_try_another=False)
-    reply = await _ask(
+    reply = await _send_message(
         state, address, HandOverBegin(window.life, window.low, window.next)
     )
     n_parts = 0
     for part in _parts(window, state.tickets.cfg.chunk_bytes):
         if not isinstance(reply, HandOverReply) or not reply.accepted:
             break
-        reply = await _ask(state, address, part)
+        reply = await _send_message(state, address, part)
         n_parts += 1
     if isinstance(reply, HandOverReply) and reply.accepted:
         window.may_have_been_handed_over = True
-        reply = await _ask(state, address, HandOverEnd(window.life, n_parts))
-        if _surely_not_taken(reply):
+        reply = await _send_message(state, address, HandOverEnd(window.life, n_parts))
+        if _is_certainly_rejected(reply):
             window.may_have_been_handed_over = False
     if not isinstance(reply, HandOverReply) or not reply.accepted:
         return HandOverFailed(
@@ -142,7 +147,7 @@
     return None
 
 
-async def _ask(
+async def _send_message(
     state: NodeState, address: str, msg: object
 ) -> HandOverReply | LinkLost | Refused:
     reply: object = LinkLost(sent=True, detail=f"no reply from {address}")
@@ -153,7 +158,7 @@
     return LinkLost(sent=True, detail=f"{address} replied {reply!r:.60}")
 
 
-def _surely_not_taken(reply: HandOverReply | LinkLost | Refused) -> bool:
+def _is_certainly_rejected(reply: HandOverReply | LinkLost | Refused) -> bool:
     if isinstance(reply, HandOverReply):
         return not reply.accepted
     return isinstance(reply, Refused) or not reply.sent
@@ -176,7 +181,7 @@
     chunk: list[RecordCopy] = []
     n_bytes = 0
     for record in records:
-        size = _size(record)
+        size = _estimate_size(record)
         if chunk and n_bytes + size > chunk_bytes:
             yield tuple(chunk)
             chunk, n_bytes = [], 0
@@ -186,7 +191,8 @@
         yield tuple(chunk)
 
 
-def _size(record: RecordCopy) -> int:
+def _estimate_size(record: RecordCopy) -> int:
+    # 100 bytes are assumed for the fixed fields.
     size = 100 + len(record.child_key)
     if isinstance(record.outcome, Answered):
         size += len(record.outcome.body)
@@ -197,18 +203,21 @@
 async def _send_late_outcomes(
     state: NodeState, windows: tuple[TicketWindow, ...]
 ) -> None:
-    """Send what becomes of the runs that were in progress at the hand-over."""
+    """Send the outcomes of the runs that were in progress at the hand-over."""
     async with trio.open_nursery() as nursery:
         for window in windows:
             if window.handed_to is None:
                 continue
             for record in window.frozen_runs:
-                # A run of another node that goes on is told by `takeover`.
+                # The outcome of an adopted run still in progress at the node that
+                # started it arrives at `takeover.take_late_outcome`, which forwards it.
                 if record.final_outcome is not None or not record.is_remote:
-                    nursery.start_soon(_send_late, state, window, record)
+                    nursery.start_soon(_send_late_outcome, state, window, record)
 
 
-async def _send_late(state: NodeState, window: TicketWindow, record: RunRecord) -> None:
+async def _send_late_outcome(
+    state: NodeState, window: TicketWindow, record: RunRecord
+) -> None:
     assert window.handed_to is not None
     if record.final_outcome is None:
         if record.ended is None:
@@ -219,4 +228,4 @@
     msg = LateOutcome(
         window.life, copy.sequence, copy.child_key, record.burn, record.final_outcome
     )
-    await _ask(state, window.handed_to.address, msg)
+    await _send_message(state, window.handed_to.address, msg)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_node.py
@@ -1,4 +1,4 @@
-"""The node itself in the operators' API: status, drain, tickets, events, metrics."""
+"""Routes of the operators' API for status, drain, tickets, events and metrics."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from fuchsiagap.core.calls.outcome import Answered, Outcome
 from fuchsiagap.core.telemetry.events import MAX_EVENTS_PER_PAGE, event_to_dict
 from fuchsiagap.core.tickets.ticket import MalformedTicket, parse_ticket
-from fuchsiagap_node.core.callpath.home_of import HomeAt, HomeGone, home_of
+from fuchsiagap_node.core.callpath.home_lookup import RemoteHome, UnknownHome, find_home
 from fuchsiagap_node.core.callpath.home_tickets import settle
 from fuchsiagap_node.core.edges.admin_reply import (
     UNAUTHORIZED,
@@ -17,13 +17,13 @@
     bad_request,
     bearer_token,
     error_reply,
+    integer_query_argument,
     json_body,
     json_reply,
-    number_argument,
 )
 from fuchsiagap_node.core.edges.admin_status import node_status
 from fuchsiagap_node.core.edges.metrics_text import CONTENT_TYPE, metrics_text
-from fuchsiagap_node.core.settings.write import holder_here, is_operators
+from fuchsiagap_node.core.settings.write import find_local_holder, is_operators_token
 
 if TYPE_CHECKING:
     from quart_trio import QuartTrio
@@ -34,8 +34,8 @@
 MAX_SETTLE_WAIT_MS = 30_000
 
 
-def add_node(app: QuartTrio, state: NodeState) -> None:
-    """Add the paths that are about the node itself."""
+def add_node_routes(app: QuartTrio, state: NodeState) -> None:
+    """Add the routes for the node's status, drain, metrics, events and tickets."""
 
     @app.get("/v1/status")
     async def status() -> Response:
@@ -47,8 +47,8 @@
         token = bearer_token()
         if token is None:
             return error_reply(UNAUTHORIZED)
-        if not is_operators(state, token):
-            return error_reply(_NOT_OPERATORS)
+        if not is_operators_token(state, token):
+            return error_reply(_NOT_OPERATORS_TOKEN)
         state.request_drain()
         return json_reply({"node": state.node, "draining": True}, 202)
 
@@ -58,35 +58,35 @@
 
     @app.get("/v1/events")
     async def events() -> Response:
-        return _events(state)
+        return _list_events(state)
 
     @app.get("/v1/tickets/<text>")
     async def ticket(text: str) -> Response:
-        found = parse_ticket(text)
-        if isinstance(found, MalformedTicket):
-            return error_reply(_bad_ticket(found))
-        return json_reply(_home(state, found))
+        parsed = parse_ticket(text)
+        if isinstance(parsed, MalformedTicket):
+            return error_reply(_malformed_ticket_error(parsed))
+        return json_reply(_describe_home(state, parsed))
 
     @app.post("/v1/tickets/<text>/settle")
     async def settle_ticket(text: str) -> Response:
-        found = parse_ticket(text)
-        if isinstance(found, MalformedTicket):
-            return error_reply(_bad_ticket(found))
-        return await _settle(state, found)
+        parsed = parse_ticket(text)
+        if isinstance(parsed, MalformedTicket):
+            return error_reply(_malformed_ticket_error(parsed))
+        return await _settle_at_home(state, parsed)
 
 
-_NOT_OPERATORS = AdminError(
+_NOT_OPERATORS_TOKEN = AdminError(
     403,
     "forbidden",
-    "the token is not that of the operators",
-    "the token whose digest stands in [admin] token digest of the node's settings",
-    "use that token, or stop the node by SIGTERM on its host",
+    "the token is not the operators' token",
+    "the token whose digest is set as [admin] token digest in the node's settings",
+    "use that token, or send SIGTERM to the node on its host",
 )
 
 
-def _events(state: NodeState) -> Response:
-    after = number_argument("after", 0)
-    limit = number_argument("limit", MAX_EVENTS_PER_PAGE)
+def _list_events(state: NodeState) -> Response:
+    after = integer_query_argument("after", 0)
+    limit = integer_query_argument("limit", MAX_EVENTS_PER_PAGE)
     if isinstance(after, AdminError):
         return error_reply(after)
     if isinstance(limit, AdminError):
@@ -94,20 +94,20 @@
     ring = state.telemetry.ring
     call, root = request.args.get("call", ""), request.args.get("root", "")
     page = ring.since(after, call, root, limit)
-    found = [event_to_dict(event) for event in page.events]
+    event_dicts = [event_to_dict(event) for event in page.events]
     return json_reply(
         {
             "process": ring.process,
-            "events": found,
+            "events": event_dicts,
             "overwritten": page.overwritten,
             "more": page.more,
         }
     )
 
 
-def _home(state: NodeState, ticket: Ticket) -> dict[str, Any]:
-    home = home_of(state, ticket)
-    shown: dict[str, Any] = {
+def _describe_home(state: NodeState, ticket: Ticket) -> dict[str, Any]:
+    home = find_home(state, ticket)
+    description: dict[str, Any] = {
         "ticket": str(ticket),
         "node": ticket.node,
         "incarnation": ticket.incarnation,
@@ -115,14 +115,14 @@
         "home": "here",
         "address": state.cfg.peer_address,
     }
-    if isinstance(home, HomeAt):
-        shown |= {"home": "elsewhere", "address": home.address}
-    elif isinstance(home, HomeGone):
-        shown |= {"home": "gone", "address": "", "reason": home.reason.value}
-    return shown
+    if isinstance(home, RemoteHome):
+        description |= {"home": "elsewhere", "address": home.address}
+    elif isinstance(home, UnknownHome):
+        description |= {"home": "gone", "address": "", "reason": home.reason.value}
+    return description
 
 
-async def _settle(state: NodeState, ticket: Ticket) -> Response:
+async def _settle_at_home(state: NodeState, ticket: Ticket) -> Response:
     token = bearer_token()
     if token is None:
         return error_reply(UNAUTHORIZED)
@@ -132,19 +132,19 @@
     method, path = body.get("method"), body.get("path")
     wait = body.get("wait_ms", 0)
     if not isinstance(method, str) or not isinstance(path, str):
-        expected = "method and path of the request, as POST and /TEAM/SERVICE/..."
-        return error_reply(bad_request("no method or no path", expected))
+        expected = "method and path of the request, such as POST and /TEAM/SERVICE/..."
+        return error_reply(bad_request("method or path is missing", expected))
     if type(wait) not in (int, float) or not 0 <= wait <= MAX_SETTLE_WAIT_MS:
         expected = f"wait_ms from 0 to {MAX_SETTLE_WAIT_MS}"
         return error_reply(bad_request(f"wait_ms={wait!r:.40}", expected))
     team = path.removeprefix("/").partition("/")[0]
-    if holder_here(state, team, token) is None:
-        return error_reply(_not_of_team(team))
+    if find_local_holder(state, team, token) is None:
+        return error_reply(_wrong_team_error(team))
     outcome = await settle(state, ticket, method.upper(), path, float(wait))
-    return json_reply({"ticket": str(ticket), **_outcome(outcome)})
+    return json_reply({"ticket": str(ticket), **_describe_outcome(outcome)})
 
 
-def _outcome(outcome: Outcome) -> dict[str, Any]:
+def _describe_outcome(outcome: Outcome) -> dict[str, Any]:
     if isinstance(outcome, Answered):
         n_bytes = len(outcome.body)
         return {"outcome": "answered", "status": outcome.status, "body_bytes": n_bytes}
@@ -152,15 +152,15 @@
     return {"outcome": name, "reason": outcome.reason.value, "detail": outcome.detail}
 
 
-def _bad_ticket(fault: MalformedTicket) -> AdminError:
-    return bad_request(str(fault), "NODE.INCARNATION.SEQUENCE")
+def _malformed_ticket_error(error: MalformedTicket) -> AdminError:
+    return bad_request(str(error), "NODE.INCARNATION.SEQUENCE")
 
 
-def _not_of_team(team: str) -> AdminError:
+def _wrong_team_error(team: str) -> AdminError:
     return AdminError(
         403,
         "forbidden",
-        f"the token is none of team {team[:63]!r} and not that of the operators",
-        "a token of the team whose request it was",
+        f"the token is neither a token of team {team[:63]!r} nor the operators' token",
+        "a token of the team that owns the called service",
         "use the team's token",
     )
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_status.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/admin_status.py
@@ -1,4 +1,4 @@
-"""What a node knows of itself and of the others, as plain values for operators."""
+"""Status of a node, its backend server and the known members, as JSON values."""
 
 from __future__ import annotations
 
@@ -15,39 +15,42 @@
 def node_status(
     state: NodeState, team: str = "", members: bool = True
 ) -> dict[str, Any]:
-    """Return the status of a node; asks nobody, so it also works when cut off.
+    """Return the status of a node.
+
+    Only local state is read, so the status is available without the platform or
+    other nodes.
 
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of the node.
     team : str, optional
-        Only members that serve this team.
+        Team whose members are listed; all by default.
     members : bool, default=True
-        Whether members are listed.
+        Whether to list members.
 
     Returns
     -------
     dict
-        See ``docs/admin-api.md``.
+        The fields of ``GET /v1/status`` in ``docs/admin-api.md``.
     """
     status = {
-        "node": _node(state),
-        "backend": _backend(state),
-        "levels": _levels(state),
+        "node": _describe_node(state),
+        "backend": _describe_backend(state),
+        "levels": _route_levels(state),
         "limits": asdict(state.cfg.limits),
-        "calls": _calls(state),
+        "calls": _count_calls(state),
         "settings": settings_overview(state),
         "platform": {"up": state.book.sync_status.platform_up},
         "unreachable_data_centres": sorted(state.membership.unreachable),
         "member_counts": _member_counts(state),
     }
     if members:
-        status["members"] = _members(state, team)
+        status["members"] = _group_members(state, team)
     return status
 
 
-def _node(state: NodeState) -> dict[str, Any]:
+def _describe_node(state: NodeState) -> dict[str, Any]:
     cfg = state.cfg
     return {
         "name": cfg.name,
@@ -60,7 +63,7 @@
     }
 
 
-def _backend(state: NodeState) -> dict[str, Any]:
+def _describe_backend(state: NodeState) -> dict[str, Any]:
     gate = state.gate
     return {
         "team": state.cfg.backend.team,
@@ -72,7 +75,7 @@
     }
 
 
-def _levels(state: NodeState) -> list[dict[str, Any]]:
+def _route_levels(state: NodeState) -> list[dict[str, Any]]:
     """Return the admission level of each route of the backend server's service."""
     settings = state.book.team(state.cfg.backend.team)
     service = state.cfg.service
@@ -82,7 +85,7 @@
     return [{"route": route, **asdict(state.gate.report(route))} for route in routes]
 
 
-def _calls(state: NodeState) -> dict[str, int]:
+def _count_calls(state: NodeState) -> dict[str, int]:
     calls = state.calls
     return {"serving": len(calls.serving), "entered": calls.n_entered}
 
@@ -94,19 +97,21 @@
     return counts
 
 
-def _members(state: NodeState, team: str) -> dict[str, dict[str, list[dict[str, Any]]]]:
-    """Return the members by data centre and team; ``""`` for those without service."""
-    found: dict[str, dict[str, list[dict[str, Any]]]] = {}
+def _group_members(
+    state: NodeState, team: str
+) -> dict[str, dict[str, list[dict[str, Any]]]]:
+    """Return members by data centre and team; ``""`` has members without service."""
+    members_by_data_centre: dict[str, dict[str, list[dict[str, Any]]]] = {}
     for member in sorted(state.membership.members(), key=lambda m: m.node):
         teams = sorted({service.team for service in member.services}) or [""]
         for name in teams:
             if not team or name == team:
-                by_team = found.setdefault(member.data_centre, {})
-                by_team.setdefault(name, []).append(_member(member, name))
-    return found
+                by_team = members_by_data_centre.setdefault(member.data_centre, {})
+                by_team.setdefault(name, []).append(_describe_member(member, name))
+    return members_by_data_centre
 
 
-def _member(member: Member, team: str) -> dict[str, Any]:
+def _describe_member(member: Member, team: str) -> dict[str, Any]:
     return {
         "node": member.node,
         "services": [s.name for s in member.services if s.team == team],
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/http_client.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/http_client.py
@@ -1,8 +1,9 @@
-"""HTTP/1.1 to the backend server, on `h11` and `trio` alone.
+"""HTTP/1.1 client for the backend server, on `h11` and `trio` alone.
 
-`h11` is the protocol engine under `httpcore`; the pool around it costs more than
-the call path can spend (docs/design/path.md). Connections are kept alive and the one
-used last is used first, so that idle ones grow old and close.
+`h11` is the protocol engine under `httpcore`, whose connection pool costs more time
+than a node may add to a call (docs/design/path.md). Connections are kept alive, and the
+most recently used one is taken first, so that surplus connections stay idle until the
+server closes them.
 """
 
 from __future__ import annotations
@@ -26,16 +27,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientResponse:
-    """A whole response.
+    """A complete response.
 
     Parameters
     ----------
     status : int
         HTTP status.
     headers : list of (bytes, bytes)
-        Names in lower case.
+        Names in lower case and values.
     body : bytes
-        The whole body.
+        The complete body.
     """
 
     status: int
@@ -45,25 +46,25 @@
 
 @dataclass(frozen=True, slots=True)
 class NotSent:
-    """Not a byte of the request was written.
+    """No connection was available; no byte of the request was written.
 
     Parameters
     ----------
     detail : str
-        Why.
+        Reason, for error messages.
     """
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
-class NotSendable:
-    """The request is no valid HTTP; not a byte of it was written.
+class InvalidRequest:
+    """The request is not valid HTTP; no byte of it was written.
 
     Parameters
     ----------
     detail : str
-        What is wrong with it.
+        What is invalid.
     """
 
     detail: str
@@ -71,69 +72,69 @@
 
 @dataclass(frozen=True, slots=True)
 class NoResponse:
-    """The request was written, at least in part, and no whole response came.
+    """The request was at least partly written, without a complete response.
 
     Parameters
     ----------
     detail : str
-        Why.
-    begun : bool
-        Whether a response began and broke off.
+        Reason, for error messages.
+    response_started : bool
+        Whether the head of a response was received before the connection failed.
     """
 
     detail: str
-    begun: bool = False
+    response_started: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseTooLarge:
-    """The response exceeds the limit.
+    """The response body exceeds the limit.
 
     Parameters
     ----------
     limit : int
-        Bytes.
+        Maximum size of the body in bytes.
     """
 
     limit: int
 
 
-Exchange: TypeAlias = (
-    ClientResponse | NotSent | NotSendable | NoResponse | ResponseTooLarge
+ExchangeResult: TypeAlias = (
+    ClientResponse | NotSent | InvalidRequest | NoResponse | ResponseTooLarge
 )
 
 
 @dataclass(slots=True, eq=False)
 class _Conn:
-    """One connection to the server."""
+    """A connection to the server with the protocol state of one exchange."""
 
     stream: trio.SocketStream
     http: h11.Connection
-    begun: bool = False
+    response_started: bool = False
 
 
 @dataclass(slots=True, eq=False)
 class HttpPool:
-    """Connections to one server.
+    """Pool of connections to one server.
 
     Parameters
     ----------
     address : str
-        ``IP:PORT``.
+        Address of the server as ``IP:PORT``.
     connections : int
-        Most connections at one time; more calls wait.
+        Maximum number of connections in use; further requests wait for one.
     body_bytes : int
-        Largest body of a response.
+        Maximum size of a response body in bytes.
     """
 
     address: str
     connections: int
     body_bytes: int
     _idle: deque[_Conn] = field(default_factory=deque)
-    _free: trio.CapacityLimiter = field(init=False)
+    _limiter: trio.CapacityLimiter = field(init=False)
 
     def __post_init__(self) -> None:
-        self._free = trio.CapacityLimiter(self.connections)
+        self._limiter = trio.CapacityLimiter(self.connections)
 
     async def exchange(
         self,
@@ -142,61 +143,62 @@
         headers: RawHeaders,
         body: bytes,
         wait: Milliseconds,
-    ) -> Exchange:
-        """Send a request and wait for the whole response.
+    ) -> ExchangeResult:
+        """Send a request and wait for the complete response.
 
         Parameters
         ----------
         method, target : str
-            HTTP method; path with query.
+            HTTP method, and path with query.
         headers : list of (bytes, bytes)
-            With ``host`` and, for a body, ``content-length``.
+            Headers with ``host`` and, for a body, ``content-length``.
         body : bytes
-            The whole body.
+            The complete body.
         wait : float
-            Milliseconds to wait for a connection.
+            Maximum time to wait for a free connection, in milliseconds.
 
         Returns
         -------
-        ClientResponse, NotSent, NotSendable, NoResponse or ResponseTooLarge
-            `NotSent` and `NotSendable` only if not a byte was written. Cancelling
-            closes the connection, by which the server notices.
+        ClientResponse, NotSent, InvalidRequest, NoResponse or ResponseTooLarge
+            `NotSent` and `InvalidRequest` only if no byte was written. Cancelling
+            closes the connection, which tells the server that the request is cancelled.
         """
         http = h11.Connection(h11.CLIENT)
         try:
             data = _request_bytes(http, method, target, headers, body)
         except h11.LocalProtocolError as exc:
-            return NotSendable(str(exc))
+            return InvalidRequest(str(exc))
         borrower = object()
-        if not await self._borrow(borrower, wait):
+        if not await self._acquire(borrower, wait):
             return NotSent(f"all {self.connections} connections are in use")
         try:
-            stream = await self._stream()
+            stream = await self._get_stream()
             if isinstance(stream, NotSent):
                 return stream
-            return await self._run(_Conn(stream, http), data)
+            return await self._send_and_receive(_Conn(stream, http), data)
         finally:
-            self._free.release_on_behalf_of(borrower)
+            self._limiter.release_on_behalf_of(borrower)
 
     async def aclose(self) -> None:
         """Close the idle connections."""
         while self._idle:
             await trio.aclose_forcefully(self._idle.pop().stream)
 
-    async def _borrow(self, borrower: object, wait: Milliseconds) -> bool:
+    async def _acquire(self, borrower: object, wait: Milliseconds) -> bool:
         try:
-            self._free.acquire_on_behalf_of_nowait(borrower)
+            self._limiter.acquire_on_behalf_of_nowait(borrower)
         except trio.WouldBlock:
             with trio.move_on_after(wait / MS_PER_S):
-                await self._free.acquire_on_behalf_of(borrower)
+                await self._limiter.acquire_on_behalf_of(borrower)
                 return True
             return False
         return True
 
-    async def _stream(self) -> trio.SocketStream | NotSent:
+    async def _get_stream(self) -> trio.SocketStream | NotSent:
         while self._idle:
             stream = self._idle.pop().stream
-            # Readable and idle means: closed by the server, or off its protocol.
+            # An idle connection is readable if the server closed it or sent unexpected
+            # data. In both cases it cannot be used again.
             if not stream.socket.is_readable():
                 return stream
             await trio.aclose_forcefully(stream)
@@ -207,11 +209,11 @@
         except (OSError, trio.TooSlowError) as exc:
             return NotSent(f"no connection to {self.address}: {exc}")
 
-    async def _run(self, conn: _Conn, data: bytes) -> Exchange:
+    async def _send_and_receive(self, conn: _Conn, data: bytes) -> ExchangeResult:
         reusable = False
         try:
             await conn.stream.send_all(data)
-            response = await self._read(conn)
+            response = await self._read_response(conn)
             reusable = (
                 isinstance(response, ClientResponse)
                 and conn.http.our_state is h11.DONE
@@ -219,9 +221,11 @@
                 and not conn.http.trailing_data[0]
             )
         except (trio.BrokenResourceError, trio.ClosedResourceError, OSError) as exc:
-            return NoResponse(f"the connection broke: {exc}", conn.begun)
+            return NoResponse(f"connection failed: {exc}", conn.response_started)
         except h11.RemoteProtocolError as exc:
-            return NoResponse(f"no whole HTTP response: {exc}", conn.begun)
+            return NoResponse(
+                f"incomplete or malformed HTTP response: {exc}", conn.response_started
+            )
         finally:
             if reusable:
                 self._idle.append(conn)
@@ -229,7 +233,7 @@
                 await trio.aclose_forcefully(conn.stream)
         return response
 
-    async def _read(self, conn: _Conn) -> Exchange:
+    async def _read_response(self, conn: _Conn) -> ExchangeResult:
         head: h11.Response | None = None
         parts: list[bytes] = []
         n_bytes = 0
@@ -244,13 +248,13 @@
                 parts.append(bytes(event.data))
             elif isinstance(event, h11.Response):
                 head = event
-                conn.begun = True
+                conn.response_started = True
             elif isinstance(event, h11.EndOfMessage):
                 assert head is not None
                 body = b"".join(parts)
                 return ClientResponse(head.status_code, list(head.headers), body)
             elif not isinstance(event, h11.InformationalResponse):
-                return NoResponse("the connection closed before the response")
+                return NoResponse("connection closed before the response")
 
 
 def _request_bytes(
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/http_server.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/http_server.py
@@ -1,10 +1,10 @@
-"""HTTP/1.1 for callers, on `h11` and `trio` alone.
+"""HTTP/1.1 server for callers, on `h11` and `trio` alone.
 
-`h11` is the protocol engine under `hypercorn`. The server around it costs more
-than the whole time that a node may add to a call (docs/design/path.md), so that the
-call path drives the engine itself: one task for each connection, which reads a
-request, runs it and writes the response; and one that reads ahead, so that a caller
-who leaves is noticed at once.
+`h11` is the protocol engine under `hypercorn`. `hypercorn` itself takes more time than
+a node may add to a call in total (docs/design/path.md), so this module drives the
+engine directly, with two tasks per connection. One reads a request, runs it and writes
+the response. The other reads ahead, so that the disconnect of a caller is detected
+while its request runs.
 """
 
 from __future__ import annotations
@@ -21,11 +21,14 @@
 
 _LOG = logging.getLogger(__name__)
 _READ_BYTES = 64 * 1024
+# Amount of unparsed data at which reading from the connection pauses.
 _READ_AHEAD_BYTES = 256 * 1024
+# Limits each wait for more data of a request head, and the sending of a response.
 _IDLE_TIMEOUT_S = 75.0
+# Limits each wait for more data of a body, not the time for the whole body.
 _BODY_TIMEOUT_S = 20.0
 _VERSIONS = (b"1.0", b"1.1")
-_TOO_LARGE = 413
+_CONTENT_TOO_LARGE = 413
 _HEADERS_TOO_LARGE = 431
 _VERSION_NOT_SUPPORTED = 505
 _UNAVAILABLE = 503
@@ -33,18 +36,18 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """A whole request.
+    """A complete request.
 
     Parameters
     ----------
     method : str
         HTTP method.
     target : str
-        Path with query, as it was sent.
+        Path with query, as sent by the caller.
     headers : list of (bytes, bytes)
-        Names in lower case.
+        Names in lower case and values.
     body : bytes
-        The whole body.
+        The complete body.
     """
 
     method: str
@@ -55,18 +58,18 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """A whole response.
+    """A complete response.
 
     Parameters
     ----------
     status : int
         HTTP status.
     headers : list of (bytes, bytes)
-        Without ``content-length``, which the server sets.
+        Names and values without ``content-length``, which the server sets.
     body : bytes
-        The whole body.
+        The complete body.
     close : bool
-        Whether the connection ends with this response.
+        Whether the server closes the connection after this response.
     """
 
     status: int
@@ -77,14 +80,14 @@
 
 @dataclass(frozen=True, slots=True)
 class BadRequest:
-    """The bytes are no request that is taken.
+    """A request that is malformed or exceeds a limit.
 
     Parameters
     ----------
     status : int
-        HTTP status that says why.
+        HTTP status of the response.
     detail : str
-        What was wrong and what was expected.
+        What is wrong and what is expected.
     """
 
     status: int
@@ -93,100 +96,116 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpServerSettings:
-    """Bounds of one connection.
+    """Limits of the server and functions that track open requests.
 
     Parameters
     ----------
     header_bytes : int
-        Request line and headers.
+        Maximum size of the request line and all headers, in bytes.
     body_bytes : int
-        Body of a request.
+        Maximum size of a request body, in bytes.
     reserve : callable
-        Takes a number of bytes, negative to give them back, for bodies in memory;
-        False if there are too many.
-    note_open : callable
-        Told 1 when a request begins and -1 when its response is written, so that a
-        graceful shutdown can wait for both.
+        Reserves memory for a number of body bytes, or releases it if the number is
+        negative. Returns False if the limit over all requests would be exceeded.
+    add_open_requests : callable
+        Called with 1 once the head of a request is read and with -1 once its response
+        is written, so that a graceful shutdown can wait for open requests.
     """
 
     header_bytes: int
     body_bytes: int
     reserve: Callable[[int], bool]
-    note_open: Callable[[int], None]
+    add_open_requests: Callable[[int], None]
 
 
 Handler: TypeAlias = Callable[[HttpRequest], Awaitable[HttpResponse]]
-FaultHandler: TypeAlias = Callable[[BadRequest], HttpResponse]
+ErrorHandler: TypeAlias = Callable[[BadRequest], HttpResponse]
 
 
 @dataclass(frozen=True, slots=True)
-class _Cut:
-    """The caller left in the middle of a request, or the connection is idle."""
+class _ConnectionEnded:
+    """The caller disconnected, or sent nothing within the time limit."""
 
 
 @dataclass(slots=True, eq=False)
 class _Connection:
-    """The state of one connection.
+    """State of one connection, shared by its two tasks.
 
     Parameters
     ----------
     stream : trio.SocketStream
         The connection.
     cfg : HttpServerSettings
-        Bounds.
+        Limits.
+    http : h11.Connection
+        Protocol state.
+    data_received : trio.Event
+        Set when data or the end of the input was passed to `http`.
+    buffer_drained : trio.Event
+        Set when all data passed to `http` has been parsed.
+    input_ended : bool
+        Whether the caller closed the connection or sent data that `http` rejected.
+    handler_scope : trio.CancelScope or None
+        Cancels the running handler; None while none runs.
     """
 
     stream: trio.SocketStream
     cfg: HttpServerSettings
     http: h11.Connection
-    arrived: trio.Event = field(default_factory=trio.Event)
-    room: trio.Event = field(default_factory=trio.Event)
-    ended: bool = False
-    running: trio.CancelScope | None = None
+    data_received: trio.Event = field(default_factory=trio.Event)
+    buffer_drained: trio.Event = field(default_factory=trio.Event)
+    input_ended: bool = False
+    handler_scope: trio.CancelScope | None = None
 
     async def read_ahead(self) -> None:
-        """Feed the engine until the caller closes the connection."""
-        while not self.ended:
+        """Pass received data to `http`; cancel the handler when the input ends."""
+        while not self.input_ended:
             try:
                 data = await self.stream.receive_some(_READ_BYTES)
             except (trio.BrokenResourceError, trio.ClosedResourceError):
                 data = b""
-            self.ended = not data
+            self.input_ended = not data
             try:
                 self.http.receive_data(data)
             except h11.RemoteProtocolError:
-                self.ended = True
-            if self.running is not None and self.ended:
-                self.running.cancel()
-            self.arrived.set()
+                self.input_ended = True
+            if self.handler_scope is not None and self.input_ended:
+                self.handler_scope.cancel()
+            self.data_received.set()
             if len(self.http.trailing_data[0]) > _READ_AHEAD_BYTES:
-                self.room = trio.Event()
-                await self.room.wait()
+                self.buffer_drained = trio.Event()
+                await self.buffer_drained.wait()
 
     async def next_event(self, timeout: float) -> object:
-        """Return the next event of the engine, or `_Cut`."""
+        """Return the next event of `http`.
+
+        Returns `_ConnectionEnded` if the input ended, or if no data was received for
+        `timeout` seconds.
+        """
         while True:
             event = self.http.next_event()
             if event is not h11.NEED_DATA:
                 return event
-            self.room.set()
-            if self.ended:
-                return _Cut()
+            self.buffer_drained.set()
+            if self.input_ended:
+                return _ConnectionEnded()
             if self.http.they_are_waiting_for_100_continue:
-                go_on = h11.InformationalResponse(status_code=100, headers=[])
-                await self.stream.send_all(self.http.send(go_on) or b"")
-            self.arrived = trio.Event()
+                continue_response = h11.InformationalResponse(
+                    status_code=100, headers=[]
+                )
+                await self.stream.send_all(self.http.send(continue_response) or b"")
+            self.data_received = trio.Event()
             with trio.move_on_after(timeout) as scope:
-                await self.arrived.wait()
+                await self.data_received.wait()
             if scope.cancelled_caught:
-                return _Cut()
+                return _ConnectionEnded()
 
 
 async def serve_http(
     listener: trio.SocketListener,
     cfg: HttpServerSettings,
     handle: Handler,
-    handle_fault: FaultHandler,
+    handle_error: ErrorHandler,
     task_status: trio.TaskStatus[list[trio.SocketListener]] = trio.TASK_STATUS_IGNORED,
 ) -> None:
     """Serve HTTP/1.1 until cancelled.
@@ -194,116 +213,116 @@
     Parameters
     ----------
     listener : trio.SocketListener
-        Where callers connect.
+        Listening socket for callers.
     cfg : HttpServerSettings
-        Bounds of each connection.
+        Limits of each connection.
     handle : callable
-        Runs a request; cancelled if the caller leaves.
-    handle_fault : callable
-        Returns the response to bytes that are no request.
+        Runs a request; cancelled if the caller disconnects.
+    handle_error : callable
+        Returns the response to a malformed or too large request.
     task_status : trio.TaskStatus
-        Started once connections are taken.
+        Reports the start once connections are accepted.
     """
 
-    async def connect(stream: trio.SocketStream) -> None:
-        await _serve_connection(stream, cfg, handle, handle_fault)
+    async def handle_connection(stream: trio.SocketStream) -> None:
+        await _serve_connection(stream, cfg, handle, handle_error)
 
-    await trio.serve_listeners(connect, [listener], task_status=task_status)
+    await trio.serve_listeners(handle_connection, [listener], task_status=task_status)
 
 
 async def _serve_connection(
     stream: trio.SocketStream,
     cfg: HttpServerSettings,
     handle: Handler,
-    handle_fault: FaultHandler,
+    handle_error: ErrorHandler,
 ) -> None:
     http = h11.Connection(h11.SERVER, max_incomplete_event_size=cfg.header_bytes)
     conn = _Connection(stream, cfg, http)
     try:
         async with stream, trio.open_nursery() as nursery:
             nursery.start_soon(conn.read_ahead)
-            while await _serve_request(conn, handle, handle_fault):
+            while await _serve_request(conn, handle, handle_error):
                 pass
             nursery.cancel_scope.cancel()
     except* (trio.BrokenResourceError, trio.ClosedResourceError):
-        # The caller is gone; there is nobody to tell.
+        # The caller disconnected, so no response can be sent.
         pass
     except* Exception:
-        # A fault of the program must not end the calls of other connections.
-        _LOG.exception("a connection of a caller failed")
+        # An unexpected exception must not cancel the requests of other connections.
+        _LOG.exception("unhandled exception on a caller's connection")
 
 
 async def _serve_request(
-    conn: _Connection, handle: Handler, handle_fault: FaultHandler
+    conn: _Connection, handle: Handler, handle_error: ErrorHandler
 ) -> bool:
     """Serve one request; return whether the connection may serve another."""
     head = await _read_head(conn)
-    if isinstance(head, _Cut):
+    if isinstance(head, _ConnectionEnded):
         return False
-    conn.cfg.note_open(1)
+    conn.cfg.add_open_requests(1)
     try:
-        return await _serve_open(conn, head, handle, handle_fault)
+        return await _read_and_respond(conn, head, handle, handle_error)
     finally:
-        conn.cfg.note_open(-1)
+        conn.cfg.add_open_requests(-1)
 
 
-async def _serve_open(
+async def _read_and_respond(
     conn: _Connection,
     head: h11.Request | BadRequest,
     handle: Handler,
-    handle_fault: FaultHandler,
+    handle_error: ErrorHandler,
 ) -> bool:
     if isinstance(head, BadRequest):
-        await _send(conn, handle_fault(head), is_head=False, close=True)
+        await _send_response(conn, handle_error(head), is_head=False, close=True)
         return False
     body = await _read_body(conn, head)
-    if isinstance(body, _Cut):
+    if isinstance(body, _ConnectionEnded):
         return False
     if isinstance(body, BadRequest):
-        await _send(conn, handle_fault(body), is_head=False, close=True)
+        await _send_response(conn, handle_error(body), is_head=False, close=True)
         return False
     method = head.method.decode("ascii")
     target = head.target.decode("latin-1")
     req = HttpRequest(method, target, list(head.headers), body)
     try:
-        response = await _handle(conn, req, handle)
+        response = await _run_handler(conn, req, handle)
     finally:
         conn.cfg.reserve(-len(body))
     if response is None:
         return False
-    await _send(conn, response, is_head=method == "HEAD", close=response.close)
+    await _send_response(conn, response, is_head=method == "HEAD", close=response.close)
     if conn.http.our_state is not h11.DONE or conn.http.their_state is not h11.DONE:
         return False
     conn.http.start_next_cycle()
     return True
 
 
-async def _handle(
+async def _run_handler(
     conn: _Connection, req: HttpRequest, handle: Handler
 ) -> HttpResponse | None:
-    """Run a request; None if the caller left."""
+    """Run a request; return None if the caller disconnected meanwhile."""
     response: HttpResponse | None = None
     with trio.CancelScope() as scope:
-        conn.running = scope
-        if conn.ended:
+        conn.handler_scope = scope
+        if conn.input_ended:
             scope.cancel()
         response = await handle(req)
-    conn.running = None
+    conn.handler_scope = None
     return response
 
 
-async def _read_head(conn: _Connection) -> h11.Request | BadRequest | _Cut:
+async def _read_head(conn: _Connection) -> h11.Request | BadRequest | _ConnectionEnded:
     try:
         event = await conn.next_event(_IDLE_TIMEOUT_S)
     except h11.RemoteProtocolError as exc:
-        return _malformed(exc)
+        return _malformed_request(exc)
     if not isinstance(event, h11.Request):
-        return _Cut()
+        return _ConnectionEnded()
     if event.http_version not in _VERSIONS:
         version = event.http_version.decode("latin-1")
         detail = f"HTTP version {version}: expected 1.0 or 1.1"
         return BadRequest(_VERSION_NOT_SUPPORTED, detail)
-    # The engine bounds only what it has not parsed yet.
+    # `h11` limits only the size of data that it has not parsed yet.
     n_bytes = sum(len(name) + len(value) for name, value in event.headers)
     if n_bytes + len(event.target) > conn.cfg.header_bytes:
         detail = f"request line and headers exceed {conn.cfg.header_bytes} bytes"
@@ -311,21 +330,23 @@
     return event
 
 
-def _declared_bytes(head: h11.Request) -> int:
-    """Return the length that the head declares; 0 if it comes in chunks."""
+def _declared_length(head: h11.Request) -> int:
+    """Return the declared length of the body; 0 if none is declared."""
     for name, value in head.headers:
         if name == b"content-length":
             return int(value)
     return 0
 
 
-async def _read_body(conn: _Connection, head: h11.Request) -> bytes | BadRequest | _Cut:
-    """Return the whole body, its bytes reserved."""
-    if _declared_bytes(head) > conn.cfg.body_bytes:
-        return _too_large(conn)
+async def _read_body(
+    conn: _Connection, head: h11.Request
+) -> bytes | BadRequest | _ConnectionEnded:
+    """Return the complete body, with memory reserved for it."""
+    if _declared_length(head) > conn.cfg.body_bytes:
+        return _body_too_large(conn)
     parts: list[bytes] = []
     n_bytes = 0
-    fault: BadRequest | _Cut = _Cut()
+    error: BadRequest | _ConnectionEnded = _ConnectionEnded()
     try:
         while True:
             event = await conn.next_event(_BODY_TIMEOUT_S)
@@ -334,29 +355,33 @@
             if not isinstance(event, h11.Data):
                 break
             if n_bytes + len(event.data) > conn.cfg.body_bytes:
-                fault = _too_large(conn)
+                error = _body_too_large(conn)
                 break
             if not conn.cfg.reserve(len(event.data)):
-                detail = "the bodies of all open calls exceed what this node may hold"
-                fault = BadRequest(_UNAVAILABLE, detail)
+                detail = (
+                    "the bodies of all open calls exceed the memory limit of this node"
+                )
+                error = BadRequest(_UNAVAILABLE, detail)
                 break
             n_bytes += len(event.data)
             parts.append(bytes(event.data))
     except h11.RemoteProtocolError as exc:
-        fault = _malformed(exc)
+        error = _malformed_request(exc)
     conn.cfg.reserve(-n_bytes)
-    return fault
+    return error
 
 
-def _too_large(conn: _Connection) -> BadRequest:
-    return BadRequest(_TOO_LARGE, f"the body exceeds {conn.cfg.body_bytes} bytes")
+def _body_too_large(conn: _Connection) -> BadRequest:
+    return BadRequest(
+        _CONTENT_TOO_LARGE, f"the body exceeds {conn.cfg.body_bytes} bytes"
+    )
 
 
-def _malformed(exc: h11.RemoteProtocolError) -> BadRequest:
+def _malformed_request(exc: h11.RemoteProtocolError) -> BadRequest:
     return BadRequest(exc.error_status_hint, f"malformed HTTP request: {exc}")
 
 
-async def _send(
+async def _send_response(
     conn: _Connection, response: HttpResponse, *, is_head: bool, close: bool
 ) -> None:
     http = conn.http
@@ -372,7 +397,7 @@
             data += http.send(h11.Data(data=response.body)) or b""
         data += http.send(h11.EndOfMessage()) or b""
     except h11.LocalProtocolError:
-        # The engine gave up on this caller: nothing can be said to it any more.
+        # `h11` is in an error state for this connection; no response can be sent.
         return
     with trio.move_on_after(_IDLE_TIMEOUT_S):
         await conn.stream.send_all(data)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/peer_websocket.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/peer_websocket.py
@@ -1,8 +1,8 @@
 """Links between nodes over websockets.
 
-The protocol part of `websockets` is driven on trio streams without a task of its own:
-that halves the CPU of a round trip against the library's trio side, on which every
-message passes two more tasks (docs/design/path.md).
+The sans-I/O protocol of `websockets` runs directly on trio streams, without a task of
+its own. This halves the CPU time of a round trip compared with the trio interface of
+the library, where every message passes through two more tasks (docs/design/path.md).
 """
 
 from __future__ import annotations
@@ -30,19 +30,21 @@
 
     from fuchsiagap_node.core.ports import Dial, Link
 
-# Larger than any frame: `peers.frames` cuts messages into pieces of 64 KiB.
+# Larger than any valid frame, since `peers.frames` splits messages into frames of
+# 64 KiB.
 MAX_FRAME_BYTES = 128 * 1024
 _READ_BYTES = 64 * 1024
 _HANDSHAKE_TIMEOUT_S = 5.0
-# A frame begun is finished even if its sender is cancelled, within this time.
+# Time in which a partly written frame is completed even if its sender is cancelled.
 _FINISH_TIMEOUT_S = 5.0
-_SWITCHING = 101
-_BROKEN = (trio.BrokenResourceError, trio.ClosedResourceError, OSError)
+_SWITCHING_PROTOCOLS = 101
+_CONNECTION_ERRORS = (trio.BrokenResourceError, trio.ClosedResourceError, OSError)
 
 
 def _library_logger() -> logging.Logger:
     logger = logging.getLogger("websockets")
-    # Each open and close of a link would be a line; the time line has them.
+    # Otherwise the library logs each open and close of a link, which the event ring
+    # already records.
     logger.setLevel(logging.CRITICAL)
     return logger
 
@@ -56,115 +58,127 @@
     stream : trio.SocketStream
         The connection.
     protocol : Protocol
-        Its state, after the handshake.
+        Websocket protocol state, after the handshake.
     """
 
     stream: trio.SocketStream
     protocol: Protocol
-    _arrived: deque[bytes] = field(default_factory=deque)
-    _sending: trio.Lock = field(default_factory=trio.Lock)
-    _fault: str = ""
+    _received_frames: deque[bytes] = field(default_factory=deque)
+    _send_lock: trio.Lock = field(default_factory=trio.Lock)
+    _close_reason: str = ""
 
     async def send(self, frame: bytes) -> LinkClosed | None:
-        """Hand a frame to the connection; it goes whole or not at all."""
-        if self._fault or self.protocol.state is not State.OPEN:
-            return LinkClosed(self._fault or "the link is closing")
+        """Write a frame to the connection, completely or not at all."""
+        if self._close_reason or self.protocol.state is not State.OPEN:
+            return LinkClosed(self._close_reason or "the link is closing")
         self.protocol.send_binary(frame)
         return await self._flush()
 
     async def receive(self) -> bytes | LinkClosed:
-        """Wait for the next frame; anything but whole binary messages closes it."""
-        # Some may have come in one piece with the handshake.
-        self._take_events()
-        while not self._arrived:
-            if self._fault:
-                return LinkClosed(self._fault)
+        """Wait for the next frame.
+
+        The link ends on any message other than an unfragmented binary one.
+        """
+        # Frames can arrive together with the handshake.
+        self._collect_frames()
+        while not self._received_frames:
+            if self._close_reason:
+                return LinkClosed(self._close_reason)
             try:
                 data = await self.stream.receive_some(_READ_BYTES)
-            except _BROKEN as exc:
-                self._fault = f"the connection broke: {exc}"
+            except _CONNECTION_ERRORS as exc:
+                self._close_reason = f"connection failed: {exc}"
                 continue
-            self._take(data)
+            self._feed(data)
             closed = await self._flush()
             if closed is not None:
                 return closed
-        return self._arrived.popleft()
+        return self._received_frames.popleft()
 
     async def aclose(self) -> None:
-        """Close the connection."""
-        if not self._fault and self.protocol.state is State.OPEN:
+        """Send a close frame if the link is open, and close the connection."""
+        if not self._close_reason and self.protocol.state is State.OPEN:
             self.protocol.send_close()
             with trio.move_on_after(_FINISH_TIMEOUT_S):
                 await self._flush()
-        self._fault = self._fault or "the link was closed"
+        self._close_reason = self._close_reason or "the link was closed"
         await trio.aclose_forcefully(self.stream)
 
-    def _take(self, data: bytes) -> None:
+    def _feed(self, data: bytes) -> None:
         if not data:
-            self._fault = "the other node closed the connection"
+            self._close_reason = "the peer closed the connection"
             return
         self.protocol.receive_data(data)
-        self._take_events()
+        self._collect_frames()
         if self.protocol.parser_exc is not None:
-            self._fault = f"no websocket frame: {self.protocol.parser_exc}"
+            self._close_reason = (
+                f"malformed websocket frame: {self.protocol.parser_exc}"
+            )
 
-    def _take_events(self) -> None:
+    def _collect_frames(self) -> None:
         for event in self.protocol.events_received():
             assert isinstance(event, Frame)
             if event.opcode is Opcode.BINARY and event.fin:
-                self._arrived.append(bytes(event.data))
+                self._received_frames.append(bytes(event.data))
             elif event.opcode is Opcode.CLOSE:
-                self._fault = "the other node closed the link"
+                self._close_reason = "the peer closed the link"
             elif event.opcode in (Opcode.TEXT, Opcode.BINARY, Opcode.CONT):
-                self._fault = f"expected whole binary messages, got {event.opcode.name}"
+                self._close_reason = (
+                    f"expected unfragmented binary messages, got {event.opcode.name}"
+                )
 
     async def _flush(self) -> LinkClosed | None:
         data = b"".join(self.protocol.data_to_send())
         if not data:
             return None
         try:
-            self._sending.acquire_nowait()
+            self._send_lock.acquire_nowait()
         except trio.WouldBlock:
-            await self._sending.acquire()
+            await self._send_lock.acquire()
         try:
-            await _send_whole(self.stream, data)
-        except _BROKEN as exc:
-            self._fault = f"the connection broke: {exc}"
-            return LinkClosed(self._fault)
+            await _send_whole_frame(self.stream, data)
+        except _CONNECTION_ERRORS as exc:
+            self._close_reason = f"connection failed: {exc}"
+            return LinkClosed(self._close_reason)
         finally:
-            self._sending.release()
+            self._send_lock.release()
         return None
 
 
-async def _send_whole(stream: trio.SocketStream, data: bytes) -> None:
-    """Send all of the data, or none of it if cancelled before the first byte.
+async def _send_whole_frame(stream: trio.SocketStream, data: bytes) -> None:
+    """Send all of the data, or nothing if cancelled before the first byte.
 
     Raises
     ------
     trio.BrokenResourceError, OSError
-        If the connection broke, or the rest could not be sent in time.
+        If the connection failed, or the remaining data was not sent in time.
     """
     n_sent = await stream.socket.send(data)
     if n_sent == len(data):
         return
-    with trio.CancelScope(shield=True, deadline=_soon()) as scope:
+    with trio.CancelScope(shield=True, deadline=_finish_deadline()) as scope:
         await stream.send_all(memoryview(data)[n_sent:])
     if scope.cancelled_caught:
         await trio.aclose_forcefully(stream)
-        raise trio.BrokenResourceError("the other node does not read")
+        raise trio.BrokenResourceError("the peer does not read from the link")
 
 
-def _soon() -> float:
+def _finish_deadline() -> float:
     return trio.current_time() + _FINISH_TIMEOUT_S
 
 
 def websocket_dial(_nursery: trio.Nursery) -> Dial:
-    """Return a `Dial` over websockets.
+    """Return a function that opens links over websockets.
+
+    Parameters
+    ----------
+    _nursery : trio.Nursery
+        Not used, since a link needs no task; required by `NodePorts.dial`.
 
     Returns
     -------
     callable
-        Opens a link to ``IP:PORT``.
+        `Dial` function that opens a link to ``IP:PORT``.
     """
 
     async def dial(address: str) -> WebsocketLink | DialFailed:
@@ -174,7 +188,7 @@
         except (OSError, ValueError) as exc:
             return DialFailed(address, str(exc))
         try:
-            return await _shake_hands(stream, address)
+            return await _client_handshake(stream, address)
         except BaseException:
             await trio.aclose_forcefully(stream)
             raise
@@ -182,7 +196,7 @@
     return dial
 
 
-async def _shake_hands(
+async def _client_handshake(
     stream: trio.SocketStream, address: str
 ) -> WebsocketLink | DialFailed:
     protocol = ClientProtocol(
@@ -194,25 +208,25 @@
     try:
         await stream.send_all(b"".join(protocol.data_to_send()))
         response = await _first_event(stream, protocol)
-    except _BROKEN as exc:
+    except _CONNECTION_ERRORS as exc:
         response = str(exc)
     if not isinstance(response, Response) or protocol.state is not State.OPEN:
         await trio.aclose_forcefully(stream)
-        detail = f"no websocket handshake: {protocol.handshake_exc or response}"
+        detail = f"websocket handshake failed: {protocol.handshake_exc or response}"
         return DialFailed(address, detail)
     return WebsocketLink(stream, protocol)
 
 
 async def _first_event(stream: trio.SocketStream, protocol: Protocol) -> object | str:
-    """Return the request or response of the handshake, or why there is none."""
+    """Return the handshake request or response, or the reason why there is none."""
     while True:
         data = await stream.receive_some(_READ_BYTES)
         if not data:
-            return "the connection was closed"
+            return "connection closed"
         protocol.receive_data(data)
         events = protocol.events_received()
         if events:
-            # What follows the handshake stays with the protocol's events.
+            # Events after the handshake stay queued in the protocol.
             protocol.events.extend(events[1:])
             return events[0]
         if protocol.parser_exc is not None or protocol.handshake_exc is not None:
@@ -221,36 +235,36 @@
 
 async def serve_links(
     listeners: list[trio.SocketListener],
-    take: Callable[[Link], Awaitable[None]],
+    serve_link: Callable[[Link], Awaitable[None]],
     task_status: trio.TaskStatus[list[trio.SocketListener]] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Take links from other nodes until cancelled.
+    """Accept links from other nodes until cancelled.
 
     Parameters
     ----------
     listeners : list of trio.SocketListener
-        Where other nodes dial.
-    take : callable
+        Listening sockets for other nodes.
+    serve_link : callable
         Serves one link until it closes.
     task_status : trio.TaskStatus
-        Started once links are taken.
+        Reports the start once links are accepted.
     """
 
     async def handle(stream: trio.SocketStream) -> None:
-        link = await _accept(stream)
+        link = await _server_handshake(stream)
         if link is None:
             await trio.aclose_forcefully(stream)
             return
         try:
-            await take(link)
+            await serve_link(link)
         finally:
             await trio.aclose_forcefully(stream)
 
     await trio.serve_listeners(handle, listeners, task_status=task_status)
 
 
-async def _accept(stream: trio.SocketStream) -> WebsocketLink | None:
-    """Answer the handshake; None if there is none in time."""
+async def _server_handshake(stream: trio.SocketStream) -> WebsocketLink | None:
+    """Complete the handshake; return None if it fails or times out."""
     protocol = ServerProtocol(max_size=MAX_FRAME_BYTES, logger=_library_logger())
     with trio.move_on_after(_HANDSHAKE_TIMEOUT_S):
         try:
@@ -260,8 +274,8 @@
             response = protocol.accept(request)
             protocol.send_response(response)
             await stream.send_all(b"".join(protocol.data_to_send()))
-        except (*_BROKEN, InvalidHandshake, InvalidMessage):
+        except (*_CONNECTION_ERRORS, InvalidHandshake, InvalidMessage):
             return None
-        if response.status_code == _SWITCHING:
+        if response.status_code == _SWITCHING_PROTOCOLS:
             return WebsocketLink(stream, protocol)
     return None
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/gossip.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/gossip.py
@@ -1,4 +1,4 @@
-"""The tasks and handlers of membership, put together."""
+"""Registers the handlers of membership messages and runs the membership tasks."""
 
 from __future__ import annotations
 
@@ -6,41 +6,48 @@
 
 import trio
 
-from fuchsiagap_node.core import digest
-from fuchsiagap_node.core.gossip import heartbeat, probe, reach, routes, spread, sync
+from fuchsiagap_node.core import member_digest
+from fuchsiagap_node.core.gossip import (
+    heartbeat,
+    probe,
+    reachability,
+    router_updates,
+    spread,
+    sync,
+)
 
 if TYPE_CHECKING:
     from fuchsiagap_node.core.state import NodeState
 
 
 def register(state: NodeState) -> None:
-    """Register who replies to the messages of membership.
+    """Register the handlers of all membership messages.
 
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of this node.
     """
     for part in (heartbeat, probe, spread, sync):
         part.register(state)
 
 
 async def run(state: NodeState) -> None:
-    """Keep this node's view of the members, until cancelled.
+    """Maintain this node's view of the members until cancelled.
 
-    Joins through the configured peers or the platform, whichever replies.
+    The node joins through the configured peers or the platform, whichever replies.
 
     Parameters
     ----------
     state : NodeState
-        The node, with its links up.
+        State of this node; its links must be up.
     """
     tasks = (
-        routes.run,
+        router_updates.run,
         spread.run,
-        digest.run,
+        member_digest.run,
         sync.run,
-        reach.run,
+        reachability.run,
         heartbeat.send,
         heartbeat.watch,
     )
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/heartbeat.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/heartbeat.py
@@ -1,7 +1,7 @@
-"""Heartbeats to the next nodes on the rings, and a watch on those before.
+"""Heartbeats to the successors on the rings, and a watch on the predecessors.
 
-A heartbeat has no reply, so it costs half of a probe; probes are made only when one
-stays out.
+A heartbeat has no reply, so it costs half as much as a probe. A node is probed only
+when its heartbeats stop arriving.
 """
 
 from __future__ import annotations
@@ -25,17 +25,18 @@
     from fuchsiagap_node.core.state import NodeState
 
 _LOG = logging.getLogger(__name__)
+# As a fraction of the interval.
 _JITTER = 0.1
-_SHORTEST_PAUSE_MS = 10.0
+_MIN_PAUSE_MS = 10.0
 
 
 def register(state: NodeState) -> None:
-    """Take the heartbeats of other nodes.
+    """Register the handler of heartbeats from other nodes.
 
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of this node.
     """
     membership = state.membership
 
@@ -44,74 +45,76 @@
         same = msg.hash == membership.hash
         membership.contacts.record_contact(peer, same, state.clock.now())
         membership.clear_suspicion(peer)
-        doubts = neighbours.doubts_about(membership, peer)
-        if doubts:
-            await state.peers.notify(doubts[0].address, Updates(doubts))
+        claims = neighbours.claims_to_refute(membership, peer)
+        if claims:
+            await state.peers.notify(claims[0].address, Updates(claims))
 
-    state.handlers.on_notice(Heartbeat, on_heartbeat)
+    state.handlers.on_notification(Heartbeat, on_heartbeat)
 
 
 async def send(state: NodeState) -> None:
-    """Send heartbeats until cancelled.
+    """Send heartbeats to the successors on the rings until cancelled.
 
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of this node.
     """
     interval = state.membership.cfg.heartbeat_interval
-    busy: set[str] = set()
+    in_progress: set[str] = set()
     async with trio.open_nursery() as nursery:
         while True:
             for member in neighbours.successors(state.membership):
-                # A link that stalls gets no second heartbeat behind the first.
-                if member.node not in busy:
-                    nursery.start_soon(_send_one, state, member, busy)
+                # Heartbeats must not queue up on a stalled link.
+                if member.node not in in_progress:
+                    nursery.start_soon(_send_one, state, member, in_progress)
             await sleep_ms(interval * state.rng.uniform(1 - _JITTER, 1 + _JITTER))
 
 
 async def watch(state: NodeState) -> None:
-    """Probe nodes that fall silent, and let suspicions lapse, until cancelled.
+    """Probe nodes that stop sending heartbeats, and expire suspicions.
+
+    Runs until cancelled.
 
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of this node.
     """
     membership = state.membership
-    watched = _Watched()
+    watched_nodes = _WatchedNodes()
     async with trio.open_nursery() as nursery:
         while True:
             started = state.clock.now()
-            watched.follow(membership, started)
-            pause = watched.pause(membership, started)
+            watched_nodes.refresh(membership, started)
+            pause = watched_nodes.pause(membership, started)
             await sleep_ms(pause)
             now = state.clock.now()
             if now - started > pause + membership.cfg.stall_slack:
-                # This process was paused: the others were not silent.
+                # This process was paused: the silence of other nodes proves nothing.
                 membership.postpone(now - started)
             for node in membership.expire():
-                _LOG.info("node %s counts as dead", node)
+                _LOG.info("node %s is marked dead", node)
             if membership.superseded and not state.leaving:
-                _LOG.warning("another process took over the name %s", state.name)
+                _LOG.warning("another process now uses the node name %s", state.name)
                 state.request_drain()
-            for member in watched.silent(membership, now):
-                nursery.start_soon(_probe_one, state, member, watched)
+            for member in watched_nodes.find_silent(membership, now):
+                nursery.start_soon(_probe_one, state, member, watched_nodes)
 
 
 @dataclass(slots=True)
-class _Watched:
-    """The nodes that are watched, worked out anew when the view changes."""
+class _WatchedNodes:
+    """The nodes whose heartbeats are expected, recomputed when the view changes."""
 
     version: int = -1
     members: tuple[Member, ...] = ()
     probing: set[str] = field(default_factory=set)
 
-    def follow(self, membership: Membership, now: Milliseconds) -> None:
-        """Watch whom the view says.
+    def refresh(self, membership: Membership, now: Milliseconds) -> None:
+        """Recompute the watched nodes if the view has changed.
 
-        Those that are new are probed at once: if a rack is lost, the nodes that watched
-        them may be lost too.
+        Newly watched nodes count as overdue and are probed at once: if a whole rack
+        fails, the nodes that watched them before may have failed too.
         """
         if membership.version == self.version:
             return
@@ -120,30 +123,33 @@
         heard = membership.contacts.last_heard
         for node in heard.keys() - {member.node for member in self.members}:
             del heard[node]
-        overdue = now - _longest_silence(membership.cfg)
+        overdue = now - _max_silence(membership.cfg)
         for member in self.members:
             heard.setdefault(member.node, overdue)
 
     def pause(self, membership: Membership, now: Milliseconds) -> Milliseconds:
-        """Return when to look again: when silence or a suspicion may be too long."""
+        """Return the time until the next check, in milliseconds.
+
+        It is due when a node may be overdue or a suspicion may expire.
+        """
         due = membership.next_deadline()
-        for member in self._in_question():
+        for member in self._unsuspected():
             silence = membership.contacts.silence(member.node, now)
-            due = min(due, now - silence + _longest_silence(membership.cfg))
-        # A suspicion that comes in meanwhile lasts longer than the longest pause.
+            due = min(due, now - silence + _max_silence(membership.cfg))
+        # A suspicion that is received during the pause cannot expire within it.
         longest = membership.cfg.suspicion_timeout / 3
-        return min(max(due - now, _SHORTEST_PAUSE_MS), longest)
+        return min(max(due - now, _MIN_PAUSE_MS), longest)
 
-    def silent(self, membership: Membership, now: Milliseconds) -> list[Member]:
-        """Return those to be probed."""
-        longest = _longest_silence(membership.cfg)
+    def find_silent(self, membership: Membership, now: Milliseconds) -> list[Member]:
+        """Return the watched nodes that have been silent for too long."""
+        longest = _max_silence(membership.cfg)
         return [
             member
-            for member in self._in_question()
+            for member in self._unsuspected()
             if membership.contacts.silence(member.node, now) >= longest
         ]
 
-    def _in_question(self) -> list[Member]:
+    def _unsuspected(self) -> list[Member]:
         return [
             member
             for member in self.members
@@ -152,25 +158,27 @@
         ]
 
 
-def _longest_silence(cfg: MembershipSettings) -> Milliseconds:
+def _max_silence(cfg: MembershipSettings) -> Milliseconds:
     return cfg.heartbeat_interval * (1 + _JITTER) + cfg.heartbeat_slack
 
 
-async def _send_one(state: NodeState, member: Member, busy: set[str]) -> None:
+async def _send_one(state: NodeState, member: Member, in_progress: set[str]) -> None:
     membership = state.membership
-    doubts = neighbours.doubts_about(membership, member.node)
-    busy.add(member.node)
+    claims = neighbours.claims_to_refute(membership, member.node)
+    in_progress.add(member.node)
     try:
         with trio.move_on_after(membership.cfg.heartbeat_interval / MS_PER_S):
-            msg = Heartbeat(membership.hash, doubts)
+            msg = Heartbeat(membership.hash, claims)
             await state.peers.notify(member.address, msg)
     finally:
-        busy.discard(member.node)
+        in_progress.discard(member.node)
 
 
-async def _probe_one(state: NodeState, member: Member, watched: _Watched) -> None:
-    watched.probing.add(member.node)
+async def _probe_one(
+    state: NodeState, member: Member, watched_nodes: _WatchedNodes
+) -> None:
+    watched_nodes.probing.add(member.node)
     try:
         await probe(state, member)
     finally:
-        watched.probing.discard(member.node)
+        watched_nodes.probing.discard(member.node)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/sync.py
@@ -1,4 +1,4 @@
-"""Compare views with other nodes and exchange what differs; also how a node joins."""
+"""Anti-entropy: exchange of differing records between nodes; also used to join."""
 
 from __future__ import annotations
 
@@ -14,38 +14,40 @@
     from fuchsiagap.core.membership.member import Member
     from fuchsiagap_node.core.state import NodeState
 
+# Records that a reply may carry.
 _MAX_MEMBERS = 256
+# Requests for one sync.
 _MAX_ROUNDS = 256
 _TIMEOUT_S = 1.0
-_DEAD_TRIED_PER_INTERVAL = 3.0
+_DEAD_CONTACTS_PER_INTERVAL = 3.0
 
 
 def register(state: NodeState) -> None:
-    """Reply to nodes that compare their view with this one's.
+    """Register the handler of sync requests from other nodes.
 
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of this node.
     """
 
     async def on_sync(_peer: str, msg: SyncRequest) -> SyncReply:
-        return _reply_to(state, msg)
+        return _make_reply(state, msg)
 
-    state.handlers.on_ask(SyncRequest, on_sync)
+    state.handlers.on_request(SyncRequest, on_sync)
 
 
 async def run(state: NodeState) -> None:
-    """Join, then sync where views differ, until cancelled.
+    """Join, then sync with nodes whose views differ, until cancelled.
 
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of this node.
     """
     contacts = state.membership.contacts
     while True:
-        for address in _addresses(state):
+        for address in _sync_addresses(state):
             if await sync_with(state, address):
                 break
         with trio.move_on_after(_pause_s(state)):
@@ -53,26 +55,26 @@
 
 
 async def sync_with(state: NodeState, address: str) -> bool:
-    """Make the own view and another node's the same.
+    """Exchange differing records with another node until both views agree.
 
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of this node.
     address : str
-        Where the other node listens.
+        ``IP:PORT`` of the other node.
 
     Returns
     -------
     bool
-        Whether the other node replied to the end.
+        Whether the views agree now; False if a reply was missing or the rounds ran out.
     """
     membership = state.membership
     for _ in range(_MAX_ROUNDS):
         reply = await _request(state, address)
         if reply is None:
             return False
-        # A joining node learns only what its neighbours know already.
+        # A joining node does not pass on records, as its neighbours know them already.
         membership.merge(reply.members, reply.node, spread=membership.joined)
         await _send_newer(state, address, reply)
         if len(reply.buckets) >= reply.n_differing:
@@ -91,12 +93,12 @@
     return None
 
 
-def _reply_to(state: NodeState, msg: SyncRequest) -> SyncReply:
+def _make_reply(state: NodeState, msg: SyncRequest) -> SyncReply:
     membership = state.membership
     differing = list(membership.differing(msg.digest))
     n_differing = len(differing)
-    # Another order each time, so that buckets whose exchange fails again and again
-    # do not keep the others from their turn.
+    # In random order, so that buckets whose exchange fails repeatedly do not block the
+    # others.
     state.rng.shuffle(differing)
     buckets: list[int] = []
     members: list[Member] = []
@@ -110,14 +112,14 @@
 
 
 async def _send_newer(state: NodeState, address: str, reply: SyncReply) -> None:
-    """Send back what this node knows better in the buckets of a reply."""
+    """Send back this node's newer records in the buckets of a reply."""
     membership = state.membership
-    theirs = {member.node: member for member in reply.members}
+    remote_members = {member.node: member for member in reply.members}
     newer = [
         member
         for number in reply.buckets
         for member in membership.bucket(number)
-        if theirs.get(member.node) != member
+        if remote_members.get(member.node) != member
     ]
     size = membership.cfg.max_updates
     for start in range(0, len(newer), size):
@@ -131,13 +133,13 @@
     return interval * state.rng.uniform(0.8, 1.2)
 
 
-def _addresses(state: NodeState) -> list[str]:
-    """Return where to sync now; one that replies is enough."""
+def _sync_addresses(state: NodeState) -> list[str]:
+    """Return the addresses to sync with now; one that replies is enough."""
     membership = state.membership
     differing = map(membership.get, membership.contacts.take_mismatches())
     found = [member.address for member in differing if member is not None]
-    found += _dead_to_try(state)
-    if not membership.joined or _alone(state):
+    found += _sample_dead(state)
+    if not membership.joined or _is_alone(state):
         found += state.cfg.peers.first
         found += [m.address for m in membership.members() if not m.gone]
     state.rng.shuffle(found)
@@ -145,16 +147,18 @@
     return [address for address in dict.fromkeys(found) if address != own]
 
 
-def _alone(state: NodeState) -> bool:
+def _is_alone(state: NodeState) -> bool:
     membership = state.membership
-    me = membership.self_member.node
-    return all(m.gone or m.node == me for m in membership.members())
+    own_name = membership.self_member.node
+    return all(m.gone or m.node == own_name for m in membership.members())
 
 
-def _dead_to_try(state: NodeState) -> list[str]:
-    """Return now and then the address of a dead node, which may be cut off only.
+def _sample_dead(state: NodeState) -> list[str]:
+    """Return, with some probability, the address of a random dead node.
 
-    All nodes of a data centre together try a few in each interval.
+    The node may be live in another partition. All nodes of a data centre together
+    make about `_DEAD_CONTACTS_PER_INTERVAL` such contacts in each interval; if there
+    are fewer nodes, each makes one.
     """
     membership = state.membership
     dead = [m for m in membership.members() if m.state is MemberState.DEAD]
@@ -162,6 +166,6 @@
         return []
     own = membership.self_member.data_centre
     n_live = len(membership.rings.nodes(own))
-    if state.rng.random() * n_live > _DEAD_TRIED_PER_INTERVAL:
+    if state.rng.random() * n_live > _DEAD_CONTACTS_PER_INTERVAL:
         return []
     return [state.rng.choice(dead).address]
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/node.py
@@ -1,4 +1,4 @@
-"""A node put together: its aggregates, its tasks, its start and its stop."""
+"""Assembly of a node: state, tasks, start and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from fuchsiagap_node.core.drain import takeover
 from fuchsiagap_node.core.peers.handlers import Handlers
 from fuchsiagap_node.core.peers.links import LinkPeers, LinkSettings
-from fuchsiagap_node.core.peers.wiring import make_wire
+from fuchsiagap_node.core.peers.wiring import make_wire_context
 from fuchsiagap_node.core.settings import sync as settings_sync
 from fuchsiagap_node.core.state import NodeState
 from fuchsiagap_node.core.wire.messages_call import Hello
@@ -38,9 +38,9 @@
     from fuchsiagap_node.core.config import NodeConfig
     from fuchsiagap_node.core.ports import BackendServer, Dial, Link, Platform
 
-    Take: TypeAlias = Callable[[Link], Awaitable[None]]
+    ServeLink: TypeAlias = Callable[[Link], Awaitable[None]]
 
-_PARTS = (
+_HANDLER_MODULES = (
     serve,
     relay,
     home_tickets,
@@ -51,30 +51,31 @@
     state_events,
 )
 _TASKS = (home.run, gossip.run, settings_sync.run, state_events.run)
-_LOAD_POLL_MS = 1_000.0
-_IDLE_STEPS = 50
-_IDLE_FACTOR = 5.0
-# Replies to a node that no longer reads must not hold up the stop for ever.
+_LOAD_POLL_INTERVAL_MS = 1_000.0
+# Gate steps without calls after which `_IDLE_INTERVAL_FACTOR` applies.
+_STEPS_BEFORE_IDLE = 50
+_IDLE_INTERVAL_FACTOR = 5.0
+# Bounds the wait for replies to a peer that no longer reads, so that the shutdown
+# completes.
 _REPLIES_TIMEOUT_S = 10.0
 
 
 @dataclass(frozen=True, slots=True)
 class NodePorts:
-    """What a node meets outside, real or fake.
+    """External interfaces of a node, real or fake.
 
     Parameters
     ----------
     clock : Clock
-        The one clock.
+        Source of all times.
     rng : random.Random
         Source of all random choices.
     incarnation : int
-        The life of this process.
+        Incarnation of this process.
     dial : callable
-        Returns a `Dial` whose connections live in the nursery it gets.
+        Takes a nursery and returns a `Dial` whose connections live in that nursery.
     listen : callable
-        Serves each link of another node with the function it gets, until
-        cancelled.
+        Takes a function and runs it for each link from another node, until cancelled.
     backend : BackendServer
         The backend server on this host.
     platform : Platform
@@ -85,7 +86,7 @@
     rng: random.Random
     incarnation: int
     dial: Callable[[trio.Nursery], Dial]
-    listen: Callable[[Take], Awaitable[None]]
+    listen: Callable[[ServeLink], Awaitable[None]]
     backend: BackendServer
     platform: Platform
 
@@ -96,18 +97,18 @@
     edges: Callable[[NodeState], Awaitable[None]] | None = None,
     task_status: trio.TaskStatus[NodeState] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Run a node until it has left gracefully.
+    """Run a node until its graceful shutdown is complete.
 
     Parameters
     ----------
     cfg : NodeConfig
-        The node's own settings, its addresses final.
+        Settings of the node, with bound addresses.
     ports : NodePorts
-        What it meets outside.
+        External interfaces.
     edges : callable, optional
         Serves callers and operators until cancelled.
     task_status : trio.TaskStatus
-        Started with the state once the node takes calls.
+        Reports the state once the node accepts calls.
 
     See Also
     --------
@@ -115,12 +116,12 @@
     """
     async with trio.open_nursery() as nursery:
         state = make_state(cfg, ports, nursery)
-        _register(state)
-        for task in (*_TASKS, _step_gate, _poll_load):
+        _register_handlers(state)
+        for task in (*_TASKS, _step_gate, _poll_backend_load):
             nursery.start_soon(task, state)
         assert isinstance(state.peers, LinkPeers)
-        nursery.start_soon(ports.listen, state.peers.take)
-        nursery.start_soon(_issue_once_joined, state)
+        nursery.start_soon(ports.listen, state.peers.serve_link)
+        nursery.start_soon(_enable_tickets_once_joined, state)
         if edges is not None:
             nursery.start_soon(edges, state)
         state.telemetry.ring.record(EventKind.PROCESS_STARTED)
@@ -128,69 +129,72 @@
         await state.drain_requested.wait()
         await drain.drain(state, "requested")
         await _until_quiet(state.peers, state.calls)
-        _check_idle(state)
+        _report_unfinished_calls(state)
         state.telemetry.ring.record(EventKind.PROCESS_STOPPED)
         nursery.cancel_scope.cancel()
 
 
-async def _issue_once_joined(state: NodeState) -> None:
-    """Hand out tickets only once other nodes can find their home."""
+async def _enable_tickets_once_joined(state: NodeState) -> None:
+    """Enable the issuing of tickets once this node has joined the cluster.
+
+    Only then can other nodes look up the home of these tickets, which is this node.
+    """
     state.tickets.issuing = False
-    await gossip.until_joined(state)
+    await gossip.wait_until_joined(state)
     state.tickets.issuing = True
 
 
 async def _until_quiet(peers: LinkPeers, calls: CallTable) -> None:
-    """Wait until replies are written, and what came in meanwhile is answered."""
+    """Wait until replies are written and calls received meanwhile have ended."""
     while True:
         with trio.move_on_after(_REPLIES_TIMEOUT_S):
             await peers.wait_idle()
-        if not calls.busy():
+        if not calls.has_calls():
             return
         calls.idle = trio.Event()
         await calls.idle.wait()
 
 
-def _check_idle(state: NodeState) -> None:
-    """Report calls that the end of the process would cut."""
+def _report_unfinished_calls(state: NodeState) -> None:
+    """Report a violation if calls are in progress, which the exit would interrupt."""
     calls = state.calls
-    if calls.busy():
+    if calls.has_calls():
         detail = (
-            f"{len(calls.serving)} served, {calls.n_queued} waiting,"
-            f" {calls.n_entered} entered, {calls.n_responding} being answered"
+            f"{len(calls.serving)} running, {calls.n_queued} queued,"
+            f" {calls.n_entered} entered, {calls.n_responding} with an open response"
         )
         state.telemetry.report_violation(Invariant.PLANNED_STOP_CUT, detail)
 
 
 def make_state(cfg: NodeConfig, ports: NodePorts, nursery: trio.Nursery) -> NodeState:
-    """Return the state of a node whose links live in a nursery.
+    """Build the state of a node.
 
     Parameters
     ----------
     cfg : NodeConfig
-        The node's own settings.
+        Settings of the node.
     ports : NodePorts
-        What it meets outside.
+        External interfaces.
     nursery : trio.Nursery
-        Where the links' tasks run.
+        Nursery for the tasks of links.
 
     Returns
     -------
     NodeState
-        Nothing runs yet.
+        The state; no task runs yet.
     """
     clock, rng = ports.clock, ports.rng
     telemetry = make_telemetry(cfg.telemetry, cfg.name, clock)
     handlers = Handlers()
     hello = Hello(cfg.name, ports.incarnation, cfg.data_centre, cfg.peer_address)
 
-    def note_link(peer: Hello, is_up: bool) -> None:
+    def record_link_change(peer: Hello, is_up: bool) -> None:
         kind = EventKind.LINK_UP if is_up else EventKind.LINK_DOWN
         telemetry.ring.record(kind, peer=peer.node)
 
-    wire = make_wire(cfg, hello, handlers, telemetry)
+    wire = make_wire_context(cfg, hello, handlers, telemetry)
     dial = ports.dial(nursery)
-    peers = LinkPeers(LinkSettings(), wire, dial, nursery, note_link)
+    peers = LinkPeers(LinkSettings(), wire, dial, nursery, record_link_change)
     membership = Membership(
         cfg.membership, cfg.self_member(ports.incarnation), clock, rng
     )
@@ -216,28 +220,32 @@
     )
 
 
-def _register(state: NodeState) -> None:
-    for part in _PARTS:
-        part.register(state)
+def _register_handlers(state: NodeState) -> None:
+    for module in _HANDLER_MODULES:
+        module.register(state)
 
 
 async def _step_gate(state: NodeState) -> None:
-    """Let the gate adjust limit and level at its own interval.
+    """Update the limit and the level of the gate periodically.
 
-    A gate without calls is looked at less often: at rest each wake costs as much as
-    the step.
+    The interval is longer without calls, since each wake-up then costs as much as the
+    step itself.
     """
     n_idle = 0
     while True:
-        pause = state.cfg.gate.step_ms
-        await sleep_ms(pause if n_idle < _IDLE_STEPS else pause * _IDLE_FACTOR)
+        interval_ms = state.cfg.gate.step_ms
+        await sleep_ms(
+            interval_ms
+            if n_idle < _STEPS_BEFORE_IDLE
+            else interval_ms * _IDLE_INTERVAL_FACTOR
+        )
         state.gate.step()
         is_idle = state.gate.in_flight == 0 and state.gate.n_waiting == 0
         n_idle = n_idle + 1 if is_idle else 0
 
 
-async def _poll_load(state: NodeState) -> None:
-    """Ask the backend server for its load; it may lag or mislead."""
+async def _poll_backend_load(state: NodeState) -> None:
+    """Poll the load that the backend server reports, which may be outdated or wrong."""
     was_up: bool | None = None
     while True:
         load = await state.backend.load()
@@ -248,4 +256,4 @@
             kind = EventKind.BACKEND_UP if is_up else EventKind.BACKEND_DOWN
             state.telemetry.ring.record(kind)
             was_up = is_up
-        await sleep_ms(_LOAD_POLL_MS)
+        await sleep_ms(_LOAD_POLL_INTERVAL_MS)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/frames.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/frames.py
@@ -1,8 +1,8 @@
-"""Frames on a link: what a message is for, and pieces of long ones.
+"""Frames on a link, and the fragmentation of long messages.
 
 A frame is the CBOR array ``[kind, number, time, payload]``. A message longer than
-`PIECE_BYTES` goes in pieces, so that a large body cannot hold the link; the last
-piece bears length and checksum of the whole.
+`MAX_FRAGMENT_BYTES` is sent in fragments, so that a large body cannot block the link;
+the last fragment carries the length and checksum of the whole message.
 """
 
 from __future__ import annotations
@@ -19,68 +19,71 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-PIECE_BYTES = 64 * 1024
+MAX_FRAGMENT_BYTES = 64 * 1024
 
 
-class Kind(IntEnum):
-    """What a frame is for."""
+class FrameKind(IntEnum):
+    """What a frame carries; the values are its numbers on the wire."""
 
-    ASK = 1
+    REQUEST = 1
     REPLY = 2
-    NOTICE = 3
+    NOTIFICATION = 3
     CANCEL = 4
-    PIECE = 5
-    LAST_PIECE = 6
+    FRAGMENT = 5
+    LAST_FRAGMENT = 6
 
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """One frame.
+    """A frame as it is sent on a link.
 
     Parameters
     ----------
-    kind : Kind
-        What the frame is for.
+    kind : FrameKind
+        What the frame carries.
     number : int
-        Matches a reply, a cancellation or a piece with its message; the sender of
-        an ask counts them up.
+        Associates a reply or a cancellation with its request; the sender of a request
+        assigns increasing numbers. A fragment carries its `fragment_stream` instead.
     time : int
         Reading of the sender's hybrid logical clock.
     payload : object
         Plain CBOR values.
     """
 
-    kind: Kind
+    kind: FrameKind
     number: int
     time: int
     payload: Any
 
 
 def encode_frames(frame: Frame) -> Iterator[bytes]:
-    """Yield the frame, or its pieces if it is long."""
+    """Yield the encoded frame, or its encoded fragments if it is long."""
     data = cbor2.dumps([int(frame.kind), frame.number, frame.time, frame.payload])
-    if len(data) <= PIECE_BYTES:
+    if len(data) <= MAX_FRAGMENT_BYTES:
         yield data
         return
     check = [len(data), zlib.crc32(data)]
-    stream = stream_of(frame.number, is_reply=frame.kind is Kind.REPLY)
-    for start in range(0, len(data), PIECE_BYTES):
-        piece = data[start : start + PIECE_BYTES]
-        last = start + PIECE_BYTES >= len(data)
-        kind = Kind.LAST_PIECE if last else Kind.PIECE
-        yield cbor2.dumps([int(kind), stream, 0, [piece, *check] if last else piece])
+    stream = fragment_stream(frame.number, is_reply=frame.kind is FrameKind.REPLY)
+    for start in range(0, len(data), MAX_FRAGMENT_BYTES):
+        fragment = data[start : start + MAX_FRAGMENT_BYTES]
+        last = start + MAX_FRAGMENT_BYTES >= len(data)
+        kind = FrameKind.LAST_FRAGMENT if last else FrameKind.FRAGMENT
+        yield cbor2.dumps(
+            [int(kind), stream, 0, [fragment, *check] if last else fragment]
+        )
 
 
-def stream_of(number: int, *, is_reply: bool) -> int:
-    """Return the number of a message's pieces.
+def fragment_stream(number: int, *, is_reply: bool) -> int:
+    """Return the stream number that a message's fragments carry.
 
-    An ask and the reply to one of the other side may share a number.
+    A request and the reply to a request of the other side may have the same number;
+    their streams differ.
     """
     return number * 2 + is_reply
 
 
 def decode_frame(data: bytes) -> Frame | MalformedFrame:
-    """Return the frame that the bytes stand for."""
+    """Decode a frame; return what is wrong with the bytes if it is malformed."""
     value = load_cbor(data)
     if isinstance(value, MalformedFrame):
         return value
@@ -90,49 +93,49 @@
     if type(kind) is not int or type(number) is not int or type(time) is not int:
         return MalformedFrame("kind, number and time must be integers")
     try:
-        return Frame(Kind(kind), number, time, payload)
+        return Frame(FrameKind(kind), number, time, payload)
     except ValueError:
-        return MalformedFrame(f"kind {kind} is unknown")
+        return MalformedFrame(f"unknown frame kind {kind}")
 
 
 @dataclass(slots=True)
-class PieceBuffer:
-    """Pieces of messages that are not whole yet.
+class FragmentBuffer:
+    """Reassembles messages from their fragments.
 
     Parameters
     ----------
     max_bytes : int
-        The most that may lie here over all messages of the link.
+        Limit on the buffered bytes of all messages of the link.
     """
 
     max_bytes: int
-    _pieces: dict[int, list[bytes]] = field(default_factory=dict)
+    _fragments: dict[int, list[bytes]] = field(default_factory=dict)
     _n_bytes: int = 0
 
     def drop(self, number: int) -> None:
-        """Forget the pieces of an ask that its sender has given up."""
-        pieces = self._pieces.pop(stream_of(number, is_reply=False), [])
-        self._n_bytes -= sum(map(len, pieces))
+        """Discard the fragments of a request that its sender has cancelled."""
+        fragments = self._fragments.pop(fragment_stream(number, is_reply=False), [])
+        self._n_bytes -= sum(map(len, fragments))
 
     def add(self, frame: Frame) -> Frame | MalformedFrame | None:
-        """Take a piece; return the whole frame once it is complete."""
-        last = frame.kind is Kind.LAST_PIECE
+        """Add a fragment; return the whole frame once it is complete."""
+        last = frame.kind is FrameKind.LAST_FRAGMENT
         payload = frame.payload if last else [frame.payload, 0, 0]
         if not isinstance(payload, list) or len(payload) != 3:
-            return MalformedFrame("a last piece needs data, length and checksum")
-        piece, length, checksum = payload
-        if not isinstance(piece, bytes):
-            return MalformedFrame("a piece must be bytes")
-        self._n_bytes += len(piece)
+            return MalformedFrame("a last fragment needs data, length and checksum")
+        fragment, length, checksum = payload
+        if not isinstance(fragment, bytes):
+            return MalformedFrame("a fragment must be bytes")
+        self._n_bytes += len(fragment)
         if self._n_bytes > self.max_bytes:
-            return MalformedFrame(f"pieces exceed {self.max_bytes} bytes on the link")
-        pieces = self._pieces.setdefault(frame.number, [])
-        pieces.append(piece)
+            return MalformedFrame(f"fragments exceed {self.max_bytes} bytes per link")
+        fragments = self._fragments.setdefault(frame.number, [])
+        fragments.append(fragment)
         if not last:
             return None
-        del self._pieces[frame.number]
-        data = b"".join(pieces)
+        del self._fragments[frame.number]
+        data = b"".join(fragments)
         self._n_bytes -= len(data)
         if len(data) != length or zlib.crc32(data) != checksum:
-            return MalformedFrame("pieces do not make the message that was sent")
+            return MalformedFrame("message does not match its length and checksum")
         return decode_frame(data)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/spread.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/spread.py
@@ -1,8 +1,8 @@
-"""Settings between nodes: news at once along the links, comparison now and then.
+"""Settings between nodes: announcements of new versions, and periodic comparison.
 
-News carries versions only. A node fetches a text it lacks from the first node that
-tells of it, so each text crosses the network about once per node. Whatever is lost is
-found by comparing with a random node.
+An announcement carries versions only. A node fetches a missing text from the first
+node that announces it, so each text is sent to each node about once. The comparison
+with a random node finds whatever was lost.
 """
 
 from __future__ import annotations
@@ -33,8 +33,9 @@
     from fuchsiagap.core.settings.model import TeamText
     from fuchsiagap_node.core.state import NodeState
 
-_SHOWN_FAULT = 300
+_MAX_SHOWN_FAULT_CHARS = 300
 COMPARE_INTERVAL: Milliseconds = 1_000.0
+# As a fraction of the interval.
 COMPARE_JITTER = 0.2
 FLUSH_DELAY: Milliseconds = 5.0
 PEER_TIMEOUT: Milliseconds = 1_000.0
@@ -42,10 +43,10 @@
 
 
 def register(state: NodeState) -> None:
-    """Register who replies to the messages about settings."""
+    """Register the handlers of the messages about settings."""
 
     async def on_query(_peer: str, msg: SettingsQuery) -> SettingsTexts:
-        return _texts(state, msg)
+        return _find_newer_texts(state, msg)
 
     async def on_compare(_peer: str, msg: SettingsCompare) -> SettingsVector:
         book = state.book
@@ -58,22 +59,22 @@
         if member is not None:
             await _fetch(state, member.address, peer, msg.versions)
 
-    state.handlers.on_ask(SettingsQuery, on_query)
-    state.handlers.on_ask(SettingsCompare, on_compare)
-    state.handlers.on_notice(SettingsNews, on_news)
+    state.handlers.on_request(SettingsQuery, on_query)
+    state.handlers.on_request(SettingsCompare, on_compare)
+    state.handlers.on_notification(SettingsNews, on_news)
 
 
-def take(state: NodeState, texts: Iterable[TeamText], source: str) -> None:
-    """Offer texts to the book, and have news of those adopted passed on.
+def adopt_texts(state: NodeState, texts: Iterable[TeamText], source: str) -> None:
+    """Offer texts to the settings book, and queue announcements of those adopted.
 
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of this node.
     texts : iterable of TeamText
-        What was received.
+        Received texts.
     source : str
-        The node it came from, or ``"platform"``.
+        Name of the node that sent them, or ``"platform"``.
     """
     for text in texts:
         before = state.book.text(text.team)
@@ -81,43 +82,45 @@
         outcome = state.book.adopt(text)
         _check_invariants(state, before, text)
         if isinstance(outcome, Adopted):
-            _note_adopted(state, outcome, source)
+            _record_adopted(state, outcome, source)
         elif isinstance(outcome, Invalid) and state.book.counts.invalid > n_invalid:
-            _note_invalid(state, outcome, source)
+            _record_invalid(state, outcome, source)
 
 
 def _check_invariants(
     state: NodeState, before: TeamText | None, offered: TeamText
 ) -> None:
-    """Report a version that went back, or one that stands for two texts."""
+    """Report a violation if a version went back or has two different texts."""
     after = state.book.text(offered.team)
     if before is None:
         return
     if after is None or after.version < before.version:
         now = 0 if after is None else after.version
-        detail = f"settings of {offered.team}: {now} after {before.version}"
+        detail = f"settings of {offered.team}: version {now} after {before.version}"
         state.telemetry.report_violation(Invariant.VERSION_WENT_BACK, detail)
     elif offered.version == before.version and offered != before:
         detail = f"settings of {offered.team}: two texts of version {before.version}"
         state.telemetry.report_violation(Invariant.VERSION_WENT_BACK, detail)
 
 
-async def pass_news_on(state: NodeState) -> None:
-    """Tell the neighbours of what was adopted, until cancelled."""
+async def announce_adopted(state: NodeState) -> None:
+    """Announce adopted versions to the gossip targets until cancelled."""
     sync_status = state.book.sync_status
     async with trio.open_nursery() as nursery:
         while True:
             while not sync_status.unannounced:
                 await sync_status.changed.wait()
             await sleep_ms(FLUSH_DELAY)
-            news = SettingsNews(tuple(sorted(sync_status.unannounced.items())))
+            announcement = SettingsNews(tuple(sorted(sync_status.unannounced.items())))
             sync_status.unannounced.clear()
-            for member in neighbours.receivers(state.membership):
-                nursery.start_soon(_tell, state, member.address, news)
+            for member in neighbours.gossip_targets(state.membership):
+                nursery.start_soon(
+                    _send_announcement, state, member.address, announcement
+                )
 
 
-async def keep_comparing(state: NodeState) -> None:
-    """Compare versions with a random node now and then, until cancelled."""
+async def compare_periodically(state: NodeState) -> None:
+    """Compare versions with a random node at intervals until cancelled."""
     async with trio.open_nursery() as nursery:
         while True:
             jitter = state.rng.uniform(1 - COMPARE_JITTER, 1 + COMPARE_JITTER)
@@ -128,21 +131,21 @@
 
 
 async def compare(state: NodeState, address: str, source: str) -> bool:
-    """Compare versions with one node, and even out what differs.
+    """Compare versions with a node and exchange the differences.
 
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of this node.
     address : str
         ``IP:PORT`` of the other node.
     source : str
-        Its name, for the events.
+        Name of the other node, for the events.
 
     Returns
     -------
     bool
-        Whether the other node replied.
+        Whether the other node replied and the exchange ended in time.
     """
     book = state.book
     with trio.move_on_after(PEER_TIMEOUT / MS_PER_S):
@@ -150,62 +153,63 @@
         if not isinstance(reply, SettingsVector):
             return False
         if not reply.same:
-            await _even_out(state, address, source, reply.versions)
-        if reply.complete and not _lacking(state, reply.versions):
-            set_complete(state)
+            await _exchange_differences(state, address, source, reply.versions)
+        if reply.complete and not _find_missing(state, reply.versions):
+            mark_complete(state)
         return True
     return False
 
 
-def set_complete(state: NodeState) -> None:
-    """Note that this node has had all that the platform held at some moment."""
+def mark_complete(state: NodeState) -> None:
+    """Record that this node has all settings that the platform held at some time."""
     sync_status = state.book.sync_status
     if not sync_status.complete:
         sync_status.complete = True
         sync_status.notify()
 
 
-async def _even_out(
-    state: NodeState, address: str, source: str, theirs: VersionVector
+async def _exchange_differences(
+    state: NodeState, address: str, source: str, remote_versions: VersionVector
 ) -> None:
-    known = dict(theirs)
-    lacking = tuple(
+    known = dict(remote_versions)
+    missing = tuple(
         (team, version)
         for team, version in state.book.vector()
         if version > known.get(team, 0)
     )
-    if lacking:
-        await state.peers.notify(address, SettingsNews(lacking))
-    await _fetch(state, address, source, theirs)
+    if missing:
+        await state.peers.notify(address, SettingsNews(missing))
+    await _fetch(state, address, source, remote_versions)
 
 
 async def _fetch(
     state: NodeState, address: str, source: str, versions: VersionVector
 ) -> None:
-    """Fetch those of the versions that are newer than all seen.
+    """Fetch the texts of those versions that are newer than any seen.
 
-    While another node is asked for them, wait; if that fails, ask this one.
+    Waits while they are being fetched from another node; if that fails, fetches them
+    from this one.
     """
     sync_status = state.book.sync_status
     with trio.move_on_after(2 * PEER_TIMEOUT / MS_PER_S):
-        while lacking := _lacking(state, versions):
-            free = {
+        while missing := _find_missing(state, versions):
+            unclaimed = {
                 team: version
-                for team, version in lacking.items()
+                for team, version in missing.items()
                 if version > sync_status.fetching.get(team, 0)
             }
-            if free:
-                await _fetch_now(state, address, source, free)
+            if unclaimed:
+                await _fetch_unclaimed(state, address, source, unclaimed)
                 return
             await sync_status.changed.wait()
 
 
-def _lacking(state: NodeState, versions: VersionVector) -> dict[str, int]:
+def _find_missing(state: NodeState, versions: VersionVector) -> dict[str, int]:
     seen = dict(state.book.seen())
     return {team: v for team, v in versions if v > seen.get(team, 0)}
 
 
-async def _fetch_now(
+async def _fetch_unclaimed(
     state: NodeState, address: str, source: str, wanted: dict[str, int]
 ) -> None:
     sync_status = state.book.sync_status
@@ -230,13 +234,13 @@
         reply = await state.peers.ask(address, query)
         if not isinstance(reply, SettingsTexts) or not reply.texts:
             return
-        take(state, reply.texts, source)
+        adopt_texts(state, reply.texts, source)
         for text in reply.texts:
             known.pop(text.team, None)
         more = reply.more
 
 
-def _texts(state: NodeState, msg: SettingsQuery) -> SettingsTexts:
+def _find_newer_texts(state: NodeState, msg: SettingsQuery) -> SettingsTexts:
     found: list[TeamText] = []
     n_chars = 0
     for team, version in msg.known:
@@ -250,27 +254,32 @@
     return SettingsTexts(tuple(found), more=False)
 
 
-async def _tell(state: NodeState, address: str, news: SettingsNews) -> None:
+async def _send_announcement(
+    state: NodeState, address: str, announcement: SettingsNews
+) -> None:
     with trio.move_on_after(PEER_TIMEOUT / MS_PER_S):
-        await state.peers.notify(address, news)
+        await state.peers.notify(address, announcement)
 
 
 def random_contact(state: NodeState) -> tuple[str, str] | None:
-    """Return address and name of a random other node; a first peer if none is known."""
+    """Return the address and name of a random node, else of a configured peer.
+
+    The name of a configured peer is not known; its address takes its place.
+    """
     membership = state.membership
-    me = membership.self_member.node
-    others = [m for m in membership.members() if m.node != me and not m.gone]
+    own_name = membership.self_member.node
+    others = [m for m in membership.members() if m.node != own_name and not m.gone]
     if others:
         member = state.rng.choice(others)
         return member.address, member.node
-    first = [a for a in state.cfg.peers.first if a != state.cfg.peer_address]
-    if not first:
+    initial_peers = [a for a in state.cfg.peers.first if a != state.cfg.peer_address]
+    if not initial_peers:
         return None
-    address = state.rng.choice(first)
+    address = state.rng.choice(initial_peers)
     return address, address
 
 
-def _note_adopted(state: NodeState, adopted: Adopted, source: str) -> None:
+def _record_adopted(state: NodeState, adopted: Adopted, source: str) -> None:
     telemetry = state.telemetry
     telemetry.ring.record(
         EventKind.SETTINGS_ADOPTED,
@@ -288,12 +297,12 @@
         state.gate.adopt(replace(state.cfg.gate, weight=settings.weight))
 
 
-def _note_invalid(state: NodeState, invalid: Invalid, source: str) -> None:
+def _record_invalid(state: NodeState, invalid: Invalid, source: str) -> None:
     state.telemetry.ring.record(
         EventKind.SETTINGS_REFUSED,
         team=invalid.team,
         version=invalid.version,
         source=source,
         faults=len(invalid.faults.faults),
-        first=str(invalid.faults.faults[0])[:_SHOWN_FAULT],
+        first=str(invalid.faults.faults[0])[:_MAX_SHOWN_FAULT_CHARS],
     )
