--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/write.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/write.py
@@ -1,8 +1,8 @@
-"""Accept a change of a team's settings: whole, by conditional update, settled.
+"""Changes of a team's settings, by conditional update of an object on the platform.
 
-Accepted means: the platform holds the text under a version, and the text bears the
-id of the change. If the answer of the platform is lost, the same conditional update is
-asked for again: it takes effect at most once, and finds its own id if it did.
+A change is accepted once the platform holds its text under a version, together with
+the id of the change. If the response of the platform is lost, the same conditional
+update is repeated: it takes effect at most once, and finds its own id if it did.
 """
 
 from __future__ import annotations
@@ -59,18 +59,18 @@
     "Unsettled",
     "WriteResult",
     "delete_settings",
-    "holder_here",
-    "is_operators",
+    "find_local_holder",
+    "is_operators_token",
     "put_settings",
 ]
 
 OPERATORS = "operators"
-SETTLE_PAUSES: tuple[Milliseconds, ...] = (100.0, 300.0, 900.0, 2_000.0)
+SETTLE_RETRY_DELAYS: tuple[Milliseconds, ...] = (100.0, 300.0, 900.0, 2_000.0)
 
 
 @dataclass(frozen=True, slots=True)
 class _Change:
-    """A change that is asked for."""
+    """A requested change."""
 
     team: str
     action: Action
@@ -90,35 +90,36 @@
     token: str,
     repeat: bool = False,
 ) -> WriteResult:
-    """Put a team's settings in force.
+    """Replace a team's settings.
 
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of this node.
     team : str
         Name of the team.
     text : str
         The INI text.
     expected_version : int or None
-        The version the text was written for; 0 if there are no settings; None for
-        whichever stands.
+        Version that the text is based on; 0 if there are no settings; None for any
+        version.
     change_id : str
-        Chosen by the caller; the same for a repeat.
+        Id of the change, chosen by the caller; the same for a repeat.
     token : str
         Bearer token.
     repeat : bool, default=False
-        Whether an earlier request with this id is unsettled. Then nothing is said to
-        be unchanged that may have been changed by the earlier one. Needs the expected
-        version that `Unsettled` named, so that only one of them can take effect.
+        Whether an earlier request with this id is unsettled. Then a conflict
+        or an unavailable platform is reported as `Unsettled` as long as the earlier
+        request may have taken effect. Needs the expected version that `Unsettled`
+        named, so that only one of them can take effect.
 
     Returns
     -------
     Accepted, Conflict, Invalid, Forbidden, Unavailable or Unsettled
-        What became of it.
+        Result of the request.
     """
     change = _Change(team, Action.PUT, text, expected_version, change_id, token, repeat)
-    if (forbidden := _forbidden_here(state, change)) is not None:
+    if (forbidden := _refuse_locally(state, change)) is not None:
         return forbidden
     settings = parse_team(team, text)
     if isinstance(settings, SettingsFaults):
@@ -134,22 +135,22 @@
     token: str,
     repeat: bool = False,
 ) -> WriteResult:
-    """Delete a team's settings; parameters and result as of `put_settings`."""
+    """Delete a team's settings; see `put_settings` for parameters and result."""
     change = _Change(
         team, Action.DELETE, "", expected_version, change_id, token, repeat
     )
-    if (forbidden := _forbidden_here(state, change)) is not None:
+    if (forbidden := _refuse_locally(state, change)) is not None:
         return forbidden
     return await _change(state, change)
 
 
-def holder_here(state: NodeState, team: str, token: str) -> str | None:
-    """Return who holds a token for a team, as the settings in force here say.
+def find_local_holder(state: NodeState, team: str, token: str) -> str | None:
+    """Return the holder of a token for a team, by the settings in force locally.
 
     Parameters
     ----------
     state : NodeState
-        The node.
+        State of this node.
     team : str
         Name of the team.
     token : str
@@ -158,32 +159,32 @@
     Returns
     -------
     str or None
-        `OPERATORS` for the token of the node's own settings, which is good for
-        every team; None if the token is good for nothing here.
+        `OPERATORS` for the token in the node's own settings, which is valid for every
+        team; None if the token is not valid for this team.
     """
-    if is_operators(state, token):
+    if is_operators_token(state, token):
         return OPERATORS
     settings = state.book.team(team)
     return find_token_name(settings.token_digests, token) if settings else None
 
 
-def is_operators(state: NodeState, token: str) -> bool:
-    """Whether a token is the one that may create teams and drain the node."""
+def is_operators_token(state: NodeState, token: str) -> bool:
+    """Return whether a token is the one that may create teams and drain the node."""
     digest = state.cfg.admin.token_digest
     return bool(digest) and matches_digest(digest, token)
 
 
-def _forbidden_here(state: NodeState, change: _Change) -> Forbidden | None:
-    """Refuse most strangers without a call to the platform."""
+def _refuse_locally(state: NodeState, change: _Change) -> Forbidden | None:
+    """Refuse most unauthorized requests without a call to the platform."""
     if not state.book.sync_status.complete:
         return None
-    if holder_here(state, change.team, change.token) is not None:
+    if find_local_holder(state, change.team, change.token) is not None:
         return None
     return _forbidden(change.team)
 
 
 def _forbidden(team: str) -> Forbidden:
-    detail = f"the token is none of team {team!r} and not that of the operators"
+    detail = f"the token is neither one of team {team!r} nor that of the operators"
     return Forbidden(team, detail)
 
 
@@ -195,7 +196,7 @@
     if isinstance(result, Unavailable):
         return Unsettled(change.change_id, result.detail, expected)
     if isinstance(result, Conflict) and not result.is_sure:
-        return Unsettled(change.change_id, _forgotten(expected), expected)
+        return Unsettled(change.change_id, _describe_short_history(expected), expected)
     return result
 
 
@@ -206,15 +207,15 @@
         return Unavailable(current.detail)
     held = state.book.text(change.team)
     if held is not None and current.version < held.version:
-        return Unavailable(_went_back(current, held.version))
+        return Unavailable(_describe_lost_changes(current, held.version))
     stored = _read(current)
-    by = _holder_there(state, change, current, stored)
+    by = _find_platform_holder(state, change, current, stored)
     if by is None:
         return _forbidden(change.team)
-    if (made := _made(change, current)) is not None:
-        return made
-    unnamed_repeat = change.repeat and change.expected_version is None
-    if unnamed_repeat or not _is_expected(change, current, stored):
+    if (earlier_result := _find_earlier_result(change, current)) is not None:
+        return earlier_result
+    is_repeat_without_version = change.repeat and change.expected_version is None
+    if is_repeat_without_version or not _is_expected(change, current, stored):
         return _conflict(change, current)
     record = ChangeRecord(
         change_id=change.change_id,
@@ -225,7 +226,7 @@
         digest=text_digest(change.body),
     )
     value = format_stored_text(record, stored.records, change.body).encode()
-    result = await _put_settled(state, change, path, value, current.version)
+    result = await _put_until_settled(state, change, path, value, current.version)
     if isinstance(result, Accepted):
         state.telemetry.ring.record(
             EventKind.SETTINGS_WRITTEN,
@@ -237,23 +238,25 @@
     return result
 
 
-async def _put_settled(
+async def _put_until_settled(
     state: NodeState, change: _Change, path: str, value: bytes, version: int
 ) -> WriteResult:
-    """Write, and ask again while it is open whether the write took effect."""
+    """Write, and retry while it is undecided whether the write took effect."""
     maybe_applied = False
     detail = ""
-    for pause in (*SETTLE_PAUSES, None):
+    for pause in (*SETTLE_RETRY_DELAYS, None):
         state.telemetry.metrics.count(Counter.PLATFORM_CALLS, "settings-put")
         result = await state.platform.put(path, value, version)
         if isinstance(result, StoredObject):
-            watch.take_objects(state, (result,))
+            watch.adopt_objects(state, (result,))
             return Accepted(change.team, result.version, result.version)
         if isinstance(result, PlatformConflict):
             settled = _settle_conflict(state, change, result.current, version)
-            is_open = isinstance(settled, Conflict) and not settled.is_sure
-            if maybe_applied and is_open:
-                return Unsettled(change.change_id, _forgotten(version), version)
+            is_undecided = isinstance(settled, Conflict) and not settled.is_sure
+            if maybe_applied and is_undecided:
+                return Unsettled(
+                    change.change_id, _describe_short_history(version), version
+                )
             return settled
         maybe_applied = maybe_applied or result.maybe_applied
         detail = result.detail
@@ -267,18 +270,23 @@
 def _settle_conflict(
     state: NodeState, change: _Change, current: StoredObject | None, replaced: int
 ) -> WriteResult:
-    """Find this very change in what stands, or else the winner's."""
+    """Return the result of a write that met another version than expected.
+
+    The current object may hold this very change, from an earlier attempt.
+    """
     if current is None:
-        # There was an object, and the platform has forgotten it and its version.
+        # The object existed before: the platform has lost it and its version.
         return Unavailable("the platform lost the object that was to be replaced")
-    watch.take_objects(state, (current,))
-    return _made(change, current) or _conflict(change, current, replaced)
+    watch.adopt_objects(state, (current,))
+    return _find_earlier_result(change, current) or _conflict(change, current, replaced)
 
 
-def _made(change: _Change, current: StoredObject) -> Accepted | Conflict | None:
-    """Return what became of this change if it took effect before.
+def _find_earlier_result(
+    change: _Change, current: StoredObject
+) -> Accepted | Conflict | None:
+    """Return the result of this change if it took effect before, else None.
 
-    The id of another change, with another text, is a conflict.
+    The id of an earlier change with another text is a conflict.
     """
     found = _read(current).find(change.change_id, current.version)
     if found is None:
@@ -301,11 +309,11 @@
     return parse_stored_text(watch.text_of(current).text)
 
 
-def _holder_there(
+def _find_platform_holder(
     state: NodeState, change: _Change, current: StoredObject, stored: StoredText
 ) -> str | None:
-    """Return the token's holder by what stands on the platform at this moment."""
-    if is_operators(state, change.token):
+    """Return the token's holder by the current settings on the platform."""
+    if is_operators_token(state, change.token):
         return OPERATORS
     if current.deleted or stored.deleted:
         return None
@@ -325,32 +333,39 @@
 def _conflict(
     change: _Change, current: StoredObject, replaced: int | None = None
 ) -> Conflict:
-    """Return the conflict with what stands; `replaced` is what the winner replaced."""
+    """Return the conflict with the current object.
+
+    `replaced` is the version that the winning change replaced; by default the expected
+    one.
+    """
     stored = _read(current)
     if replaced is None:
         replaced = change.expected_version
-    there = f"{change.team} version {current.version}"
+    platform_label = f"{change.team} version {current.version}"
     return Conflict(
         team=change.team,
         expected_version=change.expected_version or 0,
         version=current.version,
         deleted=current.deleted or stored.deleted,
         text=stored.body,
-        diff=difference(stored.body, change.body, there, f"change {change.change_id}"),
+        diff=difference(
+            stored.body, change.body, platform_label, f"change {change.change_id}"
+        ),
         by=stored.records[0].by if stored.records else "",
         is_sure=any(r.replaced == replaced for r in stored.records),
     )
 
 
-def _forgotten(version: int) -> str:
+def _describe_short_history(version: int) -> str:
     return f"the history does not reach back to version {version}"
 
 
-def _went_back(current: StoredObject, in_force: int) -> str:
-    """Say why a change would be accepted and never be in force."""
+def _describe_lost_changes(current: StoredObject, in_force: int) -> str:
+    """Explain why a change would be accepted and never take effect."""
     return (
-        f"it holds version {current.version} of {current.path}, below {in_force} which"
-        " is in force: it has lost changes; see docs/operators/platform-outage.md"
+        f"the platform holds version {current.version} of {current.path}, but version"
+        f" {in_force} is in force: it has lost changes;"
+        " see docs/operators/platform-outage.md"
     )
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/main.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/main.py
@@ -1,4 +1,4 @@
-"""The binary ``fuchsiagap-node``."""
+"""Command ``fuchsiagap-node``, which runs a node."""
 
 from __future__ import annotations
 
@@ -22,6 +22,8 @@
 
 EXIT_BAD_SETTINGS = 2
 EXIT_CANNOT_LISTEN = 3
+# Net allocations that start a collection of the youngest generation, and collections of
+# a generation that start one of the next older.
 _GC_THRESHOLDS = (20_000, 20, 50)
 
 _CONFIG = flags.DEFINE_string("config", None, "INI file with the node's settings")
@@ -32,7 +34,7 @@
 _LOG = logging.getLogger(__name__)
 
 
-def _load(path: str, overrides: list[str]) -> NodeConfig | ConfigFaults | str:
+def _load_config(path: str, overrides: list[str]) -> NodeConfig | ConfigFaults | str:
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as exc:
@@ -44,7 +46,7 @@
     if len(argv) > 1 or _CONFIG.value is None:
         print("usage: fuchsiagap-node --config FILE [--set section.key=value]")
         return EXIT_BAD_SETTINGS
-    cfg = _load(_CONFIG.value, list(_SET.value))
+    cfg = _load_config(_CONFIG.value, list(_SET.value))
     if isinstance(cfg, (ConfigFaults, str)):
         print(cfg, file=sys.stderr)
         return EXIT_BAD_SETTINGS
@@ -53,11 +55,11 @@
         return 0
     set_up_logs(cfg.name)
     _tune_garbage_collection()
-    return trio.run(_until_stopped, cfg)
+    return trio.run(_run_until_stopped, cfg)
 
 
 def _tune_garbage_collection() -> None:
-    """Keep what the start made out of each collection, and collect less often.
+    """Exclude start-up objects from garbage collection, and collect less often.
 
     A full collection stops all calls; see docs/design/path.md.
     """
@@ -66,8 +68,8 @@
     gc.set_threshold(*_GC_THRESHOLDS)
 
 
-async def _until_stopped(cfg: NodeConfig) -> int:
-    """Run the node; SIGTERM and SIGINT are graceful shutdowns."""
+async def _run_until_stopped(cfg: NodeConfig) -> int:
+    """Run the node until it fails to start or SIGTERM or SIGINT has shut it down."""
     stop = trio.Event()
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_watch_signals, stop)
@@ -86,7 +88,7 @@
 
 
 def run() -> None:
-    """Entry point of the binary."""
+    """Entry point of the command."""
     app.run(_main)
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/a_fleet.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/dispatch_fleet.py
@@ -1,4 +1,4 @@
-"""A few nodes with real dispatch and serve over fake links, gates and backends."""
+"""Nodes with the real `dispatch` and `serve` over fake links, gates and backends."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 from fuchsiagap_standins.builders import TEAM, a_load
 
 LATENCY_S = 0.001
-GENEROUS = RetrySettings(ratio=100.0)
+AMPLE_RETRIES = RetrySettings(ratio=100.0)
 
 
 class FakeGate:
-    """Admits every call, unless `refuse` says otherwise."""
+    """Admits every call for which the fleet's `refuse` returns None."""
 
     def __init__(self, fleet, node):
         self.fleet, self.node = fleet, node
-        self.below = []
+        self.downstream_loads = []
 
     async def enter(self, head):
         reason = self.fleet.refuse(self.node, head)
@@ -47,11 +47,11 @@
         return self.fleet.load
 
     def record_downstream_load(self, route, service, load):
-        self.below.append((route, str(service)))
+        self.downstream_loads.append((route, str(service)))
 
 
 class FakeBackend:
-    """Counts each attempt it is given, and runs the fleet's program."""
+    """Records each attempt it receives, and runs the fleet's `program`."""
 
     def __init__(self, fleet, node):
         self.fleet, self.node = fleet, node
@@ -62,13 +62,14 @@
 
 
 class Fleet:
-    """Nodes by name, and what goes wrong between them.
+    """Nodes by name, with injected failures.
 
-    Set `refuse`, `lose` and `program` to bring failures about: `lose` returns
-    "before" or "after" for a message that does not arrive, or whose reply does not.
+    Tests set `refuse`, which returns the reason of a refusal or None; `lose`, which
+    returns "before" for a message to be lost and "after" for a lost reply; and
+    `program`, which backend servers run.
     """
 
-    def __init__(self, services, n_instances=3, seed=0, retries=GENEROUS):
+    def __init__(self, services, n_instances=3, seed=0, retries=AMPLE_RETRIES):
         self.states, self.runs, self.asked, self.cancelled = {}, [], [], []
         self.load = a_load()
         self.refuse = lambda node, head: None
@@ -129,7 +130,7 @@
         return LinkLost(sent=True) if lost == "after" else outcome
 
     async def call(self, head, entry=None):
-        """Dispatch a root call at its entry node."""
+        """Dispatch a root call at an entry node, by default the first."""
         state = self.states[entry or next(iter(self.states))]
         return await dispatch(state, head, b"")
 
@@ -139,7 +140,7 @@
 
 
 async def call_child(state, head, service, **changes):
-    """Make a call of a backend server's own, as the entry does for it."""
+    """Make a nested call of a backend server, as `entry` does."""
     child = replace(
         head,
         call_id=f"{head.call_id}>{service}-{state.rng.getrandbits(32):x}",
@@ -152,7 +153,7 @@
     )
     outcome = await dispatch(state, child, b"")
     if isinstance(outcome, Refused):
-        state.calls.serving[head.call_id].refused_below = True
+        state.calls.serving[head.call_id].has_refused_child = True
     return outcome
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/drain/test_stopping.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/drain/test_stopping.py
@@ -1,3 +1,5 @@
+"""Graceful shutdown of the nodes of a fleet, under load and with failed links."""
+
 import random
 
 import trio
@@ -22,7 +24,7 @@
 
 
 class Load:
-    """An open loop of callers' requests, and what became of each."""
+    """An open-loop load of requests that keeps their outcomes."""
 
     def __init__(self, fleet, per_s):
         self.fleet = fleet
@@ -53,7 +55,7 @@
     run_virtual(main)
 
 
-def marked_leaving(fleet, name):
+def is_marked_leaving(fleet, name):
     def holds():
         views = (node.membership.instances() for node in fleet.nodes.values())
         return all(i.leaving for view in views for i in view if i.node == name)
@@ -62,7 +64,7 @@
 
 
 class TestDrain(TestCase):
-    def test_a_rolling_restart_of_all_nodes_cuts_no_request(self):
+    def test_a_rolling_restart_of_all_nodes_interrupts_no_request(self):
         async def test(fleet):
             load = Load(fleet, per_s=20)
             async with trio.open_nursery() as nursery:
@@ -74,9 +76,9 @@
             self.assertGreater(len(load.outcomes), 150)
             others = [o for o in load.outcomes if not isinstance(o, Answered)]
             self.assertEqual([], others)
-            # Callers met nodes that were leaving, and true refusals only.
+            # Some requests reached leaving nodes, which refused them before any run.
             self.assertGreater(fleet.refusals[Reason.LEAVING], 0)
-            # A run that was refused below and had no effect may be made again.
+            # A run may be repeated if it had no effect, as a nested call was refused.
             self.assertEqual([], double_runs(fleet.runs()))
 
         run_fleet(test)
@@ -113,7 +115,7 @@
                 nursery.start_soon(load.run)
                 await trio.sleep(1.0)
                 ended = fleet.request_drain("results-0")
-                await fleet.until(marked_leaving(fleet, "results-0"), NO_NEW_WORK_MS)
+                await fleet.until(is_marked_leaving(fleet, "results-0"), NO_NEW_WORK_MS)
                 server = next(
                     b for b in fleet.backends if b.cfg.name.startswith("results-0.")
                 )
@@ -125,12 +127,12 @@
 
         run_fleet(test)
 
-    def test_the_successor_answers_for_the_tickets_also_after_the_restart(self):
+    def test_the_successor_keeps_the_tickets_after_the_restart(self):
         async def test(fleet):
             home = fleet.nodes["certs-0"]
             (ticket,) = issue_batch(home, 1)
             req = fleet.call(ISSUE, 5, str(ticket))
-            self.assertEqual(req.own_headers[call_headers.TICKET], str(ticket))
+            self.assertEqual(req.control_headers[call_headers.TICKET], str(ticket))
             first = await enter(fleet.nodes["bookings-1"], req)
             self.assertIsInstance(first, Answered)
             await fleet.restart("certs-0")
@@ -146,23 +148,23 @@
 
         run_fleet(test)
 
-    def test_what_comes_in_after_it_has_left_is_answered_too(self):
+    def test_a_request_after_leaving_is_answered_before_the_exit(self):
         async def test(fleet):
             node = fleet.nodes["certs-0"]
             ended = fleet.request_drain("certs-0")
             left = MemberState.LEFT
             await fleet.until(lambda: node.membership.self_member.state is left)
-            # A question about a ticket, which another node takes long to answer.
+            # Stands for a ticket settlement that another node is slow to answer.
             node.calls.n_responding += 1
             await trio.sleep(2.0)
             self.assertFalse(ended.is_set())
             node.calls.n_responding -= 1
-            node.calls.note_end()
+            node.calls.notify_if_idle()
             await ended.wait()
 
         run_fleet(test)
 
-    def test_a_node_leaves_also_when_nobody_listens(self):
+    def test_a_node_leaves_if_no_peer_is_reachable(self):
         async def test(fleet):
             everyone = {node.cfg.peer_address for node in fleet.nodes.values()}
             fleet.network.cut({"certs-0:7000"}, everyone)
@@ -177,9 +179,9 @@
         async def test(fleet):
             view = fleet.nodes["certs-0"].membership
             old = fleet.ended["certs-0"]
-            word = view.self_member
-            newer = type(word)(
-                word.node, word.incarnation + 9, "certs-9:7000", word.data_centre
+            member = view.self_member
+            newer = type(member)(
+                member.node, member.incarnation + 9, "certs-9:7000", member.data_centre
             )
             view.apply(newer)
             with trio.fail_after(30.0):
@@ -187,7 +189,7 @@
 
         run_fleet(test)
 
-    def test_having_left_is_no_death(self):
+    def test_a_node_that_left_is_not_marked_dead(self):
         async def test(fleet):
             await fleet.request_drain("cycles-1").wait()
             await trio.sleep(3.0)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_peer_websocket.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_peer_websocket.py
@@ -1,4 +1,4 @@
-"""Websocket links that break, get no websockets, or whose sender is cancelled."""
+"""Websocket links with malformed data, failed handshakes and cancelled senders."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-# Real sockets, so the real clock; none of it waits for time to pass.
-_LIMIT_S = 60.0
+# The tests use real sockets and so the real clock, but do not depend on timing.
+_TEST_TIMEOUT_S = 60.0
 
 
 class _Server:
-    """Takes links and echoes what comes, until told to stop reading."""
+    """Accepts links and echoes frames while `may_read` is set."""
 
     def __init__(self) -> None:
         self.address = ""
-        self.reads = trio.Event()
-        self.reads.set()
+        self.may_read = trio.Event()
+        self.may_read.set()
         self.closed: list[str] = []
 
-    async def take(self, link: Link) -> None:
+    async def echo(self, link: Link) -> None:
         while True:
-            await self.reads.wait()
+            await self.may_read.wait()
             frame = await link.receive()
             if isinstance(frame, LinkClosed):
                 self.closed.append(frame.detail)
@@ -49,13 +49,14 @@
     ) -> None:
         async def main() -> None:
             server = _Server()
-            with trio.fail_after(_LIMIT_S):
+            with trio.fail_after(_TEST_TIMEOUT_S):
                 async with trio.open_nursery() as nursery:
                     listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
                     host, port = listeners[0].socket.getsockname()
                     server.address = f"{host}:{port}"
-                    nursery.start_soon(serve_links, listeners, server.take)
+                    nursery.start_soon(serve_links, listeners, server.echo)
                     await scenario(server, nursery)
+                    # Other links still work.
                     link = await _dial(server, nursery)
                     await link.send(b"next")
                     self.assertEqual(b"next", await link.receive())
@@ -63,7 +64,7 @@
 
         trio.run(main)
 
-    def test_frames_come_back_whole_and_in_order(self) -> None:
+    def test_frames_arrive_unchanged_and_in_order(self) -> None:
         async def scenario(server: _Server, nursery: trio.Nursery) -> None:
             link = await _dial(server, nursery)
             frames = [bytes([n]) * (n * 1000) for n in range(1, 60)]
@@ -78,10 +79,10 @@
 
         self._run(scenario)
 
-    def test_cancelled_send_leaves_the_frames_whole(self) -> None:
+    def test_cancelled_send_does_not_truncate_frames(self) -> None:
         async def scenario(server: _Server, nursery: trio.Nursery) -> None:
             link = await _dial(server, nursery)
-            server.reads = trio.Event()
+            server.may_read = trio.Event()
             frame = b"x" * (MAX_FRAME_BYTES - 1)
             scopes = [trio.CancelScope() for _ in range(200)]
 
@@ -94,14 +95,14 @@
             await trio.testing.wait_all_tasks_blocked(0.05)
             for scope in scopes[::2]:
                 scope.cancel()
-            server.reads.set()
+            server.may_read.set()
             with trio.move_on_after(1.0):
                 while True:
                     self.assertEqual(frame, await link.receive())
 
         self._run(scenario)
 
-    def test_what_is_no_websocket_closes_its_connection_only(self) -> None:
+    def test_connection_without_handshake_is_closed(self) -> None:
         async def scenario(server: _Server, nursery: trio.Nursery) -> None:
             for data in (
                 b"",
@@ -121,7 +122,7 @@
 
         self._run(scenario)
 
-    def test_wrong_frames_close_the_link(self) -> None:
+    def test_invalid_frames_close_the_link(self) -> None:
         async def scenario(server: _Server, nursery: trio.Nursery) -> None:
             for number, data in enumerate(
                 (
@@ -140,18 +141,20 @@
 
         self._run(scenario)
 
-    def test_server_that_speaks_something_else_is_no_link(self) -> None:
+    def test_dial_fails_without_a_websocket_handshake(self) -> None:
         async def scenario(server: _Server, nursery: trio.Nursery) -> None:
             for reply in (b"", b"HTTP/1.1 200 OK\r\n\r\n", b"\x00" * 50):
                 listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
                 host, port = listeners[0].socket.getsockname()
 
-                async def talk(stream: trio.SocketStream, said: bytes = reply) -> None:
+                async def respond(
+                    stream: trio.SocketStream, data: bytes = reply
+                ) -> None:
                     await stream.receive_some(10_000)
-                    await stream.send_all(said)
+                    await stream.send_all(data)
                     await stream.aclose()
 
-                nursery.start_soon(trio.serve_listeners, talk, listeners)
+                nursery.start_soon(trio.serve_listeners, respond, listeners)
                 dialled = await websocket_dial(nursery)(f"{host}:{port}")
                 self.assertIsInstance(dialled, DialFailed)
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/settings/test_write.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/settings/test_write.py
@@ -40,7 +40,7 @@
 HEAD = f"[team]\ntokens = ops {digest_of(TOKEN)}\n"
 
 
-def a_text(priority: int = 9) -> str:
+def make_text(priority: int = 9) -> str:
     return f"{HEAD}priority = {priority}\n"
 
 
@@ -64,7 +64,9 @@
     token: str = OPERATORS_TOKEN,
 ) -> WriteResult:
     change_id = change_id or f"change-{priority}"
-    return await put_settings(node, TEAM, a_text(priority), expected, change_id, token)
+    return await put_settings(
+        node, TEAM, make_text(priority), expected, change_id, token
+    )
 
 
 class SettingsWriteTest(TestCase):
@@ -85,14 +87,14 @@
         assert isinstance(result, Conflict), result
         return result
 
-    def test_accepted_means_stored_with_its_record_and_in_force_here(self) -> None:
+    def test_an_accepted_change_is_stored_and_in_force_locally(self) -> None:
         async def main(fleet: SettingsFleet, node: NodeState) -> None:
             first = self.accepted(await put(node, 1, 0))
             second = self.accepted(await put(node, 2, first.version, token=TOKEN))
             held = await stored(fleet)
             self.assertEqual(second.version, held.version)
             text = parse_stored_text(held.value.decode())
-            self.assertEqual(a_text(2), text.body)
+            self.assertEqual(make_text(2), text.body)
             self.assertEqual(
                 [("change-2", "ops", first.version), ("change-1", "operators", 0)],
                 [(r.change_id, r.by, r.replaced) for r in text.records],
@@ -104,7 +106,9 @@
 
         self.run_node(main)
 
-    def test_of_racing_operators_one_wins_and_the_others_see_its_text(self) -> None:
+    def test_concurrent_changes_have_one_winner_and_conflicts_show_its_text(
+        self,
+    ) -> None:
         async def main(fleet: SettingsFleet, node: NodeState) -> None:
             others = [fleet.add(f"certs-{i}", first=["certs-1:7000"]) for i in (2, 3)]
             before = self.accepted(await put(node, 9, 0)).version
@@ -127,33 +131,33 @@
                     self.assertEqual(held.body, lost.text)
                     self.assertIn("-priority", lost.diff)
                     self.assertIn("+priority", lost.diff)
-            # Each loser comes again, with the version it was shown.
+            # Each loser repeats its change with the current version.
             for i, state in enumerate(others):
                 version = (await stored(fleet)).version
                 self.accepted(await put(state, 5 + i, version, token=TOKEN))
 
         self.run_node(main)
 
-    def test_a_lost_answer_is_settled_by_the_change_id(self) -> None:
+    def test_a_lost_response_is_settled_by_the_change_id(self) -> None:
         async def main(fleet: SettingsFleet, node: NodeState) -> None:
             base = self.accepted(await put(node, 9, 0)).version
             fleet.store.set_faults(PlatformFaults(lose_answers=1.0))
 
-            async def mend() -> None:
+            async def clear_faults() -> None:
                 await trio.sleep(1)
                 fleet.store.set_faults(PlatformFaults())
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(mend)
+                nursery.start_soon(clear_faults)
                 result = await put(node, 3, base)
             made = self.accepted(result)
             self.assertEqual((await stored(fleet)).version, made.version)
-            # It took effect once, although it was asked for again.
+            # It took effect once, although the request was repeated.
             self.assertEqual(["change-9", "change-3"], await changes(fleet))
 
         self.run_node(main)
 
-    def test_a_lost_request_is_asked_for_again(self) -> None:
+    def test_a_lost_request_is_retried(self) -> None:
         async def main(fleet: SettingsFleet, node: NodeState) -> None:
             fleet.store.set_faults(PlatformFaults(lose_requests=0.5))
             for priority in range(6):
@@ -162,7 +166,7 @@
 
         self.run_node(main, seed=5)
 
-    def test_what_cannot_be_settled_is_said_to_be_open_and_a_repeat_settles(
+    def test_an_undecided_change_is_unsettled_and_a_repeat_settles_it(
         self,
     ) -> None:
         async def main(fleet: SettingsFleet, node: NodeState) -> None:
@@ -179,7 +183,7 @@
 
         self.run_node(main)
 
-    def test_what_the_history_has_forgotten_stays_open(self) -> None:
+    def test_a_change_beyond_the_history_stays_unsettled(self) -> None:
         async def main(fleet: SettingsFleet, node: NodeState) -> None:
             base = self.accepted(await put(node, 9, 0)).version
             fleet.store.set_faults(PlatformFaults(lose_answers=1.0))
@@ -194,24 +198,24 @@
                 nursery.start_soon(overtake)
                 result = await put(node, 3, base)
             self.assertIsInstance(result, Unsettled)
-            # A first request without any doubt is no more than a conflict.
+            # A request that is certain not to have taken effect is a plain conflict.
             self.conflict(await put(node, 4, base, "other"))
 
         self.run_node(main)
 
-    def test_a_repeat_after_a_later_change_tells_both_versions(self) -> None:
+    def test_a_repeat_after_a_later_change_returns_both_versions(self) -> None:
         async def main(fleet: SettingsFleet, node: NodeState) -> None:
             first = self.accepted(await put(node, 1, 0)).version
             second = self.accepted(await put(node, 2, first)).version
             again = self.accepted(await put(node, 1, 0))
             self.assertEqual((first, second), (again.version, again.current))
-            # The id of a change is no way to put another text.
+            # The id of an earlier change cannot be used for another text.
             self.conflict(await put(node, 7, second, change_id="change-2"))
             self.assertEqual(second, (await stored(fleet)).version)
 
         self.run_node(main)
 
-    def test_the_platform_down_changes_nothing_and_says_so(self) -> None:
+    def test_no_change_is_made_while_the_platform_is_unavailable(self) -> None:
         async def main(fleet: SettingsFleet, node: NodeState) -> None:
             version = self.accepted(await put(node, 1, 0)).version
             for faults in (
@@ -229,7 +233,7 @@
 
         self.run_node(main)
 
-    def test_a_platform_that_lost_changes_accepts_none_that_would_not_hold(
+    def test_no_change_is_accepted_by_a_platform_that_lost_changes(
         self,
     ) -> None:
         async def main(fleet: SettingsFleet, node: NodeState) -> None:
@@ -237,7 +241,7 @@
             old = await stored(fleet)
             for priority in (2, 3):
                 version = self.accepted(await put(node, priority, version)).version
-            # Restored from a copy: object and version of some time ago.
+            # Restored from a backup: an earlier object and version.
             fleet.store._objects[PATH] = old
             fleet.store.version = old.version
             result = await put(node, 4, None)
@@ -250,16 +254,16 @@
 
         self.run_node(main)
 
-    def test_a_slow_platform_takes_longer_only(self) -> None:
+    def test_a_slow_platform_only_delays_a_change(self) -> None:
         async def main(fleet: SettingsFleet, node: NodeState) -> None:
             fleet.store.set_faults(PlatformFaults(latency=1_500.0))
             self.accepted(await put(node, 1, 0))
 
         self.run_node(main)
 
-    def test_only_the_teams_tokens_and_the_operators_may_change(self) -> None:
+    def test_only_team_tokens_and_the_operators_token_may_change_settings(self) -> None:
         async def main(fleet: SettingsFleet, node: NodeState) -> None:
-            # Nobody but the operators creates a team.
+            # Only the operators may create a team.
             self.assertIsInstance(await put(node, 1, 0, token=TOKEN), Forbidden)
             version = self.accepted(await put(node, 1, 0)).version
             dakar = f"[team]\ntokens = head-office {digest_of('dakar-token')}\n"
@@ -276,11 +280,11 @@
 
         self.run_node(main)
 
-    def test_a_token_withdrawn_on_the_platform_is_good_no_more(self) -> None:
+    def test_a_token_removed_on_the_platform_is_refused(self) -> None:
         async def main(fleet: SettingsFleet, node: NodeState) -> None:
             version = self.accepted(await put(node, 1, 0)).version
             fleet.store.set_cut_off({"certs-1"})
-            # Written elsewhere; this node has not heard of it.
+            # Written elsewhere, unknown to this node.
             await fleet.store.put(PATH, b"[team]\npriority = 3\n", version)
             fleet.store.cut_off.clear()
             self.assertIsNotNone(node.book.team(TEAM))
@@ -289,7 +293,7 @@
 
         self.run_node(main)
 
-    def test_an_invalid_text_is_refused_whole_and_reaches_nobody(self) -> None:
+    def test_an_invalid_text_is_refused_and_not_stored(self) -> None:
         async def main(fleet: SettingsFleet, node: NodeState) -> None:
             text = "[team]\nweight = 7\n[a/b]\n"
             result = await put_settings(node, TEAM, text, 0, "x", OPERATORS_TOKEN)
@@ -299,7 +303,7 @@
 
         self.run_node(main)
 
-    def test_the_largest_text_that_is_accepted_is_in_force(self) -> None:
+    def test_the_largest_accepted_text_takes_effect(self) -> None:
         async def main(fleet: SettingsFleet, node: NodeState) -> None:
             filler = MAX_TEXT_BYTES - len(HEAD) - 1
             wide = f"{HEAD}#{'x' * filler}"
@@ -319,7 +323,7 @@
 
         self.run_node(main)
 
-    def test_a_deleted_team_comes_back_only_by_the_operators(self) -> None:
+    def test_a_deleted_team_is_recreated_only_by_the_operators(self) -> None:
         async def main(_fleet: SettingsFleet, node: NodeState) -> None:
             version = self.accepted(await put(node, 1, 0)).version
             self.conflict(await delete_settings(node, TEAM, version + 5, "d1", TOKEN))
@@ -330,7 +334,7 @@
             self.assertIsInstance(await put(node, 2, gone, token=TOKEN), Forbidden)
             shown = self.conflict(await put(node, 2, version))
             self.assertEqual((gone, True), (shown.version, shown.deleted))
-            # Version 0 is "no settings", which a deletion leaves too.
+            # Version 0 means "no settings", which also holds after a deletion.
             self.accepted(await put(node, 2, 0))
 
         self.run_node(main)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/breaks.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/breaks.py
@@ -130,7 +130,7 @@
     """A node that shall stop tells nobody and goes on taking work until idle."""
 
     async def quiet_drain(state: NodeState, reason: str) -> None:
-        await drain._until_idle(state)
+        await drain._wait_until_idle(state)
 
     _patch(stack, drain, "drain", quiet_drain)
 
@@ -152,7 +152,7 @@
     """A reply goes to the ask that has waited longest, not to its own."""
 
     def take_reply(self: PeerConn, number: int, msg: object) -> None:
-        waiting = [n for n, waiter in self._waiters.items() if not waiter.done.is_set()]
+        waiting = [n for n, waiter in self._pending.items() if not waiter.done.is_set()]
         original(self, min(waiting) if waiting else number, msg)
 
     original = _patch(stack, PeerConn, "_take_reply", take_reply)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/ticket_nodes.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/ticket_nodes.py
@@ -20,7 +20,12 @@
 from fuchsiagap.core.tickets.tickets import Tickets
 from fuchsiagap_node.core.callpath import home, home_tickets
 from fuchsiagap_node.core.callpath.home import at_home
-from fuchsiagap_node.core.callpath.home_of import HomeAt, HomeHere, home_of, relayed
+from fuchsiagap_node.core.callpath.home_lookup import (
+    LocalHome,
+    RemoteHome,
+    find_home,
+    outcome_of_relay,
+)
 from fuchsiagap_node.core.drain import takeover
 from fuchsiagap_node.core.peers.handlers import Handlers
 from fuchsiagap_node.core.ports import LinkLost
@@ -105,7 +110,7 @@
             head = head_from_wire(msg.head, state.clock.now())
             return await at_home(state, head, msg.body, self.run_of(head, msg.body))
 
-        state.handlers.on_ask(HomeCallMessage, on_call)
+        state.handlers.on_request(HomeCallMessage, on_call)
         self.nursery.start_soon(self._run, state)
         await state.tickets.ready.wait()
         return state
@@ -168,13 +173,13 @@
     async def call(self, state: Any, head: CallHead, body: bytes = b"") -> Outcome:
         """Enter a non-idempotent call at a node."""
         assert head.ticket is not None
-        place = home_of(state, head.ticket)
-        if isinstance(place, HomeHere):
+        place = find_home(state, head.ticket)
+        if isinstance(place, LocalHome):
             return await at_home(state, head, body, self.run_of(head, body))
-        if isinstance(place, HomeAt):
+        if isinstance(place, RemoteHome):
             msg = HomeCallMessage(head_to_wire(head, state.clock.now()), body)
             reply = await state.peers.ask(place.address, msg)
-            return relayed(head, reply, first_copy=False)
+            return outcome_of_relay(head, reply, first_copy=False)
         return an_unknown(place.reason)
 
 
@@ -213,7 +218,9 @@
             # The end of the node ends what it does for others.
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(_cancel_with, state, scope)
-                reply = await state.handlers.asks[type(message)](self.name, message)
+                reply = await state.handlers.request_handlers[type(message)](
+                    self.name, message
+                )
                 nursery.cancel_scope.cancel()
         if net.lose_reply(address, message) or address in net.cut:
             return LinkLost(sent=True, detail="the reply was lost")
