--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/explain/test_explain.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/explain/test_explain.py
@@ -12,7 +12,7 @@
 from fuchsiagap_ctl.explain.lines import read_lines
 from fuchsiagap_ctl.explain.story import tell
 from fuchsiagap_ctl.tests.fake_nodes import FakeNodes, a_folder
-from fuchsiagap_standins.mesh.backend_server import Behaviour, Manner
+from fuchsiagap_standins.mesh.backend_server import Behaviour, ResponseMode
 from fuchsiagap_standins.mesh.deployment import a_deployment, a_route
 from fuchsiagap_standins.mesh.virtual import run_on_loopback
 
@@ -56,7 +56,7 @@
         async def act(caller, served):
             await caller.send("/read/1", "r1")
 
-        lines = lines_of(Behaviour(Manner.CUT), a_route("read"), act)
+        lines = lines_of(Behaviour(ResponseMode.CUT), a_route("read"), act)
         story = tell(read_lines(lines).lines, "r1")
         self.assertIn("broken answer", story.cause)
 
@@ -77,7 +77,7 @@
         async def act(caller, served):
             await caller.send("/read/1", "r1")
 
-        lines = lines_of(Behaviour(Manner.REFUSE), a_route("read"), act)
+        lines = lines_of(Behaviour(ResponseMode.REFUSE), a_route("read"), act)
         story = tell(read_lines(lines).lines, "r1")
         self.assertIn("did not run", story.cause)
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_backend_queue.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_backend_queue.py
@@ -7,7 +7,7 @@
 from fuchsiagap_node.core.mesh.messages import Call
 from fuchsiagap_node.core.mesh.outcome import EXPIRED, MayHaveRun
 from fuchsiagap_node.core.mesh.pending_call import PendingCall
-from fuchsiagap_standins.mesh.backend_server import Behaviour, Manner
+from fuchsiagap_standins.mesh.backend_server import Behaviour, ResponseMode
 from fuchsiagap_standins.mesh.deployment import a_deployment, a_route
 from fuchsiagap_standins.mesh.virtual import run_in_memory
 
@@ -30,7 +30,7 @@
         async def main():
             async with a_deployment(a_route("read")) as deployment:
                 host = deployment.add("certs", slots=4)
-                host.server.behave = lambda _: Behaviour(Manner.MUTE)
+                host.server.behave = lambda _: Behaviour(ResponseMode.MUTE)
                 await deployment.settle()
                 backend_queue = host.node.backend_queue
                 outcomes = {"one": [], "two": [], "three": []}
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_config_sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_config_sync.py
@@ -63,9 +63,9 @@
                 for _ in range(2):
                     deployment.add("certs")
                 await deployment.settle()
-                before = deployment.state.calls
+                before = deployment.state.call_cost
                 await trio.sleep(24.0)
-                return deployment.state.calls - before
+                return deployment.state.call_cost - before
 
         self.assertLess(run_in_memory(main), 2 * 24.0 / 4.0)
 
@@ -75,9 +75,9 @@
                 for _ in range(6):
                     deployment.add("certs")
                 await deployment.settle()
-                before = deployment.state.calls
+                before = deployment.state.call_cost
                 await trio.sleep(50.0)
-                return deployment.state.calls - before
+                return deployment.state.call_cost - before
 
         # Up to 9 calls for each of the two nodes that watch and probe, 3 for each of
         # the other four, and per node 6 list calls at a tenth of a call each.
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_crashing.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_crashing.py
@@ -11,7 +11,7 @@
 
 from testtools import TestCase
 
-from fuchsiagap_standins.mesh.crash_play import CrashScenario, play_crashes
+from fuchsiagap_standins.mesh.crash_simulation import CrashScenario, simulate_crashes
 
 # Seconds after the third crash within which the request has to be held everywhere, and
 # the arrivals at servers that are allowed after that.
@@ -21,13 +21,13 @@
 
 
 class TestCrashing(TestCase):
-    def check(self, scenario, seed, served=0.98):
+    def check(self, scenario, seed, min_share=0.98):
         """Run a scenario; check late arrivals and the service of all other callers."""
-        record = play_crashes(scenario, seed)
+        record = simulate_crashes(scenario, seed)
         self.assertGreaterEqual(len(record.crashed_at), 3, seed)
         self.assertLessEqual(record.late_arrivals(DETECTION_S), MAX_LATE_ARRIVALS, seed)
-        shares = record.served(record.third_crash() + DETECTION_S)
-        self.assertGreater(min(shares.values()), served, (seed, shares))
+        shares = record.answered_shares(record.third_crash_at() + DETECTION_S)
+        self.assertGreater(min(shares.values()), min_share, (seed, shares))
 
     def test_request_that_crashes_servers_is_quarantined(self):
         for seed in SEEDS:
@@ -39,7 +39,7 @@
 
     def test_no_request_is_refused_when_servers_crash_for_other_reasons(self):
         scenario = CrashScenario(n_poison_callers=0, n_other_crashes=24)
-        record = play_crashes(scenario, 1)
+        record = simulate_crashes(scenario, 1)
         all_back = record.started_at + scenario.seconds / 2.0 + scenario.down_s + 1.0
-        shares = record.served(all_back)
+        shares = record.answered_shares(all_back)
         self.assertEqual({1.0}, set(shares.values()), shares)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_member_sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_member_sync.py
@@ -55,7 +55,7 @@
                 near = deployment.add("bookings")
                 deployment.add("certs")
                 await deployment.settle()
-                deployment.state.not_yet_listed = frozenset({"certs-1"})
+                deployment.state.missing_in_stale_list = frozenset({"certs-1"})
                 answers = []
                 for n in range(6):
                     await trio.sleep(5.0)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_nested_call_failures.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_nested_call_failures.py
@@ -18,7 +18,7 @@
 from testtools import TestCase
 
 from fuchsiagap_node.tests.core.mesh.simulated_service import SimulatedService
-from fuchsiagap_standins.mesh.backend_server import Behaviour, CallFailed, Manner
+from fuchsiagap_standins.mesh.backend_server import Behaviour, CallFailed, ResponseMode
 from fuchsiagap_standins.mesh.deployment import a_deployment, a_route
 from fuchsiagap_standins.mesh.virtual import run_in_memory
 
@@ -58,14 +58,14 @@
 class TestNestedCallFailures(TestCase):
     def test_failed_call_counts_only_at_the_server_that_failed(self):
         pages, orders, stock = run_in_memory(
-            lambda: failure_shares(Behaviour(Manner.CUT))
+            lambda: failure_shares(Behaviour(ResponseMode.CUT))
         )
         self.assertGreater(stock, 0.5)
         self.assertEqual((0.0, 0.0), (pages, orders))
 
     def test_unanswered_call_counts_only_at_the_silent_server(self):
         pages, orders, stock = run_in_memory(
-            lambda: failure_shares(Behaviour(Manner.MUTE))
+            lambda: failure_shares(Behaviour(ResponseMode.MUTE))
         )
         self.assertGreater(stock, 0.1)
         self.assertEqual((0.0, 0.0), (pages, orders))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_node.py
@@ -92,7 +92,7 @@
                 other.server.behave = lambda _: Behaviour(work=1_400.0)
                 await deployment.settle()
                 host.report(BackendState.DRAINING)
-                host.store.mute = True
+                host.store.hangs_on_deregister = True
                 answers = []
 
                 async def one(at):
@@ -150,9 +150,9 @@
                 await trio.sleep(12.0)
                 host.store.down = True
                 await trio.sleep(10.0)
-                before = deployment.state.calls
+                before = deployment.state.call_cost
                 await trio.sleep(40.0)
-                return deployment.state.calls - before
+                return deployment.state.call_cost - before
 
         frequent = run_in_memory(partial(calls, 2_000.0))
         rare = run_in_memory(partial(calls, 20_000.0))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_path.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_path.py
@@ -9,7 +9,7 @@
 from fuchsiagap.core.backend_queue.incarnation import BackendState
 from fuchsiagap.core.retries.backend_budget import ServiceRetryLimits
 from fuchsiagap_node.core.mesh.stream import dial
-from fuchsiagap_standins.mesh.backend_server import Behaviour, Manner
+from fuchsiagap_standins.mesh.backend_server import Behaviour, ResponseMode
 from fuchsiagap_standins.mesh.deployment import (
     a_deployment,
     a_route,
@@ -104,7 +104,7 @@
         async def main():
             async with a_deployment(WRITE) as deployment:
                 hosts = [deployment.add("certs", budget=AMPLE) for _ in range(2)]
-                hosts[0].server.behave = lambda _: Behaviour(Manner.REFUSE)
+                hosts[0].server.behave = lambda _: Behaviour(ResponseMode.REFUSE)
                 await deployment.settle()
                 answers = [await hosts[0].send("/write/1", f"r{n}") for n in range(8)]
                 return answers, hosts[0].server.runs, hosts[1].server.runs
@@ -115,26 +115,26 @@
         self.assertEqual({f"r{n}": 1 for n in range(8)}, dict(runs))
 
     def test_non_idempotent_request_that_may_have_run_is_502_and_not_retried(self):
-        for manner in (Manner.CUT, Manner.SHORT, Manner.GARBLE):
+        for mode in (ResponseMode.CUT, ResponseMode.SHORT, ResponseMode.GARBLE):
 
-            async def main(manner=manner):
+            async def main(mode=mode):
                 async with a_deployment(WRITE) as deployment:
                     hosts = [deployment.add("certs", budget=AMPLE) for _ in range(2)]
                     for host in hosts:
-                        host.server.behave = lambda _: Behaviour(manner)
+                        host.server.behave = lambda _: Behaviour(mode)
                     await deployment.settle()
                     answer = await hosts[0].send("/write/1", "r1")
                     return answer, hosts[0].server.runs + hosts[1].server.runs
 
             answer, runs = run_in_memory(main)
-            self.assertEqual(502, answer.status, manner)
-            self.assertEqual({"r1": 1}, dict(runs), manner)
+            self.assertEqual(502, answer.status, mode)
+            self.assertEqual({"r1": 1}, dict(runs), mode)
 
     def test_idempotent_request_is_retried_after_a_truncated_response(self):
         async def main():
             async with a_deployment(READ) as deployment:
                 hosts = [deployment.add("certs", budget=AMPLE) for _ in range(2)]
-                hosts[0].server.behave = lambda _: Behaviour(Manner.SHORT)
+                hosts[0].server.behave = lambda _: Behaviour(ResponseMode.SHORT)
                 await deployment.settle()
                 return [await hosts[0].send("/read/1", f"r{n}") for n in range(6)]
 
@@ -147,7 +147,7 @@
                 budget = ServiceRetryLimits(0.0, 0.0, 10_000.0)
                 hosts = [deployment.add("certs", budget=budget) for _ in range(2)]
                 for host in hosts:
-                    host.server.behave = lambda _: Behaviour(Manner.CUT)
+                    host.server.behave = lambda _: Behaviour(ResponseMode.CUT)
                 await deployment.settle()
                 answer = await hosts[0].send("/read/1", "r1")
                 return answer, hosts[0].server.runs + hosts[1].server.runs
@@ -161,7 +161,7 @@
             async with a_deployment(READ) as deployment:
                 host = deployment.add("certs")
                 host.server.behave = lambda req: Behaviour(
-                    Manner.LATE_EXTRA, body=req.target
+                    ResponseMode.LATE_EXTRA, body=req.target
                 )
                 await deployment.settle()
                 answers = []
@@ -179,7 +179,9 @@
         async def main():
             async with a_deployment(READ) as deployment:
                 host = deployment.add("certs")
-                host.server.behave = lambda _: Behaviour(Manner.UNFRAMED, body=b"all")
+                host.server.behave = lambda _: Behaviour(
+                    ResponseMode.UNFRAMED, body=b"all"
+                )
                 await deployment.settle()
                 return await host.send("/read/1", "r1")
 
@@ -200,7 +202,7 @@
             async with a_deployment(a_route("read", timeout=300.0)) as deployment:
                 deployment.expects_faults = True
                 host = deployment.add("certs")
-                host.server.behave = lambda _: Behaviour(Manner.MUTE)
+                host.server.behave = lambda _: Behaviour(ResponseMode.MUTE)
                 await deployment.settle()
                 started = trio.current_time()
                 answer = await host.send("/read/1", "r1", wait=5_000.0)
@@ -305,7 +307,7 @@
                 def behave(host, req):
                     if rng.random() < 0.6:
                         refused.setdefault(req.request_id, set()).add(host)
-                        return Behaviour(Manner.REFUSE)
+                        return Behaviour(ResponseMode.REFUSE)
                     return Behaviour()
 
                 for n, host in enumerate(hosts):
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_revocation.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_revocation.py
@@ -103,13 +103,13 @@
                     data_centre = f"hall-{'abc'[number % 3]}"
                     deployment.add("certs", data_centre, revocation=BOUND_MS)
                 await trio.sleep(12.0)
-                before = deployment.state.calls
+                before = deployment.state.call_cost
                 ages = []
                 for _ in range(40):
                     await trio.sleep(0.5)
                     for host in deployment.hosts:
                         ages.append(host.node._config.active.staleness)
-                return max(ages), deployment.state.calls - before
+                return max(ages), deployment.state.call_cost - before
 
         age, calls = run_in_memory(lambda: main(24))
         self.assertLess(age, BOUND_MS / 2)
@@ -198,7 +198,7 @@
             deployment.put_config(KEYED, PUBLIC, workspaces=(ONE, TWO))
             lost = deployment.known[max(deployment.known)]
             await trio.sleep(2.0)
-            state.come_back_from(*copy, members=state.members)
+            state.restore(*copy, members=state.members)
             start = trio.current_time()
             found = []
 
@@ -234,7 +234,7 @@
                 near, _ = await two_hosts(deployment, ONE, revocation=BOUND_MS)
                 state = deployment.state
                 await trio.sleep(1.0)
-                state.come_back_from(state.revision, state.config, state.members)
+                state.restore(state.revision, state.config, state.members)
                 found = []
                 for _ in range(40):
                     found.append(await self.status_of(near))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_server_crashes.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_server_crashes.py
@@ -7,7 +7,7 @@
 
 from fuchsiagap.core.backend_queue.incarnation import BackendState
 from fuchsiagap.core.quarantine.fingerprint import fingerprint
-from fuchsiagap_standins.mesh.backend_server import Behaviour, Manner
+from fuchsiagap_standins.mesh.backend_server import Behaviour, ResponseMode
 from fuchsiagap_standins.mesh.deployment import a_deployment, a_route
 from fuchsiagap_standins.mesh.virtual import run_in_memory
 
@@ -23,7 +23,7 @@
 def behave(req):
     """Crash on the request with one body, and answer all others."""
     if req.body == CRASHING:
-        return Behaviour(Manner.CRASH, 30.0)
+        return Behaviour(ResponseMode.CRASH, 30.0)
     return Behaviour(work=100.0)
 
 
@@ -56,7 +56,7 @@
 
     def test_new_incarnation_reveals_a_crash_with_silent_connections(self):
         async def scenario(host, nursery):
-            host.server.behave = lambda _: Behaviour(Manner.MUTE)
+            host.server.behave = lambda _: Behaviour(ResponseMode.MUTE)
             nursery.start_soon(host.send, "/read/1", "r-1", 500.0)
             await trio.sleep(0.1)
             host.server.instance = "i-again"
@@ -68,7 +68,7 @@
 
     def test_broken_answer_of_a_live_server_is_not_a_crash(self):
         async def scenario(host, nursery):
-            host.server.behave = lambda _: Behaviour(Manner.CUT)
+            host.server.behave = lambda _: Behaviour(ResponseMode.CUT)
             await host.send("/read/1", "r-1")
             host.server.behave = behave
             await host.send("/read/1", "r-2")
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_watching.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_watching.py
@@ -43,16 +43,16 @@
 
 
 class TestCalls(TestCase):
-    def calls(self, n_hosts, do):
+    def call_cost(self, n_hosts, do):
         """Return the cost of the store calls of a fleet while `do` runs."""
 
         async def main():
             async with a_deployment(OLD) as deployment:
                 hosts = add_hosts(deployment, n_hosts)
                 await trio.sleep(12.0)
-                before = deployment.state.calls
+                before = deployment.state.call_cost
                 await do(deployment, hosts)
-                return deployment.state.calls - before
+                return deployment.state.call_cost - before
 
         return run_in_memory(main)
 
@@ -62,13 +62,13 @@
             await trio.sleep(ADOPTION_LIMIT_S)
             self.assertEqual({2}, active_versions(hosts))
 
-        self.assertLess(self.calls(36, change), 6.0)
+        self.assertLess(self.call_cost(36, change), 6.0)
 
     def test_calls_of_idle_fleet_do_not_grow_with_its_size(self):
         async def stay_idle(deployment, hosts):
             await trio.sleep(60.0)
 
-        small, large = self.calls(12, stay_idle), self.calls(60, stay_idle)
+        small, large = self.call_cost(12, stay_idle), self.call_cost(60, stay_idle)
         # A list call costs a tenth of a call; the list calls of all nodes cost up to
         # 0.5 calls per second, which 50 nodes reach.
         self.assertLess(large - small, 60.0 * 0.5)
@@ -85,7 +85,7 @@
             await trio.sleep(ADOPTION_LIMIT_S)
             self.assertEqual({2}, active_versions(hosts))
 
-        self.assertLess(self.calls(36, reject_for_a_while), 36 * 3.0)
+        self.assertLess(self.call_cost(36, reject_for_a_while), 36 * 3.0)
 
     def test_rejected_nodes_leave_watching_to_an_accepted_one(self):
         async def reject(deployment, hosts):
@@ -98,7 +98,7 @@
 
         # Each node asks about once; the highest-ranked one of each data centre retries,
         # rarely.
-        self.assertLess(self.calls(36, reject), 24 * 4.0)
+        self.assertLess(self.call_cost(36, reject), 24 * 4.0)
 
 
 class TestStarts(TestCase):
@@ -109,12 +109,12 @@
             async with a_deployment(OLD) as deployment:
                 hosts = add_hosts(deployment, 9)
                 await trio.sleep(12.0)
-                before = deployment.state.calls, deployment.state.writes
+                before = deployment.state.call_cost, deployment.state.writes
                 again = deployment.restart(hosts[-1])
                 await trio.sleep(5.0)
                 state = deployment.state
                 version = again.node.version_in_force
-                return state.calls - before[0], state.writes - before[1], version
+                return state.call_cost - before[0], state.writes - before[1], version
 
         calls, writes, version = run_in_memory(main)
         self.assertEqual((0, 1), (writes, version))
@@ -127,7 +127,7 @@
                 hosts = add_hosts(deployment, 9)
                 await trio.sleep(12.0)
                 state = deployment.state
-                state.older = ConfigUpdate(state.cursor, state.config)
+                state.stale_config = ConfigUpdate(state.cursor, state.config)
                 deployment.put_config(NEW)
                 await trio.sleep(ADOPTION_LIMIT_S)
                 again = [deployment.restart(host) for host in hosts]
@@ -190,13 +190,13 @@
 
     def test_change_is_adopted_when_one_watcher_gets_no_events(self):
         def drop_events(deployment, watching):
-            watching[0].store.silent = True
+            watching[0].store.watch_is_silent = True
 
         self.assertEqual({2}, self.adopt_amid_failure(drop_events)[1])
 
     def test_change_is_adopted_when_one_of_two_local_watchers_gets_no_events(self):
         def drop_events(deployment, watching):
-            watching[0].store.silent = True
+            watching[0].store.watch_is_silent = True
 
         n_watching, found = self.adopt_amid_failure(drop_events, 8, ("hall-a",))
         self.assertEqual((2, {2}), (n_watching, found))
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/backend_server.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/backend_server.py
@@ -29,7 +29,7 @@
     """A call that a request needs has failed: its answer is a 500."""
 
 
-class Manner(Enum):
+class ResponseMode(Enum):
     """How a request is answered."""
 
     ANSWER = "answer"
@@ -50,7 +50,7 @@
 
     Parameters
     ----------
-    manner : Manner
+    mode : ResponseMode
         How it is answered.
     work : float
         Milliseconds of work.
@@ -60,7 +60,7 @@
         Body of the answer.
     """
 
-    manner: Manner = Manner.ANSWER
+    mode: ResponseMode = ResponseMode.ANSWER
     work: float = 0.0
     status: int = 200
     body: bytes = b"whole"
@@ -114,13 +114,13 @@
         self.on_crash: Callable[[], None] | None = None
         self.is_up = True
         self._is_silent = False
-        self._life = trio.CancelScope()
+        self._serve_scope = trio.CancelScope()
         self._started = trio.Event()
 
     async def run(self) -> None:
         """Serve until cancelled, from each start to the next crash."""
         while True:
-            with trio.CancelScope() as self._life:
+            with trio.CancelScope() as self._serve_scope:
                 async with trio.open_nursery() as nursery:
                     await accept_all(listen(self.address), self._serve, nursery)
             await self._started.wait()
@@ -131,15 +131,15 @@
         self._started = trio.Event()
         self._is_silent = silently
         if not silently:
-            self._life.cancel()
+            self._serve_scope.cancel()
 
-    def start_again(self, instance: str) -> None:
+    def restart(self, instance: str) -> None:
         """Serve as a new incarnation after a crash."""
         self.instance = instance
         self.is_up = True
         if self._is_silent:
             self._is_silent = False
-            self._life.cancel()
+            self._serve_scope.cancel()
         self._started.set()
 
     async def _serve(self, stream: Stream) -> None:
@@ -158,18 +158,21 @@
         names = self._names
         request_id = _header(req, names.request_id)
         if _header(req, names.target) != self.instance:
-            await stream.send(self._whole(421, "", b"", not_run=True))
+            await stream.send(self._framed_response(421, "", b"", not_run=True))
             return
         behaviour = self.behave(req)
-        if behaviour.manner is Manner.REFUSE:
-            await stream.send(self._whole(503, request_id, b"", not_run=True))
+        if behaviour.mode is ResponseMode.REFUSE:
+            await stream.send(self._framed_response(503, request_id, b"", not_run=True))
             return
         self.runs[request_id] += 1
         if not await self._work(stream, behaviour.work):
             self.cancelled.append(request_id)
             raise BrokenStream("the caller left")
-        if behaviour.manner in (Manner.CRASH, Manner.CRASH_SILENTLY) and self.is_up:
-            self.crash(silently=behaviour.manner is Manner.CRASH_SILENTLY)
+        if (
+            behaviour.mode in (ResponseMode.CRASH, ResponseMode.CRASH_SILENTLY)
+            and self.is_up
+        ):
+            self.crash(silently=behaviour.mode is ResponseMode.CRASH_SILENTLY)
             if self.on_crash is not None:
                 self.on_crash()
         if self._is_silent:
@@ -191,30 +194,30 @@
         return not left
 
     async def _send(self, stream: Stream, request_id: str, b: Behaviour) -> None:
-        whole = self._whole(b.status, request_id, b.body)
-        match b.manner:
-            case Manner.ANSWER:
+        whole = self._framed_response(b.status, request_id, b.body)
+        match b.mode:
+            case ResponseMode.ANSWER:
                 await stream.send(whole)
-            case Manner.LATE_EXTRA:
+            case ResponseMode.LATE_EXTRA:
                 await stream.send(whole)
                 await trio.sleep(0.005)
-                await stream.send(self._whole(200, request_id, b"extra"))
-            case Manner.SHORT:
+                await stream.send(self._framed_response(200, request_id, b"extra"))
+            case ResponseMode.SHORT:
                 await stream.send(whole[: len(whole) - 2])
                 raise BrokenStream("told to cut the answer short")
-            case Manner.GARBLE:
+            case ResponseMode.GARBLE:
                 await stream.send(b"\x00\x01 no answer\r\n\r\n")
-            case Manner.UNFRAMED:
+            case ResponseMode.UNFRAMED:
                 id_line = self._names.request_id + b": " + request_id.encode()
                 head = b"HTTP/1.1 %d X\r\n%s\r\n\r\n" % (b.status, id_line)
                 await stream.send(head + b.body)
                 raise BrokenStream("the answer ends with its connection")
-            case Manner.MUTE:
+            case ResponseMode.MUTE:
                 await trio.sleep_forever()
             case _:
                 raise BrokenStream("told to cut the connection")
 
-    def _whole(
+    def _framed_response(
         self, status: int, request_id: str, body: bytes, not_run: bool = False
     ) -> bytes:
         """Return an answer with its length."""
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/bench_fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/bench_fleet.py
@@ -26,14 +26,14 @@
 # Services in the order of calls, the share of the nodes beside each, and how many calls
 # a request of the one before makes there.
 _SERVICES = (("pages", 0.45, 1), ("orders", 0.4, 2), ("stock", 0.15, 4))
-_ARRIVALS_A_REQUEST = 11
+_ARRIVALS_PER_REQUEST = 11
 _DATA_CENTRES = ("hall-a", "hall-b", "hall-c")
 # Seconds for which requests are sent, and for which the nodes are watched at rest.
-_LENGTH_S = 8.0
-_REST_S = 4.0
+_LOAD_S = 8.0
+_IDLE_S = 4.0
 _US_PER_S = 1e6
 _MS_PER_S = 1e3
-_SHOWN = 45
+_MAX_PROFILE_ROWS = 45
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,9 +46,9 @@
         Nodes.
     requests, answered : int
         Requests of callers sent, and answered with success.
-    rest_ms : float
+    idle_ms : float
         Milliseconds of processor time a second and node without any request.
-    us_an_arrival : float
+    us_per_arrival : float
         Microseconds of processor time for each arrival at a backend server, with all
         that goes on beside it.
     """
@@ -56,35 +56,35 @@
     nodes: int
     requests: int
     answered: int
-    rest_ms: float
-    us_an_arrival: float
+    idle_ms: float
+    us_per_arrival: float
 
 
 async def measure(
-    nodes: int, a_second: float, profile: cProfile.Profile | None = None
+    nodes: int, request_rate: float, profile: cProfile.Profile | None = None
 ) -> FleetFigures:
     """Start nodes, let them rest, then send requests to each in turn."""
     routes = [a_route(name, name, timeout=3_000.0) for name, _, _ in _SERVICES]
     async with a_deployment(*routes) as deployment:
-        fronts = _add_hosts(deployment, nodes)
+        entry_hosts = _add_hosts(deployment, nodes)
         await trio.sleep(6.0)
         before = processor_s()
-        await trio.sleep(_REST_S)
+        await trio.sleep(_IDLE_S)
         rest = processor_s() - before
         if profile is not None:
             profile.enable()
         before = processor_s()
-        answered = await _send_all(fronts, a_second)
+        answered = await _send_all(entry_hosts, request_rate)
         spent = processor_s() - before
         if profile is not None:
             profile.disable()
-    requests = int(a_second * _LENGTH_S)
+    requests = int(request_rate * _LOAD_S)
     return FleetFigures(
         nodes,
         requests,
         answered,
-        _MS_PER_S * rest / _REST_S / nodes,
-        _US_PER_S * spent / (requests * _ARRIVALS_A_REQUEST),
+        _MS_PER_S * rest / _IDLE_S / nodes,
+        _US_PER_S * spent / (requests * _ARRIVALS_PER_REQUEST),
     )
 
 
@@ -98,11 +98,13 @@
             hosts[-1].append(deployment.add(name, data_centre, slots=64))
     for here, (name, _, times) in zip(hosts[:-1], _SERVICES[1:], strict=True):
         for host in here:
-            host.server.on_run = _calls(host, name, times)
+            host.server.on_run = _make_on_run(host, name, times)
     return hosts[0]
 
 
-def _calls(host: Host, service: str, times: int) -> Callable[[str], Awaitable[None]]:
+def _make_on_run(
+    host: Host, service: str, times: int
+) -> Callable[[str], Awaitable[None]]:
     """Return what a server does while it runs a request: calls one after the other."""
 
     async def run(request_id: str) -> None:
@@ -112,7 +114,7 @@
     return run
 
 
-async def _send_all(fronts: list[Host], a_second: float) -> int:
+async def _send_all(entry_hosts: list[Host], request_rate: float) -> int:
     """Send requests evenly; return how many were answered with success."""
     answered = 0
 
@@ -125,10 +127,10 @@
         answered += answer is not None and answer.status == 200
 
     async with trio.open_nursery() as nursery:
-        for number in range(int(a_second * _LENGTH_S)):
-            host = fronts[number % len(fronts)]
+        for number in range(int(request_rate * _LOAD_S)):
+            host = entry_hosts[number % len(entry_hosts)]
             nursery.start_soon(send, host, f"r{number}")
-            await trio.sleep(1.0 / a_second)
+            await trio.sleep(1.0 / request_rate)
     return answered
 
 
@@ -138,16 +140,16 @@
     profile = cProfile.Profile() if words[-1:] == ["profile"] else None
     numbers = [float(word) for word in words if word != "profile"]
     nodes = int(numbers[0]) if numbers else 60
-    a_second = numbers[1] if len(numbers) > 1 else 40.0
-    figures = trio.run(measure, nodes, a_second, profile)
+    request_rate = numbers[1] if len(numbers) > 1 else 40.0
+    figures = trio.run(measure, nodes, request_rate, profile)
     sys.stdout.write(
         f"{figures.nodes} nodes: {figures.answered} of {figures.requests} answered,"
-        f" {figures.rest_ms:.2f} ms a second and node at rest,"
-        f" {figures.us_an_arrival:.0f} us of processor time an arrival\n"
+        f" {figures.idle_ms:.2f} ms a second and node at rest,"
+        f" {figures.us_per_arrival:.0f} us of processor time an arrival\n"
     )
     if profile is not None:
         pstats.Stats(profile, stream=sys.stdout).sort_stats("tottime").print_stats(
-            _SHOWN
+            _MAX_PROFILE_ROWS
         )
 
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/bench_path.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/bench_path.py
@@ -36,13 +36,13 @@
         Requests sent.
     answered : int
         Requests answered with success.
-    us_a_request : float
+    us_per_request : float
         Processor time of the whole process for each request, in microseconds.
     """
 
     requests: int
     answered: int
-    us_a_request: float
+    us_per_request: float
 
 
 async def measure(requests: int) -> PathFigures:
@@ -84,7 +84,7 @@
     figures = trio.run(measure, requests)
     sys.stdout.write(
         f"{figures.answered} of {figures.requests} answered,"
-        f" {figures.us_a_request:.0f} us of processor time a request\n"
+        f" {figures.us_per_request:.0f} us of processor time a request\n"
     )
 
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/crash_play.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/crash_simulation.py
@@ -12,7 +12,7 @@
 
 from fuchsiagap.core.clock import MS_PER_S
 from fuchsiagap_node.core.mesh.stream import BrokenStream
-from fuchsiagap_standins.mesh.backend_server import Behaviour, Manner
+from fuchsiagap_standins.mesh.backend_server import Behaviour, ResponseMode
 from fuchsiagap_standins.mesh.deployment import a_deployment, a_route
 from fuchsiagap_standins.mesh.virtual import run_in_memory
 
@@ -23,7 +23,7 @@
 POISON = b"poison"
 
 
-class Manners(Enum):
+class CrashSymptom(Enum):
     """What is seen of a server that crashes."""
 
     RESET = "its connections end"
@@ -31,7 +31,7 @@
     WITH_NODE = "the node beside it ends with it"
 
 
-_PLACES = "abc"
+_DATA_CENTRES = "abc"
 # Seconds between the starts of two servers that crashed at the same moment, at most.
 _START_SPREAD_S = 0.2
 
@@ -68,7 +68,7 @@
         Requests that a server runs at the same time.
     is_deep : bool
         Whether the poison reaches the servers as a call of servers of another service.
-    manner : Manners
+    symptom : CrashSymptom
         What is seen of a server that crashes.
     """
 
@@ -86,7 +86,7 @@
     work_ms: float = 40.0
     slots: int = 16
     is_deep: bool = False
-    manner: Manners = Manners.RESET
+    symptom: CrashSymptom = CrashSymptom.RESET
 
 
 @dataclass(slots=True)
@@ -116,16 +116,16 @@
     answers: list[tuple[str, float, int]] = field(default_factory=list)
     poison_statuses: list[tuple[float, int]] = field(default_factory=list)
 
-    def third_crash(self) -> float:
+    def third_crash_at(self) -> float:
         """Return when the third server had crashed; infinity if none has."""
         return self.crashed_at[2] if len(self.crashed_at) > 2 else float("inf")
 
-    def late_arrivals(self, contact_s: float) -> int:
-        """Return the arrivals of the poison later than `contact_s` after then."""
-        since = self.third_crash() + contact_s
+    def late_arrivals(self, detection_s: float) -> int:
+        """Return the arrivals of the poison later than `detection_s` after then."""
+        since = self.third_crash_at() + detection_s
         return sum(at > since for at in self.arrived_at)
 
-    def served(self, since: float) -> dict[str, float]:
+    def answered_shares(self, since: float) -> dict[str, float]:
         """Return the share of each kind that was answered, of those sent since."""
         shares = {}
         for kind in sorted({kind for kind, _, _ in self.answers}):
@@ -134,7 +134,7 @@
         return shares
 
 
-def play_crashes(scenario: CrashScenario, seed: int) -> CrashRecord:
+def simulate_crashes(scenario: CrashScenario, seed: int) -> CrashRecord:
     """Play a scenario in virtual time.
 
     Parameters
@@ -152,12 +152,12 @@
             a_route("front", service="front", timeout=2_000.0),
         ]
         async with a_deployment(*routes) as deployment:
-            return await _Play(scenario, seed, deployment).run()
+            return await _Simulation(scenario, seed, deployment).run()
 
     return run_in_memory(main, seed)
 
 
-class _Play:
+class _Simulation:
     """One play of a scenario."""
 
     def __init__(
@@ -185,7 +185,7 @@
             for number in range(scenario.n_callers):
                 nursery.start_soon(self._send_others, number)
             if scenario.n_other_crashes:
-                nursery.start_soon(self._crash_others)
+                nursery.start_soon(self._crash_at_random)
             if scenario.restart_every_s:
                 nursery.start_soon(self._restart_nodes)
             await trio.sleep(scenario.seconds)
@@ -193,12 +193,12 @@
         return self._record
 
     def _add(self, service: str, number: int) -> Host:
-        place = _PLACES[number % self._scenario.n_data_centres]
+        data_centre = _DATA_CENTRES[number % self._scenario.n_data_centres]
         host = self._deployment.add(
-            service, f"hall-{place}", slots=self._scenario.slots
+            service, f"hall-{data_centre}", slots=self._scenario.slots
         )
         host.server.behave = self._behave
-        host.server.on_crash = lambda: self._crashed(host)
+        host.server.on_crash = lambda: self._on_crash(host)
         return host
 
     def _add_front(self, number: int) -> Host:
@@ -222,34 +222,34 @@
         if req.body != POISON:
             return Behaviour(work=work)
         self._record.arrived_at.append(trio.current_time())
-        is_silent = self._scenario.manner is Manners.SILENT
-        manner = Manner.CRASH_SILENTLY if is_silent else Manner.CRASH
-        return Behaviour(manner, self._scenario.crash_after_ms)
+        is_silent = self._scenario.symptom is CrashSymptom.SILENT
+        symptom = ResponseMode.CRASH_SILENTLY if is_silent else ResponseMode.CRASH
+        return Behaviour(symptom, self._scenario.crash_after_ms)
 
-    def _crashed(self, host: Host) -> None:
+    def _on_crash(self, host: Host) -> None:
         self._record.crashed_at.append(trio.current_time())
-        if self._scenario.manner is Manners.WITH_NODE:
-            self._now(host).kill()
-        self._start_later(host)
+        if self._scenario.symptom is CrashSymptom.WITH_NODE:
+            self._current_host(host).kill()
+        self._schedule_restart(host)
 
-    def _now(self, host: Host) -> Host:
+    def _current_host(self, host: Host) -> Host:
         """Return a host as it is since its node was last started."""
         return next(h for h in self._hosts if h.server is host.server)
 
-    def _start_later(self, host: Host) -> None:
+    def _schedule_restart(self, host: Host) -> None:
         """Start a crashed server again as a new incarnation."""
 
         async def start() -> None:
             spread = self._rng.uniform(0.0, _START_SPREAD_S)
             await trio.sleep(self._scenario.down_s + spread)
-            host.server.start_again(f"i-{next(self._numbers)}")
-            if self._scenario.manner is Manners.WITH_NODE:
-                index = self._hosts.index(self._now(host))
+            host.server.restart(f"i-{next(self._numbers)}")
+            if self._scenario.symptom is CrashSymptom.WITH_NODE:
+                index = self._hosts.index(self._current_host(host))
                 self._hosts[index] = self._deployment.restart(self._hosts[index])
 
         self._deployment.nursery.start_soon(start)
 
-    async def _crash_others(self) -> None:
+    async def _crash_at_random(self) -> None:
         """Crash servers at random, whatever they run."""
         scenario = self._scenario
         pause = scenario.seconds / 2.0 / scenario.n_other_crashes
@@ -259,7 +259,7 @@
                 host = self._rng.choice(up)
                 host.server.crash()
                 self._record.n_other_crashes += 1
-                self._start_later(host)
+                self._schedule_restart(host)
             await trio.sleep(pause)
 
     async def _restart_nodes(self) -> None:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/deployment.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/deployment.py
@@ -39,14 +39,14 @@
 _RESTART_S = 0.1
 # Ports of listeners, below those that the system gives to outgoing connections. Each
 # process begins elsewhere: two that looked for free ones at once took the same.
-_FIRST_PORT, _N_PORTS, _APART = 21_000, 10_000, 977
-_NUMBERS = itertools.count()
+_FIRST_PORT, _N_PORTS, _PORT_STRIDE = 21_000, 10_000, 977
+_PORT_NUMBERS = itertools.count()
 
 
 def free_address() -> str:
     """Return an unused ``127.0.0.1:PORT``."""
-    for number in _NUMBERS:
-        port = _FIRST_PORT + (number + _APART * os.getpid()) % _N_PORTS
+    for number in _PORT_NUMBERS:
+        port = _FIRST_PORT + (number + _PORT_STRIDE * os.getpid()) % _N_PORTS
         with socket.socket() as sock:
             try:
                 sock.bind(("127.0.0.1", port))
@@ -248,7 +248,7 @@
         node = Node(host.node.cfg, host.store, _no_reports, rng=rng)
         again = Host(node, host.server, host.store, host.slots, sequence=host.sequence)
         self.hosts.append(again)
-        self.nursery.start_soon(_run_again, again)
+        self.nursery.start_soon(_run_after_restart, again)
         return again
 
     def check_logs(self) -> None:
@@ -277,7 +277,7 @@
             nursery.start_soon(_report, host)
 
 
-async def _run_again(host: Host) -> None:
+async def _run_after_restart(host: Host) -> None:
     """Run a node whose addresses the one before it gives up in the same instant."""
     await trio.sleep(_RESTART_S)
     await _run(host)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/memory_sockets.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/memory_sockets.py
@@ -43,7 +43,7 @@
         self._peer: MemorySocket | None = None
         self._backlog: deque[MemorySocket] = deque()
         self._received = bytearray()
-        self._is_ended = False
+        self._is_eof = False
         self._is_reset = False
         self._is_closed = False
         self._reader: trio.lowlevel.Task | None = None
@@ -107,17 +107,17 @@
         peer._wake_reader()
         return len(part)
 
-    def recv(self, most: int, flags: int = 0) -> bytes:
+    def recv(self, max_bytes: int, flags: int = 0) -> bytes:
         """Return received bytes; empty at the end of the connection."""
         if self._is_closed:
             raise OSError(errno.EBADF, "closed")
         if self._is_reset:
             raise ConnectionResetError(errno.ECONNRESET, "reset by the other end")
-        if not self._received and not self._is_ended:
+        if not self._received and not self._is_eof:
             raise BlockingIOError
-        part = bytes(self._received[:most])
+        part = bytes(self._received[:max_bytes])
         if not flags & socket.MSG_PEEK:
-            del self._received[:most]
+            del self._received[:max_bytes]
             if self._peer is not None:
                 self._peer._wake_writer()
         return part
@@ -131,7 +131,7 @@
             self._network.listeners.pop(self._address, None)
         peer = self._peer
         if peer is not None:
-            peer._is_ended = True
+            peer._is_eof = True
             peer._is_reset |= bool(self._received)
             peer._wake_reader()
             peer._wake_writer()
@@ -140,13 +140,13 @@
 
     async def wait_readable(self) -> None:
         """Wait until `recv` or `accept` has something to return."""
-        if self._received or self._is_ended or self._backlog:
+        if self._received or self._is_eof or self._backlog:
             await trio.lowlevel.checkpoint()
             return
         if self._reader is not None:
             raise trio.BusyResourceError("another task waits to read")
         self._reader = trio.lowlevel.current_task()
-        await trio.lowlevel.wait_task_rescheduled(self._forget_reader)
+        await trio.lowlevel.wait_task_rescheduled(self._cancel_read)
 
     async def wait_writable(self) -> None:
         """Wait until `send` takes bytes, or says that the other end is gone."""
@@ -157,7 +157,7 @@
         if self._writer is not None:
             raise trio.BusyResourceError("another task waits to write")
         self._writer = trio.lowlevel.current_task()
-        await trio.lowlevel.wait_task_rescheduled(self._forget_writer)
+        await trio.lowlevel.wait_task_rescheduled(self._cancel_write)
 
     def notify_closing(self) -> None:
         """Wake whoever waits here with `trio.ClosedResourceError`."""
@@ -172,15 +172,15 @@
         """Let a poller know when there is something to read; None for no longer."""
         self._poller = poller
         if poller is not None and self.is_readable():
-            poller.mark(self)
+            poller.mark_ready(self)
 
     def is_readable(self) -> bool:
         """Whether `recv` has something to return."""
-        return bool(self._received) or self._is_ended or self._is_reset
+        return bool(self._received) or self._is_eof or self._is_reset
 
     def _wake_reader(self) -> None:
         if self._poller is not None:
-            self._poller.mark(self)
+            self._poller.mark_ready(self)
         task, self._reader = self._reader, None
         if task is not None:
             trio.lowlevel.reschedule(task)
@@ -190,12 +190,12 @@
         if task is not None:
             trio.lowlevel.reschedule(task)
 
-    def _forget_reader(self, _: object) -> trio.lowlevel.Abort:
+    def _cancel_read(self, _: object) -> trio.lowlevel.Abort:
         """Let the task that waits to read be cancelled."""
         self._reader = None
         return trio.lowlevel.Abort.SUCCEEDED
 
-    def _forget_writer(self, _: object) -> trio.lowlevel.Abort:
+    def _cancel_write(self, _: object) -> trio.lowlevel.Abort:
         """Let the task that waits to write be cancelled."""
         self._writer = None
         return trio.lowlevel.Abort.SUCCEEDED
@@ -207,7 +207,7 @@
     def __init__(self) -> None:
         self._on_readable: dict[MemorySocket, Callable[[], None]] = {}
         self._ready: dict[MemorySocket, None] = {}
-        self._news = trio.Event()
+        self._any_ready = trio.Event()
         self.before_callbacks: Callable[[], None] = _nothing
         self.on_fault: Callable[[Exception], None] = _ignore
 
@@ -229,16 +229,16 @@
         except trio.ClosedResourceError:
             return
 
-    def mark(self, sock: MemorySocket) -> None:
+    def mark_ready(self, sock: MemorySocket) -> None:
         """Take in that a socket may have something to read."""
         self._ready[sock] = None
-        self._news.set()
+        self._any_ready.set()
 
     async def run(self) -> None:
         """Watch until cancelled."""
         while True:
-            await self._news.wait()
-            self._news = trio.Event()
+            await self._any_ready.wait()
+            self._any_ready = trio.Event()
             self.before_callbacks()
             ready, self._ready = self._ready, {}
             for sock in ready:
@@ -246,7 +246,7 @@
                 if call is not None and sock.is_readable():
                     call()
                     if sock in self._on_readable and sock.is_readable():
-                        self.mark(sock)
+                        self.mark_ready(sock)
 
 
 class MemoryNetwork:
@@ -277,7 +277,7 @@
 
 
 @contextmanager
-def in_memory() -> Iterator[MemoryNetwork]:
+def patch_sockets() -> Iterator[MemoryNetwork]:
     """Let the streams of nodes and stand-ins run over a network in memory."""
     network = MemoryNetwork()
     lowlevel = trio.lowlevel
@@ -285,20 +285,24 @@
         mock.patch.object(stream, "socket", _SocketModule(network)),
         mock.patch.object(poller, "make_poller", MemoryPoller),
         mock.patch.object(
-            lowlevel, "wait_readable", _waits("wait_readable", lowlevel.wait_readable)
+            lowlevel,
+            "wait_readable",
+            _wrap_wait("wait_readable", lowlevel.wait_readable),
         ),
         mock.patch.object(
-            lowlevel, "wait_writable", _waits("wait_writable", lowlevel.wait_writable)
+            lowlevel,
+            "wait_writable",
+            _wrap_wait("wait_writable", lowlevel.wait_writable),
         ),
         mock.patch.object(
-            lowlevel, "notify_closing", _notifies(lowlevel.notify_closing)
+            lowlevel, "notify_closing", _wrap_notify_closing(lowlevel.notify_closing)
         ),
     ):
         yield network
 
 
-def _waits(
-    name: str, other: Callable[[Any], Awaitable[None]]
+def _wrap_wait(
+    name: str, original: Callable[[Any], Awaitable[None]]
 ) -> Callable[[Any], Awaitable[None]]:
     """Return trio's wait, which leaves the sockets of this module to themselves."""
 
@@ -306,19 +310,19 @@
         if isinstance(sock, MemorySocket):
             await getattr(sock, name)()
         else:
-            await other(sock)
+            await original(sock)
 
     return wait
 
 
-def _notifies(other: Callable[[Any], None]) -> Callable[[Any], None]:
+def _wrap_notify_closing(original: Callable[[Any], None]) -> Callable[[Any], None]:
     """Return trio's note of a close, for both kinds of sockets."""
 
     def notify_closing(sock: Any) -> None:
         if isinstance(sock, MemorySocket):
             sock.notify_closing()
         else:
-            other(sock)
+            original(sock)
 
     return notify_closing
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/memory_store.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/memory_store.py
@@ -43,7 +43,7 @@
         The configuration.
     members : dict of str to Member
         Nodes that have announced themselves.
-    not_yet_listed : frozenset of str
+    missing_in_stale_list : frozenset of str
         Nodes that lists which may be old do not hold.
     older : ConfigUpdate or None
         What reads that may be old return; None for the newest.
@@ -62,16 +62,16 @@
         self.revision = 1
         self.config: StoredConfig | None = None
         self.members: dict[str, Member] = {}
-        self.not_yet_listed: frozenset[str] = frozenset()
-        self.older: ConfigUpdate | None = None
-        self.calls = 0.0
+        self.missing_in_stale_list: frozenset[str] = frozenset()
+        self.stale_config: ConfigUpdate | None = None
+        self.call_cost = 0.0
         self.writes = 0
         self.history_from = 0
-        self.news = trio.Event()
+        self.next_change = trio.Event()
 
-    def tell(self) -> None:
+    def notify_watches(self) -> None:
         """Wake the waiting watches."""
-        news, self.news = self.news, trio.Event()
+        news, self.next_change = self.next_change, trio.Event()
         news.set()
 
     def put_config(self, config: RouteConfig) -> None:
@@ -79,9 +79,9 @@
         self.revision += 1
         text = str(config.version).encode()
         self.config = StoredConfig(self.cursor, text, config)
-        self.tell()
+        self.notify_watches()
 
-    def come_back_from(
+    def restore(
         self, revision: int, config: StoredConfig | None, members: Iterable[str] = ()
     ) -> None:
         """Hold what a copy held; an entry that it lacks is gone."""
@@ -90,7 +90,7 @@
         self.config = config
         kept = frozenset(members)
         self.members = {n: m for n, m in self.members.items() if n in kept}
-        self.tell()
+        self.notify_watches()
 
     @property
     def cursor(self) -> Cursor:
@@ -122,11 +122,11 @@
         self._state = state
         self._known = known
         self.down = False
-        self.mute = False
-        self.silent = False
+        self.hangs_on_deregister = False
+        self.watch_is_silent = False
 
     def _call(self, price: float = 1.0) -> StoreFailed | None:
-        self._state.calls += price
+        self._state.call_cost += price
         return StoreFailed("down") if self.down else None
 
     async def read_config(self, linearizable: bool) -> ConfigResult:
@@ -135,8 +135,8 @@
         if (failed := self._call(1.0 if linearizable else 0.1)) is not None:
             return failed
         state = self._state
-        if not linearizable and state.older is not None:
-            return state.older
+        if not linearizable and state.stale_config is not None:
+            return state.stale_config
         return ConfigUpdate(state.cursor, state.config)
 
     async def watch_config(self, cursor: Cursor, wait: Milliseconds) -> ConfigResult:
@@ -158,9 +158,9 @@
                 is_newer = (
                     state.config is not None and state.config.cursor.revision > revision
                 )
-                if is_newer and not self.silent:
+                if is_newer and not self.watch_is_silent:
                     return ConfigUpdate(state.cursor, state.config)
-                await state.news.wait()
+                await state.next_change.wait()
         return ConfigUpdate(Cursor(state.epoch, max(revision, 1)), None)
 
     async def probe(self, node: str) -> ProbeResult:
@@ -180,7 +180,7 @@
         await trio.lowlevel.checkpoint()
         if (failed := self._call(1.0 if linearizable else 0.1)) is not None:
             return failed
-        hidden = frozenset() if linearizable else self._state.not_yet_listed
+        hidden = frozenset() if linearizable else self._state.missing_in_stale_list
         members = self._state.members
         return Members({n: m for n, m in members.items() if n not in hidden})
 
@@ -195,7 +195,11 @@
 
     async def deregister(self, node: str) -> StoreFailed | None:
         """Take this node out."""
-        await (trio.sleep_forever() if self.mute else trio.lowlevel.checkpoint())
+        await (
+            trio.sleep_forever()
+            if self.hangs_on_deregister
+            else trio.lowlevel.checkpoint()
+        )
         if (failed := self._call()) is not None:
             return failed
         self._state.members.pop(node, None)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/quarantine_play.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/quarantine_simulation.py
@@ -2,7 +2,8 @@
 
 Only the decisions and the messages of the nodes are real; servers, callers and links
 are events on a virtual time line, so that a history takes a fraction of a second. Run
-as ``python -m fuchsiagap_standins.mesh.quarantine_play [HISTORIES] [FIRST_SEED]``.
+as
+``python -m fuchsiagap_standins.mesh.quarantine_simulation [HISTORIES] [FIRST_SEED]``.
 """
 
 from __future__ import annotations
@@ -27,8 +28,8 @@
     from fuchsiagap_node.core.mesh.messages import Message
 
 # Milliseconds after the third crash from which arrivals count, and how many may come.
-CONTACT_MS = 3_000.0
-MOST_LATE = 3
+DETECTION_MS = 3_000.0
+MAX_LATE_ARRIVALS = 3
 _SERVICE = "certs"
 
 
@@ -42,7 +43,7 @@
         Nodes with a server each, places of a server, servers for one attempt.
     length, down : float
         Length, and time until a server that ended is back.
-    guilty_every : tuple of float
+    crashing_intervals : tuple of float
         For each request that crashes servers, the time between two arrivals.
     crash_after : float
         Time from its begin to the crash.
@@ -54,7 +55,7 @@
         Time between two of the latter.
     n_crashes, n_kills, n_releases : int
         Crashes for other reasons, hosts that are killed, and planned ends.
-    delay, lost, late : float
+    delay, loss_share, late_share : float
         Time of a message on the way; shares of messages that are lost, and late.
     """
 
@@ -63,7 +64,7 @@
     max_attempts: int
     length: Milliseconds
     down: Milliseconds
-    guilty_every: tuple[Milliseconds, ...]
+    crashing_intervals: tuple[Milliseconds, ...]
     crash_after: Milliseconds
     n_common: int
     common_work: Milliseconds
@@ -73,40 +74,42 @@
     n_kills: int
     n_releases: int
     delay: Milliseconds
-    lost: float
-    late: float
+    loss_share: float
+    late_share: float
 
     @classmethod
     def draw(cls, rng: random.Random) -> History:
         """Return one at random."""
 
-        def spread(least: float, most: float) -> float:
-            return least * float((most / least) ** rng.random())
+        def log_uniform(low: float, high: float) -> float:
+            return low * float((high / low) ** rng.random())
 
-        n_guilty = rng.choice((0, 0, 1, 1, 2, 3))
+        n_crashing = rng.choice((0, 0, 1, 1, 2, 3))
         return cls(
             n_nodes=rng.choice((2, 3, 5, 8, 12, 24)),
             slots=rng.randint(1, 32),
             max_attempts=rng.randint(1, 3),
             length=rng.uniform(20_000.0, 40_000.0),
             down=rng.uniform(1_000.0, 4_000.0),
-            guilty_every=tuple(spread(200.0, 10_000.0) for _ in range(n_guilty)),
-            crash_after=spread(5.0, 1_000.0),
+            crashing_intervals=tuple(
+                log_uniform(200.0, 10_000.0) for _ in range(n_crashing)
+            ),
+            crash_after=log_uniform(5.0, 1_000.0),
             n_common=rng.choice((0, 1, 5, 20, 60)),
-            common_work=spread(5.0, 2_000.0),
-            unique_work=spread(5.0, 2_000.0),
-            unique_every=spread(20.0, 500.0),
+            common_work=log_uniform(5.0, 2_000.0),
+            unique_work=log_uniform(5.0, 2_000.0),
+            unique_every=log_uniform(20.0, 500.0),
             n_crashes=rng.choice((0, 0, 3, 30)),
             n_kills=rng.choice((0, 0, 1, 5)),
             n_releases=rng.choice((0, 0, 2, 10)),
-            delay=spread(0.2, 5.0),
-            lost=rng.choice((0.0, 0.0, 0.02)),
-            late=rng.choice((0.0, 0.0, 0.05)),
+            delay=log_uniform(0.2, 5.0),
+            loss_share=rng.choice((0.0, 0.0, 0.02)),
+            late_share=rng.choice((0.0, 0.0, 0.05)),
         )
 
 
 @dataclass(slots=True)
-class Verdict:
+class Outcome:
     """What became of a history.
 
     Attributes
@@ -115,27 +118,27 @@
         Arrivals of innocent requests at entries, and how many of them were refused.
     crashes : list of int
         For each guilty request, the servers that it crashed.
-    late : list of int
-        For each, its arrivals later than `CONTACT_MS` after the third crash.
-    known : list of float
+    late_arrivals : list of int
+        For each, its arrivals later than `DETECTION_MS` after the third crash.
+    detection_ms : list of float
         For each that crashed three, the milliseconds until it was first refused.
     """
 
-    innocent: int = 0
+    harmless: int = 0
     refused: int = 0
     crashes: list[int] = field(default_factory=list)
-    late: list[int] = field(default_factory=list)
-    known: list[Milliseconds] = field(default_factory=list)
+    late_arrivals: list[int] = field(default_factory=list)
+    detection_ms: list[Milliseconds] = field(default_factory=list)
 
 
 @dataclass(slots=True, eq=False)
-class _Asked:
+class _Request:
     """A request on its way."""
 
     fingerprint: bytes
     work: Milliseconds
     entry: _Node
-    guilty: int = -1
+    crashing: int = -1
     attempts: int = 1
     retries: int = 1
     tried: set[int] = field(default_factory=set)
@@ -147,14 +150,14 @@
 
     number: int
     reports: CrashReports
-    life: int = 0
+    generation: int = 0
     instance: str = ""
     is_up: bool = True
-    is_leaving: bool = False
-    at_work: dict[_Asked, int] = field(default_factory=dict)
+    is_draining: bool = False
+    running: dict[_Request, int] = field(default_factory=dict)
 
 
-class _Play:
+class _Simulation:
     """One history on its time line."""
 
     def __init__(self, history: History, rng: random.Random) -> None:
@@ -164,65 +167,69 @@
         self._clock = Clock(lambda: self._now, lambda: 0.0)
         self._numbers = itertools.count(1)
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._nodes = [self._add(number) for number in range(history.n_nodes)]
-        n_guilty = len(history.guilty_every)
-        self._arrived: list[list[float]] = [[] for _ in range(n_guilty)]
-        self._crashed: list[list[float]] = [[] for _ in range(n_guilty)]
-        self._refused_at = [float("inf")] * n_guilty
-        self._verdict = Verdict()
-
-    def run(self) -> Verdict:
+        self._nodes = [self._make_node(number) for number in range(history.n_nodes)]
+        n_crashing = len(history.crashing_intervals)
+        self._arrived: list[list[float]] = [[] for _ in range(n_crashing)]
+        self._crashed: list[list[float]] = [[] for _ in range(n_crashing)]
+        self._refused_at = [float("inf")] * n_crashing
+        self._outcome = Outcome()
+
+    def run(self) -> Outcome:
         """Play it."""
         self._schedule_all()
         length = self._history.length
         while self._events and self._events[0][0] <= length:
             self._now, _, event = heapq.heappop(self._events)
             event()
-        verdict = self._verdict
+        outcome = self._outcome
         for arrived, crashed, refused_at in zip(
             self._arrived, self._crashed, self._refused_at, strict=True
         ):
             third = crashed[2] if len(crashed) > 2 else float("inf")
-            verdict.crashes.append(len(crashed))
-            verdict.late.append(sum(at > third + CONTACT_MS for at in arrived))
+            outcome.crashes.append(len(crashed))
+            outcome.late_arrivals.append(
+                sum(at > third + DETECTION_MS for at in arrived)
+            )
             if refused_at < float("inf"):
-                verdict.known.append(max(refused_at - third, 0.0))
-        return verdict
+                outcome.detection_ms.append(max(refused_at - third, 0.0))
+        return outcome
 
-    def _at(self, delay: Milliseconds, event: Callable[[], None]) -> None:
+    def _schedule(self, delay: Milliseconds, event: Callable[[], None]) -> None:
         entry = self._now + delay, next(self._numbers), event
         heapq.heappush(self._events, entry)
 
     def _schedule_all(self) -> None:
         """Put on the time line what does not follow from anything else."""
         history, rng = self._history, self._rng
-        for index, every in enumerate(history.guilty_every):
-            self._at(rng.uniform(0.0, every), self._guilty(index, every))
+        for index, interval in enumerate(history.crashing_intervals):
+            self._schedule(
+                rng.uniform(0.0, interval), self._crashing_arrivals(index, interval)
+            )
         for kind in range(history.n_common):
-            self._at(rng.uniform(0.0, 200.0), self._common(kind))
-        self._at(0.0, self._unique)
-        self._at(FLUSH_MS, self._flush)
-        for n_times, happens in (
+            self._schedule(rng.uniform(0.0, 200.0), self._common_arrivals(kind))
+        self._schedule(0.0, self._unique_arrival)
+        self._schedule(FLUSH_MS, self._flush)
+        for n_times, inject in (
             (history.n_crashes, self._crash_any),
             (history.n_kills, self._kill_any),
             (history.n_releases, self._release_any),
         ):
             for _ in range(n_times):
-                self._at(rng.uniform(0.0, 0.8 * history.length), happens)
+                self._schedule(rng.uniform(0.0, 0.8 * history.length), inject)
 
     def _flush(self) -> None:
         for node in self._nodes:
             node.reports.flush()
-        self._at(FLUSH_MS, self._flush)
+        self._schedule(FLUSH_MS, self._flush)
 
     # Nodes and what they tell each other
 
-    def _add(self, number: int) -> _Node:
-        node = _Node(number, self._reports(number))
+    def _make_node(self, number: int) -> _Node:
+        node = _Node(number, self._make_reports(number))
         node.instance = f"i-{next(self._numbers)}"
         return node
 
-    def _reports(self, number: int) -> CrashReports:
+    def _make_reports(self, number: int) -> CrashReports:
         cfg = QuarantineSettings()
         rng = random.Random(self._rng.random())
         reports = CrashReports(
@@ -236,137 +243,146 @@
         return reports
 
     def _post(self, sender: int, receiver: _Node) -> Post:
-        life = receiver.life
+        generation = receiver.generation
 
         def post(message: Message) -> None:
             rng, history = self._rng, self._history
-            if rng.random() < history.lost:
+            if rng.random() < history.loss_share:
                 return
             delay = history.delay * rng.uniform(0.5, 2.0)
-            if rng.random() < history.late:
+            if rng.random() < history.late_share:
                 delay += rng.uniform(0.0, 500.0)
 
             def take() -> None:
-                if receiver.life == life:
+                if receiver.generation == generation:
                     receiver.reports.handle(cast("Report", message), str(sender))
 
-            self._at(delay, take)
+            self._schedule(delay, take)
 
         return post
 
     # Requests
 
-    def _guilty(self, index: int, every: Milliseconds) -> Callable[[], None]:
-        def come() -> None:
+    def _crashing_arrivals(
+        self, index: int, interval: Milliseconds
+    ) -> Callable[[], None]:
+        def arrive() -> None:
             after = self._history.crash_after
-            self._ask(b"guilty-%09d" % index, after, guilty=index)
-            self._at(every * self._rng.uniform(0.7, 1.3), come)
+            self._send(b"guilty-%09d" % index, after, crashing=index)
+            self._schedule(interval * self._rng.uniform(0.7, 1.3), arrive)
 
-        return come
+        return arrive
 
-    def _common(self, kind: int) -> Callable[[], None]:
-        def come() -> None:
+    def _common_arrivals(self, kind: int) -> Callable[[], None]:
+        def arrive() -> None:
             work = self._history.common_work * self._rng.uniform(0.5, 1.5)
-            self._ask(b"common-%09d" % kind, work)
-            self._at(work + self._rng.uniform(10.0, 200.0), come)
+            self._send(b"common-%09d" % kind, work)
+            self._schedule(work + self._rng.uniform(10.0, 200.0), arrive)
 
-        return come
+        return arrive
 
-    def _unique(self) -> None:
+    def _unique_arrival(self) -> None:
         work = self._history.unique_work * self._rng.uniform(0.5, 1.5)
-        self._ask(b"unique-%09d" % next(self._numbers), work)
-        self._at(self._history.unique_every * self._rng.uniform(0.5, 1.5), self._unique)
+        self._send(b"unique-%09d" % next(self._numbers), work)
+        self._schedule(
+            self._history.unique_every * self._rng.uniform(0.5, 1.5),
+            self._unique_arrival,
+        )
 
-    def _ask(
-        self, fingerprint: bytes, work: Milliseconds, guilty: int = -1, retries: int = 1
+    def _send(
+        self,
+        fingerprint: bytes,
+        work: Milliseconds,
+        crashing: int = -1,
+        retries: int = 1,
     ) -> None:
         entry = self._rng.choice(self._nodes)
-        self._place(_Asked(fingerprint, work, entry, guilty, retries=retries))
+        self._dispatch(_Request(fingerprint, work, entry, crashing, retries=retries))
 
-    def _place(self, asked: _Asked) -> None:
+    def _dispatch(self, req: _Request) -> None:
         """Send a request to a server that has room, unless it is held."""
-        if asked.attempts == 1 and asked.guilty < 0:
-            self._verdict.innocent += 1
-        if not asked.entry.reports.may_be_sent(asked.fingerprint):
-            self._refuse(asked)
+        if req.attempts == 1 and req.crashing < 0:
+            self._outcome.harmless += 1
+        if not req.entry.reports.may_be_sent(req.fingerprint):
+            self._refuse(req)
             return
         free = [
             node
             for node in self._nodes
             if node.is_up
-            and not node.is_leaving
-            and node.number not in asked.tried
-            and len(node.at_work) < self._history.slots
+            and not node.is_draining
+            and node.number not in req.tried
+            and len(node.running) < self._history.slots
         ]
         if not free:
-            self._retry(asked)
+            self._retry(req)
             return
         node = self._rng.choice(free)
-        if not node.reports.may_run(asked.fingerprint):
-            self._refuse(asked)
+        if not node.reports.may_run(req.fingerprint):
+            self._refuse(req)
             return
-        self._begin(asked, node)
+        self._begin(req, node)
 
-    def _refuse(self, asked: _Asked) -> None:
-        if asked.guilty < 0:
-            self._verdict.refused += 1
+    def _refuse(self, req: _Request) -> None:
+        if req.crashing < 0:
+            self._outcome.refused += 1
         else:
-            first = min(self._refused_at[asked.guilty], self._now)
-            self._refused_at[asked.guilty] = first
+            first = min(self._refused_at[req.crashing], self._now)
+            self._refused_at[req.crashing] = first
 
-    def _begin(self, asked: _Asked, node: _Node) -> None:
+    def _begin(self, req: _Request, node: _Node) -> None:
         run = next(self._numbers)
-        node.at_work[asked] = run
-        if asked.guilty >= 0:
-            self._arrived[asked.guilty].append(self._now)
+        node.running[req] = run
+        if req.crashing >= 0:
+            self._arrived[req.crashing].append(self._now)
 
         def end() -> None:
-            if node.at_work.get(asked) != run:
+            if node.running.get(req) != run:
                 return
-            if asked.guilty >= 0:
-                self._crashed[asked.guilty].append(self._now)
+            if req.crashing >= 0:
+                self._crashed[req.crashing].append(self._now)
                 self._crash(node)
                 return
-            del node.at_work[asked]
-            node.reports.record_answer(asked.fingerprint)
-            asked.entry.reports.record_answer(asked.fingerprint)
+            del node.running[req]
+            node.reports.record_answer(req.fingerprint)
+            req.entry.reports.record_answer(req.fingerprint)
 
-        self._at(asked.work, end)
+        self._schedule(req.work, end)
 
-    def _unanswered(self, asked: _Asked, node: _Node) -> None:
+    def _on_server_end(self, req: _Request, node: _Node) -> None:
         """Repeat a request whose server ended, as far as its attempts go."""
-        asked.tried.add(node.number)
-        if len(asked.tried) < self._history.max_attempts:
-            asked.attempts += 1
-            self._place(asked)
+        req.tried.add(node.number)
+        if len(req.tried) < self._history.max_attempts:
+            req.attempts += 1
+            self._dispatch(req)
         else:
-            self._retry(asked)
+            self._retry(req)
 
-    def _retry(self, asked: _Asked) -> None:
+    def _retry(self, req: _Request) -> None:
         """Let the caller of an innocent request try once more."""
-        if asked.guilty < 0 and asked.retries > 0:
+        if req.crashing < 0 and req.retries > 0:
             pause = self._rng.uniform(50.0, 500.0)
-            again = asked.fingerprint, asked.work
-            self._at(pause, lambda: self._ask(*again, retries=asked.retries - 1))
+            again = req.fingerprint, req.work
+            self._schedule(pause, lambda: self._send(*again, retries=req.retries - 1))
 
     # Ends of servers
 
     def _crash(self, node: _Node) -> None:
         """End a server with all that it runs; the node beside it notices."""
-        at_work, node.at_work = node.at_work, {}
+        running, node.running = node.running, {}
         node.is_up = False
         instance, reports = node.instance, node.reports
-        prints = frozenset(asked.fingerprint for asked in at_work)
-        if prints and not node.is_leaving:
+        prints = frozenset(req.fingerprint for req in running)
+        if prints and not node.is_draining:
             notice = self._rng.uniform(0.5, 10.0)
-            self._at(notice, lambda: reports.report_crash(instance, prints))
-        for asked in at_work:
-            self._at(0.2, _bind(self._unanswered, asked, node))
-        self._at(self._history.down, lambda: self._start(node))
+            self._schedule(notice, lambda: reports.report_crash(instance, prints))
+        for req in running:
+            self._schedule(0.2, _bind(self._on_server_end, req, node))
+        self._schedule(self._history.down, lambda: self._start(node))
 
     def _start(self, node: _Node) -> None:
         node.is_up = True
-        node.is_leaving = False
+        node.is_draining = False
         node.instance = f"i-{next(self._numbers)}"
         for other in self._nodes:
             other.reports.resolve_server(str(node.number), _SERVICE, node.instance)
@@ -382,19 +398,19 @@
         if not up:
             return
         node = self._rng.choice(up)
-        at_work, node.at_work = node.at_work, {}
+        running, node.running = node.running, {}
         node.is_up = False
-        node.life += 1
-        for asked in at_work:
-            if asked.entry is not node:
-                asked.entry.reports.record_lost_link(
-                    str(node.number), node.instance, asked.fingerprint
+        node.generation += 1
+        for req in running:
+            if req.entry is not node:
+                req.entry.reports.record_lost_link(
+                    str(node.number), node.instance, req.fingerprint
                 )
-                self._at(0.2, _bind(self._unanswered, asked, node))
-        node.reports = self._reports(node.number)
-        self._at(self._history.down, lambda: self._start_anew(node))
+                self._schedule(0.2, _bind(self._on_server_end, req, node))
+        node.reports = self._make_reports(node.number)
+        self._schedule(self._history.down, lambda: self._start_with_node(node))
 
-    def _start_anew(self, node: _Node) -> None:
+    def _start_with_node(self, node: _Node) -> None:
         for other in self._nodes:
             if other is not node:
                 other.reports.send_snapshot(self._post(other.number, node))
@@ -402,75 +418,75 @@
 
     def _release_any(self) -> None:
         """Let a server leave as planned: it takes nothing new and ends later."""
-        up = [node for node in self._nodes if node.is_up and not node.is_leaving]
+        up = [node for node in self._nodes if node.is_up and not node.is_draining]
         if not up:
             return
         node = self._rng.choice(up)
-        node.is_leaving = True
-        self._at(1_500.0, lambda: self._crash(node) if node.is_leaving else None)
+        node.is_draining = True
+        self._schedule(1_500.0, lambda: self._crash(node) if node.is_draining else None)
 
 
 def _bind(
-    do: Callable[[_Asked, _Node], None], asked: _Asked, node: _Node
+    do: Callable[[_Request, _Node], None], req: _Request, node: _Node
 ) -> Callable[[], None]:
     """Return a call with its arguments."""
-    return lambda: do(asked, node)
+    return lambda: do(req, node)
 
 
-def play_history(seed: int) -> tuple[History, Verdict]:
+def simulate_history(seed: int) -> tuple[History, Outcome]:
     """Play the history of a seed."""
     rng = random.Random(seed)
     history = History.draw(rng)
-    return history, _Play(history, rng).run()
+    return history, _Simulation(history, rng).run()
 
 
 @dataclass(slots=True)
-class Table:
+class Totals:
     """Sums over histories with so many guilty requests."""
 
     histories: int = 0
-    innocent: int = 0
+    harmless: int = 0
     refused: int = 0
-    with_refused: int = 0
-    guilty: int = 0
-    broken: int = 0
-    most_crashes: int = 0
-    known: list[Milliseconds] = field(default_factory=list)
+    n_with_refusals: int = 0
+    crashing: int = 0
+    violations: int = 0
+    max_crashes: int = 0
+    detection_ms: list[Milliseconds] = field(default_factory=list)
 
-    def add(self, verdict: Verdict) -> None:
+    def add(self, outcome: Outcome) -> None:
         """Add what became of a history."""
         self.histories += 1
-        self.innocent += verdict.innocent
-        self.refused += verdict.refused
-        self.with_refused += verdict.refused > 0
-        self.guilty += sum(n >= 3 for n in verdict.crashes)
-        self.broken += sum(n > MOST_LATE for n in verdict.late)
-        self.most_crashes = max([self.most_crashes, *verdict.crashes])
-        self.known += verdict.known
+        self.harmless += outcome.harmless
+        self.refused += outcome.refused
+        self.n_with_refusals += outcome.refused > 0
+        self.crashing += sum(n >= 3 for n in outcome.crashes)
+        self.violations += sum(n > MAX_LATE_ARRIVALS for n in outcome.late_arrivals)
+        self.max_crashes = max([self.max_crashes, *outcome.crashes])
+        self.detection_ms += outcome.detection_ms
 
     def row(self, name: str) -> str:
         """Return it as a line of a table."""
-        known = sorted(self.known)
-        median = known[len(known) // 2] if known else 0.0
-        rare = known[int(len(known) * 0.99)] if known else 0.0
+        detection_ms = sorted(self.detection_ms)
+        median = detection_ms[len(detection_ms) // 2] if detection_ms else 0.0
+        p99 = detection_ms[int(len(detection_ms) * 0.99)] if detection_ms else 0.0
         return (
-            f"| {name} | {self.histories} | {self.innocent} | {self.refused}"
-            f" (in {self.with_refused}) | {self.guilty} | {self.broken}"
-            f" | {self.most_crashes} | {median / MS_PER_S:.1f}"
-            f" | {rare / MS_PER_S:.1f} |"
+            f"| {name} | {self.histories} | {self.harmless} | {self.refused}"
+            f" (in {self.n_with_refusals}) | {self.crashing} | {self.violations}"
+            f" | {self.max_crashes} | {median / MS_PER_S:.1f}"
+            f" | {p99 / MS_PER_S:.1f} |"
         )
 
 
-def play_many(seeds: Iterable[int]) -> tuple[dict[int, Table], list[int]]:
+def simulate_histories(seeds: Iterable[int]) -> tuple[dict[int, Totals], list[int]]:
     """Play histories; return sums by the number of guilty requests, and bad seeds."""
-    tables: dict[int, Table] = {}
+    tables: dict[int, Totals] = {}
     bad = []
     for seed in seeds:
-        history, verdict = play_history(seed)
-        n_guilty = len(history.guilty_every)
-        tables.setdefault(n_guilty, Table()).add(verdict)
-        is_broken = any(n > MOST_LATE for n in verdict.late)
-        if is_broken or (verdict.refused and not n_guilty):
+        history, outcome = simulate_history(seed)
+        n_crashing = len(history.crashing_intervals)
+        tables.setdefault(n_crashing, Totals()).add(outcome)
+        is_violated = any(n > MAX_LATE_ARRIVALS for n in outcome.late_arrivals)
+        if is_violated or (outcome.refused and not n_crashing):
             bad.append(seed)
     return tables, bad
 
@@ -479,14 +495,14 @@
     """Play histories and print the table."""
     n_histories = int(argv[1]) if len(argv) > 1 else 1_000
     first = int(argv[2]) if len(argv) > 2 else 0
-    tables, bad = play_many(range(first, first + n_histories))
+    tables, bad = simulate_histories(range(first, first + n_histories))
     print(
         "| guilty | histories | innocent | refused | guilty with three crashes"
         " | bound broken | most crashes | known s, median | 99 in 100 |"
     )
     print("|---|---|---|---|---|---|---|---|---|")
-    for n_guilty, table in sorted(tables.items()):
-        print(table.row(str(n_guilty)))
+    for n_crashing, table in sorted(tables.items()):
+        print(table.row(str(n_crashing)))
     print(f"seeds to look at: {bad[:40]}")
     return 1 if bad else 0
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/virtual.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/virtual.py
@@ -9,7 +9,7 @@
 import trio
 import trio.testing
 
-from fuchsiagap_standins.mesh.memory_sockets import in_memory
+from fuchsiagap_standins.mesh.memory_sockets import patch_sockets
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -60,7 +60,7 @@
     clock = trio.testing.MockClock(autojump_threshold=0.0)
     scheduler = trio._core._run  # type: ignore[attr-defined]
     with (
-        in_memory(),
+        patch_sockets(),
         # What trio offers to property-based tests, without a public name: the order of
         # a batch of tasks then comes from this source alone.
         mock.patch.object(scheduler, "_ALLOW_DETERMINISTIC_SCHEDULING", True),
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/__main__.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/__main__.py
@@ -16,7 +16,7 @@
     BREAKS,
     Bound,
     check_all,
-    check_broken,
+    check_planted_bug,
 )
 
 _BOUND = flags.DEFINE_enum_class("bound", Bound.SMALL, Bound, "how far to go")
@@ -26,7 +26,7 @@
 _JSON = flags.DEFINE_bool("json", False, "print the result as JSON")
 
 
-def _show_designed(bound: Bound) -> bool:
+def _report_designs(bound: Bound) -> bool:
     results = check_all(bound)
     if _JSON.value:
         print(json.dumps([asdict(result) for result in results]))
@@ -43,18 +43,18 @@
     return all(result.holds for result in results)
 
 
-def _show_broken(name: str) -> bool:
-    result = check_broken(name)
+def _report_planted_bug(name: str) -> bool:
+    result = check_planted_bug(name)
     print(f"{name}: {result.spec}, {result.states} states")
     for counterexample in result.counterexamples:
         print(counterexample)
     return bool(result.counterexamples)
 
 
-def _show_all_broken() -> bool:
+def _report_all_planted_bugs() -> bool:
     all_found = True
     for name in BREAKS:
-        result = check_broken(name)
+        result = check_planted_bug(name)
         found = ", ".join(
             f"{c.invariant} in {len(c.steps) - 1} steps" for c in result.counterexamples
         )
@@ -69,10 +69,10 @@
         print(f"unexpected argument {argv[1]!r}; see --help", file=sys.stderr)
         return 2
     if _BREAK.value:
-        return 0 if _show_broken(_BREAK.value) else 1
-    holds = _show_designed(_BOUND.value)
+        return 0 if _report_planted_bug(_BREAK.value) else 1
+    holds = _report_designs(_BOUND.value)
     if not _JSON.value:
-        holds &= _show_all_broken()
+        holds &= _report_all_planted_bugs()
     return 0 if holds else 1
 
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/calls.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/calls.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from fuchsiagap_standins.model import carriers
+from fuchsiagap_standins.model import implementations
 from fuchsiagap_standins.model.spec import ENVIRONMENT, Action, Spec
 
 if TYPE_CHECKING:
@@ -28,9 +28,7 @@
     wrong: bool
 
 
-def answers_spec(
-    callers: int, calls: int, broken: frozenset[str] = frozenset()
-) -> Spec:
+def answers_spec(callers: int, calls: int, bugs: frozenset[str] = frozenset()) -> Spec:
     """Return the specification of answers on a link: each to its own call.
 
     Parameters
@@ -39,7 +37,7 @@
         Callers that share the link.
     calls : int
         Calls in all.
-    broken : frozenset of str
+    bugs : frozenset of str
         Planted bugs, of `ANSWER_BREAKS`.
 
     Returns
@@ -53,11 +51,11 @@
             if call or state.next_id > calls:
                 continue
             call_id = state.next_id
-            if "reuse-call-id" in broken:
-                call_id = _least_free(state.waiting)
+            if "reuse-call-id" in bugs:
+                call_id = _lowest_free_id(state.waiting)
             yield state._replace(
                 next_id=state.next_id + 1,
-                waiting=_put(state.waiting, caller, call_id),
+                waiting=_replace_at(state.waiting, caller, call_id),
                 frames=state.frames | {(call_id, caller)},
             )
 
@@ -69,40 +67,40 @@
 
     def deliver(state: LinkState) -> Iterator[LinkState]:
         for answer in state.answers:
-            call_id, meant_for = answer
+            call_id, intended = answer
             following = state._replace(answers=state.answers - {answer})
-            got = _receiver(state.waiting, call_id, "swap-answers" in broken)
-            if got is not None:
+            receiver = _receiver(state.waiting, call_id, "swap-answers" in bugs)
+            if receiver is not None:
                 following = following._replace(
-                    waiting=_put(state.waiting, got, 0),
-                    wrong=state.wrong or got != meant_for,
+                    waiting=_replace_at(state.waiting, receiver, 0),
+                    wrong=state.wrong or receiver != intended,
                 )
             yield following
 
     def abandon(state: LinkState) -> Iterator[LinkState]:
         for caller, call in enumerate(state.waiting):
             if call:
-                yield state._replace(waiting=_put(state.waiting, caller, 0))
+                yield state._replace(waiting=_replace_at(state.waiting, caller, 0))
 
     return Spec(
         name="answers",
         initial=LinkState(1, (0,) * callers, frozenset(), frozenset(), False),
         actions=(
-            Action("caller sends", carriers.LINK_ASK, send),
-            Action("other node answers", carriers.LINK_SERVE, serve),
-            Action("answer arrives", carriers.LINK_ANSWER, deliver),
-            Action("caller gives up", carriers.LINK_ASK, abandon),
+            Action("caller sends", implementations.LINK_ASK, send),
+            Action("other node answers", implementations.LINK_SERVE, serve),
+            Action("answer arrives", implementations.LINK_ANSWER, deliver),
+            Action("caller gives up", implementations.LINK_ASK, abandon),
         ),
         invariants={"own_answer": lambda s: not s.wrong},
         goal=lambda s: not any(s.waiting) and not s.answers,
     )
 
 
-def _put(values: tuple[int, ...], index: int, value: int) -> tuple[int, ...]:
+def _replace_at(values: tuple[int, ...], index: int, value: int) -> tuple[int, ...]:
     return (*values[:index], value, *values[index + 1 :])
 
 
-def _least_free(waiting: tuple[int, ...]) -> int:
+def _lowest_free_id(waiting: tuple[int, ...]) -> int:
     return next(n for n in range(1, len(waiting) + 2) if n not in waiting)
 
 
@@ -131,7 +129,7 @@
 
 
 def allowance_spec(
-    children: int, allowance: int, broken: frozenset[str] = frozenset()
+    children: int, allowance: int, bugs: frozenset[str] = frozenset()
 ) -> Spec:
     """Return the specification of the attempt allowance of one request.
 
@@ -141,7 +139,7 @@
         Calls below the request.
     allowance : int
         Extra attempts the request may make in all.
-    broken : frozenset of str
+    bugs : frozenset of str
         Planted bugs, of `ALLOWANCE_BREAKS`.
 
     Returns
@@ -156,7 +154,7 @@
             if phase != NEW:
                 continue
             for share in range(state.held + 1):
-                left = state.held if "lose-allowance" in broken else state.held - share
+                left = state.held if "lose-allowance" in bugs else state.held - share
                 yield state._replace(
                     held=left,
                     children=_put_child(state.children, index, (share, TRIED)),
@@ -179,10 +177,10 @@
                     returning=(*state.returning, share),
                 )
 
-    def give_back(state: AllowanceState) -> Iterator[AllowanceState]:
+    def return_share(state: AllowanceState) -> Iterator[AllowanceState]:
         for index, share in enumerate(state.returning):
             rest = state.returning[:index] + state.returning[index + 1 :]
-            times = (1, 2) if "return-twice" in broken else (1,)
+            times = (1, 2) if "return-twice" in bugs else (1,)
             for n in times:
                 held = min(state.held + n * share, bound + 1)
                 yield state._replace(held=held, returning=rest)
@@ -196,10 +194,16 @@
         name="allowance",
         initial=AllowanceState(allowance, ((0, NEW),) * children, 0, ()),
         actions=(
-            Action("call goes out with a share", carriers.ALLOWANCE_SPLIT, start),
-            Action("refused, tried elsewhere", carriers.DISPATCH, retry),
-            Action("call ends", carriers.SERVE, finish),
-            Action("unused share comes back", carriers.ALLOWANCE_RETURN, give_back),
+            Action(
+                "call goes out with a share", implementations.ALLOWANCE_SPLIT, start
+            ),
+            Action("refused, tried elsewhere", implementations.DISPATCH, retry),
+            Action("call ends", implementations.SERVE, finish),
+            Action(
+                "unused share comes back",
+                implementations.ALLOWANCE_RETURN,
+                return_share,
+            ),
             Action("answer is lost with its share", ENVIRONMENT, lose),
         ),
         invariants={"attempts_bounded": lambda s: s.attempts <= bound},
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/children.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/children.py
@@ -9,7 +9,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from fuchsiagap_standins.model import carriers
+from fuchsiagap_standins.model import implementations
 from fuchsiagap_standins.model.spec import ENVIRONMENT, Action, Spec
 
 if TYPE_CHECKING:
@@ -32,14 +32,14 @@
     told: tuple[str, ...]
 
 
-def children_spec(parents: int, broken: frozenset[str] = frozenset()) -> Spec:
+def children_spec(parents: int, bugs: frozenset[str] = frozenset()) -> Spec:
     """Return the specification of children under (root, child key).
 
     Parameters
     ----------
     parents : int
         How often the parent may run.
-    broken : frozenset of str
+    bugs : frozenset of str
         Planted bugs, of `BREAKS`.
 
     Returns
@@ -47,46 +47,48 @@
     Spec
         The specification.
     """
-    by_parent = "key-by-parent-call" in broken
+    is_keyed_by_parent = "key-by-parent-call" in bugs
 
     def entry_of(parent: int) -> int:
-        return parent if by_parent else 0
+        return parent if is_keyed_by_parent else 0
 
     def start_parent(state: State) -> Iterator[State]:
         for index, parent in enumerate(state.parents):
             if parent == NONE:
-                yield state._replace(parents=_put(state.parents, index, RUNNING))
+                yield state._replace(parents=_replace_at(state.parents, index, RUNNING))
 
     def crash_parent(state: State) -> Iterator[State]:
         for index, parent in enumerate(state.parents):
             if parent == RUNNING:
-                yield state._replace(parents=_put(state.parents, index, GONE))
+                yield state._replace(parents=_replace_at(state.parents, index, GONE))
 
     def send_child(state: State) -> Iterator[State]:
         for index, parent in enumerate(state.parents):
             if parent == RUNNING and not state.copies[index]:
-                yield state._replace(copies=_put(state.copies, index, True))
+                yield state._replace(copies=_replace_at(state.copies, index, True))
 
     def start_child(state: State) -> Iterator[State]:
         for index, copy in enumerate(state.copies):
             entry = entry_of(index)
             if copy and state.home_life == 1 and state.entries[entry] == OPEN:
-                entries = _put(state.entries, entry, STARTED)
+                entries = _replace_at(state.entries, entry, STARTED)
                 yield state._replace(entries=entries, runs=state.runs + 1)
-            if copy and state.home_life > 1 and "run-child-without-home" in broken:
+            if copy and state.home_life > 1 and "run-child-without-home" in bugs:
                 yield state._replace(runs=min(state.runs + 1, 2))
 
     def keep_answer(state: State) -> Iterator[State]:
         for entry, what in enumerate(state.entries):
             if what == STARTED and state.home_life == 1:
-                yield state._replace(entries=_put(state.entries, entry, ANSWERED))
-                yield state._replace(entries=_put(state.entries, entry, UNKNOWN))
+                yield state._replace(
+                    entries=_replace_at(state.entries, entry, ANSWERED)
+                )
+                yield state._replace(entries=_replace_at(state.entries, entry, UNKNOWN))
 
-    def tell(state: State) -> Iterator[State]:
+    def answer_parent(state: State) -> Iterator[State]:
         for index, copy in enumerate(state.copies):
             known = state.entries[entry_of(index)] if state.home_life == 1 else UNKNOWN
             if copy and known in (ANSWERED, UNKNOWN) and not state.told[index]:
-                yield state._replace(told=_put(state.told, index, known))
+                yield state._replace(told=_replace_at(state.told, index, known))
 
     def end_home(state: State) -> Iterator[State]:
         if state.home_life == 1:
@@ -103,12 +105,12 @@
             ("",) * parents,
         ),
         actions=(
-            Action("parent starts", carriers.SERVE, start_parent),
+            Action("parent starts", implementations.SERVE, start_parent),
             Action("parent's backend server ends", ENVIRONMENT, crash_parent),
-            Action("parent calls its child", carriers.CHILD_CALL, send_child),
-            Action("home starts the child", carriers.HOME_START, start_child),
-            Action("home keeps the answer", carriers.HOME_KEEP, keep_answer),
-            Action("parent hears of it", carriers.HOME_START, tell),
+            Action("parent calls its child", implementations.CHILD_CALL, send_child),
+            Action("home starts the child", implementations.HOME_START, start_child),
+            Action("home keeps the answer", implementations.HOME_KEEP, keep_answer),
+            Action("parent hears of it", implementations.HOME_START, answer_parent),
             Action("home ends and is replaced", ENVIRONMENT, end_home),
         ),
         invariants={
@@ -118,5 +120,5 @@
     )
 
 
-def _put(values: tuple, index: int, value: object) -> tuple:  # type: ignore[type-arg]
+def _replace_at(values: tuple, index: int, value: object) -> tuple:  # type: ignore[type-arg]
     return (*values[:index], value, *values[index + 1 :])
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/drain.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/drain.py
@@ -9,7 +9,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from fuchsiagap_standins.model import carriers
+from fuchsiagap_standins.model import implementations
 from fuchsiagap_standins.model.spec import ENVIRONMENT, Action, Spec
 
 if TYPE_CHECKING:
@@ -42,7 +42,7 @@
     late_work: bool
 
 
-def drain_spec(peers: int, calls: int, broken: frozenset[str] = frozenset()) -> Spec:
+def drain_spec(peers: int, calls: int, bugs: frozenset[str] = frozenset()) -> Spec:
     """Return the specification of a planned stop.
 
     Parameters
@@ -51,7 +51,7 @@
         Other nodes.
     calls : int
         Calls each of them makes.
-    broken : frozenset of str
+    bugs : frozenset of str
         Planted bugs, of `BREAKS`.
 
     Returns
@@ -75,7 +75,7 @@
                 to=rest, acknowledged=peer.acknowledged or frame == ACK
             )
             following = _with_peer(state, index, read)
-            if frame == CALL and _takes_work(state, broken):
+            if frame == CALL and _accepts_work(state, bugs):
                 late = state.late_work or state.node == LEAVING
                 following = following._replace(
                     running=state.running + 1, late_work=late
@@ -93,11 +93,11 @@
             p._replace(back=(*p.back, NOTICE)) if p.connected else p
             for p in state.peers
         )
-        if "skip-drain-notice" in broken:
+        if "skip-drain-notice" in bugs:
             told = state.peers
         yield state._replace(node=LEAVING, peers=told)
 
-    def hear(state: State) -> Iterator[State]:
+    def receive_notice(state: State) -> Iterator[State]:
         for index, peer in enumerate(state.peers):
             if peer.connected and peer.back:
                 heard = peer._replace(
@@ -123,14 +123,14 @@
         for index, peer in enumerate(state.peers):
             if peer.connected or state.node == STOPPED or peer.calls >= calls:
                 continue
-            told = state.node == LEAVING and "skip-drain-notice" not in broken
+            told = state.node == LEAVING and "skip-drain-notice" not in bugs
             back = (NOTICE,) if told else ()
             yield _with_peer(state, index, peer._replace(connected=True, back=back))
 
     def stop(state: State) -> Iterator[State]:
-        idle = not state.running or "stop-with-work" in broken
+        idle = not state.running or "stop-with-work" in bugs
         told = all(p.acknowledged for p in state.peers if p.connected)
-        if state.node == LEAVING and idle and (told or "skip-drain-notice" in broken):
+        if state.node == LEAVING and idle and (told or "skip-drain-notice" in bugs):
             cut = bool(state.running) or any(CALL in p.to for p in state.peers)
             yield state._replace(node=STOPPED, cut=cut, running=0)
 
@@ -138,15 +138,15 @@
         name="drain",
         initial=State(UP, 0, (Peer(),) * peers, False, False),
         actions=(
-            Action("peer sends a call", carriers.DISPATCH, call),
-            Action("node reads a frame", carriers.GATE_ENTER, receive),
-            Action("a call ends", carriers.SERVE, finish),
-            Action("node begins to leave", carriers.DRAIN, leave),
-            Action("peer hears the notice", carriers.DRAIN_HEAR, hear),
-            Action("peer hears it from another", carriers.GOSSIP_APPLY, gossip),
+            Action("peer sends a call", implementations.DISPATCH, call),
+            Action("node reads a frame", implementations.GATE_ENTER, receive),
+            Action("a call ends", implementations.SERVE, finish),
+            Action("node begins to leave", implementations.DRAIN, leave),
+            Action("peer hears the notice", implementations.DRAIN_HEAR, receive_notice),
+            Action("peer hears it from another", implementations.GOSSIP_APPLY, gossip),
             Action("a link breaks", ENVIRONMENT, break_link),
-            Action("peer dials again", carriers.LINK_ASK, dial),
-            Action("node stops", carriers.DRAIN, stop),
+            Action("peer dials again", implementations.LINK_ASK, dial),
+            Action("node stops", implementations.DRAIN, stop),
         ),
         invariants={
             "no_call_cut": lambda s: not s.cut,
@@ -156,8 +156,8 @@
     )
 
 
-def _takes_work(state: State, broken: frozenset[str]) -> bool:
-    return state.node == UP or "work-while-leaving" in broken
+def _accepts_work(state: State, bugs: frozenset[str]) -> bool:
+    return state.node == UP or "work-while-leaving" in bugs
 
 
 def _with_peer(state: State, index: int, peer: Peer) -> State:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/settings.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/settings.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from fuchsiagap_standins.model import carriers
+from fuchsiagap_standins.model import implementations
 from fuchsiagap_standins.model.spec import ENVIRONMENT, Action, Spec
 
 if TYPE_CHECKING:
@@ -53,7 +53,7 @@
 
 
 def settings_spec(
-    operators: int, nodes: int, broken: frozenset[str] = frozenset()
+    operators: int, nodes: int, bugs: frozenset[str] = frozenset()
 ) -> Spec:
     """Return the specification of settings.
 
@@ -63,7 +63,7 @@
         Operators that race; the last one deletes.
     nodes : int
         Nodes that adopt.
-    broken : frozenset of str
+    bugs : frozenset of str
         Planted bugs, of `BREAKS`.
 
     Returns
@@ -91,7 +91,7 @@
             if operator.phase != SENT:
                 continue
             current = operator.based_on == len(state.history)
-            if not current and "blind-write" not in broken:
+            if not current and "blind-write" not in bugs:
                 rejected = operator._replace(phase=REJECTED, answer=REJECTED)
                 yield _with_operator(state, index, rejected)
                 continue
@@ -116,17 +116,17 @@
         for index, operator in enumerate(state.operators):
             if operator.phase != LOST:
                 continue
-            stands = change_id(index) in state.history
-            moved_on = len(state.history) > operator.based_on
-            if "trust-lost-answer" in broken:
-                said = REJECTED
-            elif stands:
-                said = ACCEPTED
+            is_applied = change_id(index) in state.history
+            base_replaced = len(state.history) > operator.based_on
+            if "trust-lost-answer" in bugs:
+                answered = REJECTED
+            elif is_applied:
+                answered = ACCEPTED
             else:
                 # The change can still arrive as long as its base version stands.
-                said = REJECTED if moved_on else UNSETTLED
+                answered = REJECTED if base_replaced else UNSETTLED
             yield _with_operator(
-                state, index, operator._replace(phase=said, answer=said)
+                state, index, operator._replace(phase=answered, answer=answered)
             )
 
     def late_effect(state: State) -> Iterator[State]:
@@ -141,7 +141,9 @@
             for version in range(1, len(state.history) + 1):
                 if version > node.version:
                     yield _with_node(state, index, Node(version, node.reverted))
-                elif version < node.version and _lets_in(state, node, version, broken):
+                elif version < node.version and _may_downgrade(
+                    state, node, version, bugs
+                ):
                     yield _with_node(state, index, Node(version, True))
 
     def restart(state: State) -> Iterator[State]:
@@ -153,41 +155,43 @@
         name="settings",
         initial=State((), (Operator(),) * operators, (Node(),) * nodes, False),
         actions=(
-            Action("operator reads", carriers.SETTINGS_PUT, read),
-            Action("operator sends its change", carriers.SETTINGS_PUT, send),
+            Action("operator reads", implementations.SETTINGS_PUT, read),
+            Action("operator sends its change", implementations.SETTINGS_PUT, send),
             Action("platform takes or rejects it", ENVIRONMENT, apply),
-            Action("operator hears it was taken", carriers.SETTINGS_PUT, answer),
+            Action("operator hears it was taken", implementations.SETTINGS_PUT, answer),
             Action("the answer is lost", ENVIRONMENT, lose_answer),
-            Action("operator reads back", carriers.SETTINGS_PUT, settle),
+            Action("operator reads back", implementations.SETTINGS_PUT, settle),
             Action("a lost change takes effect late", ENVIRONMENT, late_effect),
-            Action("node adopts a text", carriers.SETTINGS_ADOPT, adopt),
+            Action("node adopts a text", implementations.SETTINGS_ADOPT, adopt),
             Action("node is replaced", ENVIRONMENT, restart),
         ),
         invariants={
             "never_reverts": lambda s: not any(node.reverted for node in s.nodes),
             "no_lost_update": lambda s: not s.overwritten,
-            "accepted_is_kept": lambda s: _told_truly(s, ACCEPTED, True, change_id),
-            "rejected_is_not": lambda s: _told_truly(s, REJECTED, False, change_id),
+            "accepted_is_kept": lambda s: _answers_match(s, ACCEPTED, True, change_id),
+            "rejected_is_not": lambda s: _answers_match(s, REJECTED, False, change_id),
             "applied_once": lambda s: len(set(s.history)) == len(s.history),
         },
         goal=lambda s: all(node.version == len(s.history) for node in s.nodes),
     )
 
 
-def _lets_in(state: State, node: Node, version: int, broken: frozenset[str]) -> bool:
-    if "adopt-lower-version" in broken:
+def _may_downgrade(
+    state: State, node: Node, version: int, bugs: frozenset[str]
+) -> bool:
+    if "adopt-lower-version" in bugs:
         return True
     deleted = state.history[node.version - 1] < 0
-    return "forget-tombstone" in broken and deleted
+    return "forget-tombstone" in bugs and deleted
 
 
-def _told_truly(
-    state: State, said: str, stands: bool, change_id: Callable[[int], int]
+def _answers_match(
+    state: State, answered: str, is_applied: bool, change_id: Callable[[int], int]
 ) -> bool:
     return all(
-        (change_id(index) in state.history) is stands
+        (change_id(index) in state.history) is is_applied
         for index, operator in enumerate(state.operators)
-        if operator.answer == said
+        if operator.answer == answered
     )
 
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/spec.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/spec.py
@@ -29,14 +29,14 @@
     ----------
     name : str
         Shown in a counterexample.
-    carried_by : str
+    implemented_by : str
         ``module:function`` of the product, or `ENVIRONMENT`.
     steps : callable
         Returns the states that the step leads to; none where it is not enabled.
     """
 
     name: str
-    carried_by: str
+    implemented_by: str
     steps: Steps
 
 
@@ -89,7 +89,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Checked:
+class CheckResult:
     """What a check found.
 
     Parameters
@@ -121,7 +121,7 @@
         return self.exhaustive and not self.counterexamples and not self.trap
 
 
-def check(spec: Spec, max_states: int) -> Checked:
+def check(spec: Spec, max_states: int) -> CheckResult:
     """Visit every reachable state of a specification, breadth first.
 
     Parameters
@@ -133,7 +133,7 @@
 
     Returns
     -------
-    Checked
+    CheckResult
         States seen, and the shortest counterexample of each broken invariant.
     """
     started = time.monotonic()
@@ -145,7 +145,7 @@
         if verdict["holds"] is False
     )
     trap = _has_trap(protocol) if spec.goal is not None and not found else False
-    return Checked(
+    return CheckResult(
         spec=spec.name,
         states=report["reachable_states"],
         exhaustive=report["exhaustive"],
@@ -155,7 +155,7 @@
     )
 
 
-def find_counterexample(spec: Spec, max_states: int) -> Checked:
+def find_counterexample(spec: Spec, max_states: int) -> CheckResult:
     """Visit states only until the first one that breaks an invariant.
 
     Parameters
@@ -167,27 +167,29 @@
 
     Returns
     -------
-    Checked
+    CheckResult
         Never exhaustive; a counterexample stands all the same.
     """
-    broken: list[str] = []
+    violated: list[str] = []
 
-    def noting(name: str, predicate: Predicate) -> Predicate:
+    def record_violation(name: str, predicate: Predicate) -> Predicate:
         def holds(state: State) -> bool:
             held = predicate(state)
             if not held:
-                broken.append(name)
+                violated.append(name)
             return held
 
         return holds
 
-    def until_broken(steps: Steps) -> Steps:
-        return lambda state: () if broken else steps(state)
+    def until_violated(steps: Steps) -> Steps:
+        return lambda state: () if violated else steps(state)
 
     watched = replace(
         spec,
-        actions=tuple(replace(a, steps=until_broken(a.steps)) for a in spec.actions),
-        invariants={name: noting(name, p) for name, p in spec.invariants.items()},
+        actions=tuple(replace(a, steps=until_violated(a.steps)) for a in spec.actions),
+        invariants={
+            name: record_violation(name, p) for name, p in spec.invariants.items()
+        },
         goal=None,
     )
     return replace(check(watched, max_states), exhaustive=False)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/table.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/table.py
@@ -7,14 +7,14 @@
 from typing import TYPE_CHECKING
 
 from fuchsiagap_standins.model import calls, children, drain, settings, tickets
-from fuchsiagap_standins.model.spec import Checked, Spec, check, find_counterexample
+from fuchsiagap_standins.model.spec import CheckResult, Spec, check, find_counterexample
 from fuchsiagap_standins.model.ticket_state import TicketBound
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
 MAX_STATES = 2_000_000
-NOTHING_BROKEN: frozenset[str] = frozenset()
+NO_BUGS: frozenset[str] = frozenset()
 
 
 class Bound(Enum):
@@ -40,37 +40,37 @@
     breaks: tuple[str, ...]
 
 
-def _tickets(bound: Bound, broken: frozenset[str]) -> Spec:
-    n_successors = 2 if broken or bound is Bound.LARGE else 1
+def _tickets(bound: Bound, bugs: frozenset[str]) -> Spec:
+    n_successors = 2 if bugs or bound is Bound.LARGE else 1
     n = 2 if bound is Bound.SMALL else 3
-    reach = TicketBound(
+    ticket_bound = TicketBound(
         tickets=1, copies=n, attempts=n, lives=2, successors=n_successors
     )
-    return tickets.ticket_spec(reach, broken)
+    return tickets.ticket_spec(ticket_bound, bugs)
 
 
-def _children(bound: Bound, broken: frozenset[str]) -> Spec:
-    return children.children_spec(2 if bound is Bound.SMALL else 4, broken)
+def _children(bound: Bound, bugs: frozenset[str]) -> Spec:
+    return children.children_spec(2 if bound is Bound.SMALL else 4, bugs)
 
 
-def _answers(bound: Bound, broken: frozenset[str]) -> Spec:
+def _answers(bound: Bound, bugs: frozenset[str]) -> Spec:
     callers, n_calls = (2, 3) if bound is Bound.SMALL else (3, 5)
-    return calls.answers_spec(callers, n_calls, broken)
+    return calls.answers_spec(callers, n_calls, bugs)
 
 
-def _allowance(bound: Bound, broken: frozenset[str]) -> Spec:
+def _allowance(bound: Bound, bugs: frozenset[str]) -> Spec:
     n_calls, allowance = (2, 2) if bound is Bound.SMALL else (4, 4)
-    return calls.allowance_spec(n_calls, allowance, broken)
+    return calls.allowance_spec(n_calls, allowance, bugs)
 
 
-def _drain(bound: Bound, broken: frozenset[str]) -> Spec:
+def _drain(bound: Bound, bugs: frozenset[str]) -> Spec:
     peers, n_calls = (2, 2) if bound is Bound.SMALL else (3, 2)
-    return drain.drain_spec(peers, n_calls, broken)
+    return drain.drain_spec(peers, n_calls, bugs)
 
 
-def _settings(bound: Bound, broken: frozenset[str]) -> Spec:
+def _settings(bound: Bound, bugs: frozenset[str]) -> Spec:
     operators, nodes = (2, 2) if bound is Bound.SMALL else (3, 3)
-    return settings.settings_spec(operators, nodes, broken)
+    return settings.settings_spec(operators, nodes, bugs)
 
 
 TABLE: tuple[Entry, ...] = (
@@ -84,14 +84,12 @@
 BREAKS: tuple[str, ...] = tuple(name for entry in TABLE for name in entry.breaks)
 
 
-def check_all(bound: Bound) -> tuple[Checked, ...]:
+def check_all(bound: Bound) -> tuple[CheckResult, ...]:
     """Check every specification as it is designed."""
-    return tuple(
-        check(entry.make(bound, NOTHING_BROKEN), MAX_STATES) for entry in TABLE
-    )
+    return tuple(check(entry.make(bound, NO_BUGS), MAX_STATES) for entry in TABLE)
 
 
-def check_broken(name: str) -> Checked:
+def check_planted_bug(name: str) -> CheckResult:
     """Check the specification that a planted bug belongs to, at the small bound.
 
     Parameters
@@ -101,7 +99,7 @@
 
     Returns
     -------
-    Checked
+    CheckResult
         It should hold a counterexample.
     """
     entry = next(entry for entry in TABLE if name in entry.breaks)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/ticket_state.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/ticket_state.py
@@ -10,11 +10,11 @@
 UP, PAUSED, FROZEN = "up", "paused", "frozen"
 # What a holder knows of a ticket; a holder that knows nothing says `Unknown`.
 OPEN, STARTED, ANSWERED, UNKNOWN = "open", "started", "answered", "unknown"
-BURNT, OUT, NOTHING = "burnt", "out", ""
+BURNT, FORGOTTEN, NO_ENTRY = "burnt", "out", ""
 # A run that the successor knows of, but that the home waits for.
-ELSEWHERE = "elsewhere"
+STARTED_BY_HOME = "elsewhere"
 # Where a copy or an attempt is.
-FLYING, ARRIVED, RUNNING, RAN, REFUSED = (
+IN_FLIGHT, ARRIVED, RUNNING, RAN, REFUSED = (
     "flying",
     "arrived",
     "running",
@@ -35,7 +35,7 @@
     callers mark none.
     """
 
-    place: str = FLYING
+    place: str = IN_FLIGHT
     view: str = WAITING
     first: bool = False
 
@@ -44,7 +44,7 @@
     """One hand-over of the request to a backend server's node."""
 
     holder: int
-    place: str = FLYING
+    place: str = IN_FLIGHT
     view: str = WAITING
 
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/tickets.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/tickets.py
@@ -10,26 +10,26 @@
 
 from typing import TYPE_CHECKING
 
-from fuchsiagap_standins.model import carriers
+from fuchsiagap_standins.model import implementations
 from fuchsiagap_standins.model.spec import ENVIRONMENT, Action, Spec
 from fuchsiagap_standins.model.ticket_state import (
     ANSWERED,
     ARRIVED,
     BURNT,
     DROPPED,
-    ELSEWHERE,
-    FLYING,
+    FORGOTTEN,
     FROZEN,
     HOME,
+    IN_FLIGHT,
     LOST,
-    NOTHING,
+    NO_ENTRY,
     OPEN,
-    OUT,
     PAUSED,
     RAN,
     REFUSED,
     RUNNING,
     STARTED,
+    STARTED_BY_HOME,
     UNKNOWN,
     UP,
     WAITING,
@@ -59,14 +59,14 @@
 )
 
 
-def ticket_spec(bound: TicketBound, broken: frozenset[str] = frozenset()) -> Spec:
+def ticket_spec(bound: TicketBound, bugs: frozenset[str] = frozenset()) -> Spec:
     """Return the specification of the ticket protocol.
 
     Parameters
     ----------
     bound : TicketBound
         How far to go.
-    broken : frozenset of str
+    bugs : frozenset of str
         Planted bugs, of `BREAKS`.
 
     Returns
@@ -74,18 +74,18 @@
     Spec
         The specification.
     """
-    no_snapshot = (NOTHING,) * bound.tickets
-    ticket = TicketPart(entries=(OPEN,) + (NOTHING,) * bound.successors)
+    no_snapshot = (NO_ENTRY,) * bound.tickets
+    ticket = TicketPart(entries=(OPEN,) + (NO_ENTRY,) * bound.successors)
     tickets = (ticket,) * bound.tickets
     return Spec(
         name="tickets",
         initial=State(1, UP, no_snapshot, (False,) * bound.successors, tickets),
         actions=(
-            *_caller_actions(bound, broken),
-            *_holder_actions(bound, broken),
+            *_caller_actions(bound, bugs),
+            *_holder_actions(bound, bugs),
             *_link_actions(),
-            *_hand_over_actions(bound, broken),
-            *_process_actions(bound, broken),
+            *_hand_over_actions(bound, bugs),
+            *_process_actions(bound, bugs),
         ),
         invariants={
             "at_most_one_run": lambda s: all(runs(t) <= 1 for t in s.tickets),
@@ -96,7 +96,7 @@
     )
 
 
-def _caller_actions(bound: TicketBound, broken: frozenset[str]) -> tuple[Action, ...]:
+def _caller_actions(bound: TicketBound, bugs: frozenset[str]) -> tuple[Action, ...]:
     def send(state: State, ticket: TicketPart) -> Iterator[TicketPart]:
         waits = any(copy.view == WAITING for copy in ticket.copies)
         more = len(ticket.copies) < bound.copies
@@ -120,10 +120,16 @@
             yield ticket._replace(asked=True)
 
     return (
-        Action("caller sends a copy", carriers.CLIENT_SEND, each_ticket(send)),
-        Action("caller gives a copy up", carriers.CLIENT_SEND, each_ticket(give_up)),
-        Action("caller calls it not run", carriers.CLIENT_SEND, each_ticket(conclude)),
-        Action("caller asks about it", carriers.CLIENT_ASK, each_ticket(ask)),
+        Action("caller sends a copy", implementations.CLIENT_SEND, each_ticket(send)),
+        Action(
+            "caller gives a copy up", implementations.CLIENT_SEND, each_ticket(give_up)
+        ),
+        Action(
+            "caller calls it not run",
+            implementations.CLIENT_SEND,
+            each_ticket(conclude),
+        ),
+        Action("caller asks about it", implementations.CLIENT_ASK, each_ticket(ask)),
     )
 
 
@@ -132,99 +138,105 @@
     return ticket._replace(copies=copies)
 
 
-def _holder_actions(bound: TicketBound, broken: frozenset[str]) -> tuple[Action, ...]:
-    def starts(state: State, ticket: TicketPart, holder: int) -> bool:
+def _holder_actions(bound: TicketBound, bugs: frozenset[str]) -> tuple[Action, ...]:
+    def can_start(state: State, ticket: TicketPart, holder: int) -> bool:
         entry = ticket.entries[holder]
         if len(ticket.attempts) >= bound.attempts:
             return False
-        if "forget-window" in broken and entry == OUT:
+        if "forget-window" in bugs and entry == FORGOTTEN:
             return may_start(state, holder)
-        if "take-over-suspected" in broken and state.home == PAUSED and holder != HOME:
-            return entry == NOTHING
+        if "take-over-suspected" in bugs and state.home == PAUSED and holder != HOME:
+            return entry == NO_ENTRY
         return entry == OPEN and may_start(state, holder)
 
-    def left(ticket: TicketPart, copies: tuple[Copy, ...]) -> str:
+    def entry_after_refusal(ticket: TicketPart, copies: tuple[Copy, ...]) -> str:
         """Return the entry after a refusal that the senders of `copies` hear."""
-        if "reopen-repeated" in broken:
+        if "reopen-repeated" in bugs:
             return OPEN
         return OPEN if all(c.first for c in copies) and not ticket.asked else BURNT
 
     def take_copy(state: State, ticket: TicketPart) -> Iterator[TicketPart]:
         for index, copy in enumerate(ticket.copies):
-            if copy.place != FLYING:
+            if copy.place != IN_FLIGHT:
                 continue
             arrived = copy._replace(place=ARRIVED)
             for holder, entry in enumerate(ticket.entries):
-                if starts(state, ticket, holder):
+                if can_start(state, ticket, holder):
                     started = _with_copy(ticket, index, arrived)
-                    yield _attempted(with_entry(started, holder, STARTED), holder)
-                if entry in (STARTED, ELSEWHERE):
+                    yield _with_attempt(with_entry(started, holder, STARTED), holder)
+                if entry in (STARTED, STARTED_BY_HOME):
                     yield _with_copy(ticket, index, arrived)
                 if entry == BURNT:
-                    yield _with_copy(ticket, index, _refused(arrived))
+                    yield _with_copy(ticket, index, _with_refusal(arrived))
                 if entry == OPEN and may_start(state, holder):
-                    refused = _with_copy(ticket, index, _refused(arrived))
-                    yield with_entry(refused, holder, left(ticket, (copy,)))
+                    refused = _with_copy(ticket, index, _with_refusal(arrived))
+                    yield with_entry(
+                        refused, holder, entry_after_refusal(ticket, (copy,))
+                    )
 
     def settle(state: State, ticket: TicketPart) -> Iterator[TicketPart]:
         if not ticket.asked:
             return
         for holder, entry in enumerate(ticket.entries):
             if entry == OPEN and may_start(state, holder):
-                kept = entry if "unburnt-not-run" in broken else BURNT
+                kept = entry if "unburnt-not-run" in bugs else BURNT
                 yield with_entry(ticket, holder, kept)._replace(said_not_run=True)
             if entry == BURNT:
                 yield ticket._replace(said_not_run=True)
 
     def keep(state: State, ticket: TicketPart) -> Iterator[TicketPart]:
-        for index, holder in _awaited(state, ticket, RAN):
-            kept = _viewed(ticket, index, RAN)
+        for index, holder in _pending_attempts(state, ticket, RAN):
+            kept = _with_view(ticket, index, RAN)
             yield with_entry(kept, holder, ANSWERED)
 
     def on_refusal(state: State, ticket: TicketPart) -> Iterator[TicketPart]:
-        for index, holder in _awaited(state, ticket, REFUSED):
-            heard = _viewed(ticket, index, REFUSED)
+        for index, holder in _pending_attempts(state, ticket, REFUSED):
+            heard = _with_view(ticket, index, REFUSED)
             if len(ticket.attempts) < bound.attempts:
-                yield _attempted(heard, holder)
+                yield _with_attempt(heard, holder)
             waiting = tuple(c for c in heard.copies if c.place == ARRIVED)
             copies = tuple(
-                _refused(c) if c.place == ARRIVED else c for c in heard.copies
+                _with_refusal(c) if c.place == ARRIVED else c for c in heard.copies
             )
-            entry = left(heard, waiting)
+            entry = entry_after_refusal(heard, waiting)
             yield with_entry(heard._replace(copies=copies), holder, entry)
 
     def on_loss(state: State, ticket: TicketPart) -> Iterator[TicketPart]:
-        for index, holder in _awaited(state, ticket, None):
-            lost = _viewed(ticket, index, LOST)
+        for index, holder in _pending_attempts(state, ticket, None):
+            lost = _with_view(ticket, index, LOST)
             yield with_entry(lost, holder, UNKNOWN)
-            if "retry-unknown" in broken and len(ticket.attempts) < bound.attempts:
-                yield _attempted(lost, holder)
+            if "retry-unknown" in bugs and len(ticket.attempts) < bound.attempts:
+                yield _with_attempt(lost, holder)
 
-    def fall_out(state: State, ticket: TicketPart) -> Iterator[TicketPart]:
+    def forget(state: State, ticket: TicketPart) -> Iterator[TicketPart]:
         for holder, entry in enumerate(ticket.entries):
             if entry in (OPEN, ANSWERED, UNKNOWN, BURNT):
-                yield with_entry(ticket, holder, OUT)
+                yield with_entry(ticket, holder, FORGOTTEN)
 
     return (
-        Action("holder takes a copy", carriers.HOME_START, each_ticket(take_copy)),
-        Action("holder burns it", carriers.HOME_BURN, each_ticket(settle)),
-        Action("holder keeps the answer", carriers.HOME_KEEP, each_ticket(keep)),
-        Action("holder hears a refusal", carriers.DISPATCH, each_ticket(on_refusal)),
-        Action("holder loses the link", carriers.DISPATCH, each_ticket(on_loss)),
-        Action("holder forgets it", carriers.WINDOW_SHRINK, each_ticket(fall_out)),
+        Action(
+            "holder takes a copy", implementations.HOME_START, each_ticket(take_copy)
+        ),
+        Action("holder burns it", implementations.HOME_BURN, each_ticket(settle)),
+        Action("holder keeps the answer", implementations.HOME_KEEP, each_ticket(keep)),
+        Action(
+            "holder hears a refusal", implementations.DISPATCH, each_ticket(on_refusal)
+        ),
+        Action("holder loses the link", implementations.DISPATCH, each_ticket(on_loss)),
+        Action("holder forgets it", implementations.WINDOW_SHRINK, each_ticket(forget)),
     )
 
 
-def _refused(copy: Copy) -> Copy:
+def _with_refusal(copy: Copy) -> Copy:
     """Tell the caller that a copy was not run, if it still waits for it."""
     return copy._replace(place=ARRIVED, view=REFUSED if copy.view == WAITING else LOST)
 
 
-def _attempted(ticket: TicketPart, holder: int) -> TicketPart:
+def _with_attempt(ticket: TicketPart, holder: int) -> TicketPart:
     return ticket._replace(attempts=(*ticket.attempts, Attempt(holder)))
 
 
-def _awaited(
+def _pending_attempts(
     state: State, ticket: TicketPart, place: str | None
 ) -> Iterator[tuple[int, int]]:
     """Yield index and holder of attempts that are waited for, at a place if given."""
@@ -236,7 +248,7 @@
             yield index, attempt.holder
 
 
-def _viewed(ticket: TicketPart, index: int, view: str) -> TicketPart:
+def _with_view(ticket: TicketPart, index: int, view: str) -> TicketPart:
     attempts = list(ticket.attempts)
     attempts[index] = attempts[index]._replace(view=view)
     return ticket._replace(attempts=tuple(attempts))
@@ -254,20 +266,20 @@
         return each_ticket(steps)
 
     return (
-        Action("backend server starts it", carriers.SERVE, move(FLYING, RUNNING)),
-        Action("gate refuses it", carriers.GATE_ENTER, move(FLYING, REFUSED)),
-        Action("the frame is lost", ENVIRONMENT, move(FLYING, DROPPED)),
+        Action(
+            "backend server starts it", implementations.SERVE, move(IN_FLIGHT, RUNNING)
+        ),
+        Action("gate refuses it", implementations.GATE_ENTER, move(IN_FLIGHT, REFUSED)),
+        Action("the frame is lost", ENVIRONMENT, move(IN_FLIGHT, DROPPED)),
         Action("it has run", ENVIRONMENT, move(RUNNING, RAN)),
     )
 
 
-def _hand_over_actions(
-    bound: TicketBound, broken: frozenset[str]
-) -> tuple[Action, ...]:
+def _hand_over_actions(bound: TicketBound, bugs: frozenset[str]) -> tuple[Action, ...]:
     def freeze(state: State) -> Iterator[State]:
         if state.life == 1 and state.home == UP:
-            snapshot = tuple(_handed(ticket) for ticket in state.tickets)
-            home = UP if "hand-over-early" in broken else FROZEN
+            snapshot = tuple(_entry_to_hand_over(ticket) for ticket in state.tickets)
+            home = UP if "hand-over-early" in bugs else FROZEN
             yield state._replace(home=home, snapshot=snapshot)
 
     def adopt(state: State) -> Iterator[State]:
@@ -275,7 +287,7 @@
             return
         for successor in range(bound.successors):
             # The last message goes to a second peer only if the first surely lacks it.
-            if any(state.ended) and "hand-over-twice" not in broken:
+            if any(state.ended) and "hand-over-twice" not in bugs:
                 continue
             if state.ended[successor]:
                 continue
@@ -287,25 +299,32 @@
             ended[successor] = True
             yield state._replace(tickets=tickets, ended=tuple(ended))
 
-    def late(state: State, ticket: TicketPart) -> Iterator[TicketPart]:
+    def send_late_outcome(state: State, ticket: TicketPart) -> Iterator[TicketPart]:
         entry = ticket.entries[HOME]
         for holder in range(1, bound.successors + 1):
-            if ticket.entries[holder] == ELSEWHERE and entry not in (STARTED, NOTHING):
+            if ticket.entries[holder] == STARTED_BY_HOME and entry not in (
+                STARTED,
+                NO_ENTRY,
+            ):
                 yield with_entry(ticket, holder, entry)
 
     return (
-        Action("home hands over", carriers.HAND_OVER, freeze),
-        Action("successor adopts", carriers.ADOPT_WINDOW, adopt),
-        Action("home sends a late outcome", carriers.LATE_OUTCOME, each_ticket(late)),
+        Action("home hands over", implementations.HAND_OVER, freeze),
+        Action("successor adopts", implementations.ADOPT_WINDOW, adopt),
+        Action(
+            "home sends a late outcome",
+            implementations.LATE_OUTCOME,
+            each_ticket(send_late_outcome),
+        ),
     )
 
 
-def _handed(ticket: TicketPart) -> str:
+def _entry_to_hand_over(ticket: TicketPart) -> str:
     entry = ticket.entries[HOME]
-    return ELSEWHERE if entry == STARTED else entry
+    return STARTED_BY_HOME if entry == STARTED else entry
 
 
-def _process_actions(bound: TicketBound, broken: frozenset[str]) -> tuple[Action, ...]:
+def _process_actions(bound: TicketBound, bugs: frozenset[str]) -> tuple[Action, ...]:
     def pause(state: State) -> Iterator[State]:
         if state.home == UP:
             yield state._replace(home=PAUSED)
@@ -317,16 +336,16 @@
     def end_home(state: State) -> Iterator[State]:
         if state.life >= bound.lives:
             return
-        entry = OPEN if "reborn-home" in broken else NOTHING
+        entry = OPEN if "reborn-home" in bugs else NO_ENTRY
         tickets = tuple(with_entry(t, HOME, entry) for t in state.tickets)
-        life = 1 if "reborn-home" in broken else state.life + 1
+        life = 1 if "reborn-home" in bugs else state.life + 1
         yield state._replace(life=life, home=UP, tickets=tickets)
 
     def end_successor(state: State) -> Iterator[State]:
         for successor in range(bound.successors):
             if state.ended[successor]:
                 tickets = tuple(
-                    with_entry(t, successor + 1, NOTHING) for t in state.tickets
+                    with_entry(t, successor + 1, NO_ENTRY) for t in state.tickets
                 )
                 yield state._replace(tickets=tickets)
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/quotas/ways.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/quotas/algorithms.py
@@ -10,7 +10,7 @@
 from fuchsiagap.core.workspaces.ownership import candidates, owner_of
 from fuchsiagap.core.workspaces.token_bucket import TokenBucket
 from fuchsiagap.core.workspaces.token_cache import TokenCache
-from fuchsiagap_standins.quotas.scenario import N_PLACES
+from fuchsiagap_standins.quotas.scenario import N_DATA_CENTRES
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
@@ -20,16 +20,16 @@
     from fuchsiagap_standins.quotas.scenario import Scenario
 
 # Milliseconds between two rounds in which nodes tell each other their demand.
-_ROUND_MS = 500.0
+_GOSSIP_PERIOD_MS = 500.0
 # Nodes that each tells, in a round.
-_FAN_OUT = 8
+_GOSSIP_FANOUT = 8
 # Milliseconds that a message takes, with the work at both ends.
 _DELAY_MS = 3.0
 # Bytes of a question or an answer, and of one workspace in a round.
 _MESSAGE_BYTES = 40
 _ROW_BYTES = 12
 # Milliseconds until a node is known to be out of reach.
-_DETECTED_MS = 1_000.0
+_DETECTION_MS = 1_000.0
 
 
 @dataclass(slots=True)
@@ -44,27 +44,27 @@
         When each node last started.
     down : set of int
         Nodes that are down.
-    is_cut : bool
+    is_partitioned : bool
         Whether the first place is cut off.
-    cut_at : float
+    partitioned_at : float
         Since when.
     """
 
     scenario: Scenario
     started: list[Milliseconds]
     down: set[int] = field(default_factory=set)
-    is_cut: bool = False
-    cut_at: Milliseconds = 0.0
+    is_partitioned: bool = False
+    partitioned_at: Milliseconds = 0.0
 
     def reaches(self, one: int, other: int) -> bool:
         """Whether a message of one node gets to another."""
         if one in self.down or other in self.down:
             return False
-        across = (one % N_PLACES == 0) != (other % N_PLACES == 0)
-        return not (self.is_cut and across)
+        across = (one % N_DATA_CENTRES == 0) != (other % N_DATA_CENTRES == 0)
+        return not (self.is_partitioned and across)
 
 
-class Way(Protocol):
+class QuotaAlgorithm(Protocol):
     """A way to keep quotas.
 
     Attributes
@@ -119,17 +119,17 @@
     def __init__(self, fleet: Fleet, workspaces: Sequence[Workspace]) -> None:
         self._fleet = fleet
         self._workspaces = workspaces
-        self._asked: list[Counter[int]] = [
+        self._demand: list[Counter[int]] = [
             Counter() for _ in range(fleet.scenario.n_nodes)
         ]
-        self._told = self._asked
-        self._next = _ROUND_MS
+        self._known_demand = self._demand
+        self._next = _GOSSIP_PERIOD_MS
         self._buckets: dict[tuple[int, int], TokenBucket] = {}
         self.messages = self.n_bytes = 0
 
     def admits(self, node: int, workspace: int, now: Milliseconds) -> bool:
         """Return whether a request is let in."""
-        self._asked[node][workspace] += 1
+        self._demand[node][workspace] += 1
         bucket = self._buckets.get((node, workspace))
         if bucket is None:
             bucket = self._buckets[node, workspace] = TokenBucket(now, is_full=False)
@@ -140,31 +140,31 @@
         return bucket.take(1) == 1
 
     def _share(self, node: int, workspace: int) -> float:
-        heard = [
-            told[workspace]
-            for other, told in enumerate(self._told)
+        visible_demand = [
+            demand[workspace]
+            for other, demand in enumerate(self._known_demand)
             if other == node or self._fleet.reaches(other, node)
         ]
-        whole = sum(heard)
-        if not whole:
-            return 1.0 / len(self._told)
-        return self._told[node][workspace] / whole
+        total = sum(visible_demand)
+        if not total:
+            return 1.0 / len(self._known_demand)
+        return self._known_demand[node][workspace] / total
 
     def tick(self, now: Milliseconds) -> None:
         """Tell what was asked for, once a round."""
         if now < self._next:
             return
-        self._next += _ROUND_MS
-        self._told = self._asked
-        self._asked = [Counter() for _ in self._told]
-        for told in self._told:
+        self._next += _GOSSIP_PERIOD_MS
+        self._known_demand = self._demand
+        self._demand = [Counter() for _ in self._known_demand]
+        for demand in self._known_demand:
             # What is new spreads over all by a few messages of each node.
-            self.messages += _FAN_OUT
-            self.n_bytes += _FAN_OUT * _ROW_BYTES * len(told)
+            self.messages += _GOSSIP_FANOUT
+            self.n_bytes += _GOSSIP_FANOUT * _ROW_BYTES * len(demand)
 
     def restart(self, node: int) -> None:
         """Forget what a node knew."""
-        self._asked[node] = Counter()
+        self._demand[node] = Counter()
         for key in [key for key in self._buckets if key[0] == node]:
             del self._buckets[key]
 
@@ -176,7 +176,7 @@
         self._fleet = fleet
         self._workspaces = workspaces
         nodes = [f"n{node}" for node in range(fleet.scenario.n_nodes)]
-        self._orders = [
+        self._owner_candidates = [
             [int(name[1:]) for name in candidates(workspace.name, nodes)]
             for workspace in workspaces
         ]
@@ -209,10 +209,10 @@
             self.n_bytes += 2 * _MESSAGE_BYTES
             if not self._fleet.reaches(node, owner):
                 return
-        is_first = self._orders[workspace][0] == owner
+        is_first = self._owner_candidates[workspace][0] == owner
         begins_full = is_first and self._fleet.started[owner] == 0.0
         grant = self._grants[owner].grant(
-            quota, wanted, now, self._part(owner, now), begins_full
+            quota, wanted, now, self._quota_part(owner, now), begins_full
         )
         self._token_caches[node].add(quota.name, Grant(grant.tokens, grant.wait), now)
 
@@ -222,15 +222,25 @@
             if self._fleet.reaches(node, other):
                 return True
             # Out of reach for less than it takes to notice: it still counts.
-            return self._fleet.is_cut and now - self._fleet.cut_at < _DETECTED_MS
+            return (
+                self._fleet.is_partitioned
+                and now - self._fleet.partitioned_at < _DETECTION_MS
+            )
 
-        found = owner_of(map(str, self._orders[workspace]), is_up)
+        found = owner_of(map(str, self._owner_candidates[workspace]), is_up)
         return None if found is None else int(found)
 
-    def _part(self, owner: int, now: Milliseconds) -> float:
-        if not self._fleet.is_cut or now - self._fleet.cut_at < _DETECTED_MS:
+    def _quota_part(self, owner: int, now: Milliseconds) -> float:
+        if (
+            not self._fleet.is_partitioned
+            or now - self._fleet.partitioned_at < _DETECTION_MS
+        ):
             return 1.0
-        return 1.0 / N_PLACES if owner % N_PLACES == 0 else 1.0 - 1.0 / N_PLACES
+        return (
+            1.0 / N_DATA_CENTRES
+            if owner % N_DATA_CENTRES == 0
+            else 1.0 - 1.0 / N_DATA_CENTRES
+        )
 
     def tick(self, now: Milliseconds) -> None:
         """Do nothing."""
@@ -241,7 +251,7 @@
         self._grants[node] = QuotaGrants()
 
 
-WAYS: dict[str, Callable[[Fleet, Sequence[Workspace]], Way]] = {
+ALGORITHMS: dict[str, Callable[[Fleet, Sequence[Workspace]], QuotaAlgorithm]] = {
     "equal shares": EqualShares,
     "shares by demand": DemandShares,
     "tokens of an owner": OwnerTokens,
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/quotas/scenario.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/quotas/scenario.py
@@ -15,7 +15,7 @@
     from fuchsiagap.core.clock import Milliseconds
 
 # Data centres that the nodes are spread over.
-N_PLACES = 3
+N_DATA_CENTRES = 3
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,15 +32,15 @@
         Workspaces; their rates fall with their number, so that a few are large.
     rate : float
         Requests a second of all of them together.
-    quota_times : float
+    quota_factor : float
         Limit of a workspace by what it usually asks for.
-    hot_times : float
+    hot_factor : float
         By what the largest asks for more in the middle third.
     moves : bool
         Whether half of the callers go to nodes of another place in the middle third.
     kills : bool
         Whether a node is killed, and starts again a second later, each second.
-    cut : bool
+    partitions : bool
         Whether one place is cut off in the middle third.
     length : float
         Milliseconds.
@@ -50,26 +50,29 @@
     n_nodes: int
     n_workspaces: int = 71
     rate: float = 2_000.0
-    quota_times: float = 1.6
-    hot_times: float = 1.0
+    quota_factor: float = 1.6
+    hot_factor: float = 1.0
     moves: bool = False
     kills: bool = False
-    cut: bool = False
+    partitions: bool = False
     length: Milliseconds = 18_000.0
 
-    def is_middle(self, now: Milliseconds) -> bool:
+    def is_middle_third(self, now: Milliseconds) -> bool:
         """Whether a moment lies in the middle third."""
         return self.length / 3 <= now < self.length * 2 / 3
 
-    def usual(self) -> list[float]:
+    def mean_rates(self) -> list[float]:
         """Return the requests a second of each workspace."""
         weights = [1.0 / (number + 1) ** 0.8 for number in range(self.n_workspaces)]
-        whole = sum(weights)
-        return [self.rate * weight / whole for weight in weights]
+        total = sum(weights)
+        return [self.rate * weight / total for weight in weights]
 
     def workspaces(self) -> list[Workspace]:
         """Return the workspaces with their limits."""
-        limits = [max(round(self.quota_times * usual), 1) for usual in self.usual()]
+        limits = [
+            max(round(self.quota_factor * mean_rate), 1)
+            for mean_rate in self.mean_rates()
+        ]
         return [
             Workspace(f"w{number}", rate=float(limit), burst=float(limit))
             for number, limit in enumerate(limits)
@@ -77,7 +80,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class QuotaRequest:
     """One request.
 
     Parameters
@@ -93,29 +96,29 @@
     node: int
 
 
-def requests(scenario: Scenario, seed: int) -> list[Asked]:
+def generate_requests(scenario: Scenario, seed: int) -> list[QuotaRequest]:
     """Return the requests of a scenario in the order of time."""
     rng = random.Random(seed)
-    asked = []
-    for workspace, usual in enumerate(scenario.usual()):
+    arrivals = []
+    for workspace, mean_rate in enumerate(scenario.mean_rates()):
         # Callers of a small workspace stand on few nodes, of a large one on all.
-        n_homes = min(max(round(usual), 2), scenario.n_nodes)
-        homes = rng.sample(range(scenario.n_nodes), n_homes)
-        for at in _times(scenario, workspace, usual, rng):
-            node = rng.choice(homes)
-            if scenario.moves and scenario.is_middle(at) and rng.random() < 0.5:
+        n_caller_nodes = min(max(round(mean_rate), 2), scenario.n_nodes)
+        caller_nodes = rng.sample(range(scenario.n_nodes), n_caller_nodes)
+        for at in _arrival_times(scenario, workspace, mean_rate, rng):
+            node = rng.choice(caller_nodes)
+            if scenario.moves and scenario.is_middle_third(at) and rng.random() < 0.5:
                 node = (node + 1) % scenario.n_nodes
-            asked.append(Asked(at, workspace, node))
-    return sorted(asked, key=lambda request: request.at)
+            arrivals.append(QuotaRequest(at, workspace, node))
+    return sorted(arrivals, key=lambda request: request.at)
 
 
-def _times(
-    scenario: Scenario, workspace: int, usual: float, rng: random.Random
+def _arrival_times(
+    scenario: Scenario, workspace: int, mean_rate: float, rng: random.Random
 ) -> Iterator[Milliseconds]:
     at = 0.0
     while True:
-        hot = workspace == 0 and scenario.is_middle(at)
-        rate = usual * (scenario.hot_times if hot else 1.0)
+        hot = workspace == 0 and scenario.is_middle_third(at)
+        rate = mean_rate * (scenario.hot_factor if hot else 1.0)
         at += MS_PER_S * rng.expovariate(rate)
         if at >= scenario.length:
             return
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/quotas/play.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/quotas/simulation.py
@@ -1,6 +1,6 @@
 """Plays of ways to keep quotas, judged by an exact token bucket.
 
-Run as ``python -m fuchsiagap_standins.quotas.play [SEED]``; prints a table.
+Run as ``python -m fuchsiagap_standins.quotas.simulation [SEED]``; prints a table.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 
 from fuchsiagap.core.clock import MS_PER_S
 from fuchsiagap.core.workspaces.token_bucket import TokenBucket
-from fuchsiagap_standins.quotas.scenario import Scenario, requests
-from fuchsiagap_standins.quotas.ways import WAYS, Fleet
+from fuchsiagap_standins.quotas.algorithms import ALGORITHMS, Fleet
+from fuchsiagap_standins.quotas.scenario import Scenario, generate_requests
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
     from fuchsiagap.core.clock import Milliseconds
     from fuchsiagap.core.workspaces.model import Workspace
-    from fuchsiagap_standins.quotas.ways import Way
+    from fuchsiagap_standins.quotas.algorithms import QuotaAlgorithm
 
 # The window and the tolerance in which a quota is judged.
 WINDOW_MS = 5_000.0
-OVERRUN = 0.1
-SLACK = 20.0
+RELATIVE_TOLERANCE = 0.1
+ABSOLUTE_TOLERANCE = 20.0
 # Milliseconds between two kills; a node is down until the next one.
 _KILL_MS = 1_000.0
 
@@ -34,13 +34,13 @@
     Scenario("calm, 60 nodes", 60),
     Scenario("calm, 300 nodes", 300),
     Scenario("calm, 3,200 nodes", 3_200),
-    Scenario("one asks 7.5 times, 60 nodes", 60, hot_times=7.5),
-    Scenario("one asks 7.5 times, 300 nodes", 300, hot_times=7.5),
+    Scenario("one asks 7.5 times, 60 nodes", 60, hot_factor=7.5),
+    Scenario("one asks 7.5 times, 300 nodes", 300, hot_factor=7.5),
     Scenario("half of the callers move, 60 nodes", 60, moves=True),
     Scenario("a node a second is killed, 60 nodes", 60, kills=True),
-    Scenario("killed, and 7.5 times", 60, kills=True, hot_times=7.5),
-    Scenario("a place is cut off, 60 nodes", 60, cut=True),
-    Scenario("cut off, and 7.5 times", 60, cut=True, hot_times=7.5),
+    Scenario("killed, and 7.5 times", 60, kills=True, hot_factor=7.5),
+    Scenario("a place is cut off, 60 nodes", 60, partitions=True),
+    Scenario("cut off, and 7.5 times", 60, partitions=True, hot_factor=7.5),
 )
 
 
@@ -69,8 +69,10 @@
     """Requests of one workspace that were let in of late."""
 
     def __init__(self, workspace: Workspace) -> None:
-        plain = workspace.rate * WINDOW_MS / MS_PER_S + workspace.burst
-        self._most = plain * (1.0 + OVERRUN) + SLACK
+        exact_limit = workspace.rate * WINDOW_MS / MS_PER_S + workspace.burst
+        self._max_admitted = (
+            exact_limit * (1.0 + RELATIVE_TOLERANCE) + ABSOLUTE_TOLERANCE
+        )
         self._at: deque[Milliseconds] = deque()
         self.worst = 0.0
 
@@ -79,46 +81,48 @@
         while self._at and self._at[0] <= now - WINDOW_MS:
             self._at.popleft()
         self._at.append(now)
-        self.worst = max(self.worst, len(self._at) / self._most)
+        self.worst = max(self.worst, len(self._at) / self._max_admitted)
 
 
-def play(
+def simulate(
     scenario: Scenario,
-    make: Callable[[Fleet, Sequence[Workspace]], Way],
+    make: Callable[[Fleet, Sequence[Workspace]], QuotaAlgorithm],
     seed: int,
 ) -> Figures:
     """Play a scenario with one way."""
     workspaces = scenario.workspaces()
     fleet = Fleet(scenario, [0.0] * scenario.n_nodes)
-    way = make(fleet, workspaces)
+    algorithm = make(fleet, workspaces)
     oracle = [TokenBucket(0.0, is_full=True) for _ in workspaces]
     windows = [_Window(workspace) for workspace in workspaces]
-    owed = refused = 0
-    for request in requests(scenario, seed):
+    admissible = refused = 0
+    for request in generate_requests(scenario, seed):
         now = request.at
-        _bring(scenario, fleet, way, now)
-        way.tick(now)
+        _inject_faults(scenario, fleet, algorithm, now)
+        algorithm.tick(now)
         if request.node in fleet.down:
             continue
         quota = workspaces[request.workspace]
         exact = oracle[request.workspace]
         exact.fill(quota.rate, quota.burst, now)
-        is_owed = exact.take(1) == 1
-        owed += is_owed
-        if way.admits(request.node, request.workspace, now):
+        is_admissible = exact.take(1) == 1
+        admissible += is_admissible
+        if algorithm.admits(request.node, request.workspace, now):
             windows[request.workspace].add(now)
         else:
-            refused += is_owed
+            refused += is_admissible
     seconds = scenario.length / MS_PER_S * scenario.n_nodes
     return Figures(
         max(window.worst for window in windows),
-        refused / max(owed, 1),
-        way.messages / seconds,
-        way.n_bytes / seconds,
+        refused / max(admissible, 1),
+        algorithm.messages / seconds,
+        algorithm.n_bytes / seconds,
     )
 
 
-def _bring(scenario: Scenario, fleet: Fleet, way: Way, now: Milliseconds) -> None:
+def _inject_faults(
+    scenario: Scenario, fleet: Fleet, algorithm: QuotaAlgorithm, now: Milliseconds
+) -> None:
     """Let nodes be killed and come back, and a place be cut off."""
     if scenario.kills:
         victim = int(now // _KILL_MS) * 7 % scenario.n_nodes
@@ -126,11 +130,11 @@
             for node in fleet.down:
                 fleet.started[node] = now
             fleet.down = {victim}
-            way.restart(victim)
-    is_cut = scenario.cut and scenario.is_middle(now)
-    if is_cut and not fleet.is_cut:
-        fleet.cut_at = now
-    fleet.is_cut = is_cut
+            algorithm.restart(victim)
+    is_partitioned = scenario.partitions and scenario.is_middle_third(now)
+    if is_partitioned and not fleet.is_partitioned:
+        fleet.partitioned_at = now
+    fleet.is_partitioned = is_partitioned
 
 
 def main() -> None:
@@ -141,8 +145,8 @@
     )
     print(head, "|---|---|---|---|---|---|", sep="\n")
     for scenario in SCENARIOS:
-        for name, make in WAYS.items():
-            found = play(scenario, make, seed)
+        for name, make in ALGORITHMS.items():
+            found = simulate(scenario, make, seed)
             print(
                 f"| {scenario.name} | {name} | {found.overrun:.2f}"
                 f" | {100 * found.refused:.2f}% | {found.messages:.1f}"
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/mesh/test_bench_path.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/mesh/test_bench_path.py
@@ -8,4 +8,4 @@
     def test_every_request_is_answered_and_paid_for(self):
         figures = run_on_loopback(lambda: measure(64))
         self.assertEqual((64, 64), (figures.requests, figures.answered))
-        self.assertGreater(figures.us_a_request, 0.0)
+        self.assertGreater(figures.us_per_request, 0.0)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/mesh/test_quarantine_play.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/mesh/test_quarantine_simulation.py
@@ -2,20 +2,23 @@
 
 from testtools import TestCase
 
-from fuchsiagap_standins.mesh.quarantine_play import play_history, play_many
+from fuchsiagap_standins.mesh.quarantine_simulation import (
+    simulate_histories,
+    simulate_history,
+)
 
 SEEDS = range(100)
 
 
 class TestQuarantinePlay(TestCase):
     def test_bound_holds_and_innocent_requests_are_served(self):
-        tables, bad = play_many(SEEDS)
+        tables, bad = simulate_histories(SEEDS)
         self.assertEqual([], bad)
         self.assertEqual({0, 1, 2, 3}, set(tables))
-        innocent = sum(table.innocent for table in tables.values())
+        harmless = sum(table.harmless for table in tables.values())
         refused = sum(table.refused for table in tables.values())
-        self.assertLess(refused, 0.001 * innocent)
-        self.assertGreater(sum(table.guilty for table in tables.values()), 50)
+        self.assertLess(refused, 0.001 * harmless)
+        self.assertGreater(sum(table.crashing for table in tables.values()), 50)
 
     def test_history_of_one_seed_is_the_same_again(self):
-        self.assertEqual(play_history(7), play_history(7))
+        self.assertEqual(simulate_history(7), simulate_history(7))
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/model/test_model.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/model/test_model.py
@@ -4,15 +4,15 @@
 
 from testtools import TestCase
 
-from fuchsiagap_standins.model import carriers
+from fuchsiagap_standins.model import implementations
 from fuchsiagap_standins.model.spec import ENVIRONMENT, Action, Spec, check
 from fuchsiagap_standins.model.table import (
     BREAKS,
-    NOTHING_BROKEN,
+    NO_BUGS,
     TABLE,
     Bound,
     check_all,
-    check_broken,
+    check_planted_bug,
 )
 
 
@@ -28,7 +28,7 @@
 class PlantedBugTest(TestCase):
     def test_every_planted_bug_has_a_counterexample(self):
         for name in BREAKS:
-            found = check_broken(name).counterexamples
+            found = check_planted_bug(name).counterexamples
             self.assertTrue(found, name)
             self.assertTrue(all(len(c.steps) > 1 for c in found), name)
 
@@ -46,13 +46,13 @@
 
 class CheckTest(TestCase):
     def test_an_unfinished_search_does_not_hold(self):
-        spec = TABLE[0].make(Bound.SMALL, NOTHING_BROKEN)
+        spec = TABLE[0].make(Bound.SMALL, NO_BUGS)
         result = check(spec, max_states=50)
         self.assertFalse(result.exhaustive)
         self.assertFalse(result.holds)
 
     def test_an_unreachable_goal_is_a_trap(self):
-        design = TABLE[-1].make(Bound.SMALL, NOTHING_BROKEN)
+        design = TABLE[-1].make(Bound.SMALL, NO_BUGS)
         no_adoption = tuple(a for a in design.actions if a.name != "node adopts a text")
         spec = Spec("stuck", design.initial, no_adoption, {}, design.goal)
         self.assertTrue(check(spec, max_states=100_000).trap)
@@ -61,16 +61,18 @@
 class CarrierTest(TestCase):
     def test_each_action_names_what_carries_it(self):
         for action in _actions():
-            if action.carried_by != ENVIRONMENT:
-                self.assertTrue(_resolves(action.carried_by), action.carried_by)
+            if action.implemented_by != ENVIRONMENT:
+                self.assertTrue(_resolves(action.implemented_by), action.implemented_by)
 
     def test_no_carrier_is_unused(self):
-        named = {value for key, value in vars(carriers).items() if key[0].isupper()}
-        self.assertEqual(set(), named - {a.carried_by for a in _actions()})
+        named = {
+            value for key, value in vars(implementations).items() if key[0].isupper()
+        }
+        self.assertEqual(set(), named - {a.implemented_by for a in _actions()})
 
 
 def _actions() -> list[Action]:
-    return [a for e in TABLE for a in e.make(Bound.SMALL, NOTHING_BROKEN).actions]
+    return [a for e in TABLE for a in e.make(Bound.SMALL, NO_BUGS).actions]
 
 
 def _resolves(carrier: str) -> bool:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/quotas/test_play.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/quotas/test_simulation.py
@@ -4,9 +4,9 @@
 
 from testtools import TestCase
 
-from fuchsiagap_standins.quotas.play import play
+from fuchsiagap_standins.quotas.algorithms import EqualShares, OwnerTokens
 from fuchsiagap_standins.quotas.scenario import Scenario
-from fuchsiagap_standins.quotas.ways import EqualShares, OwnerTokens
+from fuchsiagap_standins.quotas.simulation import simulate
 
 SMALL = Scenario("small", 24, n_workspaces=20, rate=400.0, length=15_000.0)
 SEEDS = range(4)
@@ -15,19 +15,19 @@
 class TestPlay(TestCase):
     def test_next_to_nothing_is_refused_below_the_limit_on_a_calm_day(self):
         for seed in SEEDS:
-            found = play(SMALL, OwnerTokens, seed)
+            found = simulate(SMALL, OwnerTokens, seed)
             self.assertLess(found.refused, 0.0005, seed)
 
     def test_quota_holds_whatever_happens(self):
         for changes in (
-            {"hot_times": 7.5},
-            {"hot_times": 7.5, "moves": True},
-            {"hot_times": 7.5, "kills": True},
-            {"hot_times": 7.5, "cut": True},
+            {"hot_factor": 7.5},
+            {"hot_factor": 7.5, "moves": True},
+            {"hot_factor": 7.5, "kills": True},
+            {"hot_factor": 7.5, "partitions": True},
         ):
             for seed in SEEDS:
-                found = play(replace(SMALL, **changes), OwnerTokens, seed)
+                found = simulate(replace(SMALL, **changes), OwnerTokens, seed)
                 self.assertLessEqual(found.overrun, 1.0, (changes, seed))
 
     def test_play_sees_what_equal_shares_refuse(self):
-        self.assertGreater(play(SMALL, EqualShares, 1).refused, 0.1)
+        self.assertGreater(simulate(SMALL, EqualShares, 1).refused, 0.1)
