--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_quotas.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_quotas.py
@@ -141,7 +141,7 @@
                 host.server.crash()
                 await trio.sleep(5.0)
                 down, _ = await self.send_at_rate([host], 0.2, 2.0)
-                host.server.restart("i-again")
+                host.server.start_new_incarnation("i-again")
                 await trio.sleep(2.0)
                 up, _ = await self.send_at_rate([host], 0.1, 0.5)
                 return down, up
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/__init__.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for nodes of a deployment: a store in memory, backend servers, callers."""
+"""Deployments of real nodes with test doubles of the store, servers and network."""
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/backend_server.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/backend_server.py
@@ -1,4 +1,4 @@
-"""A backend server that does what a test tells it to."""
+"""Backend server whose behaviour tests can set for each request."""
 
 from __future__ import annotations
 
@@ -26,11 +26,35 @@
 
 
 class CallFailed(Exception):
-    """A call that a request needs has failed: its answer is a 500."""
+    """A nested call failed, so the request is answered with status 500."""
 
 
 class ResponseMode(Enum):
-    """How a request is answered."""
+    """How the server responds to a request.
+
+    Attributes
+    ----------
+    ANSWER
+        Sends the response.
+    REFUSE
+        Responds with 503 and the header that says that the request was not run.
+    CUT
+        Closes the connection without a response.
+    SHORT
+        Closes the connection two bytes before the end of the response.
+    GARBLE
+        Sends bytes that are not HTTP.
+    MUTE
+        Sends nothing and keeps the connection open.
+    LATE_EXTRA
+        Sends the response, and a second one that nobody requested.
+    UNFRAMED
+        Sends the response without a length and closes the connection.
+    CRASH
+        Crashes, which closes all connections.
+    CRASH_SILENTLY
+        Crashes, and keeps all connections open.
+    """
 
     ANSWER = "answer"
     REFUSE = "refuse"
@@ -46,18 +70,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Behaviour:
-    """What becomes of one request.
+    """How the server handles one request.
 
     Parameters
     ----------
-    mode : ResponseMode
-        How it is answered.
-    work : float
-        Milliseconds of work.
-    status : int
-        Status of the answer.
-    body : bytes
-        Body of the answer.
+    mode : ResponseMode, default=ANSWER
+        How it responds.
+    work : float, default=0.0
+        Milliseconds that the request runs before that.
+    status : int, default=200
+        Status of the response.
+    body : bytes, default=b"whole"
+        Body of the response.
     """
 
     mode: ResponseMode = ResponseMode.ANSWER
@@ -67,36 +91,36 @@
 
 
 class BackendServer:
-    """Takes requests on loopback and records what runs.
+    """Serves requests on loopback and records which ones ran.
 
     Parameters
     ----------
     address : str
         ``IP:PORT``.
     instance : str
-        Its incarnation; requests for another one are misdirected.
+        Incarnation of the server; requests for another one are answered with 421.
     names : HeaderNames, optional
-        Header names that it speaks.
+        Header names of requests and responses.
 
     Attributes
     ----------
     runs : Counter
-        Runs by identifier of the request.
+        Number of runs by identifier of the request.
     heads : list of Request
-        Requests as they came in.
+        All requests in order of arrival.
     cancelled : list of str
-        Identifiers of requests whose connection closed while they ran.
+        Identifiers of requests whose connection was closed while they ran.
     connections : int
-        Connections accepted so far.
+        Number of accepted connections.
     behave : callable
-        Returns what becomes of a request.
+        Returns the `Behaviour` for a request.
     on_run : callable or None
-        Told the identifier of a request that runs, and awaited before it is answered:
-        for calls of its own. It may raise `CallFailed`.
+        Called with the identifier of each request that runs and awaited before the
+        response, to make nested calls. It may raise `CallFailed`.
     is_up : bool
-        Whether it takes connections.
+        Whether the server is up, that is, has not crashed.
     on_crash : callable or None
-        Told that a request has crashed the server.
+        Called after a request has crashed the server.
     """
 
     def __init__(
@@ -118,7 +142,7 @@
         self._started = trio.Event()
 
     async def run(self) -> None:
-        """Serve until cancelled, from each start to the next crash."""
+        """Serve until cancelled, except between a crash and the restart."""
         while True:
             with trio.CancelScope() as self._serve_scope:
                 async with trio.open_nursery() as nursery:
@@ -126,15 +150,15 @@
             await self._started.wait()
 
     def crash(self, silently: bool = False) -> None:
-        """Answer nothing more; close all connections, unless it happens silently."""
+        """Stop responding; unless `silently`, also close all connections."""
         self.is_up = False
         self._started = trio.Event()
         self._is_silent = silently
         if not silently:
             self._serve_scope.cancel()
 
-    def restart(self, instance: str) -> None:
-        """Serve as a new incarnation after a crash."""
+    def start_new_incarnation(self, instance: str) -> None:
+        """Restart as a new incarnation after a crash."""
         self.instance = instance
         self.is_up = True
         if self._is_silent:
@@ -144,7 +168,7 @@
 
     async def _serve(self, stream: Stream) -> None:
         self.connections += 1
-        # It reads every header as it came, so that tests see those of the node.
+        # The reader interprets no header, so that tests see those that the node sent.
         plain = HeaderNames(
             deadline=b"-", target=b"-", caller=b"-", key=b"-", workspace=b"-"
         )
@@ -167,7 +191,7 @@
         self.runs[request_id] += 1
         if not await self._work(stream, behaviour.work):
             self.cancelled.append(request_id)
-            raise BrokenStream("the caller left")
+            raise BrokenStream("the caller closed the connection")
         if (
             behaviour.mode in (ResponseMode.CRASH, ResponseMode.CRASH_SILENTLY)
             and self.is_up
@@ -185,7 +209,7 @@
         await self._send(stream, request_id, behaviour)
 
     async def _work(self, stream: Stream, work: float) -> bool:
-        """Work; False if the connection closes meanwhile."""
+        """Wait `work` milliseconds; return False if the connection closes first."""
         left = False
         if work:
             with trio.move_on_after(work / MS_PER_S):
@@ -204,23 +228,23 @@
                 await stream.send(self._framed_response(200, request_id, b"extra"))
             case ResponseMode.SHORT:
                 await stream.send(whole[: len(whole) - 2])
-                raise BrokenStream("told to cut the answer short")
+                raise BrokenStream("the response is truncated on purpose")
             case ResponseMode.GARBLE:
                 await stream.send(b"\x00\x01 no answer\r\n\r\n")
             case ResponseMode.UNFRAMED:
                 id_line = self._names.request_id + b": " + request_id.encode()
                 head = b"HTTP/1.1 %d X\r\n%s\r\n\r\n" % (b.status, id_line)
                 await stream.send(head + b.body)
-                raise BrokenStream("the answer ends with its connection")
+                raise BrokenStream("the end of the connection ends the response")
             case ResponseMode.MUTE:
                 await trio.sleep_forever()
             case _:
-                raise BrokenStream("told to cut the connection")
+                raise BrokenStream("the connection is closed on purpose")
 
     def _framed_response(
         self, status: int, request_id: str, body: bytes, not_run: bool = False
     ) -> bytes:
-        """Return an answer with its length."""
+        """Return an encoded response with a ``Content-Length``."""
         names = self._names
         lines = [
             b"HTTP/1.1 %d X" % status,
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/bench_fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/bench_fleet.py
@@ -1,9 +1,10 @@
-"""Processor time of a deployment of many nodes, on loopback in one process.
+"""Measures the CPU time of a deployment of many nodes, on loopback in one process.
 
 Run as ``python -m fuchsiagap_standins.mesh.bench_fleet [NODES [A_SECOND]]``. Each
-request makes two calls one after the other, and each of these four, so that one request
-is eleven arrivals at backend servers. The figure holds the stand-ins of callers and
-backend servers too: compare it between versions and between sizes only.
+request makes two nested calls one after the other, and each of these four, so that one
+request causes eleven arrivals at backend servers. The result includes the test doubles
+of callers and backend servers, so it is only meaningful for comparing versions of the
+software or numbers of nodes.
 """
 
 from __future__ import annotations
@@ -23,12 +24,12 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-# Services in the order of calls, the share of the nodes beside each, and how many calls
-# a request of the one before makes there.
+# Services in the order of calls, with their share of the nodes and the number of calls
+# that a request of the previous service makes to them.
 _SERVICES = (("pages", 0.45, 1), ("orders", 0.4, 2), ("stock", 0.15, 4))
 _ARRIVALS_PER_REQUEST = 11
 _DATA_CENTRES = ("hall-a", "hall-b", "hall-c")
-# Seconds for which requests are sent, and for which the nodes are watched at rest.
+# Seconds for which requests are sent, and for which the idle nodes are measured.
 _LOAD_S = 8.0
 _IDLE_S = 4.0
 _US_PER_S = 1e6
@@ -38,19 +39,18 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetFigures:
-    """What a run measured.
+    """Result of a measurement.
 
     Parameters
     ----------
     nodes : int
-        Nodes.
+        Number of nodes.
     requests, answered : int
-        Requests of callers sent, and answered with success.
+        Numbers of requests sent by callers, and of those answered with status 200.
     idle_ms : float
-        Milliseconds of processor time a second and node without any request.
+        CPU time per node in milliseconds per second, without any request.
     us_per_arrival : float
-        Microseconds of processor time for each arrival at a backend server, with all
-        that goes on beside it.
+        CPU time of the whole process in microseconds per arrival at a backend server.
     """
 
     nodes: int
@@ -63,7 +63,17 @@
 async def measure(
     nodes: int, request_rate: float, profile: cProfile.Profile | None = None
 ) -> FleetFigures:
-    """Start nodes, let them rest, then send requests to each in turn."""
+    """Measure a deployment, first idle and then with a constant rate of requests.
+
+    Parameters
+    ----------
+    nodes : int
+        Number of nodes.
+    request_rate : float
+        Requests per second of callers.
+    profile : cProfile.Profile, optional
+        Enabled while requests are sent.
+    """
     routes = [a_route(name, name, timeout=3_000.0) for name, _, _ in _SERVICES]
     async with a_deployment(*routes) as deployment:
         entry_hosts = _add_hosts(deployment, nodes)
@@ -89,7 +99,7 @@
 
 
 def _add_hosts(deployment: Deployment, nodes: int) -> list[Host]:
-    """Add the hosts of all services; return those beside the first service."""
+    """Add the hosts of all services; return those of the first service."""
     hosts: list[list[Host]] = []
     for name, share, _ in _SERVICES:
         hosts.append([])
@@ -105,7 +115,7 @@
 def _make_on_run(
     host: Host, service: str, times: int
 ) -> Callable[[str], Awaitable[None]]:
-    """Return what a server does while it runs a request: calls one after the other."""
+    """Return an `on_run` callback that makes `times` calls one after the other."""
 
     async def run(request_id: str) -> None:
         for number in range(times):
@@ -115,7 +125,7 @@
 
 
 async def _send_all(entry_hosts: list[Host], request_rate: float) -> int:
-    """Send requests evenly; return how many were answered with success."""
+    """Send requests at a constant rate; return how many were answered with 200."""
     answered = 0
 
     async def send(host: Host, request_id: str) -> None:
@@ -135,7 +145,7 @@
 
 
 def main() -> None:
-    """Measure and write one line; with ``profile`` as last word, what took the time."""
+    """Measure and print one line; with last argument ``profile``, also a profile."""
     words = sys.argv[1:]
     profile = cProfile.Profile() if words[-1:] == ["profile"] else None
     numbers = [float(word) for word in words if word != "profile"]
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/bench_path.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/bench_path.py
@@ -1,8 +1,8 @@
-"""Processor time of a request over two nodes, on loopback in one process.
+"""Measures the CPU time of a request through two nodes, on loopback in one process.
 
 Run as ``python -m fuchsiagap_standins.mesh.bench_path [REQUESTS]``. Two nodes, a
-backend server and callers on kept connections share the process, so the figure holds
-both ends of the callers' and the server's connections too.
+backend server and callers with persistent connections share the process, so the result
+includes both ends of the connections to callers and to the server.
 """
 
 from __future__ import annotations
@@ -21,23 +21,23 @@
     request_bytes,
 )
 
-# Callers at the same time, each with one request.
+# Number of concurrent callers, each with one request at a time.
 _CALLERS = 16
 _US_PER_S = 1e6
 
 
 @dataclass(frozen=True, slots=True)
 class PathFigures:
-    """What a run measured.
+    """Result of a measurement.
 
     Parameters
     ----------
     requests : int
-        Requests sent.
+        Number of requests sent.
     answered : int
-        Requests answered with success.
+        Number of requests answered with status 200.
     us_per_request : float
-        Processor time of the whole process for each request, in microseconds.
+        CPU time of the whole process per request, in microseconds.
     """
 
     requests: int
@@ -46,7 +46,7 @@
 
 
 async def measure(requests: int) -> PathFigures:
-    """Send requests from one node's callers to the other node's server."""
+    """Send `requests` requests through one node to the server of the other."""
     each = max(requests // _CALLERS, 1)
     answered = 0
     async with a_deployment(a_route("read")) as deployment:
@@ -73,13 +73,13 @@
 
 
 def processor_s() -> float:
-    """Return the processor time that this process has used, in seconds."""
+    """Return the CPU time that this process has used, in seconds."""
     usage = resource.getrusage(resource.RUSAGE_SELF)
     return usage.ru_utime + usage.ru_stime
 
 
 def main() -> None:
-    """Measure and write one line."""
+    """Measure and print the result in one line."""
     requests = int(sys.argv[1]) if len(sys.argv) > 1 else 8_000
     figures = trio.run(measure, requests)
     sys.stdout.write(
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/crash_simulation.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/crash_simulation.py
@@ -1,4 +1,7 @@
-"""A service whose servers crash on one request: real nodes in virtual time."""
+"""Simulates a service whose servers crash on one request, with real nodes.
+
+The nodes run in virtual time on in-memory sockets.
+"""
 
 from __future__ import annotations
 
@@ -20,56 +23,61 @@
     from fuchsiagap_node.core.mesh.http_request import Request
     from fuchsiagap_standins.mesh.deployment import Deployment, Host
 
+# Body of the request that crashes servers.
 POISON = b"poison"
 
 
 class CrashSymptom(Enum):
-    """What is seen of a server that crashes."""
+    """How a crash of a server shows to other processes."""
 
-    RESET = "its connections end"
-    SILENT = "its connections stay open and nothing is answered"
-    WITH_NODE = "the node beside it ends with it"
+    RESET = "its connections are closed"
+    SILENT = "its connections stay open without any response"
+    WITH_NODE = "its node is killed together with the server"
 
 
 _DATA_CENTRES = "abc"
-# Seconds between the starts of two servers that crashed at the same moment, at most.
+# Maximum additional downtime in seconds, so that servers that crash at the same moment
+# don't restart together.
 _START_SPREAD_S = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class CrashScenario:
-    """What is played.
+    """Parameters of a simulation.
+
+    The *poison request* is the one that crashes each server that runs it.
 
     Parameters
     ----------
     n_nodes, n_data_centres : int
-        Nodes of the one service, and the data centres that they are spread over.
+        Number of nodes of the service, and of data centres they are spread over.
     seconds : float
-        Length of the play.
+        Duration of the simulation in seconds.
     n_poison_callers : int
-        Callers that send the request on which servers crash; 0 for none.
+        Number of callers that send the poison request; 0 for none.
     poison_every_s : float
-        Seconds between two requests of such a caller.
+        Mean pause of such a caller between two requests, in seconds.
     crash_after_ms : float
-        Milliseconds from the begin of the request to the crash.
+        Milliseconds from the start of the poison request on a server to the crash.
     down_s : float
-        Seconds until a crashed server starts again.
+        Minimum time in seconds until a crashed server is restarted.
     n_other_crashes : int
-        Crashes for other reasons, spread over the first half of the play.
+        Number of crashes for other reasons, spread over the first half.
     restart_every_s : float
-        Seconds between two nodes that are killed and started again; 0 for none.
+        Seconds between two nodes that are killed and restarted; 0 for none.
     n_callers : int
-        Callers of other requests.
+        Number of callers of other requests.
     every_s : float
-        Seconds between two requests of such a caller.
+        Mean pause of such a caller between two requests, in seconds.
     work_ms : float
-        Milliseconds of work of such a request, on average.
+        Mean time in milliseconds that a server runs such a request.
     slots : int
-        Requests that a server runs at the same time.
+        Concurrency limit of a server.
     is_deep : bool
-        Whether the poison reaches the servers as a call of servers of another service.
+        Whether the poison request is a nested call, made by the servers of another
+        service.
     symptom : CrashSymptom
-        What is seen of a server that crashes.
+        How a crash of a server shows.
     """
 
     n_nodes: int = 12
@@ -91,22 +99,22 @@
 
 @dataclass(slots=True)
 class CrashRecord:
-    """What servers and callers saw.
+    """Events of a simulation; times are in seconds of virtual time.
 
     Attributes
     ----------
     started_at : float
-        When the first callers began.
+        Time at which the callers started.
     crashed_at : list of float
-        Times at which servers crashed on the poison.
+        Times at which servers crashed on the poison request.
     arrived_at : list of float
-        Times at which a server began to run the poison.
+        Times at which servers started to run the poison request.
     n_other_crashes : int
-        Crashes for other reasons.
+        Number of crashes for other reasons.
     answers : list of tuple
-        Kind, time and status of each other request; status 0 without an answer.
-    poison_statuses : list of int
-        What the callers of the poison got.
+        Kind, start time and status of each other request; status 0 without a response.
+    poison_statuses : list of tuple
+        Start time and status of each poison request.
     """
 
     started_at: float = 0.0
@@ -117,16 +125,19 @@
     poison_statuses: list[tuple[float, int]] = field(default_factory=list)
 
     def third_crash_at(self) -> float:
-        """Return when the third server had crashed; infinity if none has."""
+        """Return the time of the third crash; infinity if there were fewer."""
         return self.crashed_at[2] if len(self.crashed_at) > 2 else float("inf")
 
     def late_arrivals(self, detection_s: float) -> int:
-        """Return the arrivals of the poison later than `detection_s` after then."""
+        """Return the number of poison requests that arrived too late.
+
+        These are arrivals more than `detection_s` seconds after the third crash.
+        """
         since = self.third_crash_at() + detection_s
         return sum(at > since for at in self.arrived_at)
 
     def answered_shares(self, since: float) -> dict[str, float]:
-        """Return the share of each kind that was answered, of those sent since."""
+        """Return by kind the share answered with 200, of requests sent since a time."""
         shares = {}
         for kind in sorted({kind for kind, _, _ in self.answers}):
             found = [s for k, at, s in self.answers if k == kind and at >= since]
@@ -135,14 +146,19 @@
 
 
 def simulate_crashes(scenario: CrashScenario, seed: int) -> CrashRecord:
-    """Play a scenario in virtual time.
+    """Simulate a scenario in virtual time.
 
     Parameters
     ----------
     scenario : CrashScenario
-        What is played.
+        Parameters of the simulation.
     seed : int
-        Decides who asks where and when.
+        Seed of all random choices.
+
+    Returns
+    -------
+    CrashRecord
+        Events of the simulation.
     """
 
     async def main() -> CrashRecord:
@@ -158,7 +174,7 @@
 
 
 class _Simulation:
-    """One play of a scenario."""
+    """A simulation of one scenario."""
 
     def __init__(
         self, scenario: CrashScenario, seed: int, deployment: Deployment
@@ -172,7 +188,7 @@
         self._bodies: dict[str, bytes] = {}
 
     async def run(self) -> CrashRecord:
-        """Play it and return what was seen."""
+        """Run the simulation and return its events."""
         scenario = self._scenario
         self._hosts = [self._add("certs", n) for n in range(scenario.n_nodes)]
         if scenario.is_deep:
@@ -202,7 +218,7 @@
         return host
 
     def _add_front(self, number: int) -> Host:
-        """Add a server that makes one call with the body that it got."""
+        """Add a host whose server makes one nested call with the body it received."""
         host = self._add("front", number)
 
         async def call(request_id: str) -> None:
@@ -223,8 +239,8 @@
             return Behaviour(work=work)
         self._record.arrived_at.append(trio.current_time())
         is_silent = self._scenario.symptom is CrashSymptom.SILENT
-        symptom = ResponseMode.CRASH_SILENTLY if is_silent else ResponseMode.CRASH
-        return Behaviour(symptom, self._scenario.crash_after_ms)
+        mode = ResponseMode.CRASH_SILENTLY if is_silent else ResponseMode.CRASH
+        return Behaviour(mode, self._scenario.crash_after_ms)
 
     def _on_crash(self, host: Host) -> None:
         self._record.crashed_at.append(trio.current_time())
@@ -233,16 +249,16 @@
         self._schedule_restart(host)
 
     def _current_host(self, host: Host) -> Host:
-        """Return a host as it is since its node was last started."""
+        """Return the current entry of a host, whose node may have been restarted."""
         return next(h for h in self._hosts if h.server is host.server)
 
     def _schedule_restart(self, host: Host) -> None:
-        """Start a crashed server again as a new incarnation."""
+        """Restart a crashed server as a new incarnation after its downtime."""
 
         async def start() -> None:
             spread = self._rng.uniform(0.0, _START_SPREAD_S)
             await trio.sleep(self._scenario.down_s + spread)
-            host.server.restart(f"i-{next(self._numbers)}")
+            host.server.start_new_incarnation(f"i-{next(self._numbers)}")
             if self._scenario.symptom is CrashSymptom.WITH_NODE:
                 index = self._hosts.index(self._current_host(host))
                 self._hosts[index] = self._deployment.restart(self._hosts[index])
@@ -250,7 +266,7 @@
         self._deployment.nursery.start_soon(start)
 
     async def _crash_at_random(self) -> None:
-        """Crash servers at random, whatever they run."""
+        """Crash random servers, independently of the requests they run."""
         scenario = self._scenario
         pause = scenario.seconds / 2.0 / scenario.n_other_crashes
         for _ in range(scenario.n_other_crashes):
@@ -263,7 +279,7 @@
             await trio.sleep(pause)
 
     async def _restart_nodes(self) -> None:
-        """Kill one node after the other and start each again."""
+        """Kill and restart one node after the other."""
         for index in itertools.cycle(range(self._scenario.n_nodes)):
             await trio.sleep(self._scenario.restart_every_s)
             self._hosts[index] = self._deployment.restart(self._hosts[index])
@@ -277,7 +293,7 @@
             await self._pause(self._scenario.poison_every_s)
 
     async def _send_others(self, number: int) -> None:
-        """Send requests of one kind, the same ones or each with a body of its own."""
+        """Send requests of one kind: all equal, or each with its own body."""
         kind = ("plain", "other body", "own body", "write")[number % 4]
         path = "/write/1" if kind == "write" else "/read/1"
         await self._pause(self._scenario.every_s)
@@ -293,7 +309,7 @@
         await trio.sleep(mean_s * self._rng.uniform(0.7, 1.3))
 
     async def _send(self, path: str, body: bytes) -> int:
-        """Send a request to any node; return its status, 0 without an answer."""
+        """Send a request to a random node; return its status, 0 without a response."""
         host = self._rng.choice(self._hosts)
         method = "POST" if body else "GET"
         request_id = f"r{next(self._numbers)}"
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/deployment.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/deployment.py
@@ -1,4 +1,4 @@
-"""A few nodes with their backend servers in one process, on loopback."""
+"""Deployments of several nodes with backend servers in one process, on loopback."""
 
 from __future__ import annotations
 
@@ -35,16 +35,17 @@
 
 
 _STANDARD_NAMES = HeaderNames()
-# Seconds between the end of a node and its next start.
+# Seconds between the end of a node and its restart.
 _RESTART_S = 0.1
-# Ports of listeners, below those that the system gives to outgoing connections. Each
-# process begins elsewhere: two that looked for free ones at once took the same.
+# Range of listener ports, below the kernel's ephemeral ports for outgoing connections.
+# Each process starts at a different offset, as two processes that search for free ports
+# at the same time would otherwise choose the same ones.
 _FIRST_PORT, _N_PORTS, _PORT_STRIDE = 21_000, 10_000, 977
 _PORT_NUMBERS = itertools.count()
 
 
 def free_address() -> str:
-    """Return an unused ``127.0.0.1:PORT``."""
+    """Return an unused address ``127.0.0.1:PORT``."""
     for number in _PORT_NUMBERS:
         port = _FIRST_PORT + (number + _PORT_STRIDE * os.getpid()) % _N_PORTS
         with socket.socket() as sock:
@@ -53,11 +54,21 @@
             except OSError:
                 continue
             return f"127.0.0.1:{port}"
-    raise AssertionError("the numbers are endless")
+    raise AssertionError("unreachable: the sequence of port numbers does not end")
 
 
 def a_route(name: str, service: str = "certs", **changes: object) -> Route:
-    """Return a route under ``/NAME/`` of the host ``api.example``."""
+    """Return a route with the prefix ``/NAME/`` of the host ``api.example``.
+
+    Parameters
+    ----------
+    name : str
+        Name of the route.
+    service : str, default="certs"
+        The only service of the route.
+    **changes : object
+        Other fields of `Route`, replacing the defaults of this function.
+    """
     fields: dict[str, object] = {
         "name": name,
         "host": "api.example",
@@ -74,7 +85,17 @@
 
 
 def a_workspace(name: str, *keys: str, **changes: object) -> Workspace:
-    """Return a workspace with some keys and without a limit."""
+    """Return a workspace with the given API keys, by default without a rate limit.
+
+    Parameters
+    ----------
+    name : str
+        Name of the workspace.
+    *keys : str
+        Its API keys.
+    **changes : object
+        Other fields of `Workspace`.
+    """
     digests = tuple(key_digest(key.encode()) for key in keys)
     fields: dict[str, object] = {"name": name, "key_digests": digests}
     fields.update(changes)
@@ -83,7 +104,23 @@
 
 @dataclass
 class Host:
-    """A node and the backend server beside it."""
+    """A node and the backend server on the same host.
+
+    Attributes
+    ----------
+    node : Node
+        The node.
+    server : BackendServer
+        Its backend server.
+    store : MemoryStore
+        The node's client of the store.
+    slots : int
+        Concurrency limit that the server reports.
+    scope : trio.CancelScope
+        Cancels the node and the reports of its server.
+    sequence : int
+        Number of the last report.
+    """
 
     node: Node
     server: BackendServer
@@ -93,7 +130,7 @@
     sequence: int = 0
 
     def report(self, state: BackendState = BackendState.READY) -> None:
-        """Let the backend server report to its node."""
+        """Send a report of the backend server's state to the node."""
         self.sequence += 1
         self.node.backend_queue.handle_report(
             BackendReport(
@@ -108,7 +145,7 @@
         )
 
     def kill(self) -> None:
-        """End the node at once: a process that is killed sends nothing more."""
+        """Stop the node at once without sending anything, like a killed process."""
         self.node.close_links()
         self.scope.cancel()
 
@@ -121,7 +158,28 @@
         body: bytes = b"",
         headers: Mapping[str, str] | None = None,
     ) -> Response | None:
-        """Send a request as a caller; None if the connection ends without an answer."""
+        """Send a request as a caller on a new connection.
+
+        Parameters
+        ----------
+        path : str
+            Path of the request.
+        request_id : str
+            Value of the ``Call-Id`` header.
+        wait : float, default=2000.0
+            Milliseconds that the caller still waits, sent as ``Time-Left``.
+        method : str, default="GET"
+            Method of the request.
+        body : bytes, optional
+            Body of the request.
+        headers : mapping of str to str, optional
+            Further headers.
+
+        Returns
+        -------
+        Response or None
+            The response; None if the connection ends without one.
+        """
         stream = await dial(self.node.cfg.addresses.callers, 500.0)
         data = request_bytes(path, request_id, wait, method, body, headers)
         try:
@@ -139,7 +197,7 @@
     body: bytes = b"",
     headers: Mapping[str, str] | None = None,
 ) -> bytes:
-    """Return a request as a caller sends it."""
+    """Return an encoded HTTP request; see `Host.send` for the parameters."""
     head = (
         f"{method} {path} HTTP/1.1\r\nHost: api.example\r\n"
         f"Call-Id: {request_id}\r\nTime-Left: {wait:.0f}\r\n"
@@ -152,7 +210,7 @@
 
 
 async def read_answer(stream: Stream) -> Response | None:
-    """Return the next answer on a connection; None if there is none."""
+    """Return the next response on a connection; None if the connection ends first."""
     reader = ResponseReader(HeaderNames())
     try:
         while data := await stream.receive():
@@ -169,13 +227,21 @@
 
     Attributes
     ----------
+    nursery : trio.Nursery
+        Runs the nodes and servers.
+    state : SharedState
+        Contents of the store.
+    known : dict of int to RouteConfig
+        Configurations by version.
+    hosts : list of Host
+        All hosts in order of start; a restarted node is a further entry.
     expects_faults : bool
-        Whether a test brings exceptions about that nothing in the node expects; where
-        it does not, one such line in a node's log fails the test.
+        Whether the test provokes unexpected exceptions in nodes. If not, a ``fault``
+        event in the log of any node fails the test.
     first_seed : int
-        Seed of the first node; each later one has the next.
+        Random seed of the first node; each further node has the next one.
     make_store : callable
-        Returns the way of one node to the store; by default to `state`.
+        Returns a store client for one node; by default a `MemoryStore` on `state`.
     """
 
     nursery: trio.Nursery
@@ -195,7 +261,7 @@
         limits: CallerLimits | None = None,
         workspaces: Sequence[Workspace] | None = None,
     ) -> None:
-        """Accept the next version of the configuration."""
+        """Store the next version of the configuration."""
         limits = limits or CallerLimits()
         declared = None if workspaces is None else tuple(workspaces)
         config = RouteConfig(
@@ -215,7 +281,27 @@
         revocation: Milliseconds | None = None,
         first_start: bool = False,
     ) -> Host:
-        """Start a host."""
+        """Start a host with a node and a backend server.
+
+        Parameters
+        ----------
+        service : str, default="certs"
+            Service of the backend server.
+        data_centre : str, default="hall-a"
+            Data centre of the host.
+        budget : ServiceRetryLimits, optional
+            Retry limits of the node.
+        slots : int, default=8
+            Concurrency limit that the server reports.
+        names : HeaderNames, optional
+            Header names of the node and the server.
+        clock : Clock, optional
+            Clock of the node.
+        revocation : float, optional
+            The bound ``revocation`` of the node's settings, in milliseconds.
+        first_start : bool, default=False
+            Setting ``first_start`` of the node.
+        """
         name = f"{service}-{len(self.hosts)}"
         cfg = MeshSettings(
             name,
@@ -242,7 +328,7 @@
         return host
 
     def restart(self, host: Host) -> Host:
-        """Kill a node and start it again at its addresses, beside the same server."""
+        """Kill a node and restart it with the same addresses and backend server."""
         host.kill()
         rng = random.Random(self.first_seed + len(self.hosts))
         node = Node(host.node.cfg, host.store, _no_reports, rng=rng)
@@ -252,7 +338,7 @@
         return again
 
     def check_logs(self) -> None:
-        """Raise `AssertionError` if a node met an exception that it did not expect."""
+        """Raise `AssertionError` if a node logged a fault and none is expected."""
         if self.expects_faults:
             return
         for host in self.hosts:
@@ -260,17 +346,19 @@
             assert not n_faults, f"{host.node.cfg.node}: {n_faults} faults in its log"
 
     async def settle(self) -> None:
-        """Wait until the nodes know each other and the configuration."""
+        """Wait until all nodes know each other and the configuration (3 s)."""
         await trio.sleep(3.0)
 
 
 def _no_reports(req: Request) -> MalformedInput:
-    """Return that servers report in these deployments without a request."""
-    return MalformedInput(req.target.decode("latin-1"), "no reports are taken here")
+    """Reject a report over HTTP: servers here report by `Host.report` instead."""
+    return MalformedInput(
+        req.target.decode("latin-1"), "this node accepts no reports over HTTP"
+    )
 
 
 async def _run(host: Host) -> None:
-    """Run a node, and the reports of its server, until the host's scope ends."""
+    """Run a node and the reports of its server until the host's scope is cancelled."""
     with host.scope:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(host.node.serve)
@@ -278,13 +366,13 @@
 
 
 async def _run_after_restart(host: Host) -> None:
-    """Run a node whose addresses the one before it gives up in the same instant."""
+    """Run a restarted node, once the previous one has released its addresses."""
     await trio.sleep(_RESTART_S)
     await _run(host)
 
 
 async def _report(host: Host) -> None:
-    """Report once a second while the server is ready."""
+    """Send a report once a second while the server is up."""
     backend_queue = host.node.backend_queue
     while True:
         is_known = backend_queue.known_instance() == host.server.instance
@@ -300,7 +388,13 @@
     Parameters
     ----------
     *routes : Route
-        First version of the configuration; none leaves the nodes without any.
+        Routes of the first configuration; without routes, the store has no
+        configuration.
+
+    Yields
+    ------
+    Deployment
+        The deployment, without hosts yet.
     """
     async with trio.open_nursery() as nursery:
         deployment = Deployment(nursery, SharedState(), {})
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/memory_sockets.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/memory_sockets.py
@@ -1,8 +1,9 @@
-"""Connections within one process, which take the place of loopback sockets.
+"""In-memory sockets that replace loopback sockets within one process.
 
-On loopback sockets a play in virtual time hangs on when the system delivers bytes: the
-clock may jump before they are there. Here what was sent is there at once, so a play of
-one seed takes the same course on every machine.
+With loopback sockets, a simulation in virtual time depends on when the kernel delivers
+bytes: the clock may jump before they arrive. With the sockets of this module, sent
+bytes are readable at once, so a simulation is reproducible from its seed on every
+machine.
 """
 
 from __future__ import annotations
@@ -24,17 +25,17 @@
 
     Address = tuple[str, int]
 
-# Bytes that one end may have sent and the other has not read.
+# Maximum number of bytes that one end has sent and the other has not yet read.
 _WINDOW_BYTES = 262_144
 
 
 class MemorySocket:
-    """A socket of a `MemoryNetwork`, as `fuchsiagap_node` uses sockets.
+    """A socket of a `MemoryNetwork`, with the methods that `fuchsiagap_node` uses.
 
     Parameters
     ----------
     network : MemoryNetwork
-        Where it listens and connects.
+        Network in which the socket listens and connects.
     """
 
     def __init__(self, network: MemoryNetwork) -> None:
@@ -57,26 +58,26 @@
         self.close()
 
     def setblocking(self, _: bool) -> None:
-        """Do nothing: no call ever blocks."""
+        """Do nothing, as no method ever blocks."""
 
     def setsockopt(self, *_: object) -> None:
-        """Do nothing: nothing is ever lost on the way."""
+        """Do nothing, as no option has an effect on in-memory connections."""
 
     def getsockopt(self, *_: object) -> int:
-        """Return that there is no error."""
+        """Return 0, which stands for no error."""
         return 0
 
     def bind(self, address: Address) -> None:
-        """Take an address."""
+        """Set the local address."""
         self._address = address
 
     def listen(self, _: int) -> None:
-        """Take connections at the address."""
+        """Accept connections at the bound address."""
         assert self._address is not None
         self._network.listeners[self._address] = self
 
     def connect_ex(self, address: Address) -> int:
-        """Connect at once; return an error number if nobody listens there."""
+        """Connect at once; return 0, or ``ECONNREFUSED`` if no socket listens there."""
         listener = self._network.listeners.get(address)
         if listener is None:
             return errno.ECONNREFUSED
@@ -87,13 +88,27 @@
         return 0
 
     def accept(self) -> tuple[MemorySocket, Address]:
-        """Return a connection that waits."""
+        """Return the next connection of the backlog.
+
+        Raises
+        ------
+        BlockingIOError
+            If the backlog is empty.
+        """
         if not self._backlog:
             raise BlockingIOError
         return self._backlog.popleft(), ("127.0.0.1", 0)
 
     def send(self, data: bytes | memoryview) -> int:
-        """Hand over as many bytes as there is room for."""
+        """Send as many bytes as the peer's receive buffer takes; return their number.
+
+        Raises
+        ------
+        BlockingIOError
+            If the buffer is full.
+        OSError
+            If the socket is not connected, or the peer has closed its end.
+        """
         peer = self._peer
         if self._is_closed or peer is None:
             raise OSError(errno.EBADF, "not connected")
@@ -108,7 +123,15 @@
         return len(part)
 
     def recv(self, max_bytes: int, flags: int = 0) -> bytes:
-        """Return received bytes; empty at the end of the connection."""
+        """Return received bytes; empty at end of stream.
+
+        Raises
+        ------
+        BlockingIOError
+            If nothing has been received yet.
+        OSError
+            If this end is closed, or the connection was reset.
+        """
         if self._is_closed:
             raise OSError(errno.EBADF, "closed")
         if self._is_reset:
@@ -123,7 +146,7 @@
         return part
 
     def close(self) -> None:
-        """Close this end; bytes that nobody reads any more reset the connection."""
+        """Close this end; the connection is reset if received bytes were not read."""
         if self._is_closed:
             return
         self._is_closed = True
@@ -149,7 +172,7 @@
         await trio.lowlevel.wait_task_rescheduled(self._cancel_read)
 
     async def wait_writable(self) -> None:
-        """Wait until `send` takes bytes, or says that the other end is gone."""
+        """Wait until `send` accepts bytes or fails because the peer has closed."""
         peer = self._peer
         if peer is None or peer._is_closed or len(peer._received) < _WINDOW_BYTES:
             await trio.lowlevel.checkpoint()
@@ -160,7 +183,7 @@
         await trio.lowlevel.wait_task_rescheduled(self._cancel_write)
 
     def notify_closing(self) -> None:
-        """Wake whoever waits here with `trio.ClosedResourceError`."""
+        """Raise `trio.ClosedResourceError` in the tasks that wait for this socket."""
         closed = outcome.Error(trio.ClosedResourceError("closed by another task"))
         reader, self._reader = self._reader, None
         writer, self._writer = self._writer, None
@@ -169,13 +192,13 @@
                 trio.lowlevel.reschedule(task, closed)
 
     def watch(self, poller: MemoryPoller | None) -> None:
-        """Let a poller know when there is something to read; None for no longer."""
+        """Notify a poller when this socket becomes readable; None to stop."""
         self._poller = poller
         if poller is not None and self.is_readable():
             poller.mark_ready(self)
 
     def is_readable(self) -> bool:
-        """Whether `recv` has something to return."""
+        """Whether `recv` returns bytes, end of stream or a reset."""
         return bool(self._received) or self._is_eof or self._is_reset
 
     def _wake_reader(self) -> None:
@@ -191,18 +214,26 @@
             trio.lowlevel.reschedule(task)
 
     def _cancel_read(self, _: object) -> trio.lowlevel.Abort:
-        """Let the task that waits to read be cancelled."""
+        """Drop the waiting reader, which trio cancels."""
         self._reader = None
         return trio.lowlevel.Abort.SUCCEEDED
 
     def _cancel_write(self, _: object) -> trio.lowlevel.Abort:
-        """Let the task that waits to write be cancelled."""
+        """Drop the waiting writer, which trio cancels."""
         self._writer = None
         return trio.lowlevel.Abort.SUCCEEDED
 
 
 class MemoryPoller:
-    """Calls a function for each socket of this module that has something to read."""
+    """Calls a callback for each readable `MemorySocket`; replaces the node's poller.
+
+    Attributes
+    ----------
+    before_callbacks : callable
+        Called before the callbacks of each batch of readable sockets.
+    on_fault : callable
+        Part of the poller's interface; never called here.
+    """
 
     def __init__(self) -> None:
         self._on_readable: dict[MemorySocket, Callable[[], None]] = {}
@@ -212,30 +243,30 @@
         self.on_fault: Callable[[Exception], None] = _ignore
 
     def add(self, sock: MemorySocket, on_readable: Callable[[], None]) -> None:
-        """Call a function whenever a socket has something to read."""
+        """Call `on_readable` whenever a socket is readable."""
         self._on_readable[sock] = on_readable
         sock.watch(self)
 
     def remove(self, sock: MemorySocket) -> None:
-        """Watch a socket no longer."""
+        """Stop watching a socket."""
         self._on_readable.pop(sock, None)
         self._ready.pop(sock, None)
         sock.watch(None)
 
     async def wait_writable(self, sock: MemorySocket) -> None:
-        """Wait until a socket takes bytes, or is closed."""
+        """Wait until a socket is writable or has been closed."""
         try:
             await sock.wait_writable()
         except trio.ClosedResourceError:
             return
 
     def mark_ready(self, sock: MemorySocket) -> None:
-        """Take in that a socket may have something to read."""
+        """Queue a socket that may be readable for the next batch."""
         self._ready[sock] = None
         self._any_ready.set()
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Call the callbacks of readable sockets until cancelled."""
         while True:
             await self._any_ready.wait()
             self._any_ready = trio.Event()
@@ -250,12 +281,12 @@
 
 
 class MemoryNetwork:
-    """Sockets that reach each other by address.
+    """An address space in which sockets of this module connect to each other.
 
     Attributes
     ----------
     listeners : dict of tuple to MemorySocket
-        Sockets that take connections, by host and port.
+        Listening sockets by host and port.
     """
 
     def __init__(self) -> None:
@@ -267,7 +298,7 @@
 
 
 class _SocketModule:
-    """The standard module with another `socket`."""
+    """The standard `socket` module with `MemoryNetwork.socket` as its `socket`."""
 
     def __init__(self, network: MemoryNetwork) -> None:
         self.socket = network.socket
@@ -278,7 +309,7 @@
 
 @contextmanager
 def patch_sockets() -> Iterator[MemoryNetwork]:
-    """Let the streams of nodes and stand-ins run over a network in memory."""
+    """Make streams of nodes and test doubles use in-memory sockets within the block."""
     network = MemoryNetwork()
     lowlevel = trio.lowlevel
     with (
@@ -304,7 +335,10 @@
 def _wrap_wait(
     name: str, original: Callable[[Any], Awaitable[None]]
 ) -> Callable[[Any], Awaitable[None]]:
-    """Return trio's wait, which leaves the sockets of this module to themselves."""
+    """Return a wait function that calls the method `name` of a `MemorySocket`.
+
+    Other sockets are passed to `original`, the function of trio.
+    """
 
     async def wait(sock: Any) -> None:
         if isinstance(sock, MemorySocket):
@@ -316,7 +350,7 @@
 
 
 def _wrap_notify_closing(original: Callable[[Any], None]) -> Callable[[Any], None]:
-    """Return trio's note of a close, for both kinds of sockets."""
+    """Return a `notify_closing` for in-memory sockets and those of trio."""
 
     def notify_closing(sock: Any) -> None:
         if isinstance(sock, MemorySocket):
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/memory_store.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/memory_store.py
@@ -1,4 +1,4 @@
-"""The platform's store, kept in memory, with its troubles."""
+"""In-memory double of the platform's store, with failures that tests can inject."""
 
 from __future__ import annotations
 
@@ -31,30 +31,32 @@
 
 
 class SharedState:
-    """What all nodes see of one store.
+    """Contents of the store, shared by the store clients of all nodes.
 
     Attributes
     ----------
     epoch : int
-        Counts its returns from a copy.
+        Incremented each time the store is restored from a backup.
     revision : int
-        Counts the changes.
+        Incremented by each change of the configuration.
     config : StoredConfig or None
         The configuration.
     members : dict of str to Member
-        Nodes that have announced themselves.
+        Registered nodes by name.
     missing_in_stale_list : frozenset of str
-        Nodes that lists which may be old do not hold.
-    older : ConfigUpdate or None
-        What reads that may be old return; None for the newest.
-    calls : float
-        Calls by their price, watches included; a list that may be old counts a tenth.
+        Nodes that are missing in member lists that are not linearizable.
+    stale_config : ConfigUpdate or None
+        Result of configuration reads that are not linearizable; None for the current
+        configuration.
+    call_cost : float
+        Total cost of all calls, watches included. A call costs 1, but a probe or a
+        read that is not linearizable costs 0.1.
     writes : int
-        Calls that change something.
+        Number of registrations.
     history_from : int
-        Oldest revision that can still be watched from.
-    news : trio.Event
-        Set at the next change.
+        Oldest revision from which a watch can start.
+    next_change : trio.Event
+        Set at the next change, then replaced by a new event.
     """
 
     def __init__(self) -> None:
@@ -70,12 +72,12 @@
         self.next_change = trio.Event()
 
     def notify_watches(self) -> None:
-        """Wake the waiting watches."""
-        news, self.next_change = self.next_change, trio.Event()
-        news.set()
+        """Wake the waiting watches after a change."""
+        change, self.next_change = self.next_change, trio.Event()
+        change.set()
 
     def put_config(self, config: RouteConfig) -> None:
-        """Accept a configuration."""
+        """Store a configuration and notify the watches."""
         self.revision += 1
         text = str(config.version).encode()
         self.config = StoredConfig(self.cursor, text, config)
@@ -84,7 +86,17 @@
     def restore(
         self, revision: int, config: StoredConfig | None, members: Iterable[str] = ()
     ) -> None:
-        """Hold what a copy held; an entry that it lacks is gone."""
+        """Restore the store from a backup, in a new epoch.
+
+        Parameters
+        ----------
+        revision : int
+            Revision of the backup.
+        config : StoredConfig or None
+            Configuration in the backup.
+        members : iterable of str
+            Nodes in the backup; all others are removed.
+        """
         self.epoch += 1
         self.revision = revision
         self.config = config
@@ -94,28 +106,28 @@
 
     @property
     def cursor(self) -> Cursor:
-        """Its newest place."""
+        """Cursor of the newest revision."""
         return Cursor(self.epoch, self.revision)
 
 
 class MemoryStore:
-    """One node's way to the shared state.
+    """Store client of one node.
 
     Parameters
     ----------
     state : SharedState
-        What the store holds.
+        Contents of the store.
     known : dict of int to RouteConfig
-        Configurations by version, to decode what other nodes send.
+        Configurations by version, for decoding those that other nodes send.
 
     Attributes
     ----------
     down : bool
-        Whether every call of this node fails.
-    mute : bool
-        Whether changes of this node are never answered.
-    silent : bool
-        Whether its watches hear of no changes and end without news.
+        Whether every call fails.
+    hangs_on_deregister : bool
+        Whether `deregister` never returns.
+    watch_is_silent : bool
+        Whether watches are not notified of changes and time out without an update.
     """
 
     def __init__(self, state: SharedState, known: dict[int, RouteConfig]) -> None:
@@ -130,7 +142,7 @@
         return StoreFailed("down") if self.down else None
 
     async def read_config(self, linearizable: bool) -> ConfigResult:
-        """Return the configuration, or the one before unless `linearizable`."""
+        """Return the configuration; unless `linearizable`, it may be `stale_config`."""
         await trio.lowlevel.checkpoint()
         if (failed := self._call(1.0 if linearizable else 0.1)) is not None:
             return failed
@@ -140,7 +152,11 @@
         return ConfigUpdate(state.cursor, state.config)
 
     async def watch_config(self, cursor: Cursor, wait: Milliseconds) -> ConfigResult:
-        """Wait for a change of the configuration after a cursor."""
+        """Wait up to `wait` milliseconds for a configuration newer than a cursor.
+
+        Returns `HistoryCompacted` if the store no longer has the cursor's revision or
+        has another epoch, and an update without configuration after the wait.
+        """
         revision = cursor.revision
         if (failed := self._call()) is not None:
             await trio.lowlevel.checkpoint()
@@ -164,19 +180,19 @@
         return ConfigUpdate(Cursor(state.epoch, max(revision, 1)), None)
 
     async def probe(self, node: str) -> ProbeResult:
-        """Ask for the entry of a node."""
+        """Return the epoch, and whether a node is registered."""
         await trio.lowlevel.checkpoint()
         if (failed := self._call(0.1)) is not None:
             return failed
         return ProbeReply(self._state.epoch, node in self._state.members)
 
     def decode_config(self, cursor: Cursor, text: bytes) -> StoredConfig | None:
-        """Return a configuration that another node sent; None if it is none."""
+        """Return the configuration encoded in `text`; None for an unknown version."""
         config = self._known.get(int(text))
         return None if config is None else StoredConfig(cursor, text, config)
 
     async def read_members(self, linearizable: bool) -> MembersResult:
-        """Return all nodes; unless `linearizable`, the list may be outdated."""
+        """Return all members; unless `linearizable`, some may be missing."""
         await trio.lowlevel.checkpoint()
         if (failed := self._call(1.0 if linearizable else 0.1)) is not None:
             return failed
@@ -185,7 +201,7 @@
         return Members({n: m for n, m in members.items() if n not in hidden})
 
     async def register(self, member: Member) -> StoreFailed | None:
-        """Put this node among the others."""
+        """Add or replace the member entry of this node."""
         await trio.lowlevel.checkpoint()
         if (failed := self._call()) is not None:
             return failed
@@ -194,7 +210,7 @@
         return None
 
     async def deregister(self, node: str) -> StoreFailed | None:
-        """Take this node out."""
+        """Remove the member entry of this node."""
         await (
             trio.sleep_forever()
             if self.hangs_on_deregister
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/quarantine_simulation.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/quarantine_simulation.py
@@ -1,9 +1,13 @@
-"""Random histories of a service whose servers crash, against one who knows the truth.
+"""Simulates the quarantine of requests that crash servers, on random histories.
 
-Only the decisions and the messages of the nodes are real; servers, callers and links
-are events on a virtual time line, so that a history takes a fraction of a second. Run
-as
+The simulation knows which requests crash servers and checks the decisions of the nodes
+against that. Only these decisions and the messages between nodes are real; servers,
+callers and links are events in virtual time, so that a history takes a fraction of a
+second. Run as
 ``python -m fuchsiagap_standins.mesh.quarantine_simulation [HISTORIES] [FIRST_SEED]``.
+
+In the printed table, a "guilty" request is one that crashes the servers that run it,
+and all others are "innocent".
 """
 
 from __future__ import annotations
@@ -27,7 +31,8 @@
     from fuchsiagap_node.core.mesh.crash_reports import Post, Report
     from fuchsiagap_node.core.mesh.messages import Message
 
-# Milliseconds after the third crash from which arrivals count, and how many may come.
+# Time in milliseconds after the third crash by one request within which all nodes have
+# to quarantine it, and the number of arrivals at servers that are allowed after that.
 DETECTION_MS = 3_000.0
 MAX_LATE_ARRIVALS = 3
 _SERVICE = "certs"
@@ -35,28 +40,39 @@
 
 @dataclass(frozen=True, slots=True)
 class History:
-    """What happens in one history; times in milliseconds.
+    """Parameters of one simulated history; times are in milliseconds.
 
     Parameters
     ----------
-    n_nodes, slots, max_attempts : int
-        Nodes with a server each, places of a server, servers for one attempt.
-    length, down : float
-        Length, and time until a server that ended is back.
+    n_nodes : int
+        Number of nodes, with one server each.
+    slots : int
+        Concurrency limit of a server.
+    max_attempts : int
+        Maximum number of servers that one request is sent to.
+    length : float
+        Duration of the history.
+    down : float
+        Time until a server that ended is up again.
     crashing_intervals : tuple of float
-        For each request that crashes servers, the time between two arrivals.
+        Mean time between two arrivals, for each request that crashes servers.
     crash_after : float
-        Time from its begin to the crash.
+        Time from the start of such a request on a server to the crash.
     n_common : int
-        Kinds that are always at work.
-    common_work, unique_work : float
-        Work of such a request, and of requests that each come once.
+        Number of requests that their callers repeat all the time.
+    common_work : float
+        Mean time that a repeated request runs.
+    unique_work : float
+        Mean time that a request runs which arrives only once.
     unique_every : float
-        Time between two of the latter.
+        Mean time between two requests that arrive only once.
     n_crashes, n_kills, n_releases : int
-        Crashes for other reasons, hosts that are killed, and planned ends.
-    delay, loss_share, late_share : float
-        Time of a message on the way; shares of messages that are lost, and late.
+        Numbers of server crashes for other reasons, of hosts killed, and of planned
+        restarts of servers.
+    delay : float
+        Typical latency of a message between nodes.
+    loss_share, late_share : float
+        Shares of messages that are lost, and that are delayed further.
     """
 
     n_nodes: int
@@ -79,7 +95,7 @@
 
     @classmethod
     def draw(cls, rng: random.Random) -> History:
-        """Return one at random."""
+        """Return a random history."""
 
         def log_uniform(low: float, high: float) -> float:
             return low * float((high / low) ** rng.random())
@@ -110,18 +126,22 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What became of a history.
+    """Result of one history.
 
     Attributes
     ----------
-    innocent, refused : int
-        Arrivals of innocent requests at entries, and how many of them were refused.
+    harmless : int
+        Number of harmless requests received from callers.
+    refused : int
+        Number of refusals of harmless requests.
     crashes : list of int
-        For each guilty request, the servers that it crashed.
+        Number of servers crashed by each crashing request.
     late_arrivals : list of int
-        For each, its arrivals later than `DETECTION_MS` after the third crash.
+        Number of arrivals of each crashing request at servers more than `DETECTION_MS`
+        after its third crash.
     detection_ms : list of float
-        For each that crashed three, the milliseconds until it was first refused.
+        Milliseconds from the third crash to the first refusal, for each crashing
+        request that was refused; 0 if it was refused earlier.
     """
 
     harmless: int = 0
@@ -133,7 +153,25 @@
 
 @dataclass(slots=True, eq=False)
 class _Request:
-    """A request on its way."""
+    """A request that is being handled.
+
+    Attributes
+    ----------
+    fingerprint : bytes
+        Identifies equal requests.
+    work : float
+        Milliseconds that it runs; until the crash, if it crashes the server.
+    entry : _Node
+        Node that received it from the caller.
+    crashing : int
+        Index in `History.crashing_intervals`; -1 for a harmless request.
+    attempts : int
+        Attempts so far.
+    retries : int
+        How often the caller may still send it again.
+    tried : set of int
+        Numbers of the nodes on whose servers it was lost.
+    """
 
     fingerprint: bytes
     work: Milliseconds
@@ -146,7 +184,23 @@
 
 @dataclass(slots=True, eq=False)
 class _Node:
-    """A node and the server beside it."""
+    """A node and its server.
+
+    Attributes
+    ----------
+    number : int
+        Number of the node.
+    reports : CrashReports
+        The node's quarantine decisions, the code under test.
+    generation : int
+        Incremented when the node is killed; messages to earlier ones are dropped.
+    instance : str
+        Incarnation of the server.
+    is_up, is_draining : bool
+        Whether the server is up, and whether it will end as planned.
+    running : dict of _Request to int
+        Requests that the server runs, with the number of the run.
+    """
 
     number: int
     reports: CrashReports
@@ -158,7 +212,7 @@
 
 
 class _Simulation:
-    """One history on its time line."""
+    """Discrete-event simulation of one history."""
 
     def __init__(self, history: History, rng: random.Random) -> None:
         self._history = history
@@ -175,7 +229,7 @@
         self._outcome = Outcome()
 
     def run(self) -> Outcome:
-        """Play it."""
+        """Run the simulation."""
         self._schedule_all()
         length = self._history.length
         while self._events and self._events[0][0] <= length:
@@ -199,7 +253,7 @@
         heapq.heappush(self._events, entry)
 
     def _schedule_all(self) -> None:
-        """Put on the time line what does not follow from anything else."""
+        """Schedule the events that do not follow from other events."""
         history, rng = self._history, self._rng
         for index, interval in enumerate(history.crashing_intervals):
             self._schedule(
@@ -222,7 +276,7 @@
             node.reports.flush()
         self._schedule(FLUSH_MS, self._flush)
 
-    # Nodes and what they tell each other
+    # Nodes and their messages
 
     def _make_node(self, number: int) -> _Node:
         node = _Node(number, self._make_reports(number))
@@ -253,11 +307,11 @@
             if rng.random() < history.late_share:
                 delay += rng.uniform(0.0, 500.0)
 
-            def take() -> None:
+            def deliver() -> None:
                 if receiver.generation == generation:
                     receiver.reports.handle(cast("Report", message), str(sender))
 
-            self._schedule(delay, take)
+            self._schedule(delay, deliver)
 
         return post
 
@@ -300,7 +354,7 @@
         self._dispatch(_Request(fingerprint, work, entry, crashing, retries=retries))
 
     def _dispatch(self, req: _Request) -> None:
-        """Send a request to a server that has room, unless it is held."""
+        """Send a request to a random server below its limit, unless quarantined."""
         if req.attempts == 1 and req.crashing < 0:
             self._outcome.harmless += 1
         if not req.entry.reports.may_be_sent(req.fingerprint):
@@ -350,7 +404,7 @@
         self._schedule(req.work, end)
 
     def _on_server_end(self, req: _Request, node: _Node) -> None:
-        """Repeat a request whose server ended, as far as its attempts go."""
+        """Retry a request whose server ended, up to the maximum number of attempts."""
         req.tried.add(node.number)
         if len(req.tried) < self._history.max_attempts:
             req.attempts += 1
@@ -359,23 +413,25 @@
             self._retry(req)
 
     def _retry(self, req: _Request) -> None:
-        """Let the caller of an innocent request try once more."""
+        """Let the caller of a harmless request send it again after a pause."""
         if req.crashing < 0 and req.retries > 0:
             pause = self._rng.uniform(50.0, 500.0)
             again = req.fingerprint, req.work
             self._schedule(pause, lambda: self._send(*again, retries=req.retries - 1))
 
-    # Ends of servers
+    # Crashes and restarts of servers
 
     def _crash(self, node: _Node) -> None:
-        """End a server with all that it runs; the node beside it notices."""
+        """End a server and its requests; unless planned, its node reports a crash."""
         running, node.running = node.running, {}
         node.is_up = False
         instance, reports = node.instance, node.reports
-        prints = frozenset(req.fingerprint for req in running)
-        if prints and not node.is_draining:
-            notice = self._rng.uniform(0.5, 10.0)
-            self._schedule(notice, lambda: reports.report_crash(instance, prints))
+        fingerprints = frozenset(req.fingerprint for req in running)
+        if fingerprints and not node.is_draining:
+            notice_delay = self._rng.uniform(0.5, 10.0)
+            self._schedule(
+                notice_delay, lambda: reports.report_crash(instance, fingerprints)
+            )
         for req in running:
             self._schedule(0.2, _bind(self._on_server_end, req, node))
         self._schedule(self._history.down, lambda: self._start(node))
@@ -393,7 +449,7 @@
             self._crash(self._rng.choice(up))
 
     def _kill_any(self) -> None:
-        """End a server with the node beside it, which forgets all it knew."""
+        """Kill a server together with its node, which loses its state."""
         up = [node for node in self._nodes if node.is_up]
         if not up:
             return
@@ -417,7 +473,7 @@
         self._start(node)
 
     def _release_any(self) -> None:
-        """Let a server leave as planned: it takes nothing new and ends later."""
+        """Begin a planned stop: the server accepts no requests and ends later."""
         up = [node for node in self._nodes if node.is_up and not node.is_draining]
         if not up:
             return
@@ -429,12 +485,12 @@
 def _bind(
     do: Callable[[_Request, _Node], None], req: _Request, node: _Node
 ) -> Callable[[], None]:
-    """Return a call with its arguments."""
+    """Return `do` with its arguments bound, as a loop variable would change."""
     return lambda: do(req, node)
 
 
 def simulate_history(seed: int) -> tuple[History, Outcome]:
-    """Play the history of a seed."""
+    """Draw the history of a seed and simulate it."""
     rng = random.Random(seed)
     history = History.draw(rng)
     return history, _Simulation(history, rng).run()
@@ -442,7 +498,25 @@
 
 @dataclass(slots=True)
 class Totals:
-    """Sums over histories with so many guilty requests."""
+    """Totals over histories with the same number of crashing requests.
+
+    Attributes
+    ----------
+    histories : int
+        Number of histories.
+    harmless, refused : int
+        Harmless requests received, and refusals of them.
+    n_with_refusals : int
+        Histories in which harmless requests were refused.
+    crashing : int
+        Crashing requests that crashed at least three servers.
+    violations : int
+        Crashing requests with more than `MAX_LATE_ARRIVALS` late arrivals.
+    max_crashes : int
+        Maximum number of servers crashed by one request.
+    detection_ms : list of float
+        See `Outcome`.
+    """
 
     histories: int = 0
     harmless: int = 0
@@ -454,7 +528,7 @@
     detection_ms: list[Milliseconds] = field(default_factory=list)
 
     def add(self, outcome: Outcome) -> None:
-        """Add what became of a history."""
+        """Add the result of one history."""
         self.histories += 1
         self.harmless += outcome.harmless
         self.refused += outcome.refused
@@ -465,7 +539,7 @@
         self.detection_ms += outcome.detection_ms
 
     def row(self, name: str) -> str:
-        """Return it as a line of a table."""
+        """Return the totals as a row of the printed table."""
         detection_ms = sorted(self.detection_ms)
         median = detection_ms[len(detection_ms) // 2] if detection_ms else 0.0
         p99 = detection_ms[int(len(detection_ms) * 0.99)] if detection_ms else 0.0
@@ -478,7 +552,21 @@
 
 
 def simulate_histories(seeds: Iterable[int]) -> tuple[dict[int, Totals], list[int]]:
-    """Play histories; return sums by the number of guilty requests, and bad seeds."""
+    """Simulate the histories of some seeds.
+
+    Parameters
+    ----------
+    seeds : iterable of int
+        Seeds of the histories.
+
+    Returns
+    -------
+    tables : dict of int to Totals
+        Totals by number of crashing requests.
+    bad : list of int
+        Seeds in which a crashing request arrived too often, or harmless requests were
+        refused although no request crashes servers.
+    """
     tables: dict[int, Totals] = {}
     bad = []
     for seed in seeds:
@@ -492,7 +580,7 @@
 
 
 def main(argv: list[str]) -> int:
-    """Play histories and print the table."""
+    """Simulate histories and print the table; return 1 if any seed is bad."""
     n_histories = int(argv[1]) if len(argv) > 1 else 1_000
     first = int(argv[2]) if len(argv) > 2 else 0
     tables, bad = simulate_histories(range(first, first + n_histories))
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/serving.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/serving.py
@@ -1,4 +1,4 @@
-"""The serving of one HTTP connection, as the stand-ins of the mesh do it."""
+"""Serves the requests of one HTTP connection for the test doubles."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
     reader: RequestReader,
     answer: Callable[[Stream, Request], Awaitable[None]],
 ) -> None:
-    """Answer one request after the other until the connection ends.
+    """Answer requests in order until the connection ends.
 
     Parameters
     ----------
     stream : Stream
-        The connection; closed at the end, also where `answer` raises `BrokenStream`.
+        The connection; closed on return, also if `answer` raises `BrokenStream`.
     reader : RequestReader
-        Cuts its bytes into requests.
+        Parser of the received bytes.
     answer : callable
-        Sends the answer to a request.
+        Sends the response to a request on the stream.
     """
     try:
         while data := await stream.receive():
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/__init__.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/__init__.py
@@ -1,1 +1,1 @@
-"""Small specifications of the protocols, checked over all their states."""
+"""Formal specifications of the protocols, verified by exhaustive model checking."""
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/__main__.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/__main__.py
@@ -1,7 +1,7 @@
-"""Check the specifications: ``python -m fuchsiagap_standins.model --bound small``.
+"""Checks the specifications: ``python -m fuchsiagap_standins.model --bound small``.
 
-Exits with 1 if an invariant is broken, the search was not exhaustive, or a planted bug
-was not found.
+Exits with status 1 if a check fails or is not exhaustive, or a planted bug is not
+found.
 """
 
 from __future__ import annotations
@@ -19,7 +19,9 @@
     check_planted_bug,
 )
 
-_BOUND = flags.DEFINE_enum_class("bound", Bound.SMALL, Bound, "how far to go")
+_BOUND = flags.DEFINE_enum_class(
+    "bound", Bound.SMALL, Bound, "size of the checked models"
+)
 _BREAK = flags.DEFINE_enum(
     "break", None, list(BREAKS), "plant one bug and print its counterexample"
 )
@@ -64,7 +66,7 @@
 
 
 def main(argv: list[str]) -> int:
-    """Run the checks that the flags ask for."""
+    """Run the checks that the flags select."""
     if len(argv) > 1:
         print(f"unexpected argument {argv[1]!r}; see --help", file=sys.stderr)
         return 2
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/calls.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/calls.py
@@ -1,4 +1,4 @@
-"""Specifications of calls on a link (own answer) and of the allowance (attempts)."""
+"""Specifications of calls on a link and of the retry allowance of a request."""
 
 from __future__ import annotations
 
@@ -10,15 +10,24 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
+# Names of the bugs that can be planted in each specification.
 ANSWER_BREAKS = ("swap-answers", "reuse-call-id")
 ALLOWANCE_BREAKS = ("lose-allowance", "return-twice")
 
 
 class LinkState(NamedTuple):
-    """Calls of one link.
+    """State of the calls on one link.
 
-    `waiting` holds, for each caller, the call id it waits for (0: none), `frames` the
-    requests under way, `answers` the answers under way as (call id, caller it is for).
+    Attributes
+    ----------
+    next_id : int
+        Id of the next call.
+    waiting : tuple of int
+        Call id that each caller waits for; 0 for none.
+    frames, answers : frozenset of tuple
+        Requests and responses in flight, as call id and index of the caller.
+    wrong : bool
+        Whether a caller received the response to another call.
     """
 
     next_id: int
@@ -29,16 +38,16 @@
 
 
 def answers_spec(callers: int, calls: int, bugs: frozenset[str] = frozenset()) -> Spec:
-    """Return the specification of answers on a link: each to its own call.
+    """Return the specification of calls on a link: each gets its own response.
 
     Parameters
     ----------
     callers : int
-        Callers that share the link.
+        Number of callers that share the link.
     calls : int
-        Calls in all.
+        Maximum number of calls.
     bugs : frozenset of str
-        Planted bugs, of `ANSWER_BREAKS`.
+        Names of planted bugs, from `ANSWER_BREAKS`.
 
     Returns
     -------
@@ -105,7 +114,10 @@
 
 
 def _receiver(waiting: tuple[int, ...], call_id: int, in_order: bool) -> int | None:
-    """Return the caller that gets an answer; `in_order` is the planted bug."""
+    """Return the caller that gets a response; None if no caller waits for it.
+
+    With `in_order`, a planted bug, it is the caller of the oldest call.
+    """
     if in_order:
         ids = [call for call in waiting if call]
         return waiting.index(min(ids)) if ids else None
@@ -113,10 +125,18 @@
 
 
 class AllowanceState(NamedTuple):
-    """The allowance of one request with `children` calls below it.
+    """State of the retry allowance of one request and its nested calls.
 
-    `held` is what the parent holds. A child is (share, phase); `attempts` counts every
-    attempt at a child. A returning share is in `returning` until it arrives or is lost.
+    Attributes
+    ----------
+    held : int
+        Retries that the request may still make or lend.
+    children : tuple of (int, str)
+        Lent share of the allowance and phase of each nested call.
+    attempts : int
+        Number of attempts of all nested calls.
+    returning : tuple of int
+        Unused shares on their way back, until they arrive or are lost.
     """
 
     held: int
@@ -125,22 +145,23 @@
     returning: tuple[int, ...]
 
 
+# Phases of a nested call.
 NEW, TRIED, DONE = "new", "tried", "done"
 
 
 def allowance_spec(
     children: int, allowance: int, bugs: frozenset[str] = frozenset()
 ) -> Spec:
-    """Return the specification of the attempt allowance of one request.
+    """Return the specification of the retry allowance of one request.
 
     Parameters
     ----------
     children : int
-        Calls below the request.
+        Number of nested calls of the request.
     allowance : int
-        Extra attempts the request may make in all.
+        Maximum number of retries of all nested calls.
     bugs : frozenset of str
-        Planted bugs, of `ALLOWANCE_BREAKS`.
+        Names of planted bugs, from `ALLOWANCE_BREAKS`.
 
     Returns
     -------
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/children.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/children.py
@@ -1,8 +1,8 @@
-"""Specification of children of a repeated parent: each child key runs at most once.
+"""Specification of nested calls of a retried request: each runs at most once.
 
-An idempotent parent may run twice, on two backend servers at once; each run starts the
-same child. The child is started through the home of the root request, under the root
-and the child key.
+An idempotent request, the parent, may run on two backend servers at once. Each run
+makes the same nested call, the child. The child is started by the home node of the root
+request, which identifies it by the root and the child key.
 """
 
 from __future__ import annotations
@@ -15,14 +15,34 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
+# Names of the bugs that can be planted.
 BREAKS = ("key-by-parent-call", "run-child-without-home")
 
+# States of a run of the parent.
 NONE, RUNNING, GONE = "none", "running", "gone"
+# Entries of the home for a child.
 OPEN, STARTED, ANSWERED, UNKNOWN = "open", "started", "answered", "unknown"
 
 
 class State(NamedTuple):
-    """Runs of the parent, what each asked for, and the home of the root."""
+    """State of the runs of the parent, of the home and of the child.
+
+    Attributes
+    ----------
+    parents : tuple of str
+        State of each run of the parent.
+    copies : tuple of bool
+        Whether each run has sent its call of the child.
+    home_life : int
+        Number of the home's current process, starting at 1.
+    entries : tuple of str
+        Entries of the home; only the first is used, unless the child is identified by
+        the run of the parent, which is a planted bug.
+    runs : int
+        How often the child has run; at most 2 are counted.
+    told : tuple of str
+        Outcome of the child that each run was told; empty if none yet.
+    """
 
     parents: tuple[str, ...]
     copies: tuple[bool, ...]
@@ -33,14 +53,14 @@
 
 
 def children_spec(parents: int, bugs: frozenset[str] = frozenset()) -> Spec:
-    """Return the specification of children under (root, child key).
+    """Return the specification of children identified by root and child key.
 
     Parameters
     ----------
     parents : int
-        How often the parent may run.
+        Maximum number of runs of the parent.
     bugs : frozenset of str
-        Planted bugs, of `BREAKS`.
+        Names of planted bugs, from `BREAKS`.
 
     Returns
     -------
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/drain.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/drain.py
@@ -1,8 +1,8 @@
-"""Specification of a planned stop: no new work, and no request cut.
+"""Specification of a planned stop: no new calls are accepted, and none is cut off.
 
-Each other node has one ordered link to the leaving node. A link can break; frames on it
-are then lost and the node may dial again. The leaving node ends when nothing runs and
-each connected node has acknowledged the notice.
+Each peer has one ordered link to the draining node. If a link breaks, its frames are
+lost and the peer may reconnect. The draining node stops when no call runs and all
+connected peers have acknowledged the drain notice.
 """
 
 from __future__ import annotations
@@ -15,14 +15,31 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
+# Names of the bugs that can be planted.
 BREAKS = ("skip-drain-notice", "stop-with-work", "work-while-leaving")
 
+# States of the draining node.
 UP, LEAVING, STOPPED = "up", "leaving", "stopped"
+# Frames on a link.
 CALL, ACK, NOTICE = "call", "ack", "notice"
 
 
 class Peer(NamedTuple):
-    """Another node and its link: frames to and from the leaving node."""
+    """Another node and its link to the draining node.
+
+    Attributes
+    ----------
+    connected : bool
+        Whether the link is up.
+    knows : bool
+        Whether the peer knows that the node is draining.
+    acknowledged : bool
+        Whether the draining node has received the peer's acknowledgement.
+    to, back : tuple of str
+        Frames in flight to the draining node and from it.
+    calls : int
+        Number of calls sent so far.
+    """
 
     connected: bool = True
     knows: bool = False
@@ -33,7 +50,21 @@
 
 
 class State(NamedTuple):
-    """The leaving node and its peers."""
+    """State of the draining node and its peers.
+
+    Attributes
+    ----------
+    node : str
+        State of the draining node.
+    running : int
+        Number of running calls.
+    peers : tuple of Peer
+        All peers.
+    cut : bool
+        Whether the node stopped with a call running or in flight to it.
+    late_work : bool
+        Whether the node accepted a call while draining.
+    """
 
     node: str
     running: int
@@ -48,11 +79,11 @@
     Parameters
     ----------
     peers : int
-        Other nodes.
+        Number of other nodes.
     calls : int
-        Calls each of them makes.
+        Maximum number of calls of each.
     bugs : frozenset of str
-        Planted bugs, of `BREAKS`.
+        Names of planted bugs, from `BREAKS`.
 
     Returns
     -------
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/implementations.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/implementations.py
@@ -1,6 +1,6 @@
-"""The functions of the product that carry the actions of the specifications.
+"""Names the functions of the product that implement the actions of specifications.
 
-A rename in the product shows in the tests of this package.
+The tests of this package resolve each name, so that they fail if a function is renamed.
 """
 
 from __future__ import annotations
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/settings.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/settings.py
@@ -1,7 +1,8 @@
-"""Specification of settings: conditional update, settled by change id, never reverted.
+"""Specification of settings: conditional updates, and nodes that never revert.
 
-The platform keeps each version's change id and the id it replaced, as the audit trail.
-Every text a node ever held may arrive at any other node at any time.
+An operator whose update got no response looks up its change id in the history, which
+the platform keeps as audit trail. Every version of the settings may reach any node at
+any time, in any order.
 """
 
 from __future__ import annotations
@@ -14,6 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
 
+# Names of the bugs that can be planted.
 BREAKS = (
     "adopt-lower-version",
     "blind-write",
@@ -21,12 +23,24 @@
     "forget-tombstone",
 )
 
+# Phases of an operator; `LOST` is an update without a response.
 IDLE, READ, SENT, APPLIED, LOST = "idle", "read", "sent", "applied", "lost"
+# Final phases, which are also the answers that the operator gets.
 ACCEPTED, REJECTED, UNSETTLED = "accepted", "rejected", "unsettled"
 
 
 class Operator(NamedTuple):
-    """One operator and the one change it makes."""
+    """An operator who makes one change.
+
+    Attributes
+    ----------
+    phase : str
+        Progress of the change.
+    based_on : int
+        Version that the operator read before the change.
+    answer : str
+        What the operator was told about the change; empty if nothing yet.
+    """
 
     phase: str = IDLE
     based_on: int = 0
@@ -34,16 +48,34 @@
 
 
 class Node(NamedTuple):
-    """The version a node holds, and whether it ever went back."""
+    """A node.
+
+    Attributes
+    ----------
+    version : int
+        Version of the settings that the node has adopted; 0 for none.
+    reverted : bool
+        Whether the node ever replaced a version by a lower one.
+    """
 
     version: int = 0
     reverted: bool = False
 
 
 class State(NamedTuple):
-    """The platform's history (change ids by version), operators and nodes.
+    """State of the platform, the operators and the nodes.
 
-    A change id is the operator's number from 1; a negative one is a deletion.
+    Attributes
+    ----------
+    history : tuple of int
+        Change id of each version, in order. It is the number of the operator, starting
+        at 1, and negative for a deletion.
+    operators : tuple of Operator
+        All operators.
+    nodes : tuple of Node
+        All nodes.
+    overwritten : bool
+        Whether an update replaced a version that its operator had not read.
     """
 
     history: tuple[int, ...]
@@ -60,11 +92,11 @@
     Parameters
     ----------
     operators : int
-        Operators that race; the last one deletes.
+        Number of concurrent operators; the last one deletes the settings.
     nodes : int
-        Nodes that adopt.
+        Number of nodes that adopt settings.
     bugs : frozenset of str
-        Planted bugs, of `BREAKS`.
+        Names of planted bugs, from `BREAKS`.
 
     Returns
     -------
@@ -123,7 +155,7 @@
             elif is_applied:
                 answered = ACCEPTED
             else:
-                # The change can still arrive as long as its base version stands.
+                # The change can still be applied while its base version is current.
                 answered = REJECTED if base_replaced else UNSETTLED
             yield _with_operator(
                 state, index, operator._replace(phase=answered, answer=answered)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/spec.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/spec.py
@@ -1,8 +1,8 @@
-"""The form of a specification, and its check by `minicheck`.
+"""Defines specifications and checks them with the model checker `minicheck`.
 
-A specification is a set of actions over a state (a named tuple) and invariants that
-hold in each state. Each action of the system names the function that carries it in the
-product; actions of the environment (loss, crash, pause) name none.
+A specification is a set of actions on a state (a named tuple) and invariants that have
+to hold in each reachable state. Each action of the system names the function of the
+product that implements it; actions of the environment (loss, crash, pause) name none.
 """
 
 from __future__ import annotations
@@ -18,21 +18,22 @@
 Steps: TypeAlias = Callable[[State], Iterable[State]]
 Predicate: TypeAlias = Callable[[State], bool]
 
+# Value of `Action.implemented_by` for actions of the environment.
 ENVIRONMENT = ""
 
 
 @dataclass(frozen=True, slots=True)
 class Action:
-    """One kind of step.
+    """A kind of state transition.
 
     Parameters
     ----------
     name : str
-        Shown in a counterexample.
+        Name in counterexamples.
     implemented_by : str
         ``module:function`` of the product, or `ENVIRONMENT`.
     steps : callable
-        Returns the states that the step leads to; none where it is not enabled.
+        Returns the successors of a state; none if the action is not enabled in it.
     """
 
     name: str
@@ -42,20 +43,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Spec:
-    """A specification.
+    """A specification of a protocol.
 
     Parameters
     ----------
     name : str
-        The protocol.
+        Name of the protocol.
     initial : named tuple
-        The first state; hashable.
+        Initial state; hashable.
     actions : tuple of Action
-        All kinds of step.
-    invariants : dict
-        Name to predicate over a state.
+        All kinds of state transitions.
+    invariants : dict of str to callable
+        Predicates by name, which have to be true in each reachable state.
     goal : callable, optional
-        A predicate that can still be reached from each state.
+        Predicate. From each reachable state, a state in which it is true has to be
+        reachable.
     """
 
     name: str
@@ -67,14 +69,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Counterexample:
-    """The shortest way to a state that breaks an invariant.
+    """A shortest sequence of steps to a state that violates an invariant.
 
     Parameters
     ----------
     invariant : str
-        Name of the broken invariant.
+        Name of the violated invariant.
     steps : tuple of (str, dict)
-        Action and the fields that it changed; the first entry is the initial state.
+        Action and the changed fields of each step; the first entry is the initial
+        state.
     """
 
     invariant: str
@@ -90,22 +93,22 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckResult:
-    """What a check found.
+    """Result of checking a specification.
 
     Parameters
     ----------
     spec : str
         Name of the specification.
     states : int
-        States reached.
+        Number of states visited.
     exhaustive : bool
-        Whether every reachable state was seen; if not, nothing is proved.
+        Whether all reachable states were visited; if not, nothing is proved.
     counterexamples : tuple of Counterexample
-        One for each broken invariant.
+        One for each violated invariant.
     trap : bool
-        Whether a state was found from which the goal cannot be reached.
+        Whether there is a reachable state from which the goal cannot be reached.
     seconds : float
-        Time the check took.
+        Duration of the check in seconds.
     """
 
     spec: str
@@ -117,24 +120,25 @@
 
     @property
     def holds(self) -> bool:
-        """Whether everything was seen and nothing was broken."""
+        """Whether all states were visited and no violation was found."""
         return self.exhaustive and not self.counterexamples and not self.trap
 
 
 def check(spec: Spec, max_states: int) -> CheckResult:
-    """Visit every reachable state of a specification, breadth first.
+    """Visit all reachable states of a specification, breadth first.
 
     Parameters
     ----------
     spec : Spec
-        What to check.
+        Specification to check.
     max_states : int
-        Where to give up; the result is then not exhaustive.
+        Maximum number of states to visit. If there are more, the result is not
+        exhaustive.
 
     Returns
     -------
     CheckResult
-        States seen, and the shortest counterexample of each broken invariant.
+        Result, with the shortest counterexample of each violated invariant.
     """
     started = time.monotonic()
     protocol = _protocol(spec)
@@ -156,19 +160,19 @@
 
 
 def find_counterexample(spec: Spec, max_states: int) -> CheckResult:
-    """Visit states only until the first one that breaks an invariant.
+    """Visit states until the first one that violates an invariant.
 
     Parameters
     ----------
     spec : Spec
-        What to check.
+        Specification to check.
     max_states : int
-        Where to give up.
+        Maximum number of states to visit.
 
     Returns
     -------
     CheckResult
-        Never exhaustive; a counterexample stands all the same.
+        Result that is marked as not exhaustive; its counterexamples are valid.
     """
     violated: list[str] = []
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/table.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/table.py
@@ -1,4 +1,4 @@
-"""All specifications, at the small and at the large bound, and their planted bugs."""
+"""Table of all specifications, with their sizes and the bugs that can be planted."""
 
 from __future__ import annotations
 
@@ -13,12 +13,13 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+# Maximum number of states that a check visits.
 MAX_STATES = 2_000_000
 NO_BUGS: frozenset[str] = frozenset()
 
 
 class Bound(Enum):
-    """How far the specifications go."""
+    """Size of the checked models."""
 
     SMALL = "small"
     LARGE = "large"
@@ -26,14 +27,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One specification.
+    """A specification in the table.
 
     Parameters
     ----------
     make : callable
-        Builds it for a bound and a set of planted bugs.
+        Returns the specification for a bound and a set of planted bugs.
     breaks : tuple of str
-        The bugs that can be planted.
+        Names of the bugs that can be planted.
     """
 
     make: Callable[[Bound, frozenset[str]], Spec]
@@ -85,22 +86,22 @@
 
 
 def check_all(bound: Bound) -> tuple[CheckResult, ...]:
-    """Check every specification as it is designed."""
+    """Check every specification without planted bugs."""
     return tuple(check(entry.make(bound, NO_BUGS), MAX_STATES) for entry in TABLE)
 
 
 def check_planted_bug(name: str) -> CheckResult:
-    """Check the specification that a planted bug belongs to, at the small bound.
+    """Check a specification with one planted bug, at the small bound.
 
     Parameters
     ----------
     name : str
-        One of `BREAKS`.
+        Name of the bug, one of `BREAKS`.
 
     Returns
     -------
     CheckResult
-        It should hold a counterexample.
+        Result, which should contain a counterexample.
     """
     entry = next(entry for entry in TABLE if name in entry.breaks)
     return find_counterexample(entry.make(Bound.SMALL, frozenset({name})), MAX_STATES)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/ticket_state.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/ticket_state.py
@@ -1,4 +1,4 @@
-"""The state of the ticket specification, and small steps over it."""
+"""State of the ticket specification, and functions on it."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-# States of the home.
+# States of the home node's process.
 UP, PAUSED, FROZEN = "up", "paused", "frozen"
-# What a holder knows of a ticket; a holder that knows nothing says `Unknown`.
+# Entry of a holder for a ticket. A holder without an entry answers ``Unknown``.
 OPEN, STARTED, ANSWERED, UNKNOWN = "open", "started", "answered", "unknown"
 BURNT, FORGOTTEN, NO_ENTRY = "burnt", "out", ""
-# A run that the successor knows of, but that the home waits for.
+# Entry of a successor for a request that the home has started and still waits for.
 STARTED_BY_HOME = "elsewhere"
-# Where a copy or an attempt is.
+# Places of a copy or an attempt.
 IN_FLIGHT, ARRIVED, RUNNING, RAN, REFUSED = (
     "flying",
     "arrived",
@@ -22,17 +22,24 @@
     "refused",
 )
 DROPPED = "dropped"
-# What the sender thinks of it.
+# Views of the sender, in addition to places.
 WAITING, LOST = "waiting", "lost"
 
 HOME = 0
 
 
 class Copy(NamedTuple):
-    """One copy of the request, and what the caller was told about it.
+    """A copy of the request that the caller sent.
 
-    `first` says that no other copy is unaccounted for, as the library marks it; other
-    callers mark none.
+    Attributes
+    ----------
+    place : str
+        Where the copy is.
+    view : str
+        What the caller knows about it.
+    first : bool
+        Whether the caller marked it as the only copy that may still run. The client
+        library sets this mark, other callers don't.
     """
 
     place: str = IN_FLIGHT
@@ -41,7 +48,17 @@
 
 
 class Attempt(NamedTuple):
-    """One hand-over of the request to a backend server's node."""
+    """An attempt of a holder to run the request at a backend server.
+
+    Attributes
+    ----------
+    holder : int
+        Index of the holder.
+    place : str
+        Where the attempt is.
+    view : str
+        What the holder knows about it.
+    """
 
     holder: int
     place: str = IN_FLIGHT
@@ -49,7 +66,21 @@
 
 
 class TicketPart(NamedTuple):
-    """All that belongs to one ticket; `entries` is what each holder knows."""
+    """State of one ticket.
+
+    Attributes
+    ----------
+    entries : tuple of str
+        Entry of each holder; the first holder is the home.
+    copies : tuple of Copy
+        Copies that the caller has sent.
+    attempts : tuple of Attempt
+        Attempts of all holders.
+    asked : bool
+        Whether the caller has asked what became of the ticket.
+    said_not_run : bool
+        Whether the caller was told that the request did not run.
+    """
 
     entries: tuple[str, ...]
     copies: tuple[Copy, ...] = ()
@@ -59,7 +90,21 @@
 
 
 class State(NamedTuple):
-    """The home, what it handed over, and the tickets."""
+    """State of the home, the successors and the tickets.
+
+    Attributes
+    ----------
+    life : int
+        Number of the home's current process, starting at 1.
+    home : str
+        State of that process.
+    snapshot : tuple of str
+        Entries that the home handed over, by ticket.
+    ended : tuple of bool
+        Whether the handover to each successor is complete.
+    tickets : tuple of TicketPart
+        All tickets.
+    """
 
     life: int
     home: str
@@ -70,20 +115,20 @@
 
 @dataclass(frozen=True, slots=True)
 class TicketBound:
-    """How far the specification goes.
+    """Size of the model.
 
     Parameters
     ----------
     tickets : int
-        Tickets that share the home.
+        Number of tickets with the same home.
     copies : int
-        Copies the caller sends.
+        Maximum number of copies that the caller sends.
     attempts : int
-        Attempts that holders make for one ticket.
+        Maximum number of attempts of all holders for one ticket.
     lives : int
-        Lives of the home process.
+        Maximum number of processes of the home.
     successors : int
-        Nodes that the tickets may be handed to.
+        Number of nodes that the tickets may be handed over to.
     """
 
     tickets: int
@@ -97,12 +142,12 @@
 
 
 def runs(ticket: TicketPart) -> int:
-    """Return how often the request of a ticket has run."""
+    """Return how often the request of a ticket has run or started to run."""
     return sum(attempt.place in (RUNNING, RAN) for attempt in ticket.attempts)
 
 
 def each_ticket(steps: PartSteps) -> Callable[[State], Iterator[State]]:
-    """Lift steps of one ticket to steps of the whole state."""
+    """Return the transitions of the whole state for those of one ticket."""
 
     def all_steps(state: State) -> Iterator[State]:
         for index, ticket in enumerate(state.tickets):
@@ -115,12 +160,15 @@
 
 
 def with_entry(ticket: TicketPart, holder: int, entry: str) -> TicketPart:
-    """Return a ticket of which a holder knows something else."""
+    """Return a ticket with the entry of one holder replaced."""
     entries = list(ticket.entries)
     entries[holder] = entry
     return ticket._replace(entries=tuple(entries))
 
 
 def may_start(state: State, holder: int) -> bool:
-    """Whether a holder may start or burn an open ticket."""
+    """Whether a holder may start or burn an open ticket.
+
+    The home may do so only in its first process, while it is up.
+    """
     return holder != HOME or (state.life == 1 and state.home == UP)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/tickets.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/tickets.py
@@ -1,9 +1,9 @@
-"""Specification of the ticket protocol: at most one run, and a true "not run".
+"""Specification of tickets: at most one run, and "not run" only if it is true.
 
-A ticket is held by its home, and after a planned stop by a successor. Each copy of the
-request that the caller sends arrives at most once, at any time and in any order; so do
-the frames on the link between a holder and a backend server's node. Any of them may be
-lost, and any answer too.
+A ticket is held by its home node, and after a planned stop of the home by a successor.
+Each copy of the request that the caller sends arrives at most once, at any time and in
+any order. So do the frames on the link between a holder and the node of a backend
+server. Any request, frame or response may be lost.
 """
 
 from __future__ import annotations
@@ -47,6 +47,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
 
+# Names of the bugs that can be planted.
 BREAKS = (
     "forget-window",
     "retry-unknown",
@@ -65,9 +66,9 @@
     Parameters
     ----------
     bound : TicketBound
-        How far to go.
+        Size of the model.
     bugs : frozenset of str
-        Planted bugs, of `BREAKS`.
+        Names of planted bugs, from `BREAKS`.
 
     Returns
     -------
@@ -150,7 +151,7 @@
         return entry == OPEN and may_start(state, holder)
 
     def entry_after_refusal(ticket: TicketPart, copies: tuple[Copy, ...]) -> str:
-        """Return the entry after a refusal that the senders of `copies` hear."""
+        """Return the entry after a refusal that is reported to `copies`."""
         if "reopen-repeated" in bugs:
             return OPEN
         return OPEN if all(c.first for c in copies) and not ticket.asked else BURNT
@@ -228,7 +229,7 @@
 
 
 def _with_refusal(copy: Copy) -> Copy:
-    """Tell the caller that a copy was not run, if it still waits for it."""
+    """Return a copy whose caller was told "not run", if it still waits for it."""
     return copy._replace(place=ARRIVED, view=REFUSED if copy.view == WAITING else LOST)
 
 
@@ -239,7 +240,10 @@
 def _pending_attempts(
     state: State, ticket: TicketPart, place: str | None
 ) -> Iterator[tuple[int, int]]:
-    """Yield index and holder of attempts that are waited for, at a place if given."""
+    """Yield index and holder of attempts that a holder waits for.
+
+    If `place` is given, only those in that place.
+    """
     for index, attempt in enumerate(ticket.attempts):
         if attempt.view != WAITING or place not in (None, attempt.place):
             continue
@@ -286,7 +290,8 @@
         if not all(state.snapshot):
             return
         for successor in range(bound.successors):
-            # The last message goes to a second peer only if the first surely lacks it.
+            # The last message is sent to a second peer only if the first is known not
+            # to have received it.
             if any(state.ended) and "hand-over-twice" not in bugs:
                 continue
             if state.ended[successor]:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/quotas/__init__.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/quotas/__init__.py
@@ -1,1 +1,1 @@
-"""Ways to keep a quota over many nodes, played against an exact oracle."""
+"""Simulations of algorithms that enforce a quota on many nodes."""
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/quotas/algorithms.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/quotas/algorithms.py
@@ -1,4 +1,4 @@
-"""Three ways to keep quotas: equal shares, shares by demand, tokens of one owner."""
+"""Quota algorithms: equal shares, shares by demand, and tokens granted by an owner."""
 
 from __future__ import annotations
 
@@ -19,35 +19,36 @@
     from fuchsiagap.core.workspaces.model import Workspace
     from fuchsiagap_standins.quotas.scenario import Scenario
 
-# Milliseconds between two rounds in which nodes tell each other their demand.
+# Milliseconds between two gossip rounds in which nodes exchange their demand.
 _GOSSIP_PERIOD_MS = 500.0
-# Nodes that each tells, in a round.
+# Number of nodes that each node sends its demand to in a round.
 _GOSSIP_FANOUT = 8
-# Milliseconds that a message takes, with the work at both ends.
+# Latency of a message in milliseconds, with its processing at both ends. Not used: the
+# algorithms are simulated without latency.
 _DELAY_MS = 3.0
-# Bytes of a question or an answer, and of one workspace in a round.
+# Bytes of a request or response for tokens, and of one workspace in a gossip message.
 _MESSAGE_BYTES = 40
 _ROW_BYTES = 12
-# Milliseconds until a node is known to be out of reach.
+# Milliseconds until an unreachable node is detected.
 _DETECTION_MS = 1_000.0
 
 
 @dataclass(slots=True)
 class Fleet:
-    """Which nodes are up and which reach each other.
+    """State of the nodes and of the network between them.
 
     Parameters
     ----------
     scenario : Scenario
-        What is played.
+        The simulated scenario.
     started : list of float
-        When each node last started.
+        Time in milliseconds at which each node last started.
     down : set of int
         Nodes that are down.
     is_partitioned : bool
-        Whether the first place is cut off.
+        Whether the first data centre is partitioned from the others.
     partitioned_at : float
-        Since when.
+        Time in milliseconds at which the last partition began.
     """
 
     scenario: Scenario
@@ -57,7 +58,7 @@
     partitioned_at: Milliseconds = 0.0
 
     def reaches(self, one: int, other: int) -> bool:
-        """Whether a message of one node gets to another."""
+        """Whether messages between two nodes are delivered."""
         if one in self.down or other in self.down:
             return False
         across = (one % N_DATA_CENTRES == 0) != (other % N_DATA_CENTRES == 0)
@@ -65,29 +66,29 @@
 
 
 class QuotaAlgorithm(Protocol):
-    """A way to keep quotas.
+    """An algorithm that enforces quotas on many nodes.
 
     Attributes
     ----------
     messages, n_bytes : int
-        What was sent for it.
+        Messages and bytes that all nodes have sent for it.
     """
 
     messages: int
     n_bytes: int
 
     def admits(self, node: int, workspace: int, now: Milliseconds) -> bool:
-        """Return whether a request is let in."""
+        """Return whether a node admits a request of a workspace."""
 
     def tick(self, now: Milliseconds) -> None:
-        """Do what is due."""
+        """Do the periodic work that is due."""
 
     def restart(self, node: int) -> None:
-        """Forget what a node knew."""
+        """Discard the state of a node that is restarted."""
 
 
 class EqualShares:
-    """Each node has the same part of each quota, and tells nobody anything."""
+    """Each node enforces an equal share of each quota, without any messages."""
 
     def __init__(self, fleet: Fleet, workspaces: Sequence[Workspace]) -> None:
         self._n = fleet.scenario.n_nodes
@@ -96,7 +97,7 @@
         self.messages = self.n_bytes = 0
 
     def admits(self, node: int, workspace: int, now: Milliseconds) -> bool:
-        """Return whether a request is let in."""
+        """Return whether a node admits a request of a workspace."""
         bucket = self._buckets.get((node, workspace))
         if bucket is None:
             bucket = self._buckets[node, workspace] = TokenBucket(now, is_full=True)
@@ -108,13 +109,13 @@
         """Do nothing."""
 
     def restart(self, node: int) -> None:
-        """Forget what a node knew."""
+        """Discard the state of a node that is restarted."""
         for key in [key for key in self._buckets if key[0] == node]:
             del self._buckets[key]
 
 
 class DemandShares:
-    """Each node has a part by what it was asked for, as of the last round."""
+    """Each node enforces a share in proportion to its demand in the last round."""
 
     def __init__(self, fleet: Fleet, workspaces: Sequence[Workspace]) -> None:
         self._fleet = fleet
@@ -128,7 +129,7 @@
         self.messages = self.n_bytes = 0
 
     def admits(self, node: int, workspace: int, now: Milliseconds) -> bool:
-        """Return whether a request is let in."""
+        """Return whether a node admits a request of a workspace."""
         self._demand[node][workspace] += 1
         bucket = self._buckets.get((node, workspace))
         if bucket is None:
@@ -151,26 +152,26 @@
         return self._known_demand[node][workspace] / total
 
     def tick(self, now: Milliseconds) -> None:
-        """Tell what was asked for, once a round."""
+        """Exchange the demand of all nodes, once per round."""
         if now < self._next:
             return
         self._next += _GOSSIP_PERIOD_MS
         self._known_demand = self._demand
         self._demand = [Counter() for _ in self._known_demand]
         for demand in self._known_demand:
-            # What is new spreads over all by a few messages of each node.
+            # By gossip, the demand reaches all nodes with a few messages per node.
             self.messages += _GOSSIP_FANOUT
             self.n_bytes += _GOSSIP_FANOUT * _ROW_BYTES * len(demand)
 
     def restart(self, node: int) -> None:
-        """Forget what a node knew."""
+        """Discard the state of a node that is restarted."""
         self._demand[node] = Counter()
         for key in [key for key in self._buckets if key[0] == node]:
             del self._buckets[key]
 
 
 class OwnerTokens:
-    """One node owns each quota; the others ask it for tokens. The code in use."""
+    """One node owns each quota and grants tokens to the others, as real nodes do."""
 
     def __init__(self, fleet: Fleet, workspaces: Sequence[Workspace]) -> None:
         self._fleet = fleet
@@ -185,7 +186,7 @@
         self.messages = self.n_bytes = 0
 
     def admits(self, node: int, workspace: int, now: Milliseconds) -> bool:
-        """Return whether a request is let in."""
+        """Return whether a node admits a request of a workspace."""
         token_cache, quota = self._token_caches[node], self._workspaces[workspace]
         token_cache.count_request(quota.name, now)
         if token_cache.take(quota.name, now):
@@ -221,7 +222,7 @@
             other = int(name)
             if self._fleet.reaches(node, other):
                 return True
-            # Out of reach for less than it takes to notice: it still counts.
+            # The partition is too recent to be detected, so the node counts as up.
             return (
                 self._fleet.is_partitioned
                 and now - self._fleet.partitioned_at < _DETECTION_MS
@@ -246,7 +247,7 @@
         """Do nothing."""
 
     def restart(self, node: int) -> None:
-        """Forget what a node knew."""
+        """Discard the state of a node that is restarted."""
         self._token_caches[node] = TokenCache()
         self._grants[node] = QuotaGrants()
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/quotas/scenario.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/quotas/scenario.py
@@ -1,4 +1,4 @@
-"""Requests of workspaces on many nodes, and what becomes of the nodes."""
+"""Defines the load of workspaces on many nodes, and the faults of the nodes."""
 
 from __future__ import annotations
 
@@ -14,36 +14,39 @@
 
     from fuchsiagap.core.clock import Milliseconds
 
-# Data centres that the nodes are spread over.
+# Number of data centres, over which the nodes are spread in turn.
 N_DATA_CENTRES = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """What is played.
+    """Parameters of a simulation.
 
     Parameters
     ----------
     name : str
-        Name, for the table.
+        Name of the scenario in the printed table.
     n_nodes : int
-        Nodes.
+        Number of nodes.
     n_workspaces : int
-        Workspaces; their rates fall with their number, so that a few are large.
+        Number of workspaces. Their request rates follow a power law, so that a few of
+        them are large.
     rate : float
-        Requests a second of all of them together.
+        Requests per second of all workspaces together.
     quota_factor : float
-        Limit of a workspace by what it usually asks for.
+        Ratio of the rate limit of a workspace to its mean request rate.
     hot_factor : float
-        By what the largest asks for more in the middle third.
+        Factor of the request rate of the largest workspace in the middle third of the
+        simulation.
     moves : bool
-        Whether half of the callers go to nodes of another place in the middle third.
+        Whether half of the requests are sent to nodes of another data centre in the
+        middle third.
     kills : bool
-        Whether a node is killed, and starts again a second later, each second.
+        Whether a node is killed each second and restarted a second later.
     partitions : bool
-        Whether one place is cut off in the middle third.
+        Whether one data centre is partitioned from the others in the middle third.
     length : float
-        Milliseconds.
+        Duration in milliseconds.
     """
 
     name: str
@@ -58,17 +61,17 @@
     length: Milliseconds = 18_000.0
 
     def is_middle_third(self, now: Milliseconds) -> bool:
-        """Whether a moment lies in the middle third."""
+        """Whether a time is in the middle third of the simulation."""
         return self.length / 3 <= now < self.length * 2 / 3
 
     def mean_rates(self) -> list[float]:
-        """Return the requests a second of each workspace."""
+        """Return the mean number of requests per second of each workspace."""
         weights = [1.0 / (number + 1) ** 0.8 for number in range(self.n_workspaces)]
         total = sum(weights)
         return [self.rate * weight / total for weight in weights]
 
     def workspaces(self) -> list[Workspace]:
-        """Return the workspaces with their limits."""
+        """Return the workspaces with their rate limits."""
         limits = [
             max(round(self.quota_factor * mean_rate), 1)
             for mean_rate in self.mean_rates()
@@ -81,14 +84,14 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaRequest:
-    """One request.
+    """A request of a workspace.
 
     Parameters
     ----------
     at : float
-        When it comes.
+        Arrival time in milliseconds.
     workspace, node : int
-        Whose it is, and where.
+        Index of the workspace, and of the node that receives the request.
     """
 
     at: Milliseconds
@@ -97,11 +100,11 @@
 
 
 def generate_requests(scenario: Scenario, seed: int) -> list[QuotaRequest]:
-    """Return the requests of a scenario in the order of time."""
+    """Return the requests of a scenario in order of arrival."""
     rng = random.Random(seed)
     arrivals = []
     for workspace, mean_rate in enumerate(scenario.mean_rates()):
-        # Callers of a small workspace stand on few nodes, of a large one on all.
+        # Callers of a small workspace use few nodes, those of a large one use all.
         n_caller_nodes = min(max(round(mean_rate), 2), scenario.n_nodes)
         caller_nodes = rng.sample(range(scenario.n_nodes), n_caller_nodes)
         for at in _arrival_times(scenario, workspace, mean_rate, rng):
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/quotas/simulation.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/quotas/simulation.py
@@ -1,4 +1,4 @@
-"""Plays of ways to keep quotas, judged by an exact token bucket.
+"""Compares quota algorithms with an exact token bucket in a simulation.
 
 Run as ``python -m fuchsiagap_standins.quotas.simulation [SEED]``; prints a table.
 """
@@ -22,11 +22,12 @@
     from fuchsiagap.core.workspaces.model import Workspace
     from fuchsiagap_standins.quotas.algorithms import QuotaAlgorithm
 
-# The window and the tolerance in which a quota is judged.
+# Length of the sliding window in which admitted requests are counted, and the tolerance
+# above the quota: a share of it, and a number of requests.
 WINDOW_MS = 5_000.0
 RELATIVE_TOLERANCE = 0.1
 ABSOLUTE_TOLERANCE = 20.0
-# Milliseconds between two kills; a node is down until the next one.
+# Milliseconds between two killed nodes; each is down until the next one is killed.
 _KILL_MS = 1_000.0
 
 SCENARIOS = (
@@ -46,17 +47,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """What a play showed.
+    """Result of a simulation.
 
     Parameters
     ----------
     overrun : float
-        Most that a workspace got in a window, as a part of what it may get there with
-        the tolerance; above 1 the quota is broken.
+        Maximum over all workspaces and windows of the number of admitted requests,
+        relative to the quota with its tolerance. Above 1, the quota is exceeded.
     refused : float
-        Part of the requests below the limits that were refused.
+        Share of the requests within the quota that were refused.
     messages, n_bytes : float
-        What a node sent a second.
+        Messages and bytes sent per second and node.
     """
 
     overrun: float
@@ -66,7 +67,13 @@
 
 
 class _Window:
-    """Requests of one workspace that were let in of late."""
+    """Sliding window over the admitted requests of one workspace.
+
+    Attributes
+    ----------
+    worst : float
+        Maximum number of admitted requests in a window, relative to the limit.
+    """
 
     def __init__(self, workspace: Workspace) -> None:
         exact_limit = workspace.rate * WINDOW_MS / MS_PER_S + workspace.burst
@@ -77,7 +84,7 @@
         self.worst = 0.0
 
     def add(self, now: Milliseconds) -> None:
-        """Count one that is let in now."""
+        """Count a request that is admitted now."""
         while self._at and self._at[0] <= now - WINDOW_MS:
             self._at.popleft()
         self._at.append(now)
@@ -89,7 +96,22 @@
     make: Callable[[Fleet, Sequence[Workspace]], QuotaAlgorithm],
     seed: int,
 ) -> Figures:
-    """Play a scenario with one way."""
+    """Simulate a scenario with one algorithm.
+
+    Parameters
+    ----------
+    scenario : Scenario
+        Load and faults.
+    make : callable
+        Returns the algorithm for a fleet and its workspaces.
+    seed : int
+        Seed of the requests.
+
+    Returns
+    -------
+    Figures
+        Result of the simulation.
+    """
     workspaces = scenario.workspaces()
     fleet = Fleet(scenario, [0.0] * scenario.n_nodes)
     algorithm = make(fleet, workspaces)
@@ -123,7 +145,7 @@
 def _inject_faults(
     scenario: Scenario, fleet: Fleet, algorithm: QuotaAlgorithm, now: Milliseconds
 ) -> None:
-    """Let nodes be killed and come back, and a place be cut off."""
+    """Apply the kills, restarts and the partition that are due now."""
     if scenario.kills:
         victim = int(now // _KILL_MS) * 7 % scenario.n_nodes
         if victim not in fleet.down:
@@ -138,7 +160,7 @@
 
 
 def main() -> None:
-    """Play all scenarios in all ways and print a table."""
+    """Simulate all scenarios with all algorithms and print a table."""
     seed = int(sys.argv[1]) if len(sys.argv) > 1 else 1
     head = (
         "| scenario | way | worst window | refused below the limit | messages | bytes |"
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/mesh/test_quarantine_simulation.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/mesh/test_quarantine_simulation.py
@@ -1,4 +1,4 @@
-"""Random histories of crashing servers; many thousand more are played by hand."""
+"""Random histories of crashing servers; run the module itself for more seeds."""
 
 from testtools import TestCase
 
@@ -10,7 +10,7 @@
 SEEDS = range(100)
 
 
-class TestQuarantinePlay(TestCase):
+class TestQuarantineSimulation(TestCase):
     def test_bound_holds_and_innocent_requests_are_served(self):
         tables, bad = simulate_histories(SEEDS)
         self.assertEqual([], bad)
@@ -20,5 +20,5 @@
         self.assertLess(refused, 0.001 * harmless)
         self.assertGreater(sum(table.crashing for table in tables.values()), 50)
 
-    def test_history_of_one_seed_is_the_same_again(self):
+    def test_history_is_reproducible_from_its_seed(self):
         self.assertEqual(simulate_history(7), simulate_history(7))
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/model/test_model.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/model/test_model.py
@@ -32,8 +32,8 @@
             self.assertTrue(found, name)
             self.assertTrue(all(len(c.steps) > 1 for c in found), name)
 
-    def test_the_promised_names_are_there(self):
-        promised = {
+    def test_required_bugs_can_be_planted(self):
+        required = {
             "forget-window",
             "retry-unknown",
             "adopt-lower-version",
@@ -41,7 +41,7 @@
             "swap-answers",
             "lose-allowance",
         }
-        self.assertEqual(set(), promised - set(BREAKS))
+        self.assertEqual(set(), required - set(BREAKS))
 
 
 class CheckTest(TestCase):
@@ -58,13 +58,13 @@
         self.assertTrue(check(spec, max_states=100_000).trap)
 
 
-class CarrierTest(TestCase):
-    def test_each_action_names_what_carries_it(self):
+class ImplementationTest(TestCase):
+    def test_implementation_of_each_action_exists(self):
         for action in _actions():
             if action.implemented_by != ENVIRONMENT:
                 self.assertTrue(_resolves(action.implemented_by), action.implemented_by)
 
-    def test_no_carrier_is_unused(self):
+    def test_each_implementation_is_used_by_an_action(self):
         named = {
             value for key, value in vars(implementations).items() if key[0].isupper()
         }
@@ -75,8 +75,8 @@
     return [a for e in TABLE for a in e.make(Bound.SMALL, NO_BUGS).actions]
 
 
-def _resolves(carrier: str) -> bool:
-    module, _, path = carrier.partition(":")
+def _resolves(implementation: str) -> bool:
+    module, _, path = implementation.partition(":")
     found: object = importlib.import_module(module)
     for name in path.split("."):
         found = getattr(found, name, None)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/quotas/test_simulation.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/quotas/test_simulation.py
@@ -1,4 +1,4 @@
-"""Quotas by the code in use, against an exact bucket, on several seeds."""
+"""Quota algorithm of the nodes, compared with an exact token bucket."""
 
 from dataclasses import replace
 
@@ -12,8 +12,8 @@
 SEEDS = range(4)
 
 
-class TestPlay(TestCase):
-    def test_next_to_nothing_is_refused_below_the_limit_on_a_calm_day(self):
+class TestSimulation(TestCase):
+    def test_few_requests_within_quota_are_refused_without_faults(self):
         for seed in SEEDS:
             found = simulate(SMALL, OwnerTokens, seed)
             self.assertLess(found.refused, 0.0005, seed)
@@ -29,5 +29,5 @@
                 found = simulate(replace(SMALL, **changes), OwnerTokens, seed)
                 self.assertLessEqual(found.overrun, 1.0, (changes, seed))
 
-    def test_play_sees_what_equal_shares_refuse(self):
+    def test_equal_shares_refuse_requests_within_quota(self):
         self.assertGreater(simulate(SMALL, EqualShares, 1).refused, 0.1)
