--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/backend_server.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/backend_server.py
@@ -210,24 +210,24 @@
 
     async def _work(self, stream: Stream, work: float) -> bool:
         """Wait `work` milliseconds; return False if the connection closes first."""
-        left = False
+        is_closed = False
         if work:
             with trio.move_on_after(work / MS_PER_S):
                 await stream.receive()
-                left = True
-        return not left
+                is_closed = True
+        return not is_closed
 
     async def _send(self, stream: Stream, request_id: str, b: Behaviour) -> None:
-        whole = self._framed_response(b.status, request_id, b.body)
+        response = self._framed_response(b.status, request_id, b.body)
         match b.mode:
             case ResponseMode.ANSWER:
-                await stream.send(whole)
+                await stream.send(response)
             case ResponseMode.LATE_EXTRA:
-                await stream.send(whole)
+                await stream.send(response)
                 await trio.sleep(0.005)
                 await stream.send(self._framed_response(200, request_id, b"extra"))
             case ResponseMode.SHORT:
-                await stream.send(whole[: len(whole) - 2])
+                await stream.send(response[: len(response) - 2])
                 raise BrokenStream("the response is truncated on purpose")
             case ResponseMode.GARBLE:
                 await stream.send(b"\x00\x01 no answer\r\n\r\n")
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/bench_fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/bench_fleet.py
@@ -1,6 +1,6 @@
 """Measures the CPU time of a deployment of many nodes, on loopback in one process.
 
-Run as ``python -m fuchsiagap_standins.mesh.bench_fleet [NODES [A_SECOND]]``. Each
+Run as ``python -m fuchsiagap_standins.mesh.bench_fleet [NODES [REQUESTS_PER_S]]``. Each
 request makes two nested calls one after the other, and each of these four, so that one
 request causes eleven arrivals at backend servers. The result includes the test doubles
 of callers and backend servers, so it is only meaningful for comparing versions of the
@@ -80,12 +80,12 @@
         await trio.sleep(6.0)
         before = processor_s()
         await trio.sleep(_IDLE_S)
-        rest = processor_s() - before
+        idle_cpu_s = processor_s() - before
         if profile is not None:
             profile.enable()
         before = processor_s()
         answered = await _send_all(entry_hosts, request_rate)
-        spent = processor_s() - before
+        load_cpu_s = processor_s() - before
         if profile is not None:
             profile.disable()
     requests = int(request_rate * _LOAD_S)
@@ -93,8 +93,8 @@
         nodes,
         requests,
         answered,
-        _MS_PER_S * rest / _IDLE_S / nodes,
-        _US_PER_S * spent / (requests * _ARRIVALS_PER_REQUEST),
+        _MS_PER_S * idle_cpu_s / _IDLE_S / nodes,
+        _US_PER_S * load_cpu_s / (requests * _ARRIVALS_PER_REQUEST),
     )
 
 
@@ -106,8 +106,8 @@
         for number in range(max(round(nodes * share), 1)):
             data_centre = _DATA_CENTRES[number % len(_DATA_CENTRES)]
             hosts[-1].append(deployment.add(name, data_centre, slots=64))
-    for here, (name, _, times) in zip(hosts[:-1], _SERVICES[1:], strict=True):
-        for host in here:
+    for callers, (name, _, times) in zip(hosts[:-1], _SERVICES[1:], strict=True):
+        for host in callers:
             host.server.on_run = _make_on_run(host, name, times)
     return hosts[0]
 
@@ -146,9 +146,9 @@
 
 def main() -> None:
     """Measure and print one line; with last argument ``profile``, also a profile."""
-    words = sys.argv[1:]
-    profile = cProfile.Profile() if words[-1:] == ["profile"] else None
-    numbers = [float(word) for word in words if word != "profile"]
+    args = sys.argv[1:]
+    profile = cProfile.Profile() if args[-1:] == ["profile"] else None
+    numbers = [float(arg) for arg in args if arg != "profile"]
     nodes = int(numbers[0]) if numbers else 60
     request_rate = numbers[1] if len(numbers) > 1 else 40.0
     figures = trio.run(measure, nodes, request_rate, profile)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/bench_path.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/bench_path.py
@@ -47,17 +47,17 @@
 
 async def measure(requests: int) -> PathFigures:
     """Send `requests` requests through one node to the server of the other."""
-    each = max(requests // _CALLERS, 1)
+    n_per_caller = max(requests // _CALLERS, 1)
     answered = 0
     async with a_deployment(a_route("read")) as deployment:
-        near = deployment.add("bookings")
+        entry_host = deployment.add("bookings")
         deployment.add("certs", slots=4 * _CALLERS)
         await trio.sleep(2.0)
 
         async def call(caller: int) -> None:
             nonlocal answered
-            stream = await dial(near.node.cfg.addresses.callers, 500.0)
-            for number in range(each):
+            stream = await dial(entry_host.node.cfg.addresses.callers, 500.0)
+            for number in range(n_per_caller):
                 await stream.send(request_bytes("/read/1", f"{caller}-{number}"))
                 answer = await read_answer(stream)
                 answered += answer is not None and answer.status == 200
@@ -67,9 +67,9 @@
         async with trio.open_nursery() as nursery:
             for caller in range(_CALLERS):
                 nursery.start_soon(call, caller)
-        spent = processor_s() - before
-    total = each * _CALLERS
-    return PathFigures(total, answered, _US_PER_S * spent / total)
+        cpu_s = processor_s() - before
+    total = n_per_caller * _CALLERS
+    return PathFigures(total, answered, _US_PER_S * cpu_s / total)
 
 
 def processor_s() -> float:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/deployment.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/deployment.py
@@ -241,7 +241,7 @@
     first_seed : int
         Random seed of the first node; each further node has the next one.
     make_store : callable
-        Returns a store client for one node; by default a `MemoryStore` on `state`.
+        Returns a store client for one node; by default, a `MemoryStore` on `state`.
     """
 
     nursery: trio.Nursery
@@ -298,9 +298,9 @@
         clock : Clock, optional
             Clock of the node.
         revocation : float, optional
-            The bound ``revocation`` of the node's settings, in milliseconds.
+            Bound in milliseconds for the revocation of API keys; see `Bounds`.
         first_start : bool, default=False
-            Setting ``first_start`` of the node.
+            Whether the whole system starts for the first time; see `MeshSettings`.
         """
         name = f"{service}-{len(self.hosts)}"
         cfg = MeshSettings(
@@ -332,10 +332,12 @@
         host.kill()
         rng = random.Random(self.first_seed + len(self.hosts))
         node = Node(host.node.cfg, host.store, _no_reports, rng=rng)
-        again = Host(node, host.server, host.store, host.slots, sequence=host.sequence)
-        self.hosts.append(again)
-        self.nursery.start_soon(_run_after_restart, again)
-        return again
+        restarted = Host(
+            node, host.server, host.store, host.slots, sequence=host.sequence
+        )
+        self.hosts.append(restarted)
+        self.nursery.start_soon(_run_after_restart, restarted)
+        return restarted
 
     def check_logs(self) -> None:
         """Raise `AssertionError` if a node logged a fault and none is expected."""
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/drain.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/drain.py
@@ -120,21 +120,21 @@
     def leave(state: State) -> Iterator[State]:
         if state.node != UP:
             return
-        told = tuple(
+        notified = tuple(
             p._replace(back=(*p.back, NOTICE)) if p.connected else p
             for p in state.peers
         )
         if "skip-drain-notice" in bugs:
-            told = state.peers
-        yield state._replace(node=LEAVING, peers=told)
+            notified = state.peers
+        yield state._replace(node=LEAVING, peers=notified)
 
     def receive_notice(state: State) -> Iterator[State]:
         for index, peer in enumerate(state.peers):
             if peer.connected and peer.back:
-                heard = peer._replace(
+                informed = peer._replace(
                     knows=True, back=peer.back[1:], to=(*peer.to, ACK)
                 )
-                yield _with_peer(state, index, heard)
+                yield _with_peer(state, index, informed)
 
     def gossip(state: State) -> Iterator[State]:
         if any(peer.knows for peer in state.peers):
@@ -154,14 +154,18 @@
         for index, peer in enumerate(state.peers):
             if peer.connected or state.node == STOPPED or peer.calls >= calls:
                 continue
-            told = state.node == LEAVING and "skip-drain-notice" not in bugs
-            back = (NOTICE,) if told else ()
+            is_notified = state.node == LEAVING and "skip-drain-notice" not in bugs
+            back = (NOTICE,) if is_notified else ()
             yield _with_peer(state, index, peer._replace(connected=True, back=back))
 
     def stop(state: State) -> Iterator[State]:
         idle = not state.running or "stop-with-work" in bugs
-        told = all(p.acknowledged for p in state.peers if p.connected)
-        if state.node == LEAVING and idle and (told or "skip-drain-notice" in bugs):
+        all_acknowledged = all(p.acknowledged for p in state.peers if p.connected)
+        if (
+            state.node == LEAVING
+            and idle
+            and (all_acknowledged or "skip-drain-notice" in bugs)
+        ):
             cut = bool(state.running) or any(CALL in p.to for p in state.peers)
             yield state._replace(node=STOPPED, cut=cut, running=0)
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/tickets.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/tickets.py
@@ -192,15 +192,15 @@
 
     def on_refusal(state: State, ticket: TicketPart) -> Iterator[TicketPart]:
         for index, holder in _pending_attempts(state, ticket, REFUSED):
-            heard = _with_view(ticket, index, REFUSED)
+            updated = _with_view(ticket, index, REFUSED)
             if len(ticket.attempts) < bound.attempts:
-                yield _with_attempt(heard, holder)
-            waiting = tuple(c for c in heard.copies if c.place == ARRIVED)
+                yield _with_attempt(updated, holder)
+            waiting = tuple(c for c in updated.copies if c.place == ARRIVED)
             copies = tuple(
-                _with_refusal(c) if c.place == ARRIVED else c for c in heard.copies
+                _with_refusal(c) if c.place == ARRIVED else c for c in updated.copies
             )
-            entry = entry_after_refusal(heard, waiting)
-            yield with_entry(heard._replace(copies=copies), holder, entry)
+            entry = entry_after_refusal(updated, waiting)
+            yield with_entry(updated._replace(copies=copies), holder, entry)
 
     def on_loss(state: State, ticket: TicketPart) -> Iterator[TicketPart]:
         for index, holder in _pending_attempts(state, ticket, None):
