--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/admin_app.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/admin_app.py
@@ -15,8 +15,8 @@
 
 from fuchsiagap.core.telemetry.events import EventKind
 from fuchsiagap.core.telemetry.hlc import stamp_at
-from fuchsiagap_standins.programs import new_flags, parse_flags
-from fuchsiagap_standins.serving import announce, serve_app, until_stopped
+from fuchsiagap_standins.command_line import new_flags, parse_flags
+from fuchsiagap_standins.serving import announce, serve_app, wait_for_stop_signal
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Sequence
@@ -45,7 +45,7 @@
     n_events : int
         How many events each of them has.
     """
-    page = _page(n_events)
+    page = _events_page(n_events)
 
     async def app(
         scope: dict[str, Any], receive: Any, send: Callable[..., Awaitable[None]]
@@ -56,9 +56,9 @@
         if scope["path"] == "/v1/events":
             body = page
         else:
-            own = dict(scope["headers"])[b"host"].decode()
+            host = dict(scope["headers"])[b"host"].decode()
             body = _status(
-                n_nodes if b"members=no" not in scope["query_string"] else 0, own
+                n_nodes if b"members=no" not in scope["query_string"] else 0, host
             )
         await send({"type": "http.response.start", "status": 200, "headers": _JSON})
         await send({"type": "http.response.body", "body": body})
@@ -66,7 +66,7 @@
     return app
 
 
-def _page(n_events: int) -> bytes:
+def _events_page(n_events: int) -> bytes:
     events = [
         {
             "stamp": stamp_at(_START_MS + number),
@@ -114,7 +114,7 @@
     async with trio.open_nursery() as nursery:
         app = admin_stand_in(n_nodes, n_events)
         announce(await nursery.start(serve_app, app, bind))
-        await until_stopped()
+        await wait_for_stop_signal()
         nursery.cancel_scope.cancel()
 
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/answers.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/answers.py
@@ -36,7 +36,7 @@
     place: str = ROOT_PLACE
     size: int = DEFAULT_SIZE
 
-    def below(self, index: int) -> CallMark:
+    def child(self, index: int) -> CallMark:
         """Return the mark of the call's own call number `index`."""
         return CallMark(self.nonce, f"{self.place}.{index}", self.size)
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/backend.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/backend.py
@@ -24,7 +24,7 @@
     ChildCall,
     ChildOutcome,
     ChildResult,
-    LoadWord,
+    LoadReportMode,
 )
 from fuchsiagap_standins.graphs.sizes import draw_own_time, may_have_effect
 from fuchsiagap_standins.run_log import Run, RunState
@@ -34,11 +34,11 @@
 
     from fuchsiagap_standins.graphs.model import GraphRoute
 
-_LIED_SLOTS_FACTOR = 4
+_FALSE_SLOTS_FACTOR = 4
 
 
 @dataclass(slots=True)
-class _Progress:
+class _ChildCallProgress:
     """How far the calls below one call have come."""
 
     refused: bool = False
@@ -80,7 +80,7 @@
         self._slots = trio.Semaphore(cfg.slots)
         self._in_flight = 0
         self._started = self._clock.now()
-        self._said: tuple[Milliseconds, BackendLoad] | None = None
+        self._last_load: tuple[Milliseconds, BackendLoad] | None = None
         self._routes = tuple(
             route for route in cfg.graph.routes if route.service == cfg.service
         )
@@ -103,7 +103,7 @@
             return BackendReply(404, b"no such path")
         if self.draining or self.faults.shedding:
             return BackendReply(503, b"shedding", not_run=True)
-        if self._slots.value == 0 and self._n_waiting >= self.cfg.queue:
+        if self._slots.value == 0 and self._n_queued >= self.cfg.queue:
             return BackendReply(503, b"the queue is full", not_run=True)
         async with self._slots:
             self._in_flight += 1
@@ -114,28 +114,31 @@
 
     def load(self) -> BackendLoad | None:
         """Return what the load endpoint says, which may lag or mislead."""
-        word = self.faults.load_word
-        if word is LoadWord.SILENT:
+        mode = self.faults.load_word
+        if mode is LoadReportMode.SILENT:
             return None
-        if word is LoadWord.LYING:
-            slots = _LIED_SLOTS_FACTOR * self.cfg.slots
+        if mode is LoadReportMode.LYING:
+            slots = _FALSE_SLOTS_FACTOR * self.cfg.slots
             return BackendLoad(healthy=True, slots=slots, in_flight=0, draining=False)
         now = self._clock.now()
-        if self._said is not None:
-            said_at, said = self._said
-            if word is LoadWord.FROZEN or now - said_at < self.faults.load_lag:
-                return said
-        said = BackendLoad(
+        if self._last_load is not None:
+            reported_at, load = self._last_load
+            if (
+                mode is LoadReportMode.FROZEN
+                or now - reported_at < self.faults.load_lag
+            ):
+                return load
+        load = BackendLoad(
             healthy=not self.faults.shedding,
             slots=self.cfg.slots,
-            in_flight=self._in_flight + self._n_waiting,
+            in_flight=self._in_flight + self._n_queued,
             draining=self.draining,
         )
-        self._said = now, said
-        return said
+        self._last_load = now, load
+        return load
 
     @property
-    def _n_waiting(self) -> int:
+    def _n_queued(self) -> int:
         return self._slots.statistics().tasks_waiting
 
     async def _run(self, call: BackendCall, route: GraphRoute) -> BackendReply:
@@ -150,19 +153,19 @@
         )
         self.runs.append(run)
         try:
-            return await self._work(call, route, run)
+            return await self._execute(call, route, run)
         except trio.Cancelled:
             run.state = RunState.CANCELLED
             raise
 
-    async def _work(
+    async def _execute(
         self, call: BackendCall, route: GraphRoute, run: Run
     ) -> BackendReply:
         if self._rng.random() < self.faults.hang:
             await trio.sleep_forever()
         factor = self.faults.slow * self._cold_factor()
         await sleep_ms(draw_own_time(self.cfg.graph, route, self._rng, factor))
-        progress = await self._call_below(call, route)
+        progress = await self._make_child_calls(call, route)
         if progress.refused and not progress.had_effect:
             run.state = RunState.BACKED_OUT
             return BackendReply(503, b"refused below", not_run=True)
@@ -174,27 +177,33 @@
             return BackendReply(0, lost=True)
         return BackendReply(200, answer_body(call.mark, route.name))
 
-    async def _call_below(self, call: BackendCall, route: GraphRoute) -> _Progress:
+    async def _make_child_calls(
+        self, call: BackendCall, route: GraphRoute
+    ) -> _ChildCallProgress:
         """Make the calls of a route, stage by stage, until one is not answered."""
-        progress = _Progress()
+        progress = _ChildCallProgress()
         index = 0
         for stage in route.calls:
             async with trio.open_nursery() as nursery:
                 for name in stage:
-                    child = self._child(call, self.cfg.graph.route(name), index)
-                    nursery.start_soon(self._call_one, child, progress)
+                    child = self._child_call(call, self.cfg.graph.route(name), index)
+                    nursery.start_soon(self._make_child_call, child, progress)
                     index += 1
             if progress.refused or progress.failed:
                 break
         return progress
 
-    def _child(self, call: BackendCall, route: GraphRoute, index: int) -> ChildCall:
+    def _child_call(
+        self, call: BackendCall, route: GraphRoute, index: int
+    ) -> ChildCall:
         # The path carries the nonce, so that a cache in between would show.
         number = sum(call.mark.nonce.encode()) + index
-        mark = call.mark.below(index)
+        mark = call.mark.child(index)
         return ChildCall(call.call_id, str(index), route, route.target(number), mark)
 
-    async def _call_one(self, child: ChildCall, progress: _Progress) -> None:
+    async def _make_child_call(
+        self, child: ChildCall, progress: _ChildCallProgress
+    ) -> None:
         result = await self._call_out(child)
         if result.outcome is ChildOutcome.REFUSED:
             progress.refused = True
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/backend_app.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/backend_app.py
@@ -30,11 +30,11 @@
     ChildCall,
     ChildOutcome,
     ChildResult,
-    LoadWord,
+    LoadReportMode,
 )
+from fuchsiagap_standins.command_line import new_flags, parse_flags
 from fuchsiagap_standins.graphs import load_any_graph
-from fuchsiagap_standins.programs import new_flags, parse_flags
-from fuchsiagap_standins.serving import announce, serve_app, until_stopped
+from fuchsiagap_standins.serving import announce, serve_app, wait_for_stop_signal
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Sequence
@@ -44,9 +44,9 @@
     Receive: TypeAlias = Callable[[], Awaitable[dict[str, Any]]]
     Send: TypeAlias = Callable[[dict[str, Any]], Awaitable[None]]
 
-MAX_BODY = 64 * 1024 * 1024
-_OWN_PATHS = "/-/"
-_SILENCE_S = 60.0
+MAX_BODY_BYTES = 64 * 1024 * 1024
+_CONTROL_PREFIX = "/-/"
+_SILENT_LOAD_DELAY_S = 60.0
 
 _FLAGS = new_flags()
 _GRAPH = flags.DEFINE_string(
@@ -65,10 +65,10 @@
 _SEED = flags.DEFINE_integer(
     "seed", 1, "Seed of service times and faults.", flag_values=_FLAGS
 )
-_COLD = flags.DEFINE_float(
+_COLD_START_MS = flags.DEFINE_float(
     "cold_start_ms", 0.0, "Time to get from cold to normal.", flag_values=_FLAGS
 )
-_SCALE = flags.DEFINE_float(
+_TIME_SCALE = flags.DEFINE_float(
     "time_scale", 1.0, "Factor on all service times.", flag_values=_FLAGS
 )
 
@@ -85,10 +85,10 @@
     async def app(scope: dict[str, Any], receive: Receive, send: Send) -> None:
         if scope["type"] != "http":
             await _lifespan(scope, receive, send)
-        elif scope["path"].startswith(_OWN_PATHS):
-            await _own_path(server, scope, receive, send)
+        elif scope["path"].startswith(_CONTROL_PREFIX):
+            await _handle_control_path(server, scope, receive, send)
         else:
-            await _call(server, scope, receive, send)
+            await _handle_call(server, scope, receive, send)
 
     return app
 
@@ -101,7 +101,7 @@
             return
 
 
-async def _call(
+async def _handle_call(
     server: BackendStandIn, scope: dict[str, Any], receive: Receive, send: Send
 ) -> None:
     headers = {
@@ -121,12 +121,12 @@
     reply: BackendReply | None = None
     async with trio.open_nursery() as nursery:
 
-        async def cancel_when_left() -> None:
+        async def cancel_on_disconnect() -> None:
             while (await receive())["type"] != "http.disconnect":
                 pass
             nursery.cancel_scope.cancel()
 
-        nursery.start_soon(cancel_when_left)
+        nursery.start_soon(cancel_on_disconnect)
         with trio.move_on_after(limit_s):
             reply = await server.handle(call)
         nursery.cancel_scope.cancel()
@@ -136,14 +136,14 @@
 async def _send_reply(send: Send, reply: BackendReply) -> None:
     if reply.lost:
         # A response that ends before its body closes the connection.
-        await _start(send, 200, 1)
+        await _start_response(send, 200, 1)
         return
     not_run = ((call_headers.BACKEND_NOT_RUN, "1"),) if reply.not_run else ()
-    await _start(send, reply.status, len(reply.body), not_run)
+    await _start_response(send, reply.status, len(reply.body), not_run)
     await send({"type": "http.response.body", "body": reply.body})
 
 
-async def _start(
+async def _start_response(
     send: Send, status: int, length: int, headers: tuple[tuple[str, str], ...] = ()
 ) -> None:
     raw = [(name.encode(), value.encode()) for name, value in headers]
@@ -153,21 +153,21 @@
 
 async def _read_body(receive: Receive) -> bytes | None:
     """Return the whole body; None if the other end left or sends too much."""
-    pieces: list[bytes] = []
+    chunks: list[bytes] = []
     size = 0
     while True:
         event = await receive()
         if event["type"] == "http.disconnect":
             return None
-        pieces.append(event.get("body", b""))
-        size += len(pieces[-1])
-        if size > MAX_BODY:
+        chunks.append(event.get("body", b""))
+        size += len(chunks[-1])
+        if size > MAX_BODY_BYTES:
             return None
         if not event.get("more_body", False):
-            return b"".join(pieces)
+            return b"".join(chunks)
 
 
-async def _own_path(
+async def _handle_control_path(
     server: BackendStandIn, scope: dict[str, Any], receive: Receive, send: Send
 ) -> None:
     body = await _read_body(receive)
@@ -179,7 +179,7 @@
         case "GET", "/-/load":
             load = server.load()
             if load is None:
-                await trio.sleep(_SILENCE_S)
+                await trio.sleep(_SILENT_LOAD_DELAY_S)
             else:
                 await _send_json(send, 200, asdict(load))
         case "GET", "/-/runs":
@@ -189,19 +189,19 @@
             }
             await _send_json(send, 200, shown)
         case "POST", "/-/control":
-            await _control(server, body or b"", send)
+            await _apply_control(server, body or b"", send)
         case _:
             await _send_json(send, 404, {"error": "no such path"})
 
 
-async def _control(server: BackendStandIn, body: bytes, send: Send) -> None:
+async def _apply_control(server: BackendStandIn, body: bytes, send: Send) -> None:
     """Change faults and drain: a JSON object of their names and new values."""
     known = {field.name for field in fields(BackendFaults)}
     try:
         changes = json.loads(body)
         draining = changes.pop("draining", server.draining)
         if "load_word" in changes:
-            changes["load_word"] = LoadWord(changes["load_word"])
+            changes["load_word"] = LoadReportMode(changes["load_word"])
         server.faults = replace(server.faults, **changes)
         server.draining = bool(draining)
     except (ValueError, TypeError, AttributeError) as exc:
@@ -213,7 +213,9 @@
 
 async def _send_json(send: Send, status: int, content: Any) -> None:
     body = json.dumps(content).encode()
-    await _start(send, status, len(body), (("content-type", "application/json"),))
+    await _start_response(
+        send, status, len(body), (("content-type", "application/json"),)
+    )
     await send({"type": "http.response.body", "body": body})
 
 
@@ -273,19 +275,19 @@
         app = backend_app(BackendStandIn(cfg, call_out, rng))
         async with trio.open_nursery() as nursery:
             announce(await nursery.start(serve_app, app, bind))
-            await until_stopped()
+            await wait_for_stop_signal()
             nursery.cancel_scope.cancel()
 
 
 def main(argv: Sequence[str]) -> None:
     """Run the program."""
     parse_flags(_FLAGS, argv, __doc__ or "")
-    graph = load_any_graph(_GRAPH.value).with_time_scale(_SCALE.value)
+    graph = load_any_graph(_GRAPH.value).with_time_scale(_TIME_SCALE.value)
     services = [service.name for service in graph.services]
     if _SERVICE.value not in services:
         sys.exit(f"--service={_SERVICE.value}: expected one of {', '.join(services)}")
     name = _NAME.value or f"{_SERVICE.value}-0"
-    cfg = BackendSettings(graph, _SERVICE.value, name, cold_start=_COLD.value)
+    cfg = BackendSettings(graph, _SERVICE.value, name, cold_start=_COLD_START_MS.value)
     rng = random.Random(f"{_SEED.value} {name}")
     trio.run(partial(run_backend, cfg, _BIND.value, _NODE.value, rng))
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/backend_types.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/backend_types.py
@@ -14,7 +14,7 @@
     from fuchsiagap_standins.graphs.model import Graph, GraphRoute
 
 
-class LoadWord(Enum):
+class LoadReportMode(Enum):
     """What the backend server's load endpoint says."""
 
     TRUE = "true"
@@ -37,7 +37,7 @@
         Probability that the connection is lost after the run, before the answer.
     hang : float
         Probability that a call is never answered.
-    load_word : LoadWord
+    load_word : LoadReportMode
         What it says of its load.
     load_lag : float
         Milliseconds for which it says the same again.
@@ -47,7 +47,7 @@
     shedding: bool = False
     lose_answers: float = 0.0
     hang: float = 0.0
-    load_word: LoadWord = LoadWord.TRUE
+    load_word: LoadReportMode = LoadReportMode.TRUE
     load_lag: Milliseconds = 0.0
 
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/control.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/control.py
@@ -20,6 +20,7 @@
 from absl import flags
 
 from fuchsiagap.core.clock import MS_PER_S, Milliseconds
+from fuchsiagap_standins.command_line import new_flags, parse_flags
 from fuchsiagap_standins.node_ini import Place, node_ini
 from fuchsiagap_standins.processes import (
     cpu_ms,
@@ -27,7 +28,6 @@
     process_group,
     reserve_addresses,
 )
-from fuchsiagap_standins.programs import new_flags, parse_flags
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -258,7 +258,7 @@
     """Run one size; see `ControlFigures`."""
     with tempfile.TemporaryDirectory() as folder:
         async with (
-            process_group(Path(folder), stop_limit=20_000.0) as group,
+            process_group(Path(folder), stop_timeout=20_000.0) as group,
             httpx.AsyncClient(trust_env=False, timeout=30.0) as client,
         ):
             backend = await group.start_standin("backend", "echo_server")
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/backend.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/backend.py
@@ -134,7 +134,7 @@
         await sleep_ms(own_time if is_long else own_time * self.slowness)
         for index, name in enumerate(route.calls):
             child = ROUTES[name]
-            below = mark.below(index)
+            below = mark.child(index)
             outcome = await self._call(head, child, below)
             if not isinstance(outcome, Answered) or outcome.status != _OK:
                 return Answered(_FAILED_STATUS, (), b"a call below failed")
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/operators.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/operators.py
@@ -24,8 +24,8 @@
 from fuchsiagap_ctl.exit_codes import ExitCode
 from fuchsiagap_ctl.main import run_line
 from fuchsiagap_ctl.output import Output
+from fuchsiagap_standins.command_line import new_flags, parse_flags
 from fuchsiagap_standins.processes import process_group
-from fuchsiagap_standins.programs import new_flags, parse_flags
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/path.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/path.py
@@ -19,9 +19,9 @@
 
 from fuchsiagap.core.clock import MS_PER_S, Milliseconds
 from fuchsiagap_node.core.edges.http_client import ClientResponse, HttpPool
+from fuchsiagap_standins.command_line import new_flags, parse_flags
 from fuchsiagap_standins.node_ini import Place, node_ini
 from fuchsiagap_standins.processes import cpu_ms, process_group, reserve_addresses
-from fuchsiagap_standins.programs import new_flags, parse_flags
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/tickets.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/tickets.py
@@ -31,7 +31,7 @@
 from fuchsiagap_node.core.callpath.home import at_home
 from fuchsiagap_node.core.drain.handover import HandedOver, hand_over
 from fuchsiagap_standins.builders import an_issue_head
-from fuchsiagap_standins.programs import new_flags
+from fuchsiagap_standins.command_line import new_flags
 from fuchsiagap_standins.ticket_nodes import Backends, TicketNet
 
 if TYPE_CHECKING:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/byte_relay.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/byte_relay.py
@@ -12,7 +12,7 @@
 import trio
 from absl import flags
 
-from fuchsiagap_standins.programs import new_flags, parse_flags
+from fuchsiagap_standins.command_line import new_flags, parse_flags
 from fuchsiagap_standins.serving import announce
 
 if TYPE_CHECKING:
@@ -29,25 +29,27 @@
     """Relay every connection to ``target`` until the process is ended."""
     host, _, port = target.rpartition(":")
 
-    async def connect(near: trio.SocketStream) -> None:
-        far = await trio.open_tcp_stream(host, int(port))
-        async with near, far, trio.open_nursery() as nursery:
-            nursery.start_soon(_copy, near, far)
-            nursery.start_soon(_copy, far, near)
+    async def relay_connection(client: trio.SocketStream) -> None:
+        server = await trio.open_tcp_stream(host, int(port))
+        async with client, server, trio.open_nursery() as nursery:
+            nursery.start_soon(_copy, client, server)
+            nursery.start_soon(_copy, server, client)
 
     listener = (await trio.open_tcp_listeners(0, host=ip))[0]
     address = listener.socket.getsockname()
     announce(f"{address[0]}:{address[1]}")
-    await trio.serve_listeners(connect, [listener])
+    await trio.serve_listeners(relay_connection, [listener])
 
 
 def main(argv: Sequence[str]) -> None:
     """Run the relay; ``--to`` names the ``IP:PORT`` it relays to."""
-    own = new_flags()
-    flags.DEFINE_string("ip", "127.0.0.1", "IP number to listen at", flag_values=own)
-    flags.DEFINE_string("to", "", "IP:PORT to relay to", flag_values=own)
-    parse_flags(own, argv, __doc__ or "")
-    trio.run(run_relay, str(own["ip"].value), str(own["to"].value))
+    flag_values = new_flags()
+    flags.DEFINE_string(
+        "ip", "127.0.0.1", "IP number to listen at", flag_values=flag_values
+    )
+    flags.DEFINE_string("to", "", "IP:PORT to relay to", flag_values=flag_values)
+    parse_flags(flag_values, argv, __doc__ or "")
+    trio.run(run_relay, str(flag_values["ip"].value), str(flag_values["to"].value))
 
 
 if __name__ == "__main__":
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/caller.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/caller.py
@@ -14,18 +14,18 @@
 
 from fuchsiagap.core.clock import MS_PER_S, Clock, Milliseconds, trio_clock
 from fuchsiagap_standins.answers import CallMark
-from fuchsiagap_standins.calling import Attempt, ClientRequest, Ending
 from fuchsiagap_standins.graphs.sizes import draw_root
+from fuchsiagap_standins.request_senders import Attempt, ClientRequest, RequestOutcome
 
 if TYPE_CHECKING:
     import random
 
-    from fuchsiagap_standins.calling import SendAttempt, TakeTicket
     from fuchsiagap_standins.graphs.model import Graph, GraphRoute
+    from fuchsiagap_standins.request_senders import SendAttempt, TakeTicket
 
-_LONGEST_US = 600_000_000
+_MAX_LATENCY_US = 600_000_000
 _US_PER_MS = 1000
-_DIGITS = 3
+_SIGNIFICANT_DIGITS = 3
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,7 +63,7 @@
         Requests.
     attempts : int
         Attempts of all of them.
-    endings : dict
+    outcomes : dict
         Requests by what their callers held in the end.
     latency : HdrHistogram
         Microseconds from the first attempt to the answer, of those answered.
@@ -71,8 +71,12 @@
 
     sent: int = 0
     attempts: int = 0
-    endings: dict[Ending, int] = field(default_factory=lambda: dict.fromkeys(Ending, 0))
-    latency: Any = field(default_factory=lambda: HdrHistogram(1, _LONGEST_US, _DIGITS))
+    outcomes: dict[RequestOutcome, int] = field(
+        default_factory=lambda: dict.fromkeys(RequestOutcome, 0)
+    )
+    latency: Any = field(
+        default_factory=lambda: HdrHistogram(1, _MAX_LATENCY_US, _SIGNIFICANT_DIGITS)
+    )
 
     def percentile(self, percent: float) -> Milliseconds:
         """Return a percentile of the latency; 0 if nothing was answered."""
@@ -100,9 +104,9 @@
     refused: list[str] = field(default_factory=list)
     reasons: dict[str, int] = field(default_factory=dict)
 
-    def total(self, ending: Ending) -> int:
+    def total(self, outcome: RequestOutcome) -> int:
         """Return how many requests ended so."""
-        return sum(report.endings[ending] for report in self.routes.values())
+        return sum(report.outcomes[outcome] for report in self.routes.values())
 
     @property
     def sent(self) -> int:
@@ -112,7 +116,7 @@
     @property
     def ended(self) -> int:
         """Requests whose callers hold something."""
-        return sum(self.total(ending) for ending in Ending)
+        return sum(self.total(outcome) for outcome in RequestOutcome)
 
 
 async def run_callers(
@@ -141,10 +145,10 @@
         By default that of the running loop.
     """
     clock = clock or trio_clock()
-    ends = trio.current_time() + cfg.duration / MS_PER_S
+    end_time = trio.current_time() + cfg.duration / MS_PER_S
     arrival = trio.current_time()
     async with trio.open_nursery() as nursery:
-        while (arrival := arrival + rng.expovariate(cfg.rate)) < ends:
+        while (arrival := arrival + rng.expovariate(cfg.rate)) < end_time:
             await trio.sleep_until(arrival)
             route = draw_root(cfg.graph, rng)
             nonce = f"{rng.getrandbits(64):016x}"
@@ -162,38 +166,38 @@
     report: CallerReport,
     clock: Clock,
 ) -> None:
-    row = report.routes.setdefault(route.name, RouteReport())
-    row.sent += 1
+    route_report = report.routes.setdefault(route.name, RouteReport())
+    route_report.sent += 1
     started = clock.now()
     ticket = await take_ticket()
     target = route.target(int(nonce[:4], 16))
     request = ClientRequest(route, CallMark(nonce), target, ticket)
-    seen: list[Attempt] = []
+    attempts: list[Attempt] = []
     for attempt in range(1 + cfg.retries):
         if attempt > 0:
             await trio.sleep(cfg.pause / MS_PER_S)
-        row.attempts += 1
-        seen.append(await send(request))
-        if seen[-1].ending in (Ending.ANSWERED, Ending.WRONG):
+        route_report.attempts += 1
+        attempts.append(await send(request))
+        if attempts[-1].outcome in (RequestOutcome.ANSWERED, RequestOutcome.WRONG):
             break
-        reason = seen[-1].reason
+        reason = attempts[-1].reason
         report.reasons[reason] = report.reasons.get(reason, 0) + 1
-    ending = ending_of(seen)
-    row.endings[ending] += 1
-    if ending is Ending.ANSWERED:
-        taken_us = round((clock.now() - started) * _US_PER_MS)
-        row.latency.record_value(min(max(taken_us, 1), _LONGEST_US))
-    elif ending is Ending.REFUSED:
+    outcome = final_outcome(attempts)
+    route_report.outcomes[outcome] += 1
+    if outcome is RequestOutcome.ANSWERED:
+        latency_us = round((clock.now() - started) * _US_PER_MS)
+        route_report.latency.record_value(min(max(latency_us, 1), _MAX_LATENCY_US))
+    elif outcome is RequestOutcome.REFUSED:
         report.refused.append(nonce)
 
 
-def ending_of(attempts: list[Attempt]) -> Ending:
+def final_outcome(attempts: list[Attempt]) -> RequestOutcome:
     """Return what a caller holds after some attempts of one request."""
-    endings = {attempt.ending for attempt in attempts}
-    if Ending.WRONG in endings:
-        return Ending.WRONG
-    if Ending.ANSWERED in endings:
-        return Ending.ANSWERED
-    if endings == {Ending.REFUSED}:
-        return Ending.REFUSED
-    return Ending.UNKNOWN
+    outcomes = {attempt.outcome for attempt in attempts}
+    if RequestOutcome.WRONG in outcomes:
+        return RequestOutcome.WRONG
+    if RequestOutcome.ANSWERED in outcomes:
+        return RequestOutcome.ANSWERED
+    if outcomes == {RequestOutcome.REFUSED}:
+        return RequestOutcome.REFUSED
+    return RequestOutcome.UNKNOWN
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/programs.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/command_line.py
@@ -22,7 +22,7 @@
     return flags.FlagValues()  # type: ignore[no-untyped-call]
 
 
-def parse_flags(own: flags.FlagValues, argv: Sequence[str], doc: str) -> None:
+def parse_flags(flag_values: flags.FlagValues, argv: Sequence[str], doc: str) -> None:
     """Parse a command line; end the program with a usage text if it is not valid.
 
     Parameters
@@ -34,14 +34,14 @@
     doc : str
         What the program is for.
     """
-    flags.DEFINE_bool("help", False, "Show this help.", flag_values=own)
+    flags.DEFINE_bool("help", False, "Show this help.", flag_values=flag_values)
     try:
-        rest = own(list(argv))[1:]
+        rest = flag_values(list(argv))[1:]
         if rest:
             raise flags.Error(f"unexpected argument: {rest[0]}")
     except flags.Error as exc:
-        print(f"{exc}\n\n{own.main_module_help()}", file=sys.stderr)
+        print(f"{exc}\n\n{flag_values.main_module_help()}", file=sys.stderr)
         sys.exit(EXIT_USAGE)
-    if own["help"].value:
-        print(f"{doc}\n{own.get_help()}")
+    if flag_values["help"].value:
+        print(f"{doc}\n{flag_values.get_help()}")
         sys.exit(0)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/demo.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/demo.py
@@ -24,13 +24,7 @@
 from fuchsiagap_client import ClientSettings, open_client
 from fuchsiagap_standins.answers import CallMark
 from fuchsiagap_standins.caller import CallerReport, CallerSettings, run_callers
-from fuchsiagap_standins.calling import (
-    ClientRequest,
-    Ending,
-    client_sender,
-    http_sender,
-    no_ticket,
-)
+from fuchsiagap_standins.command_line import EXIT_USAGE, new_flags, parse_flags
 from fuchsiagap_standins.demo_faults import FAULTS, bring_about
 from fuchsiagap_standins.deployment import (
     Deployment,
@@ -40,7 +34,13 @@
 )
 from fuchsiagap_standins.graphs import load_any_graph
 from fuchsiagap_standins.processes import ProcessFailed, process_group
-from fuchsiagap_standins.programs import EXIT_USAGE, new_flags, parse_flags
+from fuchsiagap_standins.request_senders import (
+    ClientRequest,
+    RequestOutcome,
+    client_sender,
+    http_sender,
+    no_ticket,
+)
 from fuchsiagap_standins.violations import Violations, find_violations
 
 if TYPE_CHECKING:
@@ -145,7 +145,7 @@
     for number, route in enumerate(route for route in graph.routes if route.idempotent):
         mark = CallMark(f"probe-{node}-{number}")
         request = ClientRequest(route, mark, route.target(number), "")
-        while (await send(request)).ending is not Ending.ANSWERED:
+        while (await send(request)).outcome is not RequestOutcome.ANSWERED:
             if running.group.ended():
                 return
             await trio.sleep(_PROBE_PAUSE_S)
@@ -173,8 +173,12 @@
     while True:
         await trio.sleep(1.0)
         shown = ", ".join(
-            f"{report.total(ending)} {ending.value}"
-            for ending in (Ending.ANSWERED, Ending.REFUSED, Ending.UNKNOWN)
+            f"{report.total(outcome)} {outcome.value}"
+            for outcome in (
+                RequestOutcome.ANSWERED,
+                RequestOutcome.REFUSED,
+                RequestOutcome.UNKNOWN,
+            )
         )
         elapsed = trio.current_time() - began
         waiting = report.sent - report.ended
@@ -193,12 +197,12 @@
             _say(f"  {node} ended with {code} when asked to stop")
     if violations.total:
         _say(f"  violations: {violations}")
-    answered = report.total(Ending.ANSWERED)
+    answered = report.total(RequestOutcome.ANSWERED)
     last = {
         "sent": report.sent,
         "answered": answered,
-        "refused": report.total(Ending.REFUSED),
-        "unknown": report.total(Ending.UNKNOWN),
+        "refused": report.total(RequestOutcome.REFUSED),
+        "unknown": report.total(RequestOutcome.UNKNOWN),
         "violations": violations.total,
     }
     _say(json.dumps(last))
@@ -213,9 +217,9 @@
     for name, row in sorted(report.routes.items()):
         counts = (
             row.sent,
-            row.endings[Ending.ANSWERED],
-            row.endings[Ending.REFUSED],
-            row.endings[Ending.UNKNOWN],
+            row.outcomes[RequestOutcome.ANSWERED],
+            row.outcomes[RequestOutcome.REFUSED],
+            row.outcomes[RequestOutcome.UNKNOWN],
         )
         cells = "".join(f"{count:>10}" for count in counts)
         times = "".join(f"{row.percentile(percent):>10.1f}" for percent in (50, 99))
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/deployment.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/deployment.py
@@ -12,7 +12,7 @@
 from fuchsiagap.core.settings.model import settings_path
 from fuchsiagap_standins.graphs import settings_text
 from fuchsiagap_standins.node_ini import Place, node_ini
-from fuchsiagap_standins.processes import Reservation, reserve_addresses
+from fuchsiagap_standins.processes import AddressReservation, reserve_addresses
 from fuchsiagap_standins.run_log import Run, run_from_json
 
 if TYPE_CHECKING:
@@ -119,7 +119,7 @@
     Deployment
         All processes listen; nodes may not all know each other yet.
     """
-    reservations: list[Reservation] = []
+    reservations: list[AddressReservation] = []
     try:
         places = _places(cfg, reservations)
         platform = await group.start_standin(
@@ -179,7 +179,7 @@
 
 
 def _places(
-    cfg: DeploymentSettings, reservations: list[Reservation]
+    cfg: DeploymentSettings, reservations: list[AddressReservation]
 ) -> tuple[Place, ...]:
     graph = cfg.graph
     places: list[Place] = []
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/platform.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/platform.py
@@ -20,7 +20,7 @@
     import random
     from collections.abc import AsyncIterator
 
-MAX_VALUE = 1_000_000
+MAX_VALUE_BYTES = 1_000_000
 WATCH_WAIT: Milliseconds = 30_000.0
 
 
@@ -130,14 +130,16 @@
         self._reads += 1
         if (unavailable := await self._delay()) is not None:
             return unavailable
-        return self.under(prefix)
+        return self.objects_under(prefix)
 
     async def put(
         self, path: str, value: bytes, expected_version: int | None
     ) -> PutResult:
         """Write if the version is the expected one."""
-        if len(value) > MAX_VALUE:
-            detail = f"{path}: {len(value)} bytes; a value has at most {MAX_VALUE}"
+        if len(value) > MAX_VALUE_BYTES:
+            detail = (
+                f"{path}: {len(value)} bytes; a value has at most {MAX_VALUE_BYTES}"
+            )
             return PlatformUnavailable(maybe_applied=False, detail=detail)
         return await self._change(path, value, expected_version, deleted=False)
 
@@ -176,17 +178,19 @@
         self._watches += 1
         if (unavailable := await self._delay()) is not None:
             return unavailable
-        ends = trio.current_time() + wait / MS_PER_S
-        while not (changes := self.under(prefix, after_version)):
+        end_time = trio.current_time() + wait / MS_PER_S
+        while not (changes := self.objects_under(prefix, after_version)):
             if self.faults.outage or name in self.cut_off:
                 return self._fail(maybe_applied=False)
-            with trio.move_on_at(ends):
+            with trio.move_on_at(end_time):
                 await self._changed.wait()
-            if trio.current_time() >= ends:
+            if trio.current_time() >= end_time:
                 break
         return changes
 
-    def under(self, prefix: str, after_version: int = 0) -> tuple[StoredObject, ...]:
+    def objects_under(
+        self, prefix: str, after_version: int = 0
+    ) -> tuple[StoredObject, ...]:
         """Return the objects under a prefix in order of version, without a call."""
         found = [
             stored
@@ -276,14 +280,14 @@
         if (unavailable := await self._unreachable()) is not None:
             return unavailable
         result = await self._store.put(path, value, expected_version)
-        return self._answer(result)
+        return self._result_if_reachable(result)
 
     async def delete(self, path: str, expected_version: int | None) -> PutResult:
         """Leave a tombstone."""
         if (unavailable := await self._unreachable()) is not None:
             return unavailable
         result = await self._store.delete(path, expected_version)
-        return self._answer(result)
+        return self._result_if_reachable(result)
 
     async def watch(
         self, prefix: str, after_version: int
@@ -306,7 +310,7 @@
         await sleep_ms(self._store.faults.patience)
         return PlatformUnavailable(maybe_applied=False, detail="cut off")
 
-    def _answer(self, result: PutResult) -> PutResult:
+    def _result_if_reachable(self, result: PutResult) -> PutResult:
         # The cut may have come between the effect and the answer.
         if self._name in self._store.cut_off:
             return PlatformUnavailable(maybe_applied=True, detail="cut off")
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/platform_app.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/platform_app.py
@@ -26,14 +26,14 @@
     PutResult,
     StoredObject,
 )
+from fuchsiagap_standins.command_line import new_flags, parse_flags
 from fuchsiagap_standins.platform import (
-    MAX_VALUE,
+    MAX_VALUE_BYTES,
     WATCH_WAIT,
     ObjectStore,
     PlatformFaults,
 )
-from fuchsiagap_standins.programs import new_flags, parse_flags
-from fuchsiagap_standins.serving import announce, serve_app, until_stopped
+from fuchsiagap_standins.serving import announce, serve_app, wait_for_stop_signal
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -62,7 +62,7 @@
         The application.
     """
     app = QuartTrio(__name__)
-    app.config["MAX_CONTENT_LENGTH"] = MAX_VALUE
+    app.config["MAX_CONTENT_LENGTH"] = MAX_VALUE_BYTES
     app.config["RESPONSE_TIMEOUT"] = None
     app.config["BODY_TIMEOUT"] = 10
     _add_objects(app, store)
@@ -187,7 +187,7 @@
     app = platform_app(ObjectStore(random.Random(seed), faults))
     async with trio.open_nursery() as nursery:
         announce(await nursery.start(serve_app, app, bind))
-        await until_stopped()
+        await wait_for_stop_signal()
         nursery.cancel_scope.cancel()
 
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/processes.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/processes.py
@@ -19,13 +19,13 @@
 import trio
 
 from fuchsiagap.core.clock import MS_PER_S, Milliseconds
-from fuchsiagap_standins.serving import LISTENING
+from fuchsiagap_standins.serving import LISTENING_PREFIX
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Sequence
 
-START_LIMIT: Milliseconds = 30_000.0
-STOP_LIMIT: Milliseconds = 10_000.0
+START_TIMEOUT: Milliseconds = 30_000.0
+STOP_TIMEOUT: Milliseconds = 10_000.0
 _POLL_S = 0.02
 _TAIL_CHARACTERS = 2000
 _PR_SET_PDEATHSIG = 1
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reservation:
+class AddressReservation:
     """Addresses that nobody else gets while this is open.
 
     Parameters
@@ -57,7 +57,7 @@
             sock.close()
 
 
-def reserve_addresses(ip: str, number: int) -> Reservation:
+def reserve_addresses(ip: str, number: int) -> AddressReservation:
     """Reserve free ports of an address for processes to come.
 
     Parameters
@@ -69,7 +69,7 @@
 
     Returns
     -------
-    Reservation
+    AddressReservation
         Processes that set ``SO_REUSEADDR`` can listen there.
     """
     sockets = []
@@ -81,7 +81,7 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sockets.append(sock)
     addresses = tuple(f"{ip}:{sock.getsockname()[1]}" for sock in sockets)
-    return Reservation(addresses, tuple(sockets))
+    return AddressReservation(addresses, tuple(sockets))
 
 
 @dataclass(slots=True)
@@ -167,7 +167,7 @@
                 stdout=output,
                 stderr=output,
                 start_new_session=True,
-                preexec_fn=_end_with_parent,
+                preexec_fn=_terminate_with_parent,
             )
         process = RunningProcess(name, popen, log, offset)
         self.running[name] = process
@@ -177,12 +177,12 @@
         """Start a stand-in and return the ``IP:PORT`` it listens on."""
         argv = [sys.executable, "-m", f"fuchsiagap_standins.{module}", *args]
         process = self.start(name, argv)
-        with trio.move_on_after(START_LIMIT / MS_PER_S):
+        with trio.move_on_after(START_TIMEOUT / MS_PER_S):
             while True:
                 for line in process.output().splitlines():
-                    if line.startswith(LISTENING):
-                        return line.removeprefix(LISTENING).strip()
-                self._fail_if_ended(process)
+                    if line.startswith(LISTENING_PREFIX):
+                        return line.removeprefix(LISTENING_PREFIX).strip()
+                self._raise_if_exited(process)
                 await trio.sleep(_POLL_S)
         raise ProcessFailed(f"{name} is not ready:\n{process.log_tail()}")
 
@@ -203,9 +203,9 @@
         program = Path(sys.executable).parent / "fuchsiagap-node"
         process = self.start(name, [str(program), "--config", str(path)])
         host, _, port = callers.rpartition(":")
-        with trio.move_on_after(START_LIMIT / MS_PER_S):
+        with trio.move_on_after(START_TIMEOUT / MS_PER_S):
             while True:
-                self._fail_if_ended(process)
+                self._raise_if_exited(process)
                 try:
                     stream = await trio.open_tcp_stream(host, int(port))
                 except OSError:
@@ -215,8 +215,8 @@
                 return process
         raise ProcessFailed(f"{name} is not ready:\n{process.log_tail()}")
 
-    async def stop(self, name: str, limit: Milliseconds = STOP_LIMIT) -> int:
-        """Ask a process to stop, and kill it if it has not after `limit`.
+    async def stop(self, name: str, timeout: Milliseconds = STOP_TIMEOUT) -> int:
+        """Ask a process to stop, and kill it if it has not after `timeout`.
 
         Returns
         -------
@@ -226,7 +226,7 @@
         process = self.running[name]
         process.send(signal.SIGCONT)
         process.send(signal.SIGTERM)
-        with trio.move_on_after(limit / MS_PER_S):
+        with trio.move_on_after(timeout / MS_PER_S):
             while process.exit_code is None:
                 await trio.sleep(_POLL_S)
         return self.kill(name)
@@ -249,19 +249,19 @@
         """Let a paused process go on."""
         self.running[name].send(signal.SIGCONT)
 
-    async def stop_all(self, limit: Milliseconds = STOP_LIMIT) -> dict[str, int]:
+    async def stop_all(self, timeout: Milliseconds = STOP_TIMEOUT) -> dict[str, int]:
         """Stop all processes at once; return their exit codes by name."""
         codes: dict[str, int] = {}
 
         async def stop(name: str) -> None:
-            codes[name] = await self.stop(name, limit)
+            codes[name] = await self.stop(name, timeout)
 
         async with trio.open_nursery() as nursery:
             for name in list(self.running):
                 nursery.start_soon(stop, name)
         return codes
 
-    def _fail_if_ended(self, process: RunningProcess) -> None:
+    def _raise_if_exited(self, process: RunningProcess) -> None:
         code = process.exit_code
         if code is not None:
             tail = process.log_tail()
@@ -270,7 +270,7 @@
 
 @asynccontextmanager
 async def process_group(
-    folder: Path, stop_limit: Milliseconds = STOP_LIMIT
+    folder: Path, stop_timeout: Milliseconds = STOP_TIMEOUT
 ) -> AsyncIterator[ProcessGroup]:
     """Run processes that all end with the block, however it ends.
 
@@ -278,7 +278,7 @@
     ----------
     folder : Path
         For their output and settings.
-    stop_limit : float
+    stop_timeout : float
         Milliseconds a process has for a graceful shutdown.
 
     Yields
@@ -291,10 +291,10 @@
         yield group
     finally:
         with trio.CancelScope(shield=True):
-            await group.stop_all(stop_limit)
+            await group.stop_all(stop_timeout)
 
 
-def _end_with_parent() -> None:
+def _terminate_with_parent() -> None:
     """Ask the kernel to stop this process when its parent is gone, even if killed."""
     _LIBC.prctl(_PR_SET_PDEATHSIG, signal.SIGTERM)
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/calling.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/request_senders.py
@@ -24,10 +24,10 @@
     from fuchsiagap_standins.graphs.model import Graph, GraphRoute
 
 TICKET_BATCH = 64
-_NOT_SENT = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
+_NOT_SENT_ERRORS = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
 
 
-class Ending(Enum):
+class RequestOutcome(Enum):
     """What a caller holds in the end."""
 
     ANSWERED = "answered"
@@ -64,13 +64,13 @@
 
     Parameters
     ----------
-    ending : Ending
+    outcome : RequestOutcome
         What the caller holds.
     reason : str
         The node's reason, or what went wrong on the way.
     """
 
-    ending: Ending
+    outcome: RequestOutcome
     reason: str = ""
 
 
@@ -116,10 +116,10 @@
                 headers=headers,
                 timeout=timeout_s,
             )
-        except _NOT_SENT as exc:
-            return Attempt(Ending.REFUSED, type(exc).__name__)
+        except _NOT_SENT_ERRORS as exc:
+            return Attempt(RequestOutcome.REFUSED, type(exc).__name__)
         except httpx.HTTPError as exc:
-            return Attempt(Ending.UNKNOWN, type(exc).__name__)
+            return Attempt(RequestOutcome.UNKNOWN, type(exc).__name__)
         return read_response(request, response)
 
     return send
@@ -147,8 +147,8 @@
         if isinstance(outcome, Answered):
             return read_answer(request, outcome.status, outcome.body)
         if isinstance(outcome, Refused):
-            return Attempt(Ending.REFUSED, outcome.reason.value)
-        return Attempt(Ending.UNKNOWN, outcome.reason.value)
+            return Attempt(RequestOutcome.REFUSED, outcome.reason.value)
+        return Attempt(RequestOutcome.UNKNOWN, outcome.reason.value)
 
     return send
 
@@ -163,38 +163,40 @@
     outcome = response.headers.get(call_headers.OUTCOME, "")
     reason = response.headers.get(call_headers.REASON, "")
     if outcome == call_headers.OUTCOME_REFUSED:
-        return Attempt(Ending.REFUSED, reason)
+        return Attempt(RequestOutcome.REFUSED, reason)
     if outcome != call_headers.OUTCOME_ANSWERED:
-        return Attempt(Ending.UNKNOWN, reason or f"status {response.status_code}")
+        return Attempt(
+            RequestOutcome.UNKNOWN, reason or f"status {response.status_code}"
+        )
     return read_answer(request, response.status_code, response.content)
 
 
 def read_answer(request: ClientRequest, status: int, body: bytes) -> Attempt:
     """Return what a backend server's answer means for the request."""
     if status != httpx.codes.OK:
-        return Attempt(Ending.UNKNOWN, f"backend status {status}")
+        return Attempt(RequestOutcome.UNKNOWN, f"backend status {status}")
     if is_own_answer(body, request.mark, request.route.name):
-        return Attempt(Ending.ANSWERED)
-    return Attempt(Ending.WRONG, "not the own answer, or not whole")
+        return Attempt(RequestOutcome.ANSWERED)
+    return Attempt(RequestOutcome.WRONG, "not the own answer, or not whole")
 
 
 def http_tickets(
     client: httpx.AsyncClient, nodes: Sequence[str], rng: random.Random
 ) -> TakeTicket:
     """Return how to take tickets, which come in batches from nodes in turn."""
-    held: list[str] = []
+    available: list[str] = []
 
     async def take() -> str:
         for node in rng.sample(nodes, len(nodes)):
-            if held:
+            if available:
                 break
-            held.extend(await _ask_tickets(client, node))
-        return held.pop() if held else ""
+            available.extend(await _request_tickets(client, node))
+        return available.pop() if available else ""
 
     return take
 
 
-async def _ask_tickets(client: httpx.AsyncClient, node: str) -> list[str]:
+async def _request_tickets(client: httpx.AsyncClient, node: str) -> list[str]:
     content = json.dumps({"count": TICKET_BATCH})
     try:
         response = await client.post(f"http://{node}/tickets", content=content)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/serving.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/serving.py
@@ -15,7 +15,7 @@
 
 KEEP_ALIVE_S = 60
 BACKLOG = 1024
-LISTENING = "listening "
+LISTENING_PREFIX = "listening "
 
 
 async def serve_app(
@@ -56,7 +56,7 @@
     await serve(app, cfg, task_status=task_status, mode="asgi")
 
 
-async def until_stopped(*, grace: Milliseconds = 0.0) -> None:
+async def wait_for_stop_signal(*, grace: Milliseconds = 0.0) -> None:
     """Wait for SIGTERM or SIGINT.
 
     Parameters
@@ -72,4 +72,4 @@
 
 def announce(address: str) -> None:
     """Tell the starting process where this one listens, by a line on stdout."""
-    print(f"{LISTENING}{address}", flush=True)
+    print(f"{LISTENING_PREFIX}{address}", flush=True)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_backend.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_backend.py
@@ -16,7 +16,7 @@
     BackendSettings,
     ChildOutcome,
     ChildResult,
-    LoadWord,
+    LoadReportMode,
 )
 from fuchsiagap_standins.graphs import load_graph
 from fuchsiagap_standins.run_log import RunState, double_runs, false_refusals
@@ -51,7 +51,7 @@
 
         run_virtual(main, limit_s=3600)
 
-    def test_answer_is_own_and_whole(self):
+    def test_only_a_complete_answer_to_the_same_call_is_accepted(self):
         async def use(server):
             reply = await server.handle(ISSUE)
             self.assertTrue(is_own_answer(reply.body, ISSUE.mark, "certs/issue"))
@@ -61,7 +61,7 @@
 
         self.run_server("certs", use)
 
-    def test_calls_below_carry_parent_key_and_place(self):
+    def test_child_calls_carry_parent_call_child_key_and_place(self):
         seen = []
 
         async def call_out(child):
@@ -74,7 +74,7 @@
         self.run_server("certs", use, call_out)
         self.assertEqual([("c1", "0", "0.0"), ("c1", "1", "0.1")], seen)
 
-    def test_wrong_answer_from_below_is_noticed(self):
+    def test_wrong_child_answer_is_recorded(self):
         async def call_out(child):
             other = answer_body(CallMark("other"), child.route.name)
             return ChildResult(ChildOutcome.ANSWERED, 200, other)
@@ -86,7 +86,7 @@
 
         self.run_server("certs", use, call_out)
 
-    def test_refused_below_is_not_run_while_nothing_had_effect(self):
+    def test_refused_child_call_without_effects_is_reported_as_not_run(self):
         async def use(server):
             reply = await server.handle(START)
             self.assertTrue(reply.not_run)
@@ -96,9 +96,9 @@
             call_out = answer_with(**{route: ChildOutcome.REFUSED})
             self.run_server("cycles", use, call_out)
 
-    def test_refused_below_after_an_effect_is_no_refusal(self):
+    def test_refused_child_call_after_an_effect_is_a_failure(self):
         async def use(server):
-            server.cfg = replace(server.cfg, graph=two_effects())
+            server.cfg = replace(server.cfg, graph=effect_before_refusal())
             server._routes = server.cfg.graph.routes
             reply = await server.handle(START)
             self.assertEqual((502, False), (reply.status, reply.not_run))
@@ -107,7 +107,7 @@
         call_out = answer_with(access=ChildOutcome.REFUSED)
         self.run_server("cycles", use, call_out)
 
-    def test_unknown_below_is_no_refusal(self):
+    def test_unknown_child_outcome_is_a_failure(self):
         async def use(server):
             reply = await server.handle(START)
             self.assertEqual((502, False), (reply.status, reply.not_run))
@@ -180,7 +180,7 @@
 
         self.run_server("bookings", use, cold_start=30_000.0)
 
-    def test_load_may_lag_freeze_lie_and_be_silent(self):
+    def test_load_report_can_be_stale_frozen_false_or_missing(self):
         async def use(server):
             async with trio.open_nursery() as nursery:
                 server.faults = BackendFaults(load_lag=5_000.0)
@@ -193,21 +193,21 @@
                 await trio.sleep(2)
                 self.assertEqual(1, server.load().in_flight)
                 nursery.start_soon(server.handle, SHOW)
-                server.faults = replace(hung, load_word=LoadWord.FROZEN)
+                server.faults = replace(hung, load_word=LoadReportMode.FROZEN)
                 await trio.sleep(60)
                 self.assertEqual(1, server.load().in_flight)
-                server.faults = replace(hung, load_word=LoadWord.LYING)
+                server.faults = replace(hung, load_word=LoadReportMode.LYING)
                 self.assertEqual(
                     (0, 120), (server.load().in_flight, server.load().slots)
                 )
-                server.faults = replace(hung, load_word=LoadWord.SILENT)
+                server.faults = replace(hung, load_word=LoadReportMode.SILENT)
                 self.assertIsNone(server.load())
                 nursery.cancel_scope.cancel()
 
         self.run_server("bookings", use)
 
 
-def two_effects():
+def effect_before_refusal():
     """Return Queensland with a start of a cycle that records before it checks."""
     start = GRAPH.route("cycles/start")
     swapped = replace(start, calls=(("results/record",), ("bookings/access",)))
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_backend_app.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_backend_app.py
@@ -18,7 +18,7 @@
     BackendSettings,
     ChildOutcome,
     ChildResult,
-    LoadWord,
+    LoadReportMode,
 )
 from fuchsiagap_standins.graphs import load_graph
 from fuchsiagap_standins.run_log import RunState
@@ -55,7 +55,7 @@
 
         trio.run(main)
 
-    def test_answer_comes_whole(self):
+    def test_complete_answer_and_unknown_path(self):
         async def use(server, client, _):
             response = await client.get("/bookings/1")
             own = is_own_answer(response.content, MARK, "bookings/show")
@@ -90,7 +90,7 @@
 
         self.run_app("bookings", use)
 
-    def test_passed_deadline_cancels_the_run(self):
+    def test_expired_deadline_cancels_the_run(self):
         async def use(server, client, _):
             server.faults = BackendFaults(hang=1.0)
             headers = {"fuchsiagap-deadline-ms": "50"}
@@ -101,7 +101,7 @@
 
         self.run_app("bookings", use)
 
-    def test_lost_answer_is_a_lost_connection(self):
+    def test_lost_answer_closes_the_connection(self):
         async def use(server, client, _):
             server.faults = BackendFaults(lose_answers=1.0)
             with self.assertRaises(httpx.RemoteProtocolError):
@@ -110,11 +110,11 @@
 
         self.run_app("bookings", use)
 
-    def test_control_changes_faults_and_says_what_it_expected(self):
+    def test_control_changes_faults_and_reports_expected_fields(self):
         async def use(server, client, _):
             change = {"load_word": "lying", "slow": 3.0, "draining": True}
             await client.post("/-/control", json=change)
-            self.assertIs(LoadWord.LYING, server.faults.load_word)
+            self.assertIs(LoadReportMode.LYING, server.faults.load_word)
             self.assertTrue(server.draining)
             load = (await client.get("/-/load")).json()
             self.assertEqual((120, 0), (load["slots"], load["in_flight"]))
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_bad_input.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_bad_input.py
@@ -14,10 +14,14 @@
 from websockets.trio.client import connect
 
 from fuchsiagap_standins.answers import CallMark
-from fuchsiagap_standins.calling import ClientRequest, Ending, http_sender
 from fuchsiagap_standins.deployment import DeploymentSettings, run_deployment
 from fuchsiagap_standins.graphs import load_any_graph
 from fuchsiagap_standins.processes import process_group
+from fuchsiagap_standins.request_senders import (
+    ClientRequest,
+    RequestOutcome,
+    http_sender,
+)
 from fuchsiagap_standins.tests.bad_input import CUT_SHORT, FRAMES, HTTP, LARGE_FRAME
 
 GRAPH = """
@@ -163,5 +167,5 @@
             )
             request = ClientRequest(route, CallMark("good"), route.target(1), "")
             with trio.fail_after(10):
-                while (await send(request)).ending is not Ending.ANSWERED:
+                while (await send(request)).outcome is not RequestOutcome.ANSWERED:
                     await trio.sleep(0.05)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_caller.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_caller.py
@@ -12,25 +12,30 @@
 from fuchsiagap_standins.caller import (
     CallerReport,
     CallerSettings,
-    ending_of,
+    final_outcome,
     run_callers,
 )
-from fuchsiagap_standins.calling import Attempt, ClientRequest, Ending, read_response
 from fuchsiagap_standins.graphs import load_graph
+from fuchsiagap_standins.request_senders import (
+    Attempt,
+    ClientRequest,
+    RequestOutcome,
+    read_response,
+)
 from fuchsiagap_standins.testing import run_virtual
 
 GRAPH = load_graph("queensland")
-ANSWERED = Attempt(Ending.ANSWERED)
-REFUSED = Attempt(Ending.REFUSED, "overload")
-UNKNOWN = Attempt(Ending.UNKNOWN, "deadline")
-WRONG = Attempt(Ending.WRONG)
+ANSWERED = Attempt(RequestOutcome.ANSWERED)
+REFUSED = Attempt(RequestOutcome.REFUSED, "overload")
+UNKNOWN = Attempt(RequestOutcome.UNKNOWN, "deadline")
+WRONG = Attempt(RequestOutcome.WRONG)
 
 
 async def no_ticket():
     return ""
 
 
-def drive(send, **settings):
+def collect_report(send, **settings):
     """Run callers against `send` and return their report."""
 
     async def main():
@@ -44,7 +49,7 @@
 
 
 class CallerTest(TestCase):
-    def test_slow_answers_do_not_slow_the_sending(self):
+    def test_slow_answers_do_not_reduce_the_request_rate(self):
         started = []
 
         async def send(request):
@@ -52,28 +57,28 @@
             await trio.sleep(100)
             return ANSWERED
 
-        report = drive(send)
+        report = collect_report(send)
         self.assertLess(max(started), 10.0)
         self.assertTrue(450 < report.sent < 550, report.sent)
-        self.assertEqual(report.sent, report.total(Ending.ANSWERED))
+        self.assertEqual(report.sent, report.total(RequestOutcome.ANSWERED))
 
-    def test_classes_come_by_their_shares(self):
+    def test_routes_are_drawn_by_their_shares(self):
         async def send(request):
             return ANSWERED
 
-        report = drive(send, rate=300.0)
+        report = collect_report(send, rate=300.0)
         for route in GRAPH.roots:
             share = report.routes[route.name].sent / report.sent
             self.assertAlmostEqual(route.share, share, delta=0.03)
 
-    def test_hard_retries_repeat_the_same_request_up_to_the_bound(self):
+    def test_immediate_retries_repeat_the_same_request_up_to_the_limit(self):
         seen = []
 
         async def send(request):
             seen.append((request.mark.nonce, request.ticket, request.target))
             return REFUSED
 
-        report = drive(send, retries=4)
+        report = collect_report(send, retries=4)
         self.assertEqual(report.sent * 5, len(seen))
         self.assertEqual(report.sent, len(set(seen)))
         self.assertEqual(report.sent, len(report.refused))
@@ -87,20 +92,20 @@
             tries[request.mark.nonce] = tries.get(request.mark.nonce, 0) + 1
             return ANSWERED if tries[request.mark.nonce] == 2 else UNKNOWN
 
-        report = drive(send, retries=1)
+        report = collect_report(send, retries=1)
         row = report.routes["results/lookup"]
         self.assertAlmostEqual(400.0, row.percentile(99), delta=1.0)
 
-    def test_what_the_caller_holds_in_the_end(self):
+    def test_final_outcome_of_several_attempts(self):
         cases = [
-            ([REFUSED, ANSWERED], Ending.ANSWERED),
-            ([REFUSED, REFUSED], Ending.REFUSED),
-            ([UNKNOWN, REFUSED], Ending.UNKNOWN),
-            ([REFUSED, UNKNOWN], Ending.UNKNOWN),
-            ([UNKNOWN, WRONG], Ending.WRONG),
+            ([REFUSED, ANSWERED], RequestOutcome.ANSWERED),
+            ([REFUSED, REFUSED], RequestOutcome.REFUSED),
+            ([UNKNOWN, REFUSED], RequestOutcome.UNKNOWN),
+            ([REFUSED, UNKNOWN], RequestOutcome.UNKNOWN),
+            ([UNKNOWN, WRONG], RequestOutcome.WRONG),
         ]
-        for attempts, ending in cases:
-            self.assertIs(ending, ending_of(attempts))
+        for attempts, outcome in cases:
+            self.assertIs(outcome, final_outcome(attempts))
 
 
 class ReadResponseTest(TestCase):
@@ -109,16 +114,16 @@
         request = ClientRequest(route, CallMark("n1"), "/certificates/1", "")
         headers = {"fuchsiagap-outcome": outcome} if outcome else {}
         response = httpx.Response(status, headers=headers, content=body)
-        return read_response(request, response).ending
+        return read_response(request, response).outcome
 
-    def test_only_the_own_whole_answer_counts(self):
+    def test_only_a_complete_answer_to_the_same_request_counts(self):
         own = answer_body(CallMark("n1"), "certs/read")
-        self.assertIs(Ending.ANSWERED, self.read(200, "answered", own))
+        self.assertIs(RequestOutcome.ANSWERED, self.read(200, "answered", own))
         for body in (own[:-1], answer_body(CallMark("n2"), "certs/read"), b""):
-            self.assertIs(Ending.WRONG, self.read(200, "answered", body))
+            self.assertIs(RequestOutcome.WRONG, self.read(200, "answered", body))
 
     def test_other_responses(self):
-        self.assertIs(Ending.REFUSED, self.read(503, "refused"))
-        self.assertIs(Ending.UNKNOWN, self.read(502, "unknown"))
-        self.assertIs(Ending.UNKNOWN, self.read(502, "answered"))
-        self.assertIs(Ending.UNKNOWN, self.read(200, ""))
+        self.assertIs(RequestOutcome.REFUSED, self.read(503, "refused"))
+        self.assertIs(RequestOutcome.UNKNOWN, self.read(502, "unknown"))
+        self.assertIs(RequestOutcome.UNKNOWN, self.read(502, "answered"))
+        self.assertIs(RequestOutcome.UNKNOWN, self.read(200, ""))
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_platform.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_platform.py
@@ -9,7 +9,7 @@
 from testtools import TestCase
 
 from fuchsiagap_node.core.ports import Conflict, Missing, PlatformUnavailable
-from fuchsiagap_standins.platform import MAX_VALUE, ObjectStore
+from fuchsiagap_standins.platform import MAX_VALUE_BYTES, ObjectStore
 from fuchsiagap_standins.testing import run_virtual
 
 PATH = "/settings/salt-fog"
@@ -22,7 +22,7 @@
 
         run_virtual(main, limit_s=600)
 
-    def test_conditional_update_lets_one_of_two_win(self):
+    def test_only_one_of_two_conditional_writes_succeeds(self):
         async def use(store):
             self.assertIsInstance(await store.get(PATH), Missing)
             results = []
@@ -39,7 +39,7 @@
 
         self.run_with_store(use)
 
-    def test_one_version_grows_over_all_objects(self):
+    def test_version_counter_is_shared_by_all_objects(self):
         async def use(store):
             for number in range(4):
                 await store.put(f"/x/{number % 2}", b"", None)
@@ -48,7 +48,7 @@
 
         self.run_with_store(use)
 
-    def test_tombstone_keeps_an_old_writer_out(self):
+    def test_tombstone_rejects_writes_with_an_older_version(self):
         async def use(store):
             stored = await store.put(PATH, b"a", 0)
             tombstone = await store.delete(PATH, stored.version)
@@ -139,15 +139,15 @@
 
         self.run_with_store(use)
 
-    def test_value_above_a_megabyte_is_not_kept(self):
+    def test_value_above_a_megabyte_is_rejected(self):
         async def use(store):
-            result = await store.put(PATH, bytes(MAX_VALUE + 1), None)
+            result = await store.put(PATH, bytes(MAX_VALUE_BYTES + 1), None)
             self.assertFalse(result.maybe_applied)
             self.assertEqual(0, store.version)
 
         self.run_with_store(use)
 
-    def test_cut_off_user_fails_alone(self):
+    def test_only_the_cut_off_user_fails(self):
         async def use(store):
             view = store.view("hall-a")
             store.set_cut_off({"hall-a"})
@@ -159,7 +159,7 @@
 
         self.run_with_store(use)
 
-    def test_cut_between_effect_and_answer(self):
+    def test_cut_off_between_effect_and_answer(self):
         async def use(store):
             view = store.view("hall-a")
             results = []
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_processes.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_processes.py
@@ -19,12 +19,6 @@
 
 from fuchsiagap_standins.answers import CallMark
 from fuchsiagap_standins.caller import CallerReport, CallerSettings, run_callers
-from fuchsiagap_standins.calling import (
-    ClientRequest,
-    Ending,
-    http_sender,
-    http_tickets,
-)
 from fuchsiagap_standins.demo import EXIT_STOPPED
 from fuchsiagap_standins.deployment import (
     DeploymentSettings,
@@ -37,9 +31,15 @@
     process_group,
     reserve_addresses,
 )
+from fuchsiagap_standins.request_senders import (
+    ClientRequest,
+    RequestOutcome,
+    http_sender,
+    http_tickets,
+)
 from fuchsiagap_standins.violations import find_violations
 
-DEEP = 15
+CHAIN_DEPTH = 15
 SLEEP = (sys.executable, "-c", "import time; time.sleep(60)")
 
 
@@ -49,10 +49,10 @@
         "[graph]\nteam = deep\ndata centres = a, b, c\ndeep service = link",
         "[link]\ninstances = 3\nslots = 100\nconnections = 200",
     ]
-    for level in range(1, DEEP + 1):
+    for level in range(1, CHAIN_DEPTH + 1):
         lines.append(f"[link/level-{level}]\nmatch = GET /level-{level}/*")
         lines.append("priority = 5\nidempotent = yes\nown time = 1ms")
-        if level < DEEP:
+        if level < CHAIN_DEPTH:
             lines.append(f"calls = link/level-{level + 1}")
         if level == 1:
             lines.append("share = 0.5")
@@ -98,11 +98,11 @@
                 process = group.start("deaf", argv)
                 while "up" not in process.log_tail():
                     await trio.sleep(0.01)
-                self.assertEqual(-9, await group.stop("deaf", limit=100.0))
+                self.assertEqual(-9, await group.stop("deaf", timeout=100.0))
 
         trio.run(main)
 
-    def test_process_that_ends_at_once_is_reported_with_its_words(self):
+    def test_immediate_exit_is_reported_with_its_output(self):
         async def main():
             async with process_group(self.folder) as group:
                 await group.start_standin("b", "backend_app", "--service=nothing")
@@ -110,7 +110,7 @@
         error = self.assertRaises(ProcessFailed, trio.run, main)
         self.assertIn("nothing", str(error))
 
-    def test_reserved_address_is_for_one_who_reuses_it(self):
+    def test_reserved_address_requires_the_reuse_option(self):
         reservation = reserve_addresses("127.0.0.1", 2)
         self.addCleanup(reservation.close)
         self.assertEqual(2, len(set(reservation.addresses)))
@@ -168,16 +168,16 @@
     async def call_deep(self, running, client):
         graph = running.cfg.graph
         route = graph.route("link/level-1")
-        self.assertEqual(DEEP, depth(graph, route))
+        self.assertEqual(CHAIN_DEPTH, depth(graph, route))
         nodes = running.caller_addresses
         send = http_sender(client, graph, nodes, 5_000.0, random.Random(1))
         request = ClientRequest(route, CallMark("deep"), route.target(1), "")
-        while (attempt := await send(request)).ending is Ending.REFUSED:
+        while (attempt := await send(request)).outcome is RequestOutcome.REFUSED:
             await trio.sleep(0.05)
-        self.assertEqual(Ending.ANSWERED, attempt.ending, attempt.reason)
+        self.assertEqual(RequestOutcome.ANSWERED, attempt.outcome, attempt.reason)
         runs, wrong = await read_runs(running)
         places = {run.place for run in runs if run.nonce == "deep"}
-        self.assertEqual((DEEP, 0), (len(places), wrong))
+        self.assertEqual((CHAIN_DEPTH, 0), (len(places), wrong))
 
     async def kill_amid_calls(self, running, client):
         graph = running.cfg.graph
@@ -193,4 +193,4 @@
             running.group.kill("link-2")
         runs, wrong = await read_runs(running)
         self.assertEqual(0, find_violations(report, runs, wrong).total)
-        self.assertGreater(report.total(Ending.ANSWERED), report.sent // 2)
+        self.assertGreater(report.total(RequestOutcome.ANSWERED), report.sent // 2)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_violations.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_violations.py
@@ -7,7 +7,7 @@
 from testtools import TestCase
 
 from fuchsiagap_standins.caller import CallerReport, RouteReport
-from fuchsiagap_standins.calling import Ending
+from fuchsiagap_standins.request_senders import RequestOutcome
 from fuchsiagap_standins.run_log import Run, RunState, run_from_json
 from fuchsiagap_standins.violations import find_violations
 
@@ -16,11 +16,11 @@
 LOOKUP = replace(ISSUE, route="results/lookup", idempotent=True)
 
 
-def report_of(**endings):
+def report_of(**outcomes):
     """Return a report of one route with so many requests of each ending."""
-    row = RouteReport(sent=sum(endings.values()))
-    for name, count in endings.items():
-        row.endings[Ending(name)] = count
+    row = RouteReport(sent=sum(outcomes.values()))
+    for name, count in outcomes.items():
+        row.outcomes[RequestOutcome(name)] = count
     return CallerReport(routes={"certs/issue": row})
 
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/violations.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/violations.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from fuchsiagap_standins.calling import Ending
+from fuchsiagap_standins.request_senders import RequestOutcome
 from fuchsiagap_standins.run_log import double_runs, false_refusals
 
 if TYPE_CHECKING:
@@ -58,6 +58,6 @@
     return Violations(
         double_runs=tuple(double_runs(runs)),
         false_refusals=tuple(false_refusals(runs, report.refused)),
-        wrong_answers=report.total(Ending.WRONG) + wrong_below,
+        wrong_answers=report.total(RequestOutcome.WRONG) + wrong_below,
         open_requests=report.sent - report.ended,
     )
