--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/admin_app.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/admin_app.py
@@ -1,7 +1,8 @@
-"""A stand-in for the administration APIs of many nodes, all at one address.
+"""Stand-in for the administration APIs of many nodes, all served at one address.
 
 ``python -m fuchsiagap_standins.admin_app --nodes 400 --events 200`` prints the address
-it listens on. Answers are made once, so that it costs little beside its clients.
+that the server listens on. The page of events is built once, so that the server uses
+little CPU compared with its clients.
 """
 
 from __future__ import annotations
@@ -29,21 +30,23 @@
 _BIND = flags.DEFINE_string(
     "bind", "127.0.0.1:0", "IP:PORT to listen on.", flag_values=_FLAGS
 )
-_NODES = flags.DEFINE_integer("nodes", 100, "How many nodes.", flag_values=_FLAGS)
-_EVENTS = flags.DEFINE_integer("events", 100, "Events of each.", flag_values=_FLAGS)
+_NODES = flags.DEFINE_integer("nodes", 100, "Number of nodes.", flag_values=_FLAGS)
+_EVENTS = flags.DEFINE_integer(
+    "events", 100, "Number of events per node.", flag_values=_FLAGS
+)
 
 
 def admin_stand_in(
     n_nodes: int, n_events: int
 ) -> Callable[[dict[str, Any], Any, Callable[..., Awaitable[None]]], Awaitable[None]]:
-    """Return the ASGI application.
+    """Return an ASGI application that serves the status and events of all nodes.
 
     Parameters
     ----------
     n_nodes : int
-        How many nodes its status tells of.
+        Number of members that the status lists.
     n_events : int
-        How many events each of them has.
+        Number of events that each node returns.
     """
     page = _events_page(n_events)
 
@@ -51,8 +54,9 @@
         scope: dict[str, Any], receive: Any, send: Callable[..., Awaitable[None]]
     ) -> None:
         if scope["type"] != "http":
-            # The server takes this for an application that needs no start.
-            raise RuntimeError("only http is served")
+            # An error on the lifespan scope tells the server that the application has
+            # no start-up or shutdown phase.
+            raise RuntimeError("unsupported ASGI scope: only http is served")
         if scope["path"] == "/v1/events":
             body = page
         else:
@@ -119,7 +123,7 @@
 
 
 def main(argv: Sequence[str]) -> None:
-    """Run the program."""
+    """Run the server with the flags in `argv`."""
     parse_flags(_FLAGS, argv, "Stand-in for the administration APIs of many nodes.")
     trio.run(_run, _BIND.value, _NODES.value, _EVENTS.value)
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/answers.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/answers.py
@@ -1,7 +1,7 @@
-"""Answers that show whose they are, and whether they are whole.
+"""Answers that their receiver can verify to be complete and for the right call.
 
-Each client request carries a nonce. Its calls further down carry the same nonce and
-their place in the chain, and each answer is made from both.
+Each client request carries a nonce. All its child calls carry the same nonce and their
+position in the call tree, and the body of each answer is derived from both.
 """
 
 from __future__ import annotations
@@ -19,17 +19,20 @@
 
 @dataclass(frozen=True, slots=True)
 class CallMark:
-    """What marks one call of the chain below a client request.
+    """Identity of one call in the call tree of a client request.
+
+    It is propagated in HTTP headers.
 
     Parameters
     ----------
     nonce : str
-        Of the client request.
+        Random text that identifies the client request.
     place : str
-        ``"0"`` for the client's call, ``"0.1"`` for the second call of its backend
-        server, and so on. An attempt has the place of the attempt before.
+        Position in the call tree: ``"0"`` for the client's call, ``"0.1"`` for the
+        second child call of the backend server that runs it, and so on. Retries of a
+        call have the same place.
     size : int
-        Bytes of filler in the answer.
+        Size of the filler in the answer, in bytes.
     """
 
     nonce: str
@@ -37,7 +40,7 @@
     size: int = DEFAULT_SIZE
 
     def child(self, index: int) -> CallMark:
-        """Return the mark of the call's own call number `index`."""
+        """Return the mark of child call number `index`, counted from 0."""
         return CallMark(self.nonce, f"{self.place}.{index}", self.size)
 
     def headers(self) -> tuple[tuple[str, str], ...]:
@@ -46,7 +49,7 @@
 
 
 def mark_from(headers: dict[str, str]) -> CallMark:
-    """Return the mark that HTTP headers carry; without one, an empty nonce."""
+    """Return the mark in HTTP headers; the nonce is empty if there is none."""
     size = headers.get(SIZE, "")
     return CallMark(
         headers.get(NONCE, ""),
@@ -61,14 +64,14 @@
     Parameters
     ----------
     mark : CallMark
-        The call's mark.
+        Mark of the call.
     route : str
-        The route that answers.
+        Name of the route that answers.
 
     Returns
     -------
     bytes
-        The mark and the route, filler, and a digest over both.
+        Mark and route, filler, and a SHA-256 digest over all of these.
     """
     head = f"{mark.nonce} {mark.place} {route}".encode()
     filler = hashlib.shake_128(head).hexdigest(mark.size // 2 + 1).encode()[: mark.size]
@@ -77,5 +80,5 @@
 
 
 def is_own_answer(body: bytes, mark: CallMark, route: str) -> bool:
-    """Whether a body is the whole answer to the call with this mark."""
+    """Whether a body is the complete answer to the call with this mark."""
     return body == answer_body(mark, route)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/backend.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/backend.py
@@ -1,8 +1,8 @@
-"""Stand-in of a backend server, without its transport.
+"""Stand-in for a backend server, independent of the transport.
 
-It has slots and a short queue, takes its time, makes calls of its own as the call
-graph says, can be cold, slow, draining or shedding, and says of its load what it is
-told to say.
+It has a concurrency limit and a bounded queue, draws service times at random and makes
+the child calls of the call graph. It can be cold, slow, draining or shedding load, and
+can report a stale or false load.
 """
 
 from __future__ import annotations
@@ -34,12 +34,13 @@
 
     from fuchsiagap_standins.graphs.model import GraphRoute
 
+# Factor on the number of slots in a false load report.
 _FALSE_SLOTS_FACTOR = 4
 
 
 @dataclass(slots=True)
 class _ChildCallProgress:
-    """How far the calls below one call have come."""
+    """Results so far of the child calls of one call."""
 
     refused: bool = False
     failed: bool = False
@@ -48,18 +49,18 @@
 
 
 class BackendStandIn:
-    """A backend server's state and rules.
+    """State and behaviour of one backend server.
 
     Parameters
     ----------
     cfg : BackendSettings
-        What it is.
+        Service, capacity and cold start.
     call_out : callable
-        Makes a call through the local node.
+        Makes a child call through the local node.
     rng : random.Random
         Source of service times and faults.
     clock : Clock, optional
-        By default that of the running loop.
+        Defaults to the clock of the running event loop.
     """
 
     def __init__(
@@ -86,17 +87,18 @@
         )
 
     async def handle(self, call: BackendCall) -> BackendReply:
-        """Run one call; cancelling the task cancels it.
+        """Run one call; cancelling the task cancels the run.
 
         Parameters
         ----------
         call : BackendCall
-            The call.
+            Call as received from the node.
 
         Returns
         -------
         BackendReply
-            The answer; `not_run` only if nothing had an effect.
+            Answer; `not_run` is set only if neither the call nor any of its child
+            calls can have had an effect.
         """
         route = self._route_of(call)
         if route is None:
@@ -113,7 +115,7 @@
                 self._in_flight -= 1
 
     def load(self) -> BackendLoad | None:
-        """Return what the load endpoint says, which may lag or mislead."""
+        """Return the load report, which may be missing, stale or false."""
         mode = self.faults.load_word
         if mode is LoadReportMode.SILENT:
             return None
@@ -168,10 +170,10 @@
         progress = await self._make_child_calls(call, route)
         if progress.refused and not progress.had_effect:
             run.state = RunState.BACKED_OUT
-            return BackendReply(503, b"refused below", not_run=True)
+            return BackendReply(503, b"a child call was refused", not_run=True)
         if progress.refused or progress.failed:
             run.state = RunState.FAILED
-            return BackendReply(502, b"a call below failed")
+            return BackendReply(502, b"a child call failed")
         run.state = RunState.DONE
         if self._rng.random() < self.faults.lose_answers:
             return BackendReply(0, lost=True)
@@ -180,7 +182,7 @@
     async def _make_child_calls(
         self, call: BackendCall, route: GraphRoute
     ) -> _ChildCallProgress:
-        """Make the calls of a route, stage by stage, until one is not answered."""
+        """Make child calls stage by stage until one is refused or fails."""
         progress = _ChildCallProgress()
         index = 0
         for stage in route.calls:
@@ -196,7 +198,8 @@
     def _child_call(
         self, call: BackendCall, route: GraphRoute, index: int
     ) -> ChildCall:
-        # The path carries the nonce, so that a cache in between would show.
+        # The path depends on the nonce, so that answers from a cache on the way are
+        # detected as wrong.
         number = sum(call.mark.nonce.encode()) + index
         mark = call.mark.child(index)
         return ChildCall(call.call_id, str(index), route, route.target(number), mark)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/backend_app.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/backend_app.py
@@ -1,8 +1,8 @@
-"""The backend server stand-in as an HTTP server.
+"""HTTP server for the backend server stand-in.
 
 ``python -m fuchsiagap_standins.backend_app --graph queensland --service certs
---node 127.0.0.1:8080`` prints the address it listens on. Its own calls go out through
-the node at ``--node``.
+--node 127.0.0.1:8080`` prints the address that the server listens on. It makes its
+child calls through the node at ``--node``.
 """
 
 from __future__ import annotations
@@ -50,23 +50,26 @@
 
 _FLAGS = new_flags()
 _GRAPH = flags.DEFINE_string(
-    "graph", "queensland", "Name or INI file of the graph.", flag_values=_FLAGS
+    "graph", "queensland", "Name or INI file of the call graph.", flag_values=_FLAGS
 )
 _SERVICE = flags.DEFINE_string(
-    "service", "", "The service to be an instance of.", flag_values=_FLAGS
+    "service", "", "Service that this server is an instance of.", flag_values=_FLAGS
 )
 _NAME = flags.DEFINE_string("name", "", "Name of the instance.", flag_values=_FLAGS)
 _BIND = flags.DEFINE_string(
     "bind", "127.0.0.1:0", "IP:PORT to listen on.", flag_values=_FLAGS
 )
 _NODE = flags.DEFINE_string(
-    "node", "", "IP:PORT for callers of the local node.", flag_values=_FLAGS
+    "node", "", "IP:PORT where the local node listens for callers.", flag_values=_FLAGS
 )
 _SEED = flags.DEFINE_integer(
     "seed", 1, "Seed of service times and faults.", flag_values=_FLAGS
 )
 _COLD_START_MS = flags.DEFINE_float(
-    "cold_start_ms", 0.0, "Time to get from cold to normal.", flag_values=_FLAGS
+    "cold_start_ms",
+    0.0,
+    "Duration of the cold start in milliseconds.",
+    flag_values=_FLAGS,
 )
 _TIME_SCALE = flags.DEFINE_float(
     "time_scale", 1.0, "Factor on all service times.", flag_values=_FLAGS
@@ -79,7 +82,7 @@
     Parameters
     ----------
     server : BackendStandIn
-        The backend server; faults set there show here too.
+        The backend server; changes of its faults take effect at once.
     """
 
     async def app(scope: dict[str, Any], receive: Receive, send: Send) -> None:
@@ -135,7 +138,8 @@
 
 async def _send_reply(send: Send, reply: BackendReply) -> None:
     if reply.lost:
-        # A response that ends before its body closes the connection.
+        # A response that ends before its announced body makes the HTTP server close the
+        # connection.
         await _start_response(send, 200, 1)
         return
     not_run = ((call_headers.BACKEND_NOT_RUN, "1"),) if reply.not_run else ()
@@ -152,7 +156,10 @@
 
 
 async def _read_body(receive: Receive) -> bytes | None:
-    """Return the whole body; None if the other end left or sends too much."""
+    """Return the complete body.
+
+    None if the client disconnects or the body exceeds `MAX_BODY_BYTES`.
+    """
     chunks: list[bytes] = []
     size = 0
     while True:
@@ -195,7 +202,7 @@
 
 
 async def _apply_control(server: BackendStandIn, body: bytes, send: Send) -> None:
-    """Change faults and drain: a JSON object of their names and new values."""
+    """Set faults and draining from a JSON object of names and new values."""
     known = {field.name for field in fields(BackendFaults)}
     try:
         changes = json.loads(body)
@@ -222,14 +229,14 @@
 def http_call_out(
     pool: httpcore.AsyncConnectionPool, graph: Graph, node: str
 ) -> CallOut:
-    """Return how a backend server calls out through its node over HTTP.
+    """Return a function that makes child calls through the local node over HTTP.
 
     Parameters
     ----------
     pool : httpcore.AsyncConnectionPool
-        Connections to the node.
+        Pool of connections to the node.
     graph : Graph
-        Gives the team of the called services.
+        Call graph, which names the team of the called services.
     node : str
         ``IP:PORT`` where the node listens for callers.
     """
@@ -267,7 +274,7 @@
 async def run_backend(
     cfg: BackendSettings, bind: str, node: str, rng: random.Random
 ) -> None:
-    """Serve a backend server until SIGTERM or SIGINT."""
+    """Serve a backend server over HTTP until SIGTERM or SIGINT."""
     async with httpcore.AsyncConnectionPool(
         max_connections=None, keepalive_expiry=30.0
     ) as pool:
@@ -280,7 +287,7 @@
 
 
 def main(argv: Sequence[str]) -> None:
-    """Run the program."""
+    """Run the server with the flags in `argv`."""
     parse_flags(_FLAGS, argv, __doc__ or "")
     graph = load_any_graph(_GRAPH.value).with_time_scale(_TIME_SCALE.value)
     services = [service.name for service in graph.services]
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/backend_types.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/backend_types.py
@@ -1,4 +1,4 @@
-"""Data of the backend server stand-in: settings, faults, calls and results."""
+"""Data types of the backend server stand-in: settings, faults, calls and results."""
 
 from __future__ import annotations
 
@@ -15,7 +15,11 @@
 
 
 class LoadReportMode(Enum):
-    """What the backend server's load endpoint says."""
+    """How the load endpoint of a backend server answers.
+
+    `TRUE` reports the current load, `FROZEN` repeats the last report, `LYING` reports
+    an idle server with more slots than it has, and `SILENT` gives no report.
+    """
 
     TRUE = "true"
     FROZEN = "frozen"
@@ -25,22 +29,22 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendFaults:
-    """What is wrong with a backend server; the default is nothing.
+    """Fault switches of a backend server; by default there are no faults.
 
     Parameters
     ----------
     slow : float
-        Factor on its own work.
+        Factor on the service time.
     shedding : bool
-        It refuses every call, as not run.
+        Whether every call is refused as not run.
     lose_answers : float
-        Probability that the connection is lost after the run, before the answer.
+        Probability that the connection is closed after the run, before the answer.
     hang : float
         Probability that a call is never answered.
     load_word : LoadReportMode
-        What it says of its load.
+        How the load endpoint answers.
     load_lag : float
-        Milliseconds for which it says the same again.
+        Milliseconds for which a load report is repeated before it is renewed.
     """
 
     slow: float = 1.0
@@ -53,22 +57,23 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendSettings:
-    """What a backend server is.
+    """Settings of a backend server.
 
     Parameters
     ----------
     graph : Graph
         The call graph.
     service : str
-        The service it is an instance of.
+        Service that the server is an instance of.
     name : str
         Name of the instance.
     queue : int
-        Calls that may wait for a slot; more are shed.
+        Maximum number of calls that wait for a slot; further calls are shed.
     cold_start : float
-        Milliseconds in which it gets from `cold_factor` times slower to normal.
+        Milliseconds in which the factor on the service time falls linearly from
+        `cold_factor` to 1.
     cold_factor : float
-        Factor on its work when it has just started.
+        Factor on the service time of a server that has just started.
     """
 
     graph: Graph
@@ -80,18 +85,18 @@
 
     @property
     def slots(self) -> int:
-        """Calls it works on at once."""
+        """Maximum number of calls that run concurrently."""
         return self.graph.service(self.service).slots
 
 
 @dataclass(frozen=True, slots=True)
 class BackendCall:
-    """One call as the backend server gets it.
+    """One call as the backend server receives it.
 
     Parameters
     ----------
     call_id : str
-        The node's id, to be passed on with calls of its own.
+        Id given by the node, which is sent with the child calls.
     method, target : str
         HTTP method and path.
     mark : CallMark
@@ -106,18 +111,18 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendReply:
-    """The backend server's answer.
+    """Answer of the backend server.
 
     Parameters
     ----------
     status : int
         HTTP status.
     body : bytes
-        The body.
+        Body of the answer.
     not_run : bool
-        Whether it says that the call was not run.
+        Whether the answer states that the call was not run.
     lost : bool
-        Whether the connection is to be lost instead of answering.
+        Whether to close the connection instead of sending the answer.
     """
 
     status: int
@@ -133,15 +138,15 @@
     Parameters
     ----------
     parent_call : str
-        Id of the call it works on.
+        Id of the call that makes this one.
     child_key : str
-        Key of this call among those of the same parent.
+        Key of this call, unique among the child calls of the same parent.
     route : GraphRoute
-        What is called.
+        Called route.
     target : str
         Path within the service.
     mark : CallMark
-        Mark of this call.
+        Mark of this child call.
     """
 
     parent_call: str
@@ -152,7 +157,7 @@
 
 
 class ChildOutcome(Enum):
-    """What became of a call further down."""
+    """Outcome of a child call as reported by the node."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
@@ -161,16 +166,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ChildResult:
-    """The result of a call further down.
+    """Result of a child call.
 
     Parameters
     ----------
     outcome : ChildOutcome
-        What the node said.
+        Outcome as reported by the node.
     status : int
-        HTTP status.
+        HTTP status; 0 if there was no response.
     body : bytes
-        The answer's body.
+        Body of the answer.
     """
 
     outcome: ChildOutcome
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/byte_relay.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/byte_relay.py
@@ -1,7 +1,7 @@
-"""A bare relay of bytes on `trio`: the floor of what a process on the way costs.
+"""Plain TCP relay on `trio`: a lower bound for the latency that a proxy adds.
 
-It reads no HTTP and decides nothing, so that what a call through two of them takes
-longer than a direct one is the cost of sockets and scheduling alone.
+It neither parses HTTP nor makes decisions, so the additional latency of a call through
+two relays over a direct call is the cost of sockets and scheduling alone.
 """
 
 from __future__ import annotations
@@ -26,7 +26,15 @@
 
 
 async def run_relay(ip: str, target: str) -> None:
-    """Relay every connection to ``target`` until the process is ended."""
+    """Relay every connection until the process is terminated.
+
+    Parameters
+    ----------
+    ip : str
+        IP address to listen on; the port is a free one.
+    target : str
+        ``IP:PORT`` to relay to.
+    """
     host, _, port = target.rpartition(":")
 
     async def relay_connection(client: trio.SocketStream) -> None:
@@ -42,12 +50,12 @@
 
 
 def main(argv: Sequence[str]) -> None:
-    """Run the relay; ``--to`` names the ``IP:PORT`` it relays to."""
+    """Run the relay with the flags in `argv`."""
     flag_values = new_flags()
     flags.DEFINE_string(
-        "ip", "127.0.0.1", "IP number to listen at", flag_values=flag_values
+        "ip", "127.0.0.1", "IP address to listen on.", flag_values=flag_values
     )
-    flags.DEFINE_string("to", "", "IP:PORT to relay to", flag_values=flag_values)
+    flags.DEFINE_string("to", "", "IP:PORT to relay to.", flag_values=flag_values)
     parse_flags(flag_values, argv, __doc__ or "")
     trio.run(run_relay, str(flag_values["ip"].value), str(flag_values["to"].value))
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/caller.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/caller.py
@@ -1,7 +1,7 @@
-"""Stand-in of callers: an open loop at a rate, with hard retries.
+"""Stand-in for callers: an open-loop load generator with retries.
 
-An open loop sends when it is time, however many requests are still waiting; so a
-system that slows down gets no relief from its callers.
+In an open loop, requests arrive at a fixed mean rate, however many earlier requests
+are still in flight. A system that slows down therefore gets no relief from its callers.
 """
 
 from __future__ import annotations
@@ -30,20 +30,20 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerSettings:
-    """How callers behave.
+    """Request rate and retry behaviour of callers.
 
     Parameters
     ----------
     graph : Graph
-        Gives the routes and their shares.
+        Call graph, which holds the routes and their shares of the requests.
     rate : float
-        Requests a second; arrivals are random (a Poisson process).
+        Mean number of requests per second; arrivals form a Poisson process.
     duration : float
-        Milliseconds for which requests are sent.
+        Milliseconds during which requests are sent.
     retries : int
-        Attempts more after one that was refused or is unknown.
+        Maximum number of retries after a refused or unknown attempt.
     pause : float
-        Milliseconds before an attempt more; hard callers wait not at all.
+        Milliseconds before each retry; by default retries are immediate.
     """
 
     graph: Graph
@@ -55,18 +55,18 @@
 
 @dataclass(slots=True)
 class RouteReport:
-    """What became of the requests of one route.
+    """Counts and latency of the requests of one route.
 
     Parameters
     ----------
     sent : int
-        Requests.
+        Number of requests sent.
     attempts : int
-        Attempts of all of them.
+        Number of attempts, retries included.
     outcomes : dict
-        Requests by what their callers held in the end.
+        Number of requests by final outcome.
     latency : HdrHistogram
-        Microseconds from the first attempt to the answer, of those answered.
+        Microseconds from arrival to the answer, for answered requests.
     """
 
     sent: int = 0
@@ -79,7 +79,7 @@
     )
 
     def percentile(self, percent: float) -> Milliseconds:
-        """Return a percentile of the latency; 0 if nothing was answered."""
+        """Return a percentile of the latency; 0 if no request was answered."""
         if self.latency.get_total_count() == 0:
             return 0.0
         value: float = self.latency.get_value_at_percentile(percent)
@@ -88,16 +88,16 @@
 
 @dataclass(slots=True)
 class CallerReport:
-    """What became of all requests.
+    """Outcomes of all requests.
 
     Parameters
     ----------
     routes : dict
-        Report by name of route.
+        Report of each route, by name.
     refused : list of str
-        Nonces of requests of which every attempt was refused.
+        Nonces of the requests whose attempts were all refused.
     reasons : dict
-        Attempts that were not answered, by reason.
+        Number of attempts without an answer, by reason.
     """
 
     routes: dict[str, RouteReport] = field(default_factory=dict)
@@ -105,17 +105,17 @@
     reasons: dict[str, int] = field(default_factory=dict)
 
     def total(self, outcome: RequestOutcome) -> int:
-        """Return how many requests ended so."""
+        """Return the number of requests with this final outcome."""
         return sum(report.outcomes[outcome] for report in self.routes.values())
 
     @property
     def sent(self) -> int:
-        """Requests sent."""
+        """Number of requests sent."""
         return sum(report.sent for report in self.routes.values())
 
     @property
     def ended(self) -> int:
-        """Requests whose callers hold something."""
+        """Number of requests that have a final outcome."""
         return sum(self.total(outcome) for outcome in RequestOutcome)
 
 
@@ -127,22 +127,22 @@
     report: CallerReport,
     clock: Clock | None = None,
 ) -> None:
-    """Send requests for a while, and wait until the last has ended.
+    """Send requests for `cfg.duration` and wait until the last has ended.
 
     Parameters
     ----------
     cfg : CallerSettings
-        Rate, duration, retries.
+        Rate, duration and retries.
     send : callable
         Sends one attempt.
     take_ticket : callable
-        Returns a fresh ticket, or "" if there is none to be had.
+        Returns a new ticket, or "" if no ticket is available.
     rng : random.Random
         Draws arrivals and routes.
     report : CallerReport
-        Filled on the way, so that progress can be shown.
+        Updated during the run, so that progress can be shown.
     clock : Clock, optional
-        By default that of the running loop.
+        Defaults to the clock of the running event loop.
     """
     clock = clock or trio_clock()
     end_time = trio.current_time() + cfg.duration / MS_PER_S
@@ -192,7 +192,10 @@
 
 
 def final_outcome(attempts: list[Attempt]) -> RequestOutcome:
-    """Return what a caller holds after some attempts of one request."""
+    """Return the outcome of a request from those of its attempts.
+
+    A request is refused only if all its attempts were refused.
+    """
     outcomes = {attempt.outcome for attempt in attempts}
     if RequestOutcome.WRONG in outcomes:
         return RequestOutcome.WRONG
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/command_line.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/command_line.py
@@ -1,4 +1,4 @@
-"""Command lines of the stand-ins' programs."""
+"""Command line parsing of the stand-ins."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 def new_flags() -> flags.FlagValues:
     """Return an empty set of flags.
 
-    Each program has its own: two stand-ins may be imported by one program, and the
-    library's common set takes each name once.
+    Each program has its own set: two stand-ins may be imported by one program, and the
+    global set of absl accepts each name only once.
     """
     return flags.FlagValues()  # type: ignore[no-untyped-call]
 
 
 def parse_flags(flag_values: flags.FlagValues, argv: Sequence[str], doc: str) -> None:
-    """Parse a command line; end the program with a usage text if it is not valid.
+    """Parse a command line; exit with a usage text if it is invalid.
 
     Parameters
     ----------
-    own : flags.FlagValues
+    flag_values : flags.FlagValues
         Flags of the program.
     argv : sequence of str
-        The command line, with the program's name first.
+        Command line, with the name of the program first.
     doc : str
-        What the program is for.
+        Description of the program, shown by ``--help``.
     """
     flags.DEFINE_bool("help", False, "Show this help.", flag_values=flag_values)
     try:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/echo_server.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/echo_server.py
@@ -1,4 +1,4 @@
-"""A backend server that echoes at once, for measuring the cost of the path."""
+"""Backend server that echoes requests at once, for measuring the added latency."""
 
 from __future__ import annotations
 
@@ -36,7 +36,13 @@
 
 
 async def run_echo(ip: str) -> None:
-    """Serve until the process is ended."""
+    """Serve until the process is terminated.
+
+    Parameters
+    ----------
+    ip : str
+        IP address to listen on; the port is a free one.
+    """
     listener = (await trio.open_tcp_listeners(0, host=ip))[0]
     host, port = listener.socket.getsockname()[:2]
     announce(f"{host}:{port}")
@@ -47,10 +53,10 @@
 
 
 def main(argv: Sequence[str]) -> None:
-    """Run the server; ``--ip`` names where it listens."""
+    """Run the server with the flags in `argv`."""
     flag_values = new_flags()
     flags.DEFINE_string(
-        "ip", "127.0.0.1", "IP number to listen at", flag_values=flag_values
+        "ip", "127.0.0.1", "IP address to listen on.", flag_values=flag_values
     )
     parse_flags(flag_values, argv, __doc__ or "")
     trio.run(run_echo, str(flag_values["ip"].value))
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/platform.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/platform.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's object API, in memory and with faults."""
+"""In-memory stand-in for the object API of the platform, with fault injection."""
 
 from __future__ import annotations
 
@@ -26,22 +26,22 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformFaults:
-    """What is wrong with the platform; the default is nothing.
+    """Fault switches of the platform; by default only a small latency.
 
     Parameters
     ----------
     outage : bool
-        Every call fails, waiting watches included.
+        Whether every call fails, including watches that are waiting.
     latency : float
-        Milliseconds each call takes.
+        Milliseconds that each call takes.
     patience : float
-        Milliseconds after which a caller in this process gives up a slow call. The
-        HTTP form leaves giving up to its callers.
+        Timeout in milliseconds of calls made within the process. Over HTTP it is
+        infinite, as each caller has its own timeout.
     lose_answers : float
-        Probability that the answer to a change is lost after its effect.
+        Probability that the answer to a write is lost after the write is applied.
     lose_requests : float
-        Probability that a change is lost before its effect; its caller cannot tell
-        this from a lost answer.
+        Probability that a write is lost before it is applied; the caller cannot
+        distinguish this from a lost answer.
     """
 
     outage: bool = False
@@ -53,14 +53,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CallCounts:
-    """Calls the platform has counted.
+    """Number of calls to the platform, by kind.
 
     Parameters
     ----------
     reads, writes, watches : int
-        A list is one read; a watch counts once each time it begins to wait.
+        A list counts as one read; a watch counts once per poll.
     failed : int
-        How many of them failed by an outage or a loss.
+        Calls that failed by an outage, a timeout or a loss.
     """
 
     reads: int = 0
@@ -70,22 +70,23 @@
 
 
 class ObjectStore:
-    """Objects under paths, with one version that grows with each change of any.
+    """Versioned objects by path; one version counter is shared by all objects.
 
     Implements `fuchsiagap_node.core.ports.Platform`.
 
     Parameters
     ----------
     rng : random.Random
-        Decides which answers get lost.
+        Draws which requests and answers are lost.
     faults : PlatformFaults, optional
-        What is wrong at the start.
+        Initial faults.
 
     Notes
     -----
-    A watch yields the newest state of each changed object in order of version; of
-    two changes of one object in between, the older is left out. A tombstone has a
-    version and counts as an object: to put anew over it, name its version.
+    A watch yields the current state of each changed object in order of version; if an
+    object changes twice between two polls, only the later change is seen. A tombstone
+    has a version and counts as an object: a conditional write over it must expect the
+    version of the tombstone.
     """
 
     def __init__(
@@ -101,25 +102,25 @@
 
     @property
     def counts(self) -> CallCounts:
-        """Calls counted since the start."""
+        """Number of calls since the start, by kind."""
         return CallCounts(self._reads, self._writes, self._watches, self._failed)
 
     def set_faults(self, faults: PlatformFaults) -> None:
-        """Change what is wrong; waiting watches notice at once."""
+        """Change the faults; watches that are waiting see them at once."""
         self.faults = faults
         self._notify()
 
     def set_cut_off(self, names: set[str]) -> None:
-        """Cut the named users of `view` off from the platform, and only these."""
+        """Set which users of `view` cannot reach the platform; all others can."""
         self.cut_off = set(names)
         self._notify()
 
     def view(self, name: str) -> PlatformView:
-        """Return the platform as seen by a named user, who can be cut off."""
+        """Return the platform as seen by a named user, who can be cut off from it."""
         return PlatformView(self, name)
 
     async def get(self, path: str) -> StoredObject | Missing | PlatformUnavailable:
-        """Read one object; a deleted one comes as a tombstone."""
+        """Read one object; a deleted object is returned as a tombstone."""
         self._reads += 1
         if (unavailable := await self._delay()) is not None:
             return unavailable
@@ -135,16 +136,14 @@
     async def put(
         self, path: str, value: bytes, expected_version: int | None
     ) -> PutResult:
-        """Write if the version is the expected one."""
+        """Write an object, on condition of its version if one is expected."""
         if len(value) > MAX_VALUE_BYTES:
-            detail = (
-                f"{path}: {len(value)} bytes; a value has at most {MAX_VALUE_BYTES}"
-            )
+            detail = f"{path}: {len(value)} bytes exceed the limit of {MAX_VALUE_BYTES}"
             return PlatformUnavailable(maybe_applied=False, detail=detail)
         return await self._change(path, value, expected_version, deleted=False)
 
     async def delete(self, path: str, expected_version: int | None) -> PutResult:
-        """Leave a tombstone, under the same condition as `put`."""
+        """Replace an object by a tombstone, on the same condition as `put`."""
         return await self._change(path, b"", expected_version, deleted=True)
 
     async def watch(
@@ -157,23 +156,23 @@
     async def poll(
         self, prefix: str, after_version: int, wait: Milliseconds, name: str = ""
     ) -> tuple[StoredObject, ...] | PlatformUnavailable:
-        """Wait for changes under a prefix; one step of a watch, and one call.
+        """Wait for changes under a prefix, as one call; a watch polls repeatedly.
 
         Parameters
         ----------
         prefix : str
-            Path prefix.
+            Prefix of the paths.
         after_version : int
-            Only changes with a higher version.
+            Return only changes with a higher version.
         wait : float
-            Milliseconds to wait at most.
+            Maximum time to wait in milliseconds.
         name : str
-            The user who waits, as given to `view`.
+            Name of the user, as given to `view`.
 
         Returns
         -------
         tuple of StoredObject or PlatformUnavailable
-            Changes in order of version; empty if there were none.
+            Changes in order of version; empty if there were none in time.
         """
         self._watches += 1
         if (unavailable := await self._delay()) is not None:
@@ -191,7 +190,7 @@
     def objects_under(
         self, prefix: str, after_version: int = 0
     ) -> tuple[StoredObject, ...]:
-        """Return the objects under a prefix in order of version, without a call."""
+        """Return the objects under a prefix by version, without counting a call."""
         found = [
             stored
             for stored in self._objects.values()
@@ -241,7 +240,7 @@
 
     def _fail(self, *, maybe_applied: bool) -> PlatformUnavailable:
         self._failed += 1
-        return PlatformUnavailable(maybe_applied, "the platform did not answer")
+        return PlatformUnavailable(maybe_applied, "no answer from the platform")
 
     def _notify(self) -> None:
         self._changed.set()
@@ -249,14 +248,14 @@
 
 
 class PlatformView:
-    """The platform as one user sees it; implements `ports.Platform`.
+    """Access of one user to the platform; implements `ports.Platform`.
 
     Parameters
     ----------
     store : ObjectStore
-        The platform.
+        The object store.
     name : str
-        The user; while it is in `ObjectStore.cut_off`, its calls fail.
+        Name of the user; its calls fail while it is in `ObjectStore.cut_off`.
     """
 
     def __init__(self, store: ObjectStore, name: str) -> None:
@@ -276,14 +275,14 @@
     async def put(
         self, path: str, value: bytes, expected_version: int | None
     ) -> PutResult:
-        """Write if the version is the expected one."""
+        """Write an object, on condition of its version if one is expected."""
         if (unavailable := await self._unreachable()) is not None:
             return unavailable
         result = await self._store.put(path, value, expected_version)
         return self._result_if_reachable(result)
 
     async def delete(self, path: str, expected_version: int | None) -> PutResult:
-        """Leave a tombstone."""
+        """Replace an object by a tombstone, on the same condition as `put`."""
         if (unavailable := await self._unreachable()) is not None:
             return unavailable
         result = await self._store.delete(path, expected_version)
@@ -311,7 +310,7 @@
         return PlatformUnavailable(maybe_applied=False, detail="cut off")
 
     def _result_if_reachable(self, result: PutResult) -> PutResult:
-        # The cut may have come between the effect and the answer.
+        # The user may have been cut off after the write was applied.
         if self._name in self._store.cut_off:
             return PlatformUnavailable(maybe_applied=True, detail="cut off")
         return result
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/platform_app.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/platform_app.py
@@ -1,7 +1,7 @@
-"""The platform stand-in as an HTTP server.
+"""HTTP server for the platform stand-in.
 
 ``python -m fuchsiagap_standins.platform_app --bind 127.0.0.1:0`` prints the address
-it listens on. The protocol is described in ``docs/design/standins.md``.
+that the server listens on. The protocol is described in ``docs/design/standins.md``.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 _BIND = flags.DEFINE_string(
     "bind", "127.0.0.1:0", "IP:PORT to listen on.", flag_values=_FLAGS
 )
-_SEED = flags.DEFINE_integer("seed", 1, "Seed of the lost answers.", flag_values=_FLAGS)
+_SEED = flags.DEFINE_integer("seed", 1, "Seed of the faults.", flag_values=_FLAGS)
 
 
 def platform_app(store: ObjectStore) -> QuartTrio:
@@ -54,7 +54,7 @@
     Parameters
     ----------
     store : ObjectStore
-        The objects; faults set there show here too.
+        The objects; changes of its faults take effect at once.
 
     Returns
     -------
@@ -133,7 +133,7 @@
     if isinstance(result, StoredObject):
         return _object_response(result, 200)
     if isinstance(result, Missing):
-        return Response(f"there is no object at {result.path}", 404)
+        return Response(f"no object at {result.path}", 404)
     return _unavailable()
 
 
@@ -142,7 +142,7 @@
         return _object_response(replace(result, value=b""), 200)
     if isinstance(result, Conflict):
         if result.current is None:
-            return Response("there is no object yet", 412)
+            return Response("no object at this path yet", 412)
         return _object_response(result.current, 412)
     return _unavailable()
 
@@ -173,7 +173,7 @@
 
 
 def _unavailable() -> Response:
-    return Response("the platform is not available", 503)
+    return Response("platform unavailable", 503)
 
 
 def _json(content: dict[str, Any]) -> Response:
@@ -181,8 +181,8 @@
 
 
 async def run_platform(bind: str, seed: int) -> None:
-    """Serve a new store until SIGTERM or SIGINT."""
-    # Over HTTP the caller's own timeout ends a slow call.
+    """Serve an empty object store over HTTP until SIGTERM or SIGINT."""
+    # Over HTTP, the timeout of the caller ends a slow call.
     faults = PlatformFaults(patience=float("inf"))
     app = platform_app(ObjectStore(random.Random(seed), faults))
     async with trio.open_nursery() as nursery:
@@ -192,7 +192,7 @@
 
 
 def main(argv: Sequence[str]) -> None:
-    """Run the program."""
+    """Run the server with the flags in `argv`."""
     parse_flags(_FLAGS, argv, __doc__ or "")
     trio.run(partial(run_platform, _BIND.value, _SEED.value))
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/processes.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/processes.py
@@ -1,6 +1,6 @@
-"""Start and end the processes of a deployment on loopback addresses.
+"""Start and stop the processes of a deployment on loopback addresses.
 
-For the demo and the benches only: the product itself starts no process.
+Only the demo and the benches use this; the product itself starts no processes.
 """
 
 from __future__ import annotations
@@ -33,51 +33,51 @@
 
 
 class ProcessFailed(RuntimeError):
-    """A process ended or did not get ready in time."""
+    """A process exited or was not ready in time."""
 
 
 @dataclass(frozen=True, slots=True)
 class AddressReservation:
-    """Addresses that nobody else gets while this is open.
+    """Addresses that no other process is given while this is open.
 
     Parameters
     ----------
     addresses : tuple of str
-        ``IP:PORT`` of each.
+        ``IP:PORT`` of each address.
     sockets : tuple of socket.socket
-        Bound and not listening.
+        Sockets that are bound and do not listen.
     """
 
     addresses: tuple[str, ...]
     sockets: tuple[socket.socket, ...]
 
     def close(self) -> None:
-        """Give the addresses back."""
+        """Release the addresses."""
         for sock in self.sockets:
             sock.close()
 
 
 def reserve_addresses(ip: str, number: int) -> AddressReservation:
-    """Reserve free ports of an address for processes to come.
+    """Reserve free ports of an IP address for processes to be started.
 
     Parameters
     ----------
     ip : str
-        IP number.
+        IP address.
     number : int
-        How many ports.
+        Number of ports.
 
     Returns
     -------
     AddressReservation
-        Processes that set ``SO_REUSEADDR`` can listen there.
+        Only processes that set ``SO_REUSEADDR`` can listen on the addresses.
     """
     sockets = []
     for _ in range(number):
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.bind((ip, 0))
-        # Set after the bind: the port is one that nobody had, and a process that
-        # sets the option too can listen there, since this socket never will.
+        # Set after the bind, so that the kernel chooses an unused port. A process that
+        # also sets the option can then listen on it, as this socket never listens.
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sockets.append(sock)
     addresses = tuple(f"{ip}:{sock.getsockname()[1]}" for sock in sockets)
@@ -86,7 +86,7 @@
 
 @dataclass(slots=True)
 class RunningProcess:
-    """A process that this one started.
+    """A process started by a `ProcessGroup`.
 
     Parameters
     ----------
@@ -95,9 +95,10 @@
     popen : subprocess.Popen
         The process.
     log : Path
-        What it writes to stdout and stderr.
+        File with its stdout and stderr.
     offset : int
-        Where its part of the log begins; before it stand those of the same name.
+        Position in the log where its output begins; output of earlier processes of
+        the same name precedes it.
     """
 
     name: str
@@ -112,30 +113,30 @@
 
     @property
     def exit_code(self) -> int | None:
-        """Exit code; None while it runs."""
+        """Exit code; None while the process runs."""
         return self.popen.poll()
 
     def output(self) -> str:
-        """Return what it has written so far."""
+        """Return the output so far."""
         return self.log.read_bytes()[self.offset :].decode("utf-8", "replace")
 
     def log_tail(self) -> str:
-        """Return the end of its output."""
+        """Return the last part of the output."""
         return self.output()[-_TAIL_CHARACTERS:]
 
     def send(self, signum: signal.Signals) -> None:
-        """Send it a signal, if it still runs."""
+        """Send a signal if the process still runs."""
         if self.popen.poll() is None:
             self.popen.send_signal(signum)
 
 
 class ProcessGroup:
-    """The processes of one run; all end with it.
+    """The processes of one deployment.
 
     Parameters
     ----------
     folder : Path
-        For their output and settings.
+        Directory for their logs and settings files.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -149,18 +150,18 @@
         Parameters
         ----------
         name : str
-            A name that no other process of the group has now.
+            Name that no running process of the group has.
         argv : sequence of str
             Program and arguments.
         """
         log = self.folder / f"{name}.log"
         if name not in self._started:
-            log.write_bytes(b"")  # a folder that is kept has logs of earlier runs
+            log.write_bytes(b"")  # the folder may hold logs of earlier runs
             self._started.add(name)
         offset = log.stat().st_size
         with log.open("ab") as output:
-            # A session of its own: Ctrl-C reaches this process alone, which then
-            # ends the others in order.
+            # In a session of its own, the process does not receive Ctrl-C: only this
+            # process does, and it stops the others in order.
             popen = subprocess.Popen(
                 argv,
                 stdin=subprocess.DEVNULL,
@@ -174,7 +175,7 @@
         return process
 
     async def start_standin(self, name: str, module: str, *args: str) -> str:
-        """Start a stand-in and return the ``IP:PORT`` it listens on."""
+        """Start a stand-in and return the ``IP:PORT`` that it listens on."""
         argv = [sys.executable, "-m", f"fuchsiagap_standins.{module}", *args]
         process = self.start(name, argv)
         with trio.move_on_after(START_TIMEOUT / MS_PER_S):
@@ -184,19 +185,19 @@
                         return line.removeprefix(LISTENING_PREFIX).strip()
                 self._raise_if_exited(process)
                 await trio.sleep(_POLL_S)
-        raise ProcessFailed(f"{name} is not ready:\n{process.log_tail()}")
+        raise ProcessFailed(f"{name} was not ready in time:\n{process.log_tail()}")
 
     async def start_node(self, name: str, ini: str, callers: str) -> RunningProcess:
-        """Start a node and wait until it takes connections of callers.
+        """Start a node and wait until it accepts connections of callers.
 
         Parameters
         ----------
         name : str
             Name of the node.
         ini : str
-            Its settings.
+            Text of its settings file.
         callers : str
-            ``IP:PORT`` at which it will listen for callers.
+            ``IP:PORT`` where it listens for callers.
         """
         path = self.folder / f"{name}.ini"
         path.write_text(ini)
@@ -213,15 +214,22 @@
                     continue
                 await trio.aclose_forcefully(stream)
                 return process
-        raise ProcessFailed(f"{name} is not ready:\n{process.log_tail()}")
+        raise ProcessFailed(f"{name} was not ready in time:\n{process.log_tail()}")
 
     async def stop(self, name: str, timeout: Milliseconds = STOP_TIMEOUT) -> int:
-        """Ask a process to stop, and kill it if it has not after `timeout`.
+        """Stop a process by SIGTERM, and kill it if it still runs after `timeout`.
+
+        Parameters
+        ----------
+        name : str
+            Name of the process.
+        timeout : float
+            Milliseconds for a graceful shutdown.
 
         Returns
         -------
         int
-            Its exit code.
+            Exit code of the process.
         """
         process = self.running[name]
         process.send(signal.SIGCONT)
@@ -232,25 +240,25 @@
         return self.kill(name)
 
     def kill(self, name: str) -> int:
-        """Kill a process, as a host that fails would, and return its exit code."""
+        """Kill a process, to simulate a host failure, and return its exit code."""
         process = self.running.pop(name)
         process.send(signal.SIGKILL)
         return process.popen.wait()
 
     def ended(self) -> list[RunningProcess]:
-        """Return the processes that ended without being asked to."""
+        """Return the processes that exited without being stopped or killed."""
         return [p for p in self.running.values() if p.exit_code is not None]
 
     def pause(self, name: str) -> None:
-        """Stop a process in its tracks until `resume`."""
+        """Suspend a process until `resume`."""
         self.running[name].send(signal.SIGSTOP)
 
     def resume(self, name: str) -> None:
-        """Let a paused process go on."""
+        """Resume a paused process."""
         self.running[name].send(signal.SIGCONT)
 
     async def stop_all(self, timeout: Milliseconds = STOP_TIMEOUT) -> dict[str, int]:
-        """Stop all processes at once; return their exit codes by name."""
+        """Stop all processes concurrently and return their exit codes by name."""
         codes: dict[str, int] = {}
 
         async def stop(name: str) -> None:
@@ -265,26 +273,26 @@
         code = process.exit_code
         if code is not None:
             tail = process.log_tail()
-            raise ProcessFailed(f"{process.name} ended with {code}:\n{tail}")
+            raise ProcessFailed(f"{process.name} exited with code {code}:\n{tail}")
 
 
 @asynccontextmanager
 async def process_group(
     folder: Path, stop_timeout: Milliseconds = STOP_TIMEOUT
 ) -> AsyncIterator[ProcessGroup]:
-    """Run processes that all end with the block, however it ends.
+    """Open a group of processes, which are all stopped when the block ends.
 
     Parameters
     ----------
     folder : Path
-        For their output and settings.
+        Directory for their logs and settings files.
     stop_timeout : float
-        Milliseconds a process has for a graceful shutdown.
+        Milliseconds that each process has for a graceful shutdown.
 
     Yields
     ------
     ProcessGroup
-        Empty at first.
+        An empty group.
     """
     group = ProcessGroup(folder)
     try:
@@ -295,18 +303,18 @@
 
 
 def _terminate_with_parent() -> None:
-    """Ask the kernel to stop this process when its parent is gone, even if killed."""
+    """Have the kernel send SIGTERM to this process when its parent exits."""
     _LIBC.prctl(_PR_SET_PDEATHSIG, signal.SIGTERM)
 
 
 def memory_bytes(pid: int) -> int:
-    """Return the resident memory of a process."""
+    """Return the resident memory of a process in bytes."""
     fields = Path(f"/proc/{pid}/statm").read_text().split()
     return int(fields[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
 def cpu_ms(pid: int) -> Milliseconds:
-    """Return the CPU time of a process so far."""
+    """Return the CPU time that a process has used so far, in milliseconds."""
     stat = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     user, system = int(stat[11]), int(stat[12])
     return MS_PER_S * (user + system) / os.sysconf("SC_CLK_TCK")
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/request_senders.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/request_senders.py
@@ -1,4 +1,4 @@
-"""How the caller stand-in sends a request to nodes over HTTP."""
+"""Ways in which the caller stand-in sends requests to nodes and takes tickets."""
 
 from __future__ import annotations
 
@@ -23,12 +23,17 @@
     from fuchsiagap_standins.answers import CallMark
     from fuchsiagap_standins.graphs.model import Graph, GraphRoute
 
+# Number of tickets asked for at once.
 TICKET_BATCH = 64
+# Errors that occur before the request is sent, so that it cannot have run.
 _NOT_SENT_ERRORS = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
 
 
 class RequestOutcome(Enum):
-    """What a caller holds in the end."""
+    """Outcome of a request as seen by its caller.
+
+    `WRONG` is an answer that is incomplete or belongs to another request.
+    """
 
     ANSWERED = "answered"
     REFUSED = "refused"
@@ -38,18 +43,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """One request of a client; an attempt more is the same request.
+    """One request of a client; its retries send the same request again.
 
     Parameters
     ----------
     route : GraphRoute
-        What is asked for.
+        Requested route.
     mark : CallMark
-        Its mark; the nonce is its own.
+        Mark of the request, with a nonce of its own.
     target : str
         Path within the service.
     ticket : str
-        Its ticket; empty if none could be had.
+        Ticket of the request; empty if there is none.
     """
 
     route: GraphRoute
@@ -60,14 +65,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """What one attempt brought.
+    """Result of one attempt.
 
     Parameters
     ----------
     outcome : RequestOutcome
-        What the caller holds.
+        Outcome of the attempt.
     reason : str
-        The node's reason, or what went wrong on the way.
+        Reason given by the node, or name of the transport error.
     """
 
     outcome: RequestOutcome
@@ -85,20 +90,20 @@
     timeout: Milliseconds,
     rng: random.Random,
 ) -> SendAttempt:
-    """Return how to send an attempt to one of some nodes, drawn anew each time.
+    """Return a function that sends an attempt to a node drawn at random.
 
     Parameters
     ----------
     client : httpx.AsyncClient
-        Connections to the nodes.
+        HTTP client for the connections to the nodes.
     graph : Graph
-        Gives the team.
+        Call graph, which names the team of the services.
     nodes : sequence of str
         ``IP:PORT`` where nodes listen for callers.
     timeout : float
-        Milliseconds the caller waits for one attempt.
+        Milliseconds that the caller waits for one attempt; also sent as deadline.
     rng : random.Random
-        Draws the node.
+        Draws the node of each attempt.
     """
     timeout_s = timeout / MS_PER_S
 
@@ -126,17 +131,17 @@
 
 
 def client_sender(client: Client, graph: Graph) -> SendAttempt:
-    """Return how to send a request through the callers' library.
+    """Return a function that sends a request through the client library.
 
-    The library takes the tickets and repeats what it may; what it returns is the
-    outcome of the whole request.
+    The library takes the ticket and retries where that is safe; the result is the
+    final outcome of the request.
 
     Parameters
     ----------
     client : Client
-        The library's client.
+        Client of the library.
     graph : Graph
-        Gives the team.
+        Call graph, which names the team of the services.
     """
 
     async def send(request: ClientRequest) -> Attempt:
@@ -154,12 +159,12 @@
 
 
 async def no_ticket() -> str:
-    """Take no ticket: the library does."""
+    """Return no ticket, for requests whose ticket is taken by the client library."""
     return ""
 
 
 def read_response(request: ClientRequest, response: httpx.Response) -> Attempt:
-    """Return what a response means for the request it should belong to."""
+    """Return the result of an attempt from the HTTP response to it."""
     outcome = response.headers.get(call_headers.OUTCOME, "")
     reason = response.headers.get(call_headers.REASON, "")
     if outcome == call_headers.OUTCOME_REFUSED:
@@ -172,18 +177,21 @@
 
 
 def read_answer(request: ClientRequest, status: int, body: bytes) -> Attempt:
-    """Return what a backend server's answer means for the request."""
+    """Return the result of an attempt from the answer of the backend server."""
     if status != httpx.codes.OK:
         return Attempt(RequestOutcome.UNKNOWN, f"backend status {status}")
     if is_own_answer(body, request.mark, request.route.name):
         return Attempt(RequestOutcome.ANSWERED)
-    return Attempt(RequestOutcome.WRONG, "not the own answer, or not whole")
+    return Attempt(RequestOutcome.WRONG, "answer incomplete or for another request")
 
 
 def http_tickets(
     client: httpx.AsyncClient, nodes: Sequence[str], rng: random.Random
 ) -> TakeTicket:
-    """Return how to take tickets, which come in batches from nodes in turn."""
+    """Return a function that takes tickets, which it fetches in batches.
+
+    The nodes are asked in random order until one issues tickets.
+    """
     available: list[str] = []
 
     async def take() -> str:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/run_log.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/run_log.py
@@ -1,4 +1,4 @@
-"""What ran where: the evidence of double runs and false refusals."""
+"""Log of the runs of calls, and the duplicate runs and false refusals it proves."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class RunState(Enum):
-    """What became of a run.
+    """State of a run.
 
-    A run that was `BACKED_OUT` had no effect, nor had any call it made, and its
-    answer said "not run"; all others may have had one.
+    A run that is `BACKED_OUT` had no effect, nor had any of its child calls, and its
+    answer stated "not run". Runs in all other states may have had an effect.
     """
 
     STARTED = "started"
@@ -34,19 +34,19 @@
     Parameters
     ----------
     instance : str
-        The backend server.
+        Name of the backend server.
     route : str
-        The route that ran.
+        Name of the route.
     idempotent : bool
-        Whether it may run more than once.
+        Whether the route may run more than once per call.
     nonce, place : str
-        Mark of the call.
+        Nonce and place of the mark of the call.
     call_id : str
-        The node's id of the attempt.
+        Id that the node gave to the attempt.
     started : float
-        Milliseconds on the backend server's clock.
+        Start time in milliseconds on the clock of the backend server.
     state : RunState
-        What became of it.
+        State of the run.
     """
 
     instance: str
@@ -64,7 +64,7 @@
         return self.state is not RunState.BACKED_OUT
 
     def to_json(self) -> dict[str, Any]:
-        """Return the run as JSON can hold it."""
+        """Return the run as an object for JSON, the inverse of `run_from_json`."""
         return {
             "instance": self.instance,
             "route": self.route,
@@ -78,7 +78,7 @@
 
 
 def run_from_json(entry: dict[str, Any]) -> Run:
-    """Return the run that `Run.to_json` wrote."""
+    """Return the run from the output of `Run.to_json`."""
     return Run(**(entry | {"state": RunState(entry["state"])}))
 
 
@@ -93,7 +93,7 @@
     Returns
     -------
     list of tuple
-        (nonce, place, route) of each.
+        (nonce, place, route) of each call, sorted.
     """
     counts = Counter(
         (run.nonce, run.place, run.route)
@@ -104,7 +104,7 @@
 
 
 def false_refusals(runs: Iterable[Run], refused: Iterable[str]) -> list[str]:
-    """Return the nonces of requests that were called not run, and were run.
+    """Return the nonces of requests that were reported as not run although they ran.
 
     Parameters
     ----------
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/serving.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/serving.py
@@ -1,4 +1,4 @@
-"""Serve a stand-in's ASGI application over HTTP on a loopback address."""
+"""HTTP server for the ASGI applications of stand-ins, and its announced address."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
     Parameters
     ----------
     app : ASGI application
-        What is served.
+        The application.
     bind : str
-        ``IP:PORT``; port 0 takes a free one.
+        ``IP:PORT`` to listen on; port 0 selects a free port.
     keep_alive_s : float
-        Seconds after which an idle connection is closed.
+        Idle time in seconds after which a connection is closed.
     task_status : trio.TaskStatus
-        Gets the ``IP:PORT`` listened on.
+        Receives the ``IP:PORT`` that the server listens on.
     """
     cfg = Config()
     cfg.bind = [bind]
@@ -52,7 +52,7 @@
 async def _serve(
     app: Any, cfg: Config, *, task_status: trio.TaskStatus[list[str]]
 ) -> None:
-    # Without a trigger hypercorn would run on, which is what is wanted here.
+    # Without a shutdown trigger, hypercorn serves until it is cancelled.
     await serve(app, cfg, task_status=task_status, mode="asgi")
 
 
@@ -62,7 +62,7 @@
     Parameters
     ----------
     grace : float
-        Milliseconds to go on after the signal.
+        Milliseconds to wait after the signal.
     """
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
@@ -71,5 +71,5 @@
 
 
 def announce(address: str) -> None:
-    """Tell the starting process where this one listens, by a line on stdout."""
+    """Print the listening address, which the parent process reads from stdout."""
     print(f"{LISTENING_PREFIX}{address}", flush=True)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_backend.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_backend.py
@@ -1,4 +1,4 @@
-"""The backend server stand-in, without its transport."""
+"""Tests of the backend server stand-in, without a transport."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def answer_with(**by_route):
-    """Return a `CallOut` with the outcome for each route; others are answered."""
+    """Return a `CallOut` with an outcome for each given route; others are answered."""
 
     async def call_out(child):
         outcome = by_route.get(child.route.name.partition("/")[2])
@@ -208,7 +208,10 @@
 
 
 def effect_before_refusal():
-    """Return Queensland with a start of a cycle that records before it checks."""
+    """Return the Queensland graph with the two child calls of `cycles/start` swapped.
+
+    The call that has an effect is then made before the one that the test refuses.
+    """
     start = GRAPH.route("cycles/start")
     swapped = replace(start, calls=(("results/record",), ("bookings/access",)))
     others = tuple(route for route in GRAPH.routes if route != start)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_backend_app.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_backend_app.py
@@ -1,4 +1,4 @@
-"""The backend server stand-in over HTTP."""
+"""Tests of the backend server stand-in over HTTP."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @asynccontextmanager
 async def served(service):
-    """Serve a backend server; yield it, a client and its address."""
+    """Serve a backend server; yield the server, a client and the address."""
     cfg = BackendSettings(GRAPH, service, f"{service}-1")
     server = BackendStandIn(cfg, refuse, random.Random(1))
     async with trio.open_nursery() as nursery:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_caller.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_caller.py
@@ -1,4 +1,4 @@
-"""The caller stand-in: an open loop, retries, and what it counts."""
+"""Tests of the caller stand-in: open loop, retries and reported counts."""
 
 from __future__ import annotations
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_platform.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform stand-in."""
+"""Tests of the platform stand-in."""
 
 from __future__ import annotations
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_processes.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Real processes end with their block, and a few of them carry calls together."""
+"""Tests of process groups, and of a deployment of real processes."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def deep_graph():
-    """Return the text of a graph whose one service calls itself, 15 deep."""
+    """Return the text of a graph whose one service calls itself, `CHAIN_DEPTH` deep."""
     lines = [
         "[graph]\nteam = deep\ndata centres = a, b, c\ndeep service = link",
         "[link]\ninstances = 3\nslots = 100\nconnections = 200",
@@ -95,10 +95,10 @@
 
         async def main():
             async with process_group(self.folder) as group:
-                process = group.start("deaf", argv)
+                process = group.start("ignores-sigterm", argv)
                 while "up" not in process.log_tail():
                     await trio.sleep(0.01)
-                self.assertEqual(-9, await group.stop("deaf", timeout=100.0))
+                self.assertEqual(-9, await group.stop("ignores-sigterm", timeout=100.0))
 
         trio.run(main)
 
