--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/backend_app.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/backend_app.py
@@ -46,6 +46,7 @@
 
 MAX_BODY_BYTES = 64 * 1024 * 1024
 _CONTROL_PREFIX = "/-/"
+# A silent load endpoint holds the request this long and then sends no response.
 _SILENT_LOAD_DELAY_S = 60.0
 
 _FLAGS = new_flags()
@@ -138,8 +139,8 @@
 
 async def _send_reply(send: Send, reply: BackendReply) -> None:
     if reply.lost:
-        # A response that ends before its announced body makes the HTTP server close the
-        # connection.
+        # The server closes the connection if the body is shorter than announced by
+        # content-length.
         await _start_response(send, 200, 1)
         return
     not_run = ((call_headers.BACKEND_NOT_RUN, "1"),) if reply.not_run else ()
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/byte_relay.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/byte_relay.py
@@ -31,7 +31,7 @@
     Parameters
     ----------
     ip : str
-        IP address to listen on; the port is a free one.
+        IP address to listen on, at a free port.
     target : str
         ``IP:PORT`` to relay to.
     """
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/echo_server.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/echo_server.py
@@ -41,7 +41,7 @@
     Parameters
     ----------
     ip : str
-        IP address to listen on; the port is a free one.
+        IP address to listen on, at a free port.
     """
     listener = (await trio.open_tcp_listeners(0, host=ip))[0]
     host, port = listener.socket.getsockname()[:2]
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/platform.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/platform.py
@@ -307,10 +307,14 @@
         if self._name not in self._store.cut_off:
             return None
         await sleep_ms(self._store.faults.patience)
-        return PlatformUnavailable(maybe_applied=False, detail="cut off")
+        return PlatformUnavailable(
+            maybe_applied=False, detail="user cut off from the platform"
+        )
 
     def _result_if_reachable(self, result: PutResult) -> PutResult:
         # The user may have been cut off after the write was applied.
         if self._name in self._store.cut_off:
-            return PlatformUnavailable(maybe_applied=True, detail="cut off")
+            return PlatformUnavailable(
+                maybe_applied=True, detail="user cut off from the platform"
+            )
         return result
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/processes.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/processes.py
@@ -217,7 +217,7 @@
         raise ProcessFailed(f"{name} was not ready in time:\n{process.log_tail()}")
 
     async def stop(self, name: str, timeout: Milliseconds = STOP_TIMEOUT) -> int:
-        """Stop a process by SIGTERM, and kill it if it still runs after `timeout`.
+        """Stop a process, also a paused one, and kill it if it runs after `timeout`.
 
         Parameters
         ----------
@@ -303,7 +303,7 @@
 
 
 def _terminate_with_parent() -> None:
-    """Have the kernel send SIGTERM to this process when its parent exits."""
+    """Have the kernel send SIGTERM when the parent exits, even if it is killed."""
     _LIBC.prctl(_PR_SET_PDEATHSIG, signal.SIGTERM)
 
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/run_log.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/run_log.py
@@ -1,4 +1,4 @@
-"""Log of the runs of calls, and the duplicate runs and false refusals it proves."""
+"""Log of the runs of calls, and search for duplicate runs and false refusals."""
 
 from __future__ import annotations
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/serving.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/serving.py
@@ -1,4 +1,4 @@
-"""HTTP server for the ASGI applications of stand-ins, and its announced address."""
+"""Serve the ASGI applications of stand-ins over HTTP and announce their address."""
 
 from __future__ import annotations
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_processes.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_processes.py
@@ -160,12 +160,12 @@
     def test_deep_calls_are_whole_and_a_killed_node_harms_no_other_caller(self):
         async def main():
             async with self.deployment() as (running, client):
-                await self.call_deep(running, client)
-                await self.kill_amid_calls(running, client)
+                await self.check_deep_call(running, client)
+                await self.check_kill_during_calls(running, client)
 
         trio.run(main)
 
-    async def call_deep(self, running, client):
+    async def check_deep_call(self, running, client):
         graph = running.cfg.graph
         route = graph.route("link/level-1")
         self.assertEqual(CHAIN_DEPTH, depth(graph, route))
@@ -179,7 +179,7 @@
         places = {run.place for run in runs if run.nonce == "deep"}
         self.assertEqual((CHAIN_DEPTH, 0), (len(places), wrong))
 
-    async def kill_amid_calls(self, running, client):
+    async def check_kill_during_calls(self, running, client):
         graph = running.cfg.graph
         rng = random.Random(2)
         nodes = running.caller_addresses
