--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/test_real_api.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/test_real_api.py
@@ -17,7 +17,7 @@
 from fuchsiagap_ctl.tests.fake_nodes import a_folder
 from fuchsiagap_node.core.edges.admin import admin_app
 from fuchsiagap_standins.platform import PlatformFaults
-from fuchsiagap_standins.settings_nodes import (
+from fuchsiagap_standins.settings_fleet import (
     OPERATORS_TOKEN,
     SettingsFleet,
     open_settings_fleet,
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/test_home.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/test_home.py
@@ -105,7 +105,7 @@
         async def runner(head: CallHead, _body: bytes) -> Outcome:
             if refusals:
                 return refusals.pop(0)
-            self.backends.ran(head)
+            self.backends.record_run(head)
             return Answered(200, (), b"")
 
         async def scenario(net: TicketNet) -> None:
@@ -120,7 +120,7 @@
 
     def test_an_unknown_outcome_is_never_run_again(self) -> None:
         async def runner(head: CallHead, _body: bytes) -> Outcome:
-            self.backends.ran(head)
+            self.backends.record_run(head)
             return Unknown(Reason.CONNECTION_LOST)
 
         async def scenario(net: TicketNet) -> None:
@@ -133,7 +133,7 @@
 
     def test_a_run_that_never_ends_becomes_unknown(self) -> None:
         async def runner(head: CallHead, _body: bytes) -> Outcome:
-            self.backends.ran(head)
+            self.backends.record_run(head)
             await trio.sleep_forever()
             raise AssertionError
 
@@ -149,7 +149,7 @@
 
     def test_a_fault_of_the_program_becomes_unknown(self) -> None:
         async def runner(head: CallHead, _body: bytes) -> Outcome:
-            self.backends.ran(head)
+            self.backends.record_run(head)
             raise ZeroDivisionError
 
         async def scenario(net: TicketNet) -> None:
@@ -196,11 +196,11 @@
         async def scenario(net: TicketNet) -> None:
             ticket = self.ticket()
             await self.call("a", ticket)
-            net.cut.add("a:1")
+            net.unreachable.add("a:1")
             outcome = await self.call("b", ticket)
             self.assertEqual(Reason.HOME_GONE, outcome.reason)
             self.assertIsInstance(outcome, Unknown)
-            net.cut.clear()
+            net.unreachable.clear()
             self.assertEqual(ONCE, (await self.call("b", ticket)).body)
             self.assert_runs(1, ticket)
 
@@ -214,7 +214,7 @@
                 if trio.current_time() < 0.01:
                     await trio.sleep(30.0)
 
-            net.before = hold
+            net.before_delivery = hold
             outcomes: list[Outcome] = []
             self.call_soon(outcomes, "b", ticket)
             await trio.sleep(0.02)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/test_home_tickets.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/test_home_tickets.py
@@ -53,10 +53,10 @@
     def test_a_home_that_is_not_reached_is_unknown(self) -> None:
         async def scenario(net: TicketNet) -> None:
             ticket = self.ticket()
-            net.cut.add("a:1")
+            net.unreachable.add("a:1")
             told = await settle_ticket(self.node("b"), ticket, 100.0)
             self.assertIsInstance(told, Unknown)
-            net.cut.clear()
+            net.unreachable.clear()
             net.lose_reply = lambda _address, _msg: True
             self.assertIsInstance(
                 await settle_ticket(self.node("b"), ticket, 100.0), Unknown
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/ticket_case.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/ticket_case.py
@@ -11,7 +11,12 @@
 from fuchsiagap_node.core.callpath.home_tickets import issue_batch
 from fuchsiagap_standins.builders import an_issue_head
 from fuchsiagap_standins.testing import run_virtual
-from fuchsiagap_standins.ticket_nodes import Backends, Runner, TicketNet, answering
+from fuchsiagap_standins.ticket_nodes import (
+    FakeBackends,
+    Runner,
+    TicketNet,
+    run_counting_runner,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -33,8 +38,8 @@
     ) -> None:
         async def main() -> None:
             async with trio.open_nursery() as nursery:
-                self.backends = Backends(
-                    runner or answering(lambda: self.backends, 0.1)
+                self.backends = FakeBackends(
+                    runner or run_counting_runner(lambda: self.backends, 0.1)
                 )
                 self.net = TicketNet(self.backends, nursery, self.cfg)
                 for name in ("a", "b", "c"):
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/drain/test_handover.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/drain/test_handover.py
@@ -41,7 +41,7 @@
         state.leaving = True
         result = await hand_over(state, f"{successor}:1")
         if isinstance(result, HandedOver):
-            self.net.leave(state, result.successor)
+            self.net.announce_left(state, result.successor)
             self.net.crash(state)
         return result
 
@@ -103,7 +103,7 @@
             await trio.sleep(0.1)
             if trio.current_time() < 0.2:
                 return a_refusal()
-            self.backends.ran(head)
+            self.backends.record_run(head)
             return Answered(200, (), b"")
 
         async def scenario(net: TicketNet) -> None:
@@ -130,7 +130,7 @@
             await trio.sleep(0.1)
             if trio.current_time() < 0.2:
                 return a_refusal()
-            self.backends.ran(head)
+            self.backends.record_run(head)
             await trio.sleep(1.0)
             return Answered(200, (), b"")
 
@@ -144,7 +144,7 @@
                     await trio.sleep(0.2)
 
             await trio.sleep(0.05)
-            net.before = slow
+            net.before_delivery = slow
             net.nursery.start_soon(self.stop, "a", "b")
             await trio.sleep(0.1)
             for entry in ("a", "c", "c"):
@@ -160,7 +160,7 @@
         """Found by the randomised run with seed 521."""
 
         async def runner(head: CallHead, _body: bytes) -> Outcome:
-            self.backends.ran(head)
+            self.backends.record_run(head)
             await trio.sleep(0.1)
             return Answered(200, (), bytes(self.cfg.max_kept_body + 1))
 
@@ -175,7 +175,7 @@
             for child_key in ("", "k"):
                 self.call_soon(outcomes, "a", ticket, child_key=child_key)
             await trio.sleep(0.05)
-            net.before = slow
+            net.before_delivery = slow
             await self.stop("a", "b")
             for child_key in ("", "k"):
                 again = await self.call("c", ticket, child_key=child_key)
@@ -192,7 +192,7 @@
                 if isinstance(msg, HandOverEnd):
                     await trio.sleep(0.5)
 
-            net.before = slow
+            net.before_delivery = slow
             net.nursery.start_soon(hand_over, self.node("a"), "b:1")
             await trio.sleep(0.1)
             outcome = await self.call("c", ticket)
@@ -238,7 +238,7 @@
             self.assertNotIsInstance(outcome, Answered)
             again = await hand_over(old, "c:1")
             self.assertEqual(may_try_another, isinstance(again, HandedOver))
-            net.leave(old, "c" if may_try_another else "b")
+            net.announce_left(old, "c" if may_try_another else "b")
             net.crash(old)
             for ticket in (used, unused):
                 self.assertEqual(ONCE, (await self.call("c", ticket)).body)
@@ -263,12 +263,12 @@
         async def scenario(net: TicketNet) -> None:
             old = self.node("a")
             ticket = self.ticket()
-            net.cut.add("b:1")
+            net.unreachable.add("b:1")
             result = await hand_over(old, "b:1")
             self.assertEqual("b:1 is not reached", result.detail)
             self.assertTrue(result.may_try_another)
             self.assertIsInstance(await self.call("a", ticket), Refused)
-            net.before = never
+            net.before_delivery = never
             result = await hand_over(old, "c:1")
             self.assertFalse(result.may_try_another)
             self.assertIsInstance(await self.call("a", ticket), Unknown)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_admin.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_admin.py
@@ -10,7 +10,7 @@
 from fuchsiagap_node.core.edges.admin import admin_app
 from fuchsiagap_node.core.edges.admin_reply import MAX_BODY_BYTES
 from fuchsiagap_standins.platform import PlatformFaults
-from fuchsiagap_standins.settings_nodes import (
+from fuchsiagap_standins.settings_fleet import (
     OPERATORS_TOKEN,
     SettingsFleet,
     open_settings_fleet,
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/gossip/test_failures.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/gossip/test_failures.py
@@ -7,7 +7,7 @@
 from fuchsiagap.core.clock import Clock
 from fuchsiagap.core.membership.member import MemberState
 from fuchsiagap.core.membership.settings import MembershipSettings
-from fuchsiagap_standins.members import open_fleet, run_virtual
+from fuchsiagap_standins.membership_fleet import open_membership_fleet, run_virtual
 from fuchsiagap_standins.platform import PlatformFaults
 
 NOTICED_MS = 3_000.0
@@ -36,7 +36,7 @@
 class TestFailures(TestCase):
     def test_a_dead_node_is_noticed_everywhere_also_without_the_platform(self):
         async def main():
-            async with open_fleet(seed=1) as fleet:
+            async with open_membership_fleet(seed=1) as fleet:
                 start(fleet, 4)
                 await fleet.until(fleet.agree)
                 fleet.store.set_faults(DOWN)
@@ -61,7 +61,7 @@
                 cross_probe_interval=10_000.0,
                 sync_interval=10_000.0,
             )
-            async with open_fleet(seed=2, cfg=cfg) as fleet:
+            async with open_membership_fleet(seed=2, cfg=cfg) as fleet:
                 start(fleet, 1, HALLS[:2])
                 await fleet.until(fleet.agree)
                 fleet.store.set_faults(DOWN)
@@ -74,7 +74,7 @@
 
     def test_joins_through_the_platform_only_and_through_peers_only(self):
         async def main():
-            async with open_fleet(seed=3) as fleet:
+            async with open_membership_fleet(seed=3) as fleet:
                 start(fleet, 2)
                 await fleet.until(fleet.agree)
                 fleet.add("certs-new", first=["10.9.9.9:1"])
@@ -87,7 +87,7 @@
 
     def test_a_first_node_without_anybody_is_joined_later(self):
         async def main():
-            async with open_fleet(seed=4) as fleet:
+            async with open_membership_fleet(seed=4) as fleet:
                 fleet.store.set_faults(DOWN)
                 fleet.add("certs-1", first=["certs-2:7000"])
                 await trio.sleep(60.0)
@@ -98,7 +98,7 @@
 
     def test_a_paused_node_comes_back_and_harms_nothing(self):
         async def main():
-            async with open_fleet(seed=5) as fleet:
+            async with open_membership_fleet(seed=5) as fleet:
                 start(fleet, 4)
                 await fleet.until(fleet.agree)
                 fleet.network.pause("certs-b1:7000")
@@ -126,7 +126,7 @@
 
     def test_a_process_that_was_stopped_lets_no_suspicion_lapse(self):
         async def main():
-            async with open_fleet(seed=11) as fleet:
+            async with open_membership_fleet(seed=11) as fleet:
                 nodes = start(fleet, 4)
                 await fleet.until(fleet.agree)
                 stopped = nodes[4]
@@ -152,7 +152,7 @@
 
     def test_a_data_centre_cut_off_keeps_its_own_and_heals(self):
         async def main():
-            async with open_fleet(seed=6) as fleet:
+            async with open_membership_fleet(seed=6) as fleet:
                 start(fleet, 4)
                 await fleet.until(fleet.agree)
                 cut_off = fleet.addresses("hall-c")
@@ -177,7 +177,7 @@
                 self.assertFalse(fleet.agree())
                 # Whatever was held back is lost.
                 for address in cut_off:
-                    fleet.network.lose_links(address)
+                    fleet.network.drop_links(address)
                 fleet.network.heal()
 
                 def whole():
@@ -192,7 +192,7 @@
 
     def test_halves_of_one_data_centre_heal_after_long(self):
         async def main():
-            async with open_fleet(seed=7) as fleet:
+            async with open_membership_fleet(seed=7) as fleet:
                 start(fleet, 12, HALLS[:1])
                 await fleet.until(fleet.agree)
                 names = sorted(fleet.addresses("hall-a"))
@@ -200,7 +200,7 @@
                 await trio.sleep(30.0)
                 self.assertFalse(fleet.agree())
                 for address in names[:6]:
-                    fleet.network.lose_links(address)
+                    fleet.network.drop_links(address)
                 fleet.network.heal()
                 await fleet.until(fleet.agree, HEALED_MS)
 
@@ -208,7 +208,7 @@
 
     def test_a_replaced_node_with_a_clock_behind_gets_a_higher_life(self):
         async def main():
-            async with open_fleet(seed=8) as fleet:
+            async with open_membership_fleet(seed=8) as fleet:
                 start(fleet, 3, HALLS[:1], first=["certs-a0:7000"])
                 await fleet.until(fleet.agree)
                 fleet.crash("certs-a1")
@@ -222,7 +222,7 @@
 
     def test_one_lost_link_makes_nobody_dead(self):
         async def main():
-            async with open_fleet(seed=9) as fleet:
+            async with open_membership_fleet(seed=9) as fleet:
                 start(fleet, 6, HALLS[:1])
                 await fleet.until(fleet.agree)
                 dead = []
@@ -238,7 +238,7 @@
 
     def test_a_lost_rack_is_noticed_everywhere_at_once(self):
         async def main():
-            async with open_fleet(seed=12) as fleet:
+            async with open_membership_fleet(seed=12) as fleet:
                 nodes = start(fleet, 28, HALLS[:1], first=["certs-a0:7000"])
                 await fleet.until(fleet.agree)
                 await trio.sleep(3.0)
@@ -256,13 +256,13 @@
 
     def test_links_lost_at_random_leave_the_views_alike(self):
         async def main():
-            async with open_fleet(seed=10) as fleet:
+            async with open_membership_fleet(seed=10) as fleet:
                 start(fleet, 4)
                 await fleet.until(fleet.agree)
                 rng = random.Random(10)
                 for i in range(40):
                     name = rng.choice(sorted(fleet.nodes))
-                    fleet.network.lose_links(f"{name}:7000")
+                    fleet.network.drop_links(f"{name}:7000")
                     if i % 10 == 0:
                         fleet.crash(name)
                     await trio.sleep(0.2)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_frames.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_frames.py
@@ -25,7 +25,7 @@
     Status,
 )
 from fuchsiagap_node.core.mesh.outcome import Answered, MayHaveRun, NotRun
-from fuchsiagap_standins.fuzz import mutated
+from fuchsiagap_standins.fuzz import mutate
 
 _PREFIX_BYTES = 4
 FLAGS = (False, True, False, 7, True)
@@ -114,6 +114,6 @@
     def test_mutated_frame_is_decoded_or_raises_bad_frame(self):
         rng = random.Random(1)
         for _ in range(N_RUNS):
-            frame = mutated(payload(rng.choice(MESSAGES)), rng)
+            frame = mutate(payload(rng.choice(MESSAGES)), rng)
             with contextlib.suppress(BadFrame):
                 decode(frame)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/peers/test_links.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/peers/test_links.py
@@ -23,7 +23,7 @@
 from fuchsiagap_node.core.wire.messages_call import CallMessage, Hello
 from fuchsiagap_standins.builders import a_head
 from fuchsiagap_standins.network import FakeNetwork
-from fuchsiagap_standins.settings_nodes import a_node_config
+from fuchsiagap_standins.settings_fleet import a_node_config
 from fuchsiagap_standins.testing import run_virtual
 
 A = "10.0.0.1:1"
@@ -210,7 +210,7 @@
         async def scenario(world: _World) -> None:
             async def lose() -> None:
                 await trio.sleep(0.5)
-                world.network.lose_links(B)
+                world.network.drop_links(B)
 
             world.nursery.start_soon(lose)
             reply = await world.a.ask(B, Work("long", 60.0))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/settings/test_random.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/settings/test_random.py
@@ -20,7 +20,7 @@
     put_settings,
 )
 from fuchsiagap_standins.platform import PlatformFaults
-from fuchsiagap_standins.settings_nodes import (
+from fuchsiagap_standins.settings_fleet import (
     OPERATORS_TOKEN,
     SettingsFleet,
     open_settings_fleet,
@@ -108,7 +108,7 @@
             fleet.network.cut(there, others)
             fleet.store.set_cut_off({s.node for s in fleet.of(cut)})
         victim = rng.choice(list(fleet.nodes.values()))
-        fleet.network.lose_links(victim.cfg.peer_address)
+        fleet.network.drop_links(victim.cfg.peer_address)
         await trio.sleep(rng.uniform(0.2, 2.0))
         fleet.network.heal()
         fleet.store.set_cut_off(set())
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/settings/test_sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/settings/test_sync.py
@@ -14,7 +14,7 @@
 from fuchsiagap_node.core.settings.write import Accepted, delete_settings, put_settings
 from fuchsiagap_node.core.wire.messages_settings import SettingsNews
 from fuchsiagap_standins.platform import PlatformFaults
-from fuchsiagap_standins.settings_nodes import (
+from fuchsiagap_standins.settings_fleet import (
     OPERATORS_TOKEN,
     SettingsFleet,
     open_settings_fleet,
@@ -250,14 +250,14 @@
             await self.ready(fleet)
             fleet.store.set_cut_off({s.node for s in states[1:]})
 
-            async def lose_links() -> None:
+            async def drop_links() -> None:
                 while True:
                     await trio.sleep(0.003)
                     victim = fleet.rng.choice(states)
-                    fleet.network.lose_links(victim.cfg.peer_address)
+                    fleet.network.drop_links(victim.cfg.peer_address)
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(lose_links)
+                nursery.start_soon(drop_links)
                 for priority in range(3):
                     version = await change(states[0], priority)
                     await trio.sleep(IN_FORCE_MS / 1000)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/settings/test_write.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/settings/test_write.py
@@ -22,7 +22,7 @@
     put_settings,
 )
 from fuchsiagap_standins.platform import PlatformFaults
-from fuchsiagap_standins.settings_nodes import (
+from fuchsiagap_standins.settings_fleet import (
     OPERATORS_TOKEN,
     SettingsFleet,
     open_settings_fleet,
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_digest.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_digest.py
@@ -11,7 +11,7 @@
 from fuchsiagap_node.core.ports import StoredObject
 from fuchsiagap_node.core.wire.codec import MalformedFrame, decode, encode
 from fuchsiagap_node.core.wire.messages_gossip import Heartbeat, Updates
-from fuchsiagap_standins.members import open_fleet, run_virtual
+from fuchsiagap_standins.membership_fleet import open_membership_fleet, run_virtual
 from fuchsiagap_standins.platform import PlatformFaults
 
 HALLS = ("hall-a", "hall-b")
@@ -35,7 +35,7 @@
 class TestDigest(TestCase):
     def test_it_is_written_by_relays_and_only_when_it_changed(self):
         async def main():
-            async with open_fleet(seed=1, cfg=CFG) as fleet:
+            async with open_membership_fleet(seed=1, cfg=CFG) as fleet:
                 start(fleet, 5)
                 await fleet.until(fleet.agree)
                 await trio.sleep(6 * DIGEST_S)
@@ -57,7 +57,7 @@
 
     def test_a_crash_costs_a_few_writes_and_the_announcement_goes(self):
         async def main():
-            async with open_fleet(seed=2, cfg=CFG) as fleet:
+            async with open_membership_fleet(seed=2, cfg=CFG) as fleet:
                 start(fleet, 4)
                 await fleet.until(fleet.agree)
                 await trio.sleep(6 * DIGEST_S)
@@ -72,7 +72,7 @@
 
     def test_a_node_alone_forgets_nobody_by_writing_a_short_digest(self):
         async def main():
-            async with open_fleet(seed=3, cfg=CFG) as fleet:
+            async with open_membership_fleet(seed=3, cfg=CFG) as fleet:
                 start(fleet, 3)
                 await fleet.until(fleet.agree)
                 await trio.sleep(3 * DIGEST_S)
@@ -91,7 +91,7 @@
 
     def test_lost_answers_and_broken_digests_stop_nothing(self):
         async def main():
-            async with open_fleet(seed=4, cfg=CFG) as fleet:
+            async with open_membership_fleet(seed=4, cfg=CFG) as fleet:
                 await fleet.store.put("/members/hall-b", b"no digest", None)
                 await fleet.store.put("/announce/hall-b/x", zlib.compress(b"x"), None)
                 faults = PlatformFaults(lose_answers=0.3, lose_requests=0.3)
@@ -108,7 +108,7 @@
 
     def test_data_centres_that_never_met_find_each_other_by_the_platform(self):
         async def main():
-            async with open_fleet(seed=5, cfg=CFG) as fleet:
+            async with open_membership_fleet(seed=5, cfg=CFG) as fleet:
                 fleet.store.set_faults(PlatformFaults(outage=True))
                 for hall in HALLS:
                     first = [f"certs-{hall[-1]}0:7000"]
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_state_events.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_state_events.py
@@ -11,7 +11,7 @@
 from fuchsiagap.core.telemetry.metrics import Gauge
 from fuchsiagap_node.core import state_events
 from fuchsiagap_standins.builders import a_load, a_service
-from fuchsiagap_standins.settings_nodes import SettingsFleet, open_settings_fleet
+from fuchsiagap_standins.settings_fleet import SettingsFleet, open_settings_fleet
 from fuchsiagap_standins.testing import run_virtual
 
 if TYPE_CHECKING:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/control.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/control.py
@@ -20,7 +20,7 @@
 from absl import flags
 
 from fuchsiagap.core.clock import MS_PER_S, Milliseconds
-from fuchsiagap_standins.node_ini import Place, node_ini
+from fuchsiagap_standins.node_ini import HostSpec, node_ini
 from fuchsiagap_standins.processes import (
     cpu_ms,
     memory_bytes,
@@ -95,12 +95,12 @@
 
     group: ProcessGroup
     client: httpx.AsyncClient
-    hosts: tuple[Place, ...]
+    hosts: tuple[HostSpec, ...]
     platform: str
     backend: str
     version: int = 0
 
-    def ini(self, host: Place) -> str:
+    def ini(self, host: HostSpec) -> str:
         return node_ini(
             host,
             team=_TEAM,
@@ -109,13 +109,13 @@
             first=[h.peers for h in self.hosts[:_N_FIRST_PEERS]],
         )
 
-    async def start(self, host: Place) -> None:
+    async def start(self, host: HostSpec) -> None:
         await self.group.start_node(host.node, self.ini(host), host.callers)
 
     async def start_all(self) -> None:
         limiter = trio.CapacityLimiter(_STARTS_AT_ONCE)
 
-        async def start(host: Place) -> None:
+        async def start(host: HostSpec) -> None:
             async with limiter:
                 await self.start(host)
 
@@ -130,7 +130,7 @@
                 while await self._n_alive(host) < len(self.hosts):
                     await trio.sleep(0.5)
 
-    async def _n_alive(self, host: Place) -> int:
+    async def _n_alive(self, host: HostSpec) -> int:
         url = f"http://{host.admin}/v1/status?members=no"
         try:
             status = (await self.client.get(url)).json()
@@ -149,7 +149,7 @@
         response = (await self.client.put(url, content=text)).raise_for_status()
         return int(response.headers["etag"].strip('"')), _wall_ms()
 
-    async def adopted_at(self, host: Place, version: int) -> Milliseconds | None:
+    async def adopted_at(self, host: HostSpec, version: int) -> Milliseconds | None:
         """Return the time of day when a node adopted a version or a higher one."""
         url = f"http://{host.admin}/v1/events?limit=10000"
         events = (await self.client.get(url)).json()["events"]
@@ -174,7 +174,7 @@
         now = trio.current_time() * MS_PER_S
         return _Reading(now, cpu, sent / n_read, calls)
 
-    async def _sent_bytes(self, host: Place) -> float:
+    async def _sent_bytes(self, host: HostSpec) -> float:
         text = (await self.client.get(f"http://{host.admin}/v1/metrics")).text
         for line in text.splitlines():
             if line.startswith("fuchsiagap_bytes_sent"):
@@ -265,7 +265,7 @@
             platform = await group.start_standin("platform", "platform_app")
             held = [reserve_addresses("127.0.0.1", 3) for _ in range(n_nodes)]
             hosts = tuple(
-                Place(
+                HostSpec(
                     f"node-{i}",
                     "echo",
                     _DATA_CENTRES[i % len(_DATA_CENTRES)],
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/inject.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/inject.py
@@ -140,7 +140,7 @@
 async def _lose_links(fleet: Fleet, _changes: Changes, fault: Fault) -> None:
     ends = fault.at + fault.duration
     while trio.current_time() < ends:
-        fleet.network.lose_links(f"{fault.node}:7000")
+        fleet.network.drop_links(f"{fault.node}:7000")
         await trio.sleep(0.3)
 
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/fleet.py
@@ -11,7 +11,11 @@
 import trio
 
 from fuchsiagap.core.membership.member import MemberState
-from fuchsiagap_standins.members import Fleet, open_fleet, run_virtual
+from fuchsiagap_standins.membership_fleet import (
+    MembershipFleet,
+    open_membership_fleet,
+    run_virtual,
+)
 from fuchsiagap_standins.platform import PlatformFaults
 
 if TYPE_CHECKING:
@@ -86,7 +90,7 @@
 
 async def _measure(n_nodes: int, n_data_centres: int, seed: int) -> FleetFigures:
     rng = random.Random(seed)
-    async with open_fleet(seed) as fleet:
+    async with open_membership_fleet(seed) as fleet:
         halls = [f"hall-{i}" for i in range(n_data_centres)]
         await _start(fleet, n_nodes, halls)
         steady = await _steady(fleet)
@@ -123,7 +127,7 @@
     links: float
 
 
-async def _start(fleet: Fleet, n_nodes: int, halls: list[str]) -> None:
+async def _start(fleet: MembershipFleet, n_nodes: int, halls: list[str]) -> None:
     """Start all nodes, each knowing all others, as after a long time together."""
     nodes = [
         fleet.add(f"certs-{i}", halls[i % len(halls)], incarnation=1_000 + i)
@@ -136,7 +140,7 @@
     assert fleet.agree()
 
 
-async def _steady(fleet: Fleet) -> _Steady:
+async def _steady(fleet: MembershipFleet) -> _Steady:
     nodes = list(fleet.nodes.values())
     before = [(node.sent.messages, node.sent.n_bytes) for node in nodes]
     started = time.process_time()
@@ -153,7 +157,7 @@
     )
 
 
-async def _spread(fleet: Fleet, rng: random.Random) -> Milliseconds:
+async def _spread(fleet: MembershipFleet, rng: random.Random) -> Milliseconds:
     node = fleet.nodes[rng.choice(sorted(fleet.nodes))]
     await trio.sleep(rng.random())
     word = node.membership.announce_state(MemberState.ALIVE)
@@ -165,7 +169,7 @@
     return await fleet.until(everywhere, _LIMIT_MS)
 
 
-async def _end(fleet: Fleet, rng: random.Random) -> Milliseconds:
+async def _end(fleet: MembershipFleet, rng: random.Random) -> Milliseconds:
     name = rng.choice(sorted(fleet.nodes))
     hall = fleet.nodes[name].membership.self_member.data_centre
     await trio.sleep(rng.random())
@@ -175,7 +179,7 @@
     return taken
 
 
-async def _vanish(fleet: Fleet, rng: random.Random) -> Milliseconds:
+async def _vanish(fleet: MembershipFleet, rng: random.Random) -> Milliseconds:
     name = rng.choice(sorted(fleet.nodes))
     hall = fleet.nodes[name].membership.self_member.data_centre
     await trio.sleep(rng.random())
@@ -189,7 +193,7 @@
     return taken
 
 
-async def _until_dead(fleet: Fleet, name: str) -> Milliseconds:
+async def _until_dead(fleet: MembershipFleet, name: str) -> Milliseconds:
     def noticed() -> bool:
         states = (node.state_of(name) for node in fleet.nodes.values())
         return all(state is MemberState.DEAD for state in states)
@@ -197,17 +201,17 @@
     return await fleet.until(noticed, _LIMIT_MS)
 
 
-async def _replace(fleet: Fleet, name: str, hall: str) -> None:
+async def _replace(fleet: MembershipFleet, name: str, hall: str) -> None:
     fleet.add(name, hall, first=_first(fleet))
     await fleet.until(fleet.agree, _LIMIT_MS)
     await trio.sleep(_SETTLE_S)
 
 
-def _first(fleet: Fleet) -> list[str]:
+def _first(fleet: MembershipFleet) -> list[str]:
     return [next(iter(fleet.nodes.values())).address]
 
 
-async def _heal(fleet: Fleet, halls: list[str]) -> Milliseconds:
+async def _heal(fleet: MembershipFleet, halls: list[str]) -> Milliseconds:
     cut_off = fleet.addresses(halls[-1])
     rest = {node.address for node in fleet.nodes.values()} - cut_off
     fleet.network.cut(cut_off | {"new-2:7000"}, rest)
@@ -220,6 +224,6 @@
     await trio.sleep(_SETTLE_S)
     # What was held back is lost, so that nothing but the syncs can help.
     for address in cut_off:
-        fleet.network.lose_links(address)
+        fleet.network.drop_links(address)
     fleet.network.heal()
     return await fleet.until(fleet.agree, _LIMIT_MS)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/links.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/links.py
@@ -14,7 +14,7 @@
 from fuchsiagap_node.core.peers.links import LinkPeers, LinkSettings
 from fuchsiagap_node.core.wire.messages_call import Hello
 from fuchsiagap_node.core.wire.messages_gossip import Ack, Heartbeat, Ping
-from fuchsiagap_standins.memory_nodes import quiet_wire
+from fuchsiagap_standins.memory_nodes import uninstrumented_wire
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -102,7 +102,7 @@
     handlers.on_notice(Heartbeat, on_heartbeat)
     handlers.on_ask(Ping, on_ping)
     hello = Hello(address, 1, "hall-a", address)
-    wire = quiet_wire(hello, handlers, stamp=1 << 60)
+    wire = uninstrumented_wire(hello, handlers, stamp=1 << 60)
     return LinkPeers(LinkSettings(), wire, dial, nursery)
 
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/loopback.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/loopback.py
@@ -13,7 +13,7 @@
 from fuchsiagap.core.membership.settings import MembershipSettings
 from fuchsiagap_node.core.edges.peer_websocket import serve_links, websocket_dial
 from fuchsiagap_node.core.ports import DialFailed
-from fuchsiagap_standins.members import Fleet
+from fuchsiagap_standins.membership_fleet import MembershipFleet
 from fuchsiagap_standins.platform import ObjectStore
 
 if TYPE_CHECKING:
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True)
 class _Loopback:
-    """Stands where `Fleet` expects a network; knows who listens at which port."""
+    """Replaces the network of `MembershipFleet`; knows who listens at which port."""
 
     nursery: trio.Nursery
     ports: dict[str, int] = field(default_factory=dict)
@@ -101,7 +101,7 @@
 async def _measure(seed: int) -> LoopbackFigures:
     rng = random.Random(seed)
     async with trio.open_nursery() as nursery:
-        fleet = Fleet(
+        fleet = MembershipFleet(
             rng=rng,
             network=cast("FakeNetwork", _Loopback(nursery)),
             store=ObjectStore(random.Random(seed)),
@@ -136,6 +136,6 @@
     )
 
 
-def _all_see_dead(fleet: Fleet, name: str) -> bool:
+def _all_see_dead(fleet: MembershipFleet, name: str) -> bool:
     states = (node.state_of(name) for node in fleet.nodes.values())
     return all(state is MemberState.DEAD for state in states)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/path.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/path.py
@@ -19,7 +19,7 @@
 
 from fuchsiagap.core.clock import MS_PER_S, Milliseconds
 from fuchsiagap_node.core.edges.http_client import ClientResponse, HttpPool
-from fuchsiagap_standins.node_ini import Place, node_ini
+from fuchsiagap_standins.node_ini import HostSpec, node_ini
 from fuchsiagap_standins.processes import cpu_ms, process_group, reserve_addresses
 from fuchsiagap_standins.programs import new_flags, parse_flags
 
@@ -134,7 +134,7 @@
     pids = []
     for name, service, mine in (("near", "echo", near), ("far", "other", far)):
         ini = node_ini(
-            Place(name, service, "hall-a", *mine),
+            HostSpec(name, service, "hall-a", *mine),
             team=_TEAM,
             backend=backend,
             platform=platform,
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/settings.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/settings.py
@@ -27,7 +27,7 @@
 from fuchsiagap.core.settings.parse import parse_team
 from fuchsiagap_node.core.ports import StoredObject
 from fuchsiagap_node.core.settings.write import Accepted, put_settings
-from fuchsiagap_standins.settings_nodes import (
+from fuchsiagap_standins.settings_fleet import (
     OPERATORS_TOKEN,
     SettingsFleet,
     open_settings_fleet,
@@ -195,7 +195,7 @@
             await _timed(fleet, _write_past(fleet, n_routes, i))
             for i in range(_CHANGES)
         ]
-        fleet.lose_news = 1.0
+        fleet.news_loss = 1.0
         fleet.store.set_cut_off({state.node for state in states[1:]})
         alone = [
             await _timed(fleet, _accept(states[0], n_routes, i))
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/tickets.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/tickets.py
@@ -32,7 +32,7 @@
 from fuchsiagap_node.core.drain.handover import HandedOver, hand_over
 from fuchsiagap_standins.builders import an_issue_head
 from fuchsiagap_standins.programs import new_flags
-from fuchsiagap_standins.ticket_nodes import Backends, TicketNet
+from fuchsiagap_standins.ticket_nodes import FakeBackends, TicketNet
 
 if TYPE_CHECKING:
     from fuchsiagap.core.calls.head import CallHead
@@ -198,7 +198,7 @@
 
 async def _at_home_us() -> tuple[float, float]:
     async with trio.open_nursery() as nursery:
-        net = TicketNet(Backends(_answer), nursery)
+        net = TicketNet(FakeBackends(_answer), nursery)
         state = await net.start("a")
         plain = await _time_calls(lambda head: _answer(head, b""), state)
         home = await _time_calls(
@@ -228,7 +228,7 @@
 async def _hand_over() -> Figures:
     """Hand a window with `N_KEPT` answers over, through the codec."""
     async with trio.open_nursery() as nursery:
-        net = TicketNet(Backends(_answer), nursery, TicketSettings())
+        net = TicketNet(FakeBackends(_answer), nursery, TicketSettings())
         old, new = await net.start("a"), await net.start("b")
         window = old.tickets.own
         while window.next < N_CALLS:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/demo.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/demo.py
@@ -31,7 +31,7 @@
     http_sender,
     no_ticket,
 )
-from fuchsiagap_standins.demo_faults import FAULTS, bring_about
+from fuchsiagap_standins.demo_faults import FAULTS, inject_faults
 from fuchsiagap_standins.deployment import (
     Deployment,
     DeploymentSettings,
@@ -52,8 +52,8 @@
 EXIT_NO_ANSWER = 2
 EXIT_PROCESS_ENDED = 3
 EXIT_STOPPED = 130
-_READY_LIMIT_S = 30.0
-_PROBE_PAUSE_S = 0.1
+_READY_TIMEOUT_S = 30.0
+_PROBE_INTERVAL_S = 0.1
 _PROBE_TIMEOUT_MS = 5_000.0
 _REQUEST_TIMEOUT_MS = 10_000.0
 
@@ -68,7 +68,7 @@
 _INSTANCES = flags.DEFINE_integer(
     "instances", 2, "Instances of a service at most.", flag_values=_FLAGS
 )
-_SCALE = flags.DEFINE_float(
+_TIME_SCALE = flags.DEFINE_float(
     "time_scale", 0.25, "Factor on all service times.", flag_values=_FLAGS
 )
 _SEED = flags.DEFINE_integer(
@@ -89,55 +89,63 @@
     graph_file = _GRAPH.value
     graph = load_any_graph(graph_file)
     cfg = DeploymentSettings(
-        graph, graph_file, _INSTANCES.value, _SCALE.value, _SEED.value
+        graph, graph_file, _INSTANCES.value, _TIME_SCALE.value, _SEED.value
     )
-    _say(f"starting {graph.name}: platform, nodes and backend servers ...")
+    _print_line(f"starting {graph.name}: platform, nodes and backend servers ...")
     async with process_group(folder) as group, run_deployment(group, cfg) as running:
         for line in _describe(running):
-            _say(line)
+            _print_line(line)
         rng = random.Random(_SEED.value)
-        if not await _until_ready(running, rng):
-            _say("no answer: the nodes did not get ready")
-            return _name_ended(group) or EXIT_NO_ANSWER
-        report = await _drive(running, rng)
-        if ended := _name_ended(group):
+        if not await _wait_until_ready(running, rng):
+            _print_line("no answer: the nodes did not get ready")
+            return _report_ended(group) or EXIT_NO_ANSWER
+        report = await _send_requests(running, rng)
+        if ended := _report_ended(group):
             return ended
-        runs, wrong_below = await read_runs(running)
-        violations = find_violations(report, runs, wrong_below)
-        codes = await running.stop_nodes()
-    return _conclude(report, violations, codes)
+        runs, wrong_downstream = await read_runs(running)
+        violations = find_violations(report, runs, wrong_downstream)
+        exit_codes = await running.stop_nodes()
+    return _print_results(report, violations, exit_codes)
 
 
-def _name_ended(group: ProcessGroup) -> int:
+def _report_ended(group: ProcessGroup) -> int:
     """Name the processes that ended unasked; return the exit code for it, or 0."""
     ended = group.ended()
     for process in ended:
-        _say(f"{process.name} ended with {process.exit_code}:\n{process.log_tail()}")
+        _print_line(
+            f"{process.name} ended with {process.exit_code}:\n{process.log_tail()}"
+        )
     return EXIT_PROCESS_ENDED if ended else 0
 
 
 def _describe(running: Deployment) -> list[str]:
     lines = [f"  platform     http://{running.platform}"]
-    for centre in running.cfg.graph.data_centres:
-        here = [place for place in running.places if place.data_centre == centre]
-        nodes = ", ".join(f"{place.node} {place.callers}" for place in here)
-        lines.append(f"  {centre:<12} {nodes}")
+    for data_centre in running.cfg.graph.data_centres:
+        local = [
+            host_spec
+            for host_spec in running.host_specs
+            if host_spec.data_centre == data_centre
+        ]
+        nodes = ", ".join(
+            f"{host_spec.node} {host_spec.callers}" for host_spec in local
+        )
+        lines.append(f"  {data_centre:<12} {nodes}")
     return lines
 
 
-async def _until_ready(running: Deployment, rng: random.Random) -> bool:
+async def _wait_until_ready(running: Deployment, rng: random.Random) -> bool:
     """Wait until every node gets an answer from every service, by way of routes
     that may be repeated.
     """
-    with trio.move_on_after(_READY_LIMIT_S):
+    with trio.move_on_after(_READY_TIMEOUT_S):
         async with httpx.AsyncClient(trust_env=False) as client:
             for node in running.caller_addresses:
-                await _until_node_ready(client, running, node, rng)
+                await _wait_until_node_ready(client, running, node, rng)
         return not running.group.ended()
     return False
 
 
-async def _until_node_ready(
+async def _wait_until_node_ready(
     client: httpx.AsyncClient, running: Deployment, node: str, rng: random.Random
 ) -> None:
     graph = running.cfg.graph
@@ -148,60 +156,67 @@
         while (await send(request)).ending is not Ending.ANSWERED:
             if running.group.ended():
                 return
-            await trio.sleep(_PROBE_PAUSE_S)
+            await trio.sleep(_PROBE_INTERVAL_S)
 
 
-async def _drive(running: Deployment, rng: random.Random) -> CallerReport:
+async def _send_requests(running: Deployment, rng: random.Random) -> CallerReport:
     """Send requests by the callers' library and return what became of them."""
     graph = running.cfg.graph
     nodes = running.caller_addresses
     cfg = CallerSettings(graph, _RATE.value, _SECONDS.value * MS_PER_S)
     client_cfg = ClientSettings(nodes, timeout=_REQUEST_TIMEOUT_MS)
     report = CallerReport()
-    _say(f"sending {cfg.rate:g} requests a second for {_SECONDS.value:g} s ...")
-    async with open_client(client_cfg, rng=rng) as client, trio.open_nursery() as extra:
-        extra.start_soon(_show_progress, report)
-        extra.start_soon(bring_about, _FAULTS.value, running, _SECONDS.value, _say)
+    _print_line(f"sending {cfg.rate:g} requests a second for {_SECONDS.value:g} s ...")
+    async with (
+        open_client(client_cfg, rng=rng) as client,
+        trio.open_nursery() as background,
+    ):
+        background.start_soon(_print_progress, report)
+        background.start_soon(
+            inject_faults, _FAULTS.value, running, _SECONDS.value, _print_line
+        )
         send = client_sender(client, graph)
         await run_callers(cfg, send, no_ticket, rng, report)
-        extra.cancel_scope.cancel()
+        background.cancel_scope.cancel()
     return report
 
 
-async def _show_progress(report: CallerReport) -> None:
-    began = trio.current_time()
+async def _print_progress(report: CallerReport) -> None:
+    started = trio.current_time()
     while True:
         await trio.sleep(1.0)
-        shown = ", ".join(
+        counts = ", ".join(
             f"{report.total(ending)} {ending.value}"
             for ending in (Ending.ANSWERED, Ending.REFUSED, Ending.UNKNOWN)
         )
-        elapsed = trio.current_time() - began
+        elapsed = trio.current_time() - started
         waiting = report.sent - report.ended
-        _say(f"  {elapsed:4.0f} s: {report.sent} sent, {shown}, {waiting} in progress")
+        _print_line(
+            f"  {elapsed:4.0f} s: {report.sent} sent, {counts}, {waiting} in progress"
+        )
 
 
-def _conclude(
-    report: CallerReport, violations: Violations, codes: dict[str, int]
+def _print_results(
+    report: CallerReport, violations: Violations, exit_codes: dict[str, int]
 ) -> int:
     for line in _table(report):
-        _say(line)
+        _print_line(line)
     for reason, count in sorted(report.reasons.items()):
-        _say(f"  {count} requests without an answer: {reason}")
-    for node, code in sorted(codes.items()):
+        _print_line(f"  {count} requests without an answer: {reason}")
+    for node, code in sorted(exit_codes.items()):
         if code != 0:
-            _say(f"  {node} ended with {code} when asked to stop")
+            _print_line(f"  {node} ended with {code} when asked to stop")
     if violations.total:
-        _say(f"  violations: {violations}")
+        _print_line(f"  violations: {violations}")
     answered = report.total(Ending.ANSWERED)
-    last = {
+    summary = {
         "sent": report.sent,
         "answered": answered,
         "refused": report.total(Ending.REFUSED),
         "unknown": report.total(Ending.UNKNOWN),
         "violations": violations.total,
     }
-    _say(json.dumps(last))
+    _print_line(json.dumps(summary))
     if violations.total:
         return EXIT_VIOLATION
     return 0 if answered else EXIT_NO_ANSWER
@@ -223,7 +238,7 @@
     return lines
 
 
-async def _until_done_or_stopped(folder: Path) -> int:
+async def _run_until_done_or_stopped(folder: Path) -> int:
     """Run the demo; Ctrl-C and SIGTERM end it and its processes."""
     code = EXIT_STOPPED
     async with trio.open_nursery() as nursery:
@@ -231,7 +246,7 @@
         try:
             code = await _demo(folder)
         except* ProcessFailed as failed:
-            _say("\n".join(map(str, failed.exceptions)))
+            _print_line("\n".join(map(str, failed.exceptions)))
             code = EXIT_PROCESS_ENDED
         nursery.cancel_scope.cancel()
     return code
@@ -241,11 +256,11 @@
     signums = (signal.SIGINT, signal.SIGTERM, signal.SIGHUP)
     with trio.open_signal_receiver(*signums) as signals:
         async for _ in signals:
-            _say("stopping ...")
+            _print_line("stopping ...")
             scope.cancel()
 
 
-def _say(line: str) -> None:
+def _print_line(line: str) -> None:
     print(line, flush=True)
 
 
@@ -254,15 +269,15 @@
     parse_flags(_FLAGS, argv, __doc__ or "")
     unknown = set(_FAULTS.value) - FAULTS.keys()
     if unknown:
-        _say(f"--faults: {sorted(unknown)}; expected some of {sorted(FAULTS)}")
+        _print_line(f"--faults: {sorted(unknown)}; expected some of {sorted(FAULTS)}")
         return EXIT_USAGE
     logging.getLogger("httpx").setLevel(logging.WARNING)
     if _KEEP.value:
         folder = Path(_KEEP.value)
         folder.mkdir(parents=True, exist_ok=True)
-        return trio.run(_until_done_or_stopped, folder)
+        return trio.run(_run_until_done_or_stopped, folder)
     with tempfile.TemporaryDirectory(prefix="fuchsiagap-demo-") as name:
-        return trio.run(partial(_until_done_or_stopped, Path(name)))
+        return trio.run(partial(_run_until_done_or_stopped, Path(name)))
 
 
 if __name__ == "__main__":
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/demo_faults.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/demo_faults.py
@@ -14,69 +14,83 @@
     from collections.abc import Awaitable, Callable, Sequence
 
     from fuchsiagap_standins.deployment import Deployment
-    from fuchsiagap_standins.node_ini import Place
+    from fuchsiagap_standins.node_ini import HostSpec
 
-    Say: TypeAlias = Callable[[str], None]
-    Fault: TypeAlias = Callable[[Deployment, Place, float, Say], Awaitable[None]]
+    PrintLine: TypeAlias = Callable[[str], None]
+    FaultFunction: TypeAlias = Callable[
+        [Deployment, HostSpec, float, PrintLine], Awaitable[None]
+    ]
 
 
-async def _restart(running: Deployment, place: Place, _: float, say: Say) -> None:
-    say(f"  {place.node} is asked to stop, and started again")
-    code = await running.group.stop(place.node)
-    say(f"  {place.node} ended with {code}")
-    await start_node(running, place)
+async def _restart(
+    running: Deployment, host_spec: HostSpec, _: float, print_line: PrintLine
+) -> None:
+    print_line(f"  {host_spec.node} is asked to stop, and started again")
+    code = await running.group.stop(host_spec.node)
+    print_line(f"  {host_spec.node} ended with {code}")
+    await start_node(running, host_spec)
 
 
-async def _kill(running: Deployment, place: Place, lasts_s: float, say: Say) -> None:
-    say(f"  {place.node} is killed, and started again after {lasts_s:.1f} s")
-    running.group.kill(place.node)
-    await trio.sleep(lasts_s)
-    await start_node(running, place)
+async def _kill(
+    running: Deployment, host_spec: HostSpec, duration_s: float, print_line: PrintLine
+) -> None:
+    print_line(
+        f"  {host_spec.node} is killed, and started again after {duration_s:.1f} s"
+    )
+    running.group.kill(host_spec.node)
+    await trio.sleep(duration_s)
+    await start_node(running, host_spec)
 
 
-async def _pause(running: Deployment, place: Place, lasts_s: float, say: Say) -> None:
-    say(f"  {place.node} is paused for {lasts_s:.1f} s")
-    running.group.pause(place.node)
-    await trio.sleep(lasts_s)
-    running.group.resume(place.node)
+async def _pause(
+    running: Deployment, host_spec: HostSpec, duration_s: float, print_line: PrintLine
+) -> None:
+    print_line(f"  {host_spec.node} is paused for {duration_s:.1f} s")
+    running.group.pause(host_spec.node)
+    await trio.sleep(duration_s)
+    running.group.resume(host_spec.node)
 
 
-async def _platform(running: Deployment, _: Place, lasts_s: float, say: Say) -> None:
-    say(f"  the platform is down for {lasts_s:.1f} s")
+async def _platform_outage(
+    running: Deployment, _: HostSpec, duration_s: float, print_line: PrintLine
+) -> None:
+    print_line(f"  the platform is down for {duration_s:.1f} s")
     url = f"http://{running.platform}/control/faults"
     async with httpx.AsyncClient(trust_env=False) as client:
         await client.post(url, json={"outage": True})
-        await trio.sleep(lasts_s)
+        await trio.sleep(duration_s)
         await client.post(url, json={"outage": False})
 
 
-async def _slow(running: Deployment, _: Place, lasts_s: float, say: Say) -> None:
+async def _slow_service(
+    running: Deployment, _: HostSpec, duration_s: float, print_line: PrintLine
+) -> None:
     service = running.cfg.graph.deep_service
-    say(f"  {service} is 5 times slower for {lasts_s:.1f} s")
+    print_line(f"  {service} is 5 times slower for {duration_s:.1f} s")
     backends = [
-        running.backends[place.node]
-        for place in running.places
-        if place.service == service
+        running.backends[host_spec.node]
+        for host_spec in running.host_specs
+        if host_spec.service == service
     ]
     async with httpx.AsyncClient(trust_env=False) as client:
         for factor in (5.0, 1.0):
             for backend in backends:
                 url = f"http://{backend}/-/control"
                 await client.post(url, json={"slow": factor})
-            await trio.sleep(lasts_s)
+            await trio.sleep(duration_s)
 
 
-FAULTS: dict[str, Fault] = {
+FAULTS: dict[str, FaultFunction] = {
     "restart": _restart,
     "kill": _kill,
     "pause": _pause,
-    "platform": _platform,
-    "slow": _slow,
+    "platform": _platform_outage,
+    "slow": _slow_service,
 }
 
 
-async def bring_about(
-    names: Sequence[str], running: Deployment, duration_s: float, say: Say
+async def inject_faults(
+    names: Sequence[str], running: Deployment, duration_s: float, print_line: PrintLine
 ) -> None:
     """Bring about faults one after another, evenly over a time.
 
@@ -91,10 +105,12 @@
     say : callable
         Shows a line.
     """
-    share_s = duration_s / (len(names) + 1)
+    interval_s = duration_s / (len(names) + 1)
     async with trio.open_nursery() as nursery:
         for number, name in enumerate(names):
-            await trio.sleep(share_s)
-            place = running.places[number % len(running.places)]
-            fault = partial(FAULTS[name], running, place, share_s / 2, say)
-            nursery.start_soon(fault)
+            await trio.sleep(interval_s)
+            host_spec = running.host_specs[number % len(running.host_specs)]
+            inject = partial(
+                FAULTS[name], running, host_spec, interval_s / 2, print_line
+            )
+            nursery.start_soon(inject)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/deployment.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/deployment.py
@@ -11,7 +11,7 @@
 
 from fuchsiagap.core.settings.model import settings_path
 from fuchsiagap_standins.graphs import settings_text
-from fuchsiagap_standins.node_ini import Place, node_ini
+from fuchsiagap_standins.node_ini import HostSpec, node_ini
 from fuchsiagap_standins.processes import Reservation, reserve_addresses
 from fuchsiagap_standins.run_log import Run, run_from_json
 
@@ -22,8 +22,8 @@
     from fuchsiagap_standins.processes import ProcessGroup
 
 OPERATOR_TOKEN = "operator-of-the-stand-ins"
-_FIRST_IP = 11
-_N_FIRST_PEERS = 3
+_FIRST_IP_OCTET = 11
+_MAX_FIRST_PEERS = 3
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,7 +61,7 @@
         What was asked for.
     group : ProcessGroup
         The processes.
-    places : tuple of Place
+    host_specs : tuple of HostSpec
         The hosts.
     platform : str
         ``IP:PORT`` of the platform.
@@ -71,7 +71,7 @@
 
     cfg: DeploymentSettings
     group: ProcessGroup
-    places: tuple[Place, ...]
+    host_specs: tuple[HostSpec, ...]
     platform: str
     backends: dict[str, str]
 
@@ -79,7 +79,11 @@
     def caller_addresses(self) -> tuple[str, ...]:
         """Where the nodes that run listen for callers."""
         running = self.group.running
-        return tuple(place.callers for place in self.places if place.node in running)
+        return tuple(
+            host_spec.callers
+            for host_spec in self.host_specs
+            if host_spec.node in running
+        )
 
     async def stop_nodes(self) -> dict[str, int]:
         """Shut all nodes down gracefully, while their backend servers run on.
@@ -89,16 +93,16 @@
         dict
             Exit code by node.
         """
-        codes: dict[str, int] = {}
+        exit_codes: dict[str, int] = {}
 
         async def stop(node: str) -> None:
-            codes[node] = await self.group.stop(node)
+            exit_codes[node] = await self.group.stop(node)
 
         async with trio.open_nursery() as nursery:
-            for place in self.places:
-                if place.node in self.group.running:
-                    nursery.start_soon(stop, place.node)
-        return codes
+            for host_spec in self.host_specs:
+                if host_spec.node in self.group.running:
+                    nursery.start_soon(stop, host_spec.node)
+        return exit_codes
 
 
 @asynccontextmanager
@@ -121,15 +125,15 @@
     """
     reservations: list[Reservation] = []
     try:
-        places = _places(cfg, reservations)
+        host_specs = _reserve_hosts(cfg, reservations)
         platform = await group.start_standin(
             "platform", "platform_app", f"--seed={cfg.seed}"
         )
         await put_settings(platform, cfg.graph)
-        deployment = Deployment(cfg, group, places, platform, {})
+        deployment = Deployment(cfg, group, host_specs, platform, {})
         async with trio.open_nursery() as nursery:
-            for place in places:
-                nursery.start_soon(_start_place, deployment, place)
+            for host_spec in host_specs:
+                nursery.start_soon(_start_host, deployment, host_spec)
         yield deployment
     finally:
         for reservation in reservations:
@@ -144,10 +148,10 @@
         response.raise_for_status()
 
 
-async def start_node(deployment: Deployment, place: Place) -> None:
+async def start_node(deployment: Deployment, host_spec: HostSpec) -> None:
     """Start the node of a place, for the first time or again."""
-    ini = _ini(deployment, place)
-    await deployment.group.start_node(place.node, ini, place.callers)
+    ini = _host_ini(deployment, host_spec)
+    await deployment.group.start_node(host_spec.node, ini, host_spec.callers)
 
 
 async def read_runs(deployment: Deployment) -> tuple[list[Run], int]:
@@ -157,19 +161,19 @@
     async with httpx.AsyncClient(trust_env=False) as client:
         for address in deployment.backends.values():
             response = await client.get(f"http://{address}/-/runs", timeout=10)
-            shown = response.raise_for_status().json()
-            runs += map(run_from_json, shown["runs"])
-            wrong += len(shown["wrong_answers"])
+            data = response.raise_for_status().json()
+            runs += map(run_from_json, data["runs"])
+            wrong += len(data["wrong_answers"])
     return runs, wrong
 
 
-def _ini(deployment: Deployment, place: Place) -> str:
+def _host_ini(deployment: Deployment, host_spec: HostSpec) -> str:
     cfg = deployment.cfg
-    service = cfg.graph.service(place.service)
+    service = cfg.graph.service(host_spec.service)
     return node_ini(
-        place,
+        host_spec,
         team=cfg.graph.team,
-        backend=deployment.backends[place.node],
+        backend=deployment.backends[host_spec.node],
         platform=deployment.platform,
         first=_first_peers(deployment),
         operators_token=OPERATOR_TOKEN,
@@ -178,42 +182,44 @@
     )
 
 
-def _places(
+def _reserve_hosts(
     cfg: DeploymentSettings, reservations: list[Reservation]
-) -> tuple[Place, ...]:
+) -> tuple[HostSpec, ...]:
     graph = cfg.graph
-    places: list[Place] = []
+    host_specs: list[HostSpec] = []
     for service in graph.services:
-        centres = graph.placement(service)[: cfg.instances]
-        for index, centre in enumerate(centres, start=1):
-            ip = f"127.0.0.{_FIRST_IP + graph.data_centres.index(centre)}"
+        data_centres = graph.placement(service)[: cfg.instances]
+        for index, data_centre in enumerate(data_centres, start=1):
+            ip = f"127.0.0.{_FIRST_IP_OCTET + graph.data_centres.index(data_centre)}"
             reservation = reserve_addresses(ip, 3)
             reservations.append(reservation)
             node = f"{service.name}-{index}"
-            places.append(Place(node, service.name, centre, *reservation.addresses))
-    return tuple(places)
+            host_specs.append(
+                HostSpec(node, service.name, data_centre, *reservation.addresses)
+            )
+    return tuple(host_specs)
 
 
 def _first_peers(deployment: Deployment) -> list[str]:
     """Return one node of each data centre."""
-    found: dict[str, str] = {}
-    for place in deployment.places:
-        found.setdefault(place.data_centre, place.peers)
-    return list(found.values())[:_N_FIRST_PEERS]
+    peer_by_data_centre: dict[str, str] = {}
+    for host_spec in deployment.host_specs:
+        peer_by_data_centre.setdefault(host_spec.data_centre, host_spec.peers)
+    return list(peer_by_data_centre.values())[:_MAX_FIRST_PEERS]
 
 
-async def _start_place(deployment: Deployment, place: Place) -> None:
+async def _start_host(deployment: Deployment, host_spec: HostSpec) -> None:
     cfg = deployment.cfg
-    ip = place.callers.rpartition(":")[0]
-    deployment.backends[place.node] = await deployment.group.start_standin(
-        place.backend,
+    ip = host_spec.callers.rpartition(":")[0]
+    deployment.backends[host_spec.node] = await deployment.group.start_standin(
+        host_spec.backend,
         "backend_app",
         f"--graph={cfg.graph_file}",
-        f"--service={place.service}",
-        f"--name={place.node}",
+        f"--service={host_spec.service}",
+        f"--name={host_spec.node}",
         f"--bind={ip}:0",
-        f"--node={place.callers}",
+        f"--node={host_spec.callers}",
         f"--seed={cfg.seed}",
         f"--time_scale={cfg.time_scale}",
     )
-    await start_node(deployment, place)
+    await start_node(deployment, host_spec)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/fuzz.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/fuzz.py
@@ -8,7 +8,7 @@
     import random
 
 # What decoders have been seen to stumble over, in JSON and in CBOR.
-_PIECES = (
+_FRAGMENTS = (
     b"null",
     b"true",
     b"1e999",
@@ -27,10 +27,10 @@
     b"\xbf",
     b"9" * 400,
 )
-_MOST_CHANGES = 4
+_MAX_CHANGES = 4
 
 
-def mutated(text: bytes, rng: random.Random) -> bytes:
+def mutate(text: bytes, rng: random.Random) -> bytes:
     """Return bytes with a few changes: cut, doubled, replaced or put in.
 
     Parameters
@@ -40,13 +40,15 @@
     rng : random.Random
         Decides what is changed.
     """
-    for _ in range(rng.randint(1, _MOST_CHANGES)):
+    for _ in range(rng.randint(1, _MAX_CHANGES)):
         start = rng.randrange(len(text) + 1)
         end = min(len(text), start + rng.randrange(12))
-        piece = rng.choice((b"", text[start:end] * 2, rng.choice(_PIECES), _byte(rng)))
-        text = text[:start] + piece + text[end:]
+        fragment = rng.choice(
+            (b"", text[start:end] * 2, rng.choice(_FRAGMENTS), _random_byte(rng))
+        )
+        text = text[:start] + fragment + text[end:]
     return text
 
 
-def _byte(rng: random.Random) -> bytes:
+def _random_byte(rng: random.Random) -> bytes:
     return bytes((rng.randrange(256),))
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/members.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/membership_fleet.py
@@ -6,7 +6,7 @@
 Examples
 --------
 >>> async def two() -> bool:
-...     async with open_fleet(seed=1) as fleet:
+...     async with open_membership_fleet(seed=1) as fleet:
 ...         one, other = fleet.add("certs-1"), fleet.add("certs-2")
 ...         await fleet.until(lambda: fleet.agree())
 ...         return other.membership.get("certs-1") is not None
@@ -36,9 +36,9 @@
 from fuchsiagap_node.core.ports import DialFailed, LinkClosed
 from fuchsiagap_node.core.wire.messages_call import Hello
 from fuchsiagap_standins.memory_nodes import (
-    START_WALL,
-    open_ground,
-    quiet_wire,
+    START_WALL_MS,
+    open_fleet_environment,
+    uninstrumented_wire,
     until,
 )
 from fuchsiagap_standins.testing import run_virtual
@@ -52,7 +52,13 @@
     from fuchsiagap_standins.network import FakeNetwork, LinkProfile
     from fuchsiagap_standins.platform import ObjectStore
 
-__all__ = ["Fleet", "MemberNode", "Traffic", "open_fleet", "run_virtual"]
+__all__ = [
+    "MemberNode",
+    "MembershipFleet",
+    "Traffic",
+    "open_membership_fleet",
+    "run_virtual",
+]
 
 
 @dataclass(slots=True)
@@ -112,7 +118,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Fleet:
+class MembershipFleet:
     """Nodes that run in one nursery.
 
     Parameters
@@ -145,7 +151,7 @@
         first: Iterable[str] = (),
         incarnation: int | None = None,
         platform: Platform | None = None,
-        knows: Iterable[Member] = (),
+        known_members: Iterable[Member] = (),
     ) -> MemberNode:
         """Start a node, or a new life of one that crashed or left.
 
@@ -159,7 +165,7 @@
             Its life; by default higher than that of all started before.
         platform : Platform, optional
             By default the fleet's.
-        knows : iterable of Member
+        known_members : iterable of Member
             Members it knows from the start, so that a large fleet need not join
             one by one.
         """
@@ -171,7 +177,7 @@
             incarnation or 1_000 * self._n_started,
             platform or self.store,
         )
-        node.membership.merge(knows, spread=False)
+        node.membership.merge(known_members, spread=False)
         self.nodes[name] = node
         self.nursery.start_soon(self._run, node)
         return node
@@ -196,10 +202,10 @@
         )
 
     async def until(
-        self, holds: Callable[[], bool], limit: Milliseconds = 60_000.0
+        self, condition: Callable[[], bool], limit: Milliseconds = 60_000.0
     ) -> Milliseconds:
         """Wait until something holds; see `memory_nodes.until`."""
-        return await until(holds, limit, pause_s=0.02)
+        return await until(condition, limit, interval_s=0.02)
 
     def _make(
         self,
@@ -209,7 +215,7 @@
         incarnation: int,
         platform: Platform,
     ) -> MemberNode:
-        clock = trio_clock(START_WALL)
+        clock = trio_clock(START_WALL_MS)
         rng = random.Random(self.rng.getrandbits(64))
         member = Member(
             node=name,
@@ -224,7 +230,7 @@
         hello = Hello(name, incarnation, data_centre, member.address)
         dial = _counting_dial(self.network.dial_from(member.address), sent)
         peers = LinkPeers(
-            LinkSettings(), quiet_wire(hello, handlers), dial, self.nursery
+            LinkSettings(), uninstrumented_wire(hello, handlers), dial, self.nursery
         )
         return MemberNode(
             cfg=_Config(name, PeersConfig(first)),
@@ -254,11 +260,11 @@
 
 
 @asynccontextmanager
-async def open_fleet(
+async def open_membership_fleet(
     seed: int,
     cfg: MembershipSettings | None = None,
     profile: LinkProfile | None = None,
-) -> AsyncIterator[Fleet]:
+) -> AsyncIterator[MembershipFleet]:
     """Open a fleet without nodes; all stop at the end.
 
     Parameters
@@ -270,13 +276,13 @@
     profile : LinkProfile, optional
         Of all links.
     """
-    async with open_ground(seed, profile) as ground:
-        yield Fleet(
-            rng=ground.rng,
-            network=ground.network,
-            store=ground.store,
+    async with open_fleet_environment(seed, profile) as env:
+        yield MembershipFleet(
+            rng=env.rng,
+            network=env.network,
+            store=env.store,
             cfg=cfg or MembershipSettings(),
-            nursery=ground.nursery,
+            nursery=env.nursery,
         )
 
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/memory_nodes.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/memory_nodes.py
@@ -15,7 +15,7 @@
 from fuchsiagap_node.core.node import NodePorts
 from fuchsiagap_node.core.peers.conn import Wire
 from fuchsiagap_standins.network import FakeNetwork, LinkProfile
-from fuchsiagap_standins.node_ini import Place, node_ini
+from fuchsiagap_standins.node_ini import HostSpec, node_ini
 from fuchsiagap_standins.platform import ObjectStore
 
 if TYPE_CHECKING:
@@ -28,8 +28,8 @@
 TEAM = "salt-fog"
 OPERATORS_TOKEN = "operators-token"
 # Time of day at the start of a run, in milliseconds.
-START_WALL = 1_700_000_000_000.0
-_LINK_CALLS = 1_000
+START_WALL_MS = 1_700_000_000_000.0
+_MAX_CALLS_PER_LINK = 1_000
 
 
 def a_node_config(
@@ -52,7 +52,7 @@
     # A file takes no names; they are set once it is read.
     listen = ("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
     text = node_ini(
-        Place(name, service, data_centre, *listen),
+        HostSpec(name, service, data_centre, *listen),
         team=TEAM,
         backend="127.0.0.1:4",
         platform="127.0.0.1:5",
@@ -92,7 +92,7 @@
         Of this life of the node.
     """
     return NodePorts(
-        clock=trio_clock(START_WALL),
+        clock=trio_clock(START_WALL_MS),
         rng=random.Random(rng.getrandbits(64)),
         incarnation=incarnation,
         dial=partial(_dial, network, cfg.peer_address),
@@ -107,7 +107,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ground:
+class FleetEnvironment:
     """What the nodes of a fleet stand on.
 
     Parameters
@@ -129,9 +129,9 @@
 
 
 @asynccontextmanager
-async def open_ground(
+async def open_fleet_environment(
     seed: int, profile: LinkProfile | None = None
-) -> AsyncIterator[Ground]:
+) -> AsyncIterator[FleetEnvironment]:
     """Open a network and a platform without anything on them; all stops at the end.
 
     Parameters
@@ -145,11 +145,11 @@
     network = FakeNetwork(random.Random(rng.getrandbits(64)), profile)
     store = ObjectStore(random.Random(rng.getrandbits(64)))
     async with trio.open_nursery() as nursery:
-        yield Ground(rng, network, store, nursery)
+        yield FleetEnvironment(rng, network, store, nursery)
         nursery.cancel_scope.cancel()
 
 
-def quiet_wire(hello: Hello, handlers: Handlers, stamp: int = 0) -> Wire:
+def uninstrumented_wire(hello: Hello, handlers: Handlers, stamp: int = 0) -> Wire:
     """Return a wire without a clock, that counts nothing.
 
     Parameters
@@ -166,23 +166,25 @@
         handlers,
         stamp=lambda: stamp,
         observe=lambda _stamp: None,
-        max_running=_LINK_CALLS,
+        max_running=_MAX_CALLS_PER_LINK,
         count=lambda _name: None,
     )
 
 
 async def until(
-    holds: Callable[[], bool], limit: Milliseconds = 60_000.0, pause_s: float = 0.01
+    condition: Callable[[], bool],
+    limit: Milliseconds = 60_000.0,
+    interval_s: float = 0.01,
 ) -> Milliseconds:
     """Wait until something holds; return after how many milliseconds.
 
     Parameters
     ----------
-    holds : callable
+    condition : callable
         Looked at again and again.
     limit : float
         Milliseconds within which it has to hold.
-    pause_s : float
+    interval_s : float
         Seconds between two looks.
 
     Raises
@@ -191,9 +193,9 @@
         If it does not hold within the limit.
     """
     started = trio.current_time()
-    while not holds():
-        taken = (trio.current_time() - started) * MS_PER_S
-        if taken > limit:
-            raise AssertionError(f"it does not hold after {taken:.0f} ms")
-        await trio.sleep(pause_s)
+    while not condition():
+        waited = (trio.current_time() - started) * MS_PER_S
+        if waited > limit:
+            raise AssertionError(f"it does not hold after {waited:.0f} ms")
+        await trio.sleep(interval_s)
     return (trio.current_time() - started) * MS_PER_S
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/network.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/network.py
@@ -55,7 +55,7 @@
     Notes
     -----
     A cut or a pause holds frames back until it ends, as TCP would; it closes no
-    link. `crash` and `lose_links` close links, and what was under way is lost.
+    link. `crash` and `drop_links` close links, and what was under way is lost.
     The tasks of a paused node go on running here, but nothing of what they send
     gets out and nothing gets in before `resume`.
     """
@@ -98,9 +98,9 @@
         """Return the function by which the node at `source` dials others."""
         return partial(self._dial, source)
 
-    def cut(self, some: set[str], others: set[str]) -> None:
+    def cut(self, side_a: set[str], side_b: set[str]) -> None:
         """Hold back all frames between two sets of addresses."""
-        self._cuts |= {frozenset((a, b)) for a in some for b in others if a != b}
+        self._cuts |= {frozenset((a, b)) for a in side_a for b in side_b if a != b}
         self._notify()
 
     def heal(self) -> None:
@@ -118,7 +118,7 @@
         self._paused.discard(address)
         self._notify()
 
-    def lose_links(self, address: str, other: str | None = None) -> int:
+    def drop_links(self, address: str, other: str | None = None) -> int:
         """Close links of a node at both ends; frames under way are lost.
 
         Parameters
@@ -143,7 +143,7 @@
     def crash(self, address: str) -> None:
         """Stop listening at an address and close its links."""
         self._listeners.pop(address, None)
-        self.lose_links(address)
+        self.drop_links(address)
 
     def reachable(self, source: str, target: str) -> bool:
         """Whether frames get from one address to the other now."""
@@ -163,11 +163,11 @@
             accept = self._listeners.get(address)
             if accept is None:
                 return DialFailed(address, "nobody listens there")
-            there = _Pipe(source, address)
-            back = _Pipe(address, source)
-            self._pipes += (there, back)
-            await accept(_MemoryLink(self, incoming=there, outgoing=back))
-            return _MemoryLink(self, incoming=back, outgoing=there)
+            to_target = _Pipe(source, address)
+            to_source = _Pipe(address, source)
+            self._pipes += (to_target, to_source)
+            await accept(_MemoryLink(self, incoming=to_target, outgoing=to_source))
+            return _MemoryLink(self, incoming=to_source, outgoing=to_target)
         return DialFailed(address, "timeout")
 
     async def _until_reachable(self, source: str, target: str) -> None:
@@ -197,7 +197,7 @@
     source: str
     target: str
     frames: deque[tuple[float, bytes]] = field(default_factory=deque)
-    last_due: float = -math.inf
+    last_arrival: float = -math.inf
     closed: LinkClosed | None = None
     changed: trio.Event = field(default_factory=trio.Event)
 
@@ -228,9 +228,9 @@
             await pipe.changed.wait()
         if pipe.closed is not None:
             return pipe.closed
-        due = trio.current_time() + self._network._draw_delay()
-        pipe.last_due = max(due, pipe.last_due)
-        pipe.frames.append((pipe.last_due, frame))
+        arrival = trio.current_time() + self._network._draw_delay()
+        pipe.last_arrival = max(arrival, pipe.last_arrival)
+        pipe.frames.append((pipe.last_arrival, frame))
         pipe.notify()
         return None
 
@@ -245,8 +245,8 @@
                 await pipe.changed.wait()
             elif not self._network.reachable(pipe.source, pipe.target):
                 await self._network._changed.wait()
-            elif (due := pipe.frames[0][0]) > trio.current_time():
-                await trio.sleep_until(due)
+            elif (arrival := pipe.frames[0][0]) > trio.current_time():
+                await trio.sleep_until(arrival)
             else:
                 _, frame = pipe.frames.popleft()
                 pipe.notify()
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/node_fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/node_fleet.py
@@ -27,10 +27,10 @@
 from fuchsiagap_standins.graphs import settings_text
 from fuchsiagap_standins.in_process import InProcessBackend, call_out_through
 from fuchsiagap_standins.memory_nodes import (
-    START_WALL,
+    START_WALL_MS,
     a_node_config,
     memory_ports,
-    open_ground,
+    open_fleet_environment,
     until,
 )
 
@@ -45,7 +45,7 @@
     from fuchsiagap_standins.platform import ObjectStore
     from fuchsiagap_standins.run_log import Run
 
-_MAX_REPEATS = 3
+_MAX_RETRIES = 3
 
 
 @dataclass(slots=True, eq=False)
@@ -79,7 +79,7 @@
     nodes: dict[str, NodeState] = field(default_factory=dict)
     backends: list[BackendStandIn] = field(default_factory=list)
     refusals: Counter[Reason] = field(default_factory=Counter)
-    _places: dict[str, tuple[str, str]] = field(default_factory=dict)
+    _placements: dict[str, tuple[str, str]] = field(default_factory=dict)
     ended: dict[str, trio.Event] = field(default_factory=dict)
     _n_started: int = 0
 
@@ -92,14 +92,14 @@
     async def add(self, name: str, service: str, data_centre: str) -> NodeState:
         """Start a node and its backend server."""
         self._n_started += 1
-        self._places[name] = service, data_centre
+        self._placements[name] = service, data_centre
         first = [n.cfg.peer_address for n in self.nodes.values()][:3]
         cfg = a_node_config(name, data_centre, first, service)
         server = BackendStandIn(
             BackendSettings(self.graph, service, f"{name}.{self._n_started}"),
             call_out_through(lambda: state, self.graph),
             random.Random(self.rng.getrandbits(64)),
-            trio_clock(START_WALL),
+            trio_clock(START_WALL_MS),
         )
         self.backends.append(server)
         ports = memory_ports(
@@ -127,7 +127,7 @@
     async def restart(self, name: str) -> None:
         """Stop a node gracefully and start it anew."""
         await self.request_drain(name).wait()
-        await self.add(name, *self._places[name])
+        await self.add(name, *self._placements[name])
 
     def entry(self, avoid: Iterable[str] = ()) -> NodeState:
         """Return a node for a caller to ask."""
@@ -154,7 +154,7 @@
         while True:
             node = self.entry(avoid=refused)
             outcome = await enter(node, self.call(route, number, ticket))
-            if not isinstance(outcome, Refused) or len(refused) >= _MAX_REPEATS:
+            if not isinstance(outcome, Refused) or len(refused) >= _MAX_RETRIES:
                 return outcome
             self.refusals[outcome.reason] += 1
             refused.add(node.name)
@@ -165,10 +165,10 @@
         return [run for server in self.backends for run in server.runs]
 
     async def until(
-        self, holds: Callable[[], bool], limit: Milliseconds = 60_000.0
+        self, condition: Callable[[], bool], limit: Milliseconds = 60_000.0
     ) -> Milliseconds:
         """Wait until something holds; see `memory_nodes.until`."""
-        return await until(holds, limit)
+        return await until(condition, limit)
 
     def agree(self) -> bool:
         """Whether all views name just the nodes that run."""
@@ -222,11 +222,11 @@
     seed : int
         Of all randomness.
     """
-    async with open_ground(seed) as ground:
+    async with open_fleet_environment(seed) as env:
         yield NodeFleet(
             graph=graph,
-            rng=ground.rng,
-            network=ground.network,
-            store=ground.store,
-            nursery=ground.nursery,
+            rng=env.rng,
+            network=env.network,
+            store=env.store,
+            nursery=env.nursery,
         )
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/node_ini.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/node_ini.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class HostSpec:
     """One host: a node and its backend server.
 
     Parameters
@@ -41,7 +41,7 @@
 
 
 def node_ini(
-    place: Place,
+    host_spec: HostSpec,
     *,
     team: str,
     backend: str,
@@ -54,7 +54,7 @@
 
     Parameters
     ----------
-    place : Place
+    host_spec : HostSpec
         The node, and where it listens.
     team : str
         Team of its service.
@@ -74,16 +74,16 @@
     """
     lines = [
         "[node]",
-        f"name = {place.node}",
-        f"host = {place.node}-host",
-        f"data centre = {place.data_centre}",
+        f"name = {host_spec.node}",
+        f"host = {host_spec.node}-host",
+        f"data centre = {host_spec.data_centre}",
         "[listen]",
-        f"callers = {place.callers}",
-        f"peers = {place.peers}",
-        f"admin = {place.admin}",
+        f"callers = {host_spec.callers}",
+        f"peers = {host_spec.peers}",
+        f"admin = {host_spec.admin}",
         "[backend]",
         f"team = {team}",
-        f"service = {place.service}",
+        f"service = {host_spec.service}",
         f"address = {backend}",
         *(f"{key} = {value}" for key, value in backend_keys.items()),
         "[platform]",
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/settings_nodes.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/settings_fleet.py
@@ -34,7 +34,7 @@
     OPERATORS_TOKEN,
     a_node_config,
     memory_ports,
-    open_ground,
+    open_fleet_environment,
     until,
 )
 from fuchsiagap_standins.testing import run_virtual
@@ -92,7 +92,7 @@
     async def notify(self, address: str, message: object) -> None:
         self.fleet.traffic.count(message)
         is_news = isinstance(message, messages_settings.SettingsNews)
-        if is_news and self.fleet.rng.random() < self.fleet.lose_news:
+        if is_news and self.fleet.rng.random() < self.fleet.news_loss:
             return
         await self.links.notify(address, message)
 
@@ -124,7 +124,7 @@
         The platform.
     nursery : trio.Nursery
         Where they run.
-    lose_news : float
+    news_loss : float
         Probability that a piece of news gets lost.
     """
 
@@ -133,7 +133,7 @@
     store: ObjectStore
     nursery: trio.Nursery
     nodes: dict[str, NodeState] = field(default_factory=dict)
-    lose_news: float = 0.0
+    news_loss: float = 0.0
     traffic: Traffic = field(default_factory=Traffic)
     _scopes: dict[str, trio.CancelScope] = field(default_factory=dict)
     _n_started: int = 0
@@ -143,7 +143,7 @@
         name: str,
         data_centre: str = "hall-a",
         first: Iterable[str] = (),
-        knows: Iterable[Member] = (),
+        known_members: Iterable[Member] = (),
     ) -> NodeState:
         """Start a node, or a new life of one that crashed.
 
@@ -153,7 +153,7 @@
             The node.
         first : iterable of str
             Addresses of its first peers.
-        knows : iterable of Member
+        known_members : iterable of Member
             Members it knows from the start.
         """
         self._n_started += 1
@@ -162,7 +162,7 @@
             cfg, self.network, self.store, _NoBackend(), self.rng, self._n_started
         )
         state = make_state(cfg, ports, self.nursery)
-        state.membership.merge(knows, spread=False)
+        state.membership.merge(known_members, spread=False)
         self.nodes[name] = state
         scope = self._scopes[name] = trio.CancelScope()
         self.nursery.start_soon(self._run, state, ports, scope)
@@ -189,10 +189,10 @@
         return all(text is not None and text.version == version for text in texts)
 
     async def until(
-        self, holds: Callable[[], bool], limit: Milliseconds = 60_000.0
+        self, condition: Callable[[], bool], limit: Milliseconds = 60_000.0
     ) -> Milliseconds:
         """Wait until something holds; see `memory_nodes.until`."""
-        return await until(holds, limit)
+        return await until(condition, limit)
 
     async def _run(
         self, state: NodeState, ports: NodePorts, scope: trio.CancelScope
@@ -223,10 +223,10 @@
     profile : LinkProfile, optional
         Of all links.
     """
-    async with open_ground(seed, profile) as ground:
+    async with open_fleet_environment(seed, profile) as env:
         yield SettingsFleet(
-            rng=ground.rng,
-            network=ground.network,
-            store=ground.store,
-            nursery=ground.nursery,
+            rng=env.rng,
+            network=env.network,
+            store=env.store,
+            nursery=env.nursery,
         )
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bad_input.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bad_input.py
@@ -19,7 +19,7 @@
     return _get(path, length, *headers, method=b"POST") + body
 
 
-def _own_headers():
+def _control_headers():
     """Return malformed values of the headers that steer a call."""
     numbers = (b"x", b"-1", b"1.5", b"1e3", b"9" * 40, b"\xd9\xa3", b"0x10", b"1 2")
     for name in (b"deadline-ms", b"allowance", b"priority"):
@@ -35,7 +35,7 @@
     yield _get(TEAM_PATH, b"fuchsiagap-call: " + b"c" * 4000)
 
 
-def _tickets():
+def _ticket_requests():
     bodies = (
         *(b"{", b"[]", b"null", b"7", b'"x"', b'{"count": 0}', b'{"count": -1}'),
         *(b'{"count": "3"}', b'{"count": 1.5}', b'{"count": true}', b"\xff\xfe"),
@@ -47,7 +47,7 @@
     yield _get(b"/tickets", method=b"DELETE")
 
 
-def _http():
+def _http_requests():
     chunked = b"transfer-encoding: chunked"
     bookings = b"/salt-fog/bookings/bookings"
     yield from (
@@ -93,7 +93,7 @@
     )
 
 
-def _cut_short():
+def _truncated_requests():
     """Return requests whose sender leaves before they are whole."""
     bookings = b"/salt-fog/bookings/bookings"
     yield from (
@@ -129,8 +129,8 @@
     )
 
 
-HTTP = (*_http(), *_own_headers(), *_tickets())
-CUT_SHORT = tuple(_cut_short())
+HTTP_REQUESTS = (*_http_requests(), *_control_headers(), *_ticket_requests())
+TRUNCATED_REQUESTS = tuple(_truncated_requests())
 FRAMES = tuple(_frames())
 # Beyond the largest frame there may be.
-LARGE_FRAME = bytes(300_000)
+OVERSIZED_FRAME = bytes(300_000)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_bad_input.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_bad_input.py
@@ -18,7 +18,12 @@
 from fuchsiagap_standins.deployment import DeploymentSettings, run_deployment
 from fuchsiagap_standins.graphs import load_any_graph
 from fuchsiagap_standins.processes import process_group
-from fuchsiagap_standins.tests.bad_input import CUT_SHORT, FRAMES, HTTP, LARGE_FRAME
+from fuchsiagap_standins.tests.bad_input import (
+    FRAMES,
+    HTTP_REQUESTS,
+    OVERSIZED_FRAME,
+    TRUNCATED_REQUESTS,
+)
 
 GRAPH = """
 [graph]
@@ -41,12 +46,12 @@
 idempotent = no
 own time = 1ms
 """
-ANSWER_LIMIT_S = 5.0
+ANSWER_TIMEOUT_S = 5.0
 FRAME_PAUSE_S = 0.05
 
 
 @asynccontextmanager
-async def one_node():
+async def open_single_node():
     """Run one node with its backend server as processes."""
     with tempfile.TemporaryDirectory() as name:
         path = Path(name) / "small.ini"
@@ -64,13 +69,13 @@
     """Send raw bytes and return all that comes back; None if nothing ends it."""
     host, _, port = address.rpartition(":")
     received = b""
-    with trio.move_on_after(ANSWER_LIMIT_S):
+    with trio.move_on_after(ANSWER_TIMEOUT_S):
         async with await trio.open_tcp_stream(host, int(port)) as stream:
             try:
                 await stream.send_all(data)
-                while piece := await stream.receive_some(65536):
-                    received += piece
-                    if is_whole(received):
+                while chunk := await stream.receive_some(65536):
+                    received += chunk
+                    if is_complete(received):
                         return received
             except trio.BrokenResourceError:
                 pass
@@ -78,7 +83,7 @@
     return None
 
 
-def is_whole(received):
+def is_complete(received):
     head, end, body = received.partition(b"\r\n\r\n")
     for line in head.lower().split(b"\r\n"):
         if line.startswith(b"content-length:"):
@@ -95,15 +100,17 @@
 
 class BadInputTest(TestCase):
     def test_bad_input_of_a_hundred_kinds(self):
-        self.assertGreater(len(HTTP) + len(CUT_SHORT) + len(FRAMES), 100)
+        self.assertGreater(
+            len(HTTP_REQUESTS) + len(TRUNCATED_REQUESTS) + len(FRAMES), 100
+        )
 
         async def main():
-            async with one_node() as running:
-                await self.serves(running)
+            async with open_single_node() as running:
+                await self.assert_serves(running)
                 await self.send_http(running)
                 await self.send_frames(running)
-                await self.stall(running)
-                await self.serves(running)
+                await self.hold_idle_connections(running)
+                await self.assert_serves(running)
                 process = running.group.running["bookings-1"]
                 self.assertIsNone(process.exit_code, process.log_tail())
                 self.assertNotIn("Traceback", process.output())
@@ -111,24 +118,24 @@
         trio.run(main)
 
     async def send_http(self, running):
-        (place,) = running.places
+        (host_spec,) = running.host_specs
         wrong = []
-        for data in HTTP:
-            received = await exchange(place.callers, data)
+        for data in HTTP_REQUESTS:
+            received = await exchange(host_spec.callers, data)
             if not is_error(received):
                 wrong.append((data[:120], received))
         self.assertEqual([], wrong)
-        for data in CUT_SHORT:
-            host, _, port = place.callers.rpartition(":")
+        for data in TRUNCATED_REQUESTS:
+            host, _, port = host_spec.callers.rpartition(":")
             async with await trio.open_tcp_stream(host, int(port)) as stream:
                 await stream.send_all(data)
-        await self.serves(running)
+        await self.assert_serves(running)
 
     async def send_frames(self, running):
-        (place,) = running.places
-        for frame in (*FRAMES, "a text message", LARGE_FRAME):
-            await self.send_frame(place.peers, frame)
-        await self.serves(running)
+        (host_spec,) = running.host_specs
+        for frame in (*FRAMES, "a text message", OVERSIZED_FRAME):
+            await self.send_frame(host_spec.peers, frame)
+        await self.assert_serves(running)
 
     async def send_frame(self, address, frame):
         async with connect(f"ws://{address}/", compression=None, proxy=None) as conn:
@@ -140,21 +147,21 @@
             except ConnectionClosed:
                 return
 
-    async def stall(self, running):
+    async def hold_idle_connections(self, running):
         """Leave many links and requests unfinished, and be served all the same."""
-        (place,) = running.places
+        (host_spec,) = running.host_specs
         streams = []
-        for address in (place.callers, place.peers, place.admin):
+        for address in (host_spec.callers, host_spec.peers, host_spec.admin):
             host, _, port = address.rpartition(":")
             for number in range(20):
                 stream = await trio.open_tcp_stream(host, int(port))
                 await stream.send_all(b"POST /salt-fog/bookings/bookings HT"[:number])
                 streams.append(stream)
-        await self.serves(running)
+        await self.assert_serves(running)
         for stream in streams:
             await trio.aclose_forcefully(stream)
 
-    async def serves(self, running):
+    async def assert_serves(self, running):
         graph = running.cfg.graph
         route = graph.route("bookings/show")
         async with httpx.AsyncClient(trust_env=False) as client:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_testing.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_testing.py
@@ -18,25 +18,25 @@
 
 class RunVirtualTest(TestCase):
     def test_jumps_over_waiting(self):
-        async def nap():
+        async def sleep_for_an_hour():
             await trio.sleep(3600)
             return trio.current_time()
 
-        self.assertEqual(3600.0, run_virtual(nap))
+        self.assertEqual(3600.0, run_virtual(sleep_for_an_hour))
 
     def test_waiting_for_nothing_fails(self):
         self.assertRaises(VirtualRunStuck, run_virtual, trio.sleep_forever)
 
     def test_loop_without_waiting_fails(self):
-        async def spin():
+        async def yield_forever():
             while True:
                 await trio.lowlevel.checkpoint()
 
         with self.assertRaises(VirtualRunStuck):
-            run_virtual(spin, real_limit_s=0.05)
+            run_virtual(yield_forever, real_limit_s=0.05)
 
     def test_same_seed_same_order(self):
-        async def race(n):
+        async def record_order(n):
             order = []
 
             async def run(number):
@@ -49,9 +49,9 @@
                     nursery.start_soon(run, number)
             return order
 
-        first = run_virtual(race, 8, seed=7)
-        self.assertEqual(first, run_virtual(race, 8, seed=7))
-        self.assertNotEqual(first, run_virtual(race, 8, seed=8))
+        first = run_virtual(record_order, 8, seed=7)
+        self.assertEqual(first, run_virtual(record_order, 8, seed=7))
+        self.assertNotEqual(first, run_virtual(record_order, 8, seed=8))
 
 
 async def with_echo(network, use):
@@ -79,12 +79,12 @@
     def test_frames_arrive_in_order_after_the_delay(self):
         async def use(network, dial):
             link = await dial("b")
-            began = trio.current_time()
+            started = trio.current_time()
             for number in range(50):
                 await link.send(bytes([number]))
-            got = [await link.receive() for _ in range(50)]
-            self.assertEqual([bytes([n]) for n in range(50)], got)
-            self.assertGreaterEqual(trio.current_time() - began, 0.010)
+            received = [await link.receive() for _ in range(50)]
+            self.assertEqual([bytes([n]) for n in range(50)], received)
+            self.assertGreaterEqual(trio.current_time() - started, 0.010)
 
         self.run_with_echo(use, delay=5.0, jitter=3.0)
 
@@ -119,7 +119,7 @@
         async def use(network, dial):
             link = await dial("b")
             await link.send(b"x")
-            self.assertEqual(1, network.lose_links("b"))
+            self.assertEqual(1, network.drop_links("b"))
             self.assertIsInstance(await link.receive(), LinkClosed)
             self.assertIsInstance(await link.send(b"y"), LinkClosed)
             self.assertEqual(0, network.n_links)
@@ -138,14 +138,14 @@
     def test_closing_lets_sent_frames_arrive(self):
         async def main():
             network = FakeNetwork(random.Random(1))
-            got = []
+            received = []
 
-            async def keep(link):
+            async def collect(link):
                 while isinstance(frame := await link.receive(), bytes):
-                    got.append(frame)
+                    received.append(frame)
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(network.listen, "b", keep)
+                nursery.start_soon(network.listen, "b", collect)
                 await trio.testing.wait_all_tasks_blocked()
                 link = await network.dial_from("a")("b")
                 await link.send(b"x")
@@ -153,7 +153,7 @@
                 self.assertIsInstance(await link.receive(), LinkClosed)
                 await trio.sleep(1)
                 nursery.cancel_scope.cancel()
-            self.assertEqual([b"x"], got)
+            self.assertEqual([b"x"], received)
 
         run_virtual(main, limit_s=60)
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_violations.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_violations.py
@@ -11,9 +11,9 @@
 from fuchsiagap_standins.run_log import Run, RunState, run_from_json
 from fuchsiagap_standins.violations import find_violations
 
-ISSUE = Run("certs-1", "certs/issue", False, "n1", "0", "c1", 0.0, RunState.DONE)
-CHILD = replace(ISSUE, route="results/record", place="0.1")
-LOOKUP = replace(ISSUE, route="results/lookup", idempotent=True)
+ISSUE_RUN = Run("certs-1", "certs/issue", False, "n1", "0", "c1", 0.0, RunState.DONE)
+CHILD_RUN = replace(ISSUE_RUN, route="results/record", place="0.1")
+LOOKUP_RUN = replace(ISSUE_RUN, route="results/lookup", idempotent=True)
 
 
 def report_of(**endings):
@@ -32,27 +32,27 @@
 
 class FindViolationsTest(TestCase):
     def test_second_run_of_a_non_idempotent_call(self):
-        for run in (ISSUE, CHILD):
+        for run in (ISSUE_RUN, CHILD_RUN):
             again = replace(run, instance="certs-2", state=RunState.CANCELLED)
             found = find_violations(report_of(answered=1), [run, again], 0)
             self.assertEqual((("n1", run.place, run.route),), found.double_runs)
             self.assertEqual(1, found.total)
 
     def test_runs_that_may_be_repeated_or_backed_out_are_none(self):
-        backed_out = replace(ISSUE, state=RunState.BACKED_OUT)
-        other = replace(ISSUE, nonce="n2")
-        runs = [ISSUE, backed_out, other, LOOKUP, LOOKUP]
+        backed_out = replace(ISSUE_RUN, state=RunState.BACKED_OUT)
+        other = replace(ISSUE_RUN, nonce="n2")
+        runs = [ISSUE_RUN, backed_out, other, LOOKUP_RUN, LOOKUP_RUN]
         self.assertEqual(0, find_violations(report_of(answered=2), runs, 0).total)
 
     def test_refusal_of_what_ran_or_had_a_child_that_ran(self):
-        backed_out = replace(ISSUE, state=RunState.BACKED_OUT)
-        for runs in ([ISSUE], [LOOKUP], [backed_out, CHILD]):
+        backed_out = replace(ISSUE_RUN, state=RunState.BACKED_OUT)
+        for runs in ([ISSUE_RUN], [LOOKUP_RUN], [backed_out, CHILD_RUN]):
             found = find_violations(refused("n1"), runs, 0)
             self.assertEqual(("n1",), found.false_refusals)
 
     def test_refusal_of_what_backed_out_or_never_ran_is_true(self):
-        backed_out = replace(ISSUE, state=RunState.BACKED_OUT)
-        for runs in ([], [backed_out], [replace(ISSUE, nonce="n2")]):
+        backed_out = replace(ISSUE_RUN, state=RunState.BACKED_OUT)
+        for runs in ([], [backed_out], [replace(ISSUE_RUN, nonce="n2")]):
             self.assertEqual(0, find_violations(refused("n1"), runs, 0).total)
 
     def test_wrong_answers_at_the_caller_and_below(self):
@@ -64,4 +64,4 @@
         self.assertEqual(1, find_violations(report, [], 0).open_requests)
 
     def test_runs_come_whole_through_json(self):
-        self.assertEqual(CHILD, run_from_json(CHILD.to_json()))
+        self.assertEqual(CHILD_RUN, run_from_json(CHILD_RUN.to_json()))
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/ticket_faults.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/ticket_faults.py
@@ -18,17 +18,17 @@
 from fuchsiagap_node.core.drain.handover import HandedOver, hand_over
 from fuchsiagap_standins.builders import a_refusal, an_issue_head, an_unknown
 from fuchsiagap_standins.testing import run_virtual
-from fuchsiagap_standins.ticket_nodes import Backends, TicketNet
+from fuchsiagap_standins.ticket_nodes import FakeBackends, TicketNet
 
 if TYPE_CHECKING:
     from fuchsiagap.core.tickets.ticket import Ticket
 
 _NAMES = ("a", "b", "c", "d")
 _CFG = TicketSettings(kept_answers=12, chunk_bytes=300, max_kept_body=64)
-_RUN_S = 4.0
+_RUN_DURATION_S = 4.0
 _N_REQUESTS = 25
 _N_FAULTS = 8
-_LOSSES = (0.0, 0.05, 0.3)
+_REPLY_LOSS_PROBABILITIES = (0.0, 0.05, 0.3)
 
 
 @dataclass(slots=True)
@@ -87,19 +87,19 @@
     rng = random.Random(seed)
     report = TicketReport()
     async with trio.open_nursery() as nursery:
-        net = TicketNet(Backends(_no_runner), nursery, _CFG)
+        net = TicketNet(FakeBackends(_no_runner), nursery, _CFG)
         run = _Run(rng, report, net)
-        net.backends.runner = _runner(run)
-        net.before = _delays(run)
-        loss = rng.choice(_LOSSES)
-        net.lose_reply = lambda _address, _msg: rng.random() < loss
+        net.backends.runner = _make_runner(run)
+        net.before_delivery = _make_delay(run)
+        loss_probability = rng.choice(_REPLY_LOSS_PROBABILITIES)
+        net.lose_reply = lambda _address, _msg: rng.random() < loss_probability
         for name in _NAMES:
             await net.start(name)
-        async with trio.open_nursery() as work:
+        async with trio.open_nursery() as workload:
             for _ in range(_N_REQUESTS):
-                work.start_soon(_request, run)
+                workload.start_soon(_request, run)
             for _ in range(_N_FAULTS):
-                work.start_soon(_fault, run)
+                workload.start_soon(_fault, run)
         nursery.cancel_scope.cancel()
     for ticket, child_key in run.not_run:
         if net.backends.n_runs(ticket, child_key):
@@ -114,13 +114,13 @@
     raise AssertionError
 
 
-def _runner(run: _Run) -> Any:
+def _make_runner(run: _Run) -> Any:
     async def runner(head: Any, body: bytes) -> Outcome:
         rng = run.rng
         await trio.sleep(rng.random() * 0.2)
         if rng.random() < 0.3:
             return a_refusal()
-        run.net.backends.ran(head)
+        run.net.backends.record_run(head)
         await trio.sleep(rng.random() * 0.3)
         if rng.random() < 0.1:
             return an_unknown()
@@ -134,7 +134,7 @@
     return f"{ticket} {child_key}.".encode()
 
 
-def _delays(run: _Run) -> Any:
+def _make_delay(run: _Run) -> Any:
     async def delay(_address: str, _msg: object) -> None:
         if run.rng.random() < 0.3:
             await trio.sleep(run.rng.random() * 0.5)
@@ -145,7 +145,7 @@
 async def _request(run: _Run) -> None:
     """Send copies of one request at random times through random nodes."""
     rng = run.rng
-    await trio.sleep(rng.random() * _RUN_S)
+    await trio.sleep(rng.random() * _RUN_DURATION_S)
     issued = issue_batch(await run.any_node(), 1)
     if not isinstance(issued, tuple):
         return
@@ -166,13 +166,13 @@
     with trio.move_on_after(rng.choice((0.1, 3.0))):
         outcome = await run.net.call(await run.any_node(), head)
     if outcome is None:
-        _count(run.report.outcomes, "left")
+        _increment(run.report.outcomes, "left")
         return
     _check(run, ticket, child_key, outcome)
 
 
 def _check(run: _Run, ticket: Ticket, child_key: str, outcome: Outcome) -> None:
-    _count(run.report.outcomes, type(outcome).__name__)
+    _increment(run.report.outcomes, type(outcome).__name__)
     n_runs = run.net.backends.n_runs(ticket, child_key)
     if isinstance(outcome, Refused) and n_runs:
         run.report.violations.append(f"{ticket} {child_key} refused after it ran")
@@ -194,9 +194,9 @@
 
 async def _fault(run: _Run) -> None:
     rng = run.rng
-    await trio.sleep(rng.random() * _RUN_S)
+    await trio.sleep(rng.random() * _RUN_DURATION_S)
     kind, fault = rng.choice(list(_FAULTS.items()))
-    _count(run.report.faults, kind)
+    _increment(run.report.faults, kind)
     await fault(run)
 
 
@@ -212,11 +212,11 @@
     await run.net.start(name, run.incarnations[name])
 
 
-async def _cut(run: _Run) -> None:
+async def _isolate(run: _Run) -> None:
     address = (await run.any_node()).cfg.peer_address
-    run.net.cut.add(address)
+    run.net.unreachable.add(address)
     await trio.sleep(run.rng.random())
-    run.net.cut.discard(address)
+    run.net.unreachable.discard(address)
 
 
 async def _planned_stop(run: _Run) -> None:
@@ -236,8 +236,8 @@
     if state.cfg.peer_address not in run.net.nodes:
         return
     if isinstance(result, HandedOver):
-        _count(run.report.faults, "handed-over")
-        run.net.leave(state, result.successor)
+        _increment(run.report.faults, "handed-over")
+        run.net.announce_left(state, result.successor)
     await trio.sleep(run.rng.random() * 0.3)
     run.net.crash(state)
     await _restart_after(run, state)
@@ -247,11 +247,11 @@
     known = run.net.members[state.node]
     await _restart(run, state.node)
     if known.handed_incarnation == known.incarnation:
-        run.net.remember(known)
+        run.net.announce_successor(known)
 
 
-_FAULTS = {"crash": _crash, "cut": _cut, "planned-stop": _planned_stop}
+_FAULTS = {"crash": _crash, "cut": _isolate, "planned-stop": _planned_stop}
 
 
-def _count(counts: dict[str, int], name: str) -> None:
+def _increment(counts: dict[str, int], name: str) -> None:
     counts[name] = counts.get(name, 0) + 1
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/ticket_nodes.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/ticket_nodes.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Backends:
+class FakeBackends:
     """What runs calls, and how often each was run.
 
     Parameters
@@ -60,7 +60,7 @@
         """Return how often a call was run."""
         return self.runs.get((ticket, child_key), 0)
 
-    def ran(self, head: CallHead) -> None:
+    def record_run(self, head: CallHead) -> None:
         """Note that a call is run now."""
         key = (head.ticket, head.child_key)
         self.runs[key] = self.runs.get(key, 0) + 1
@@ -72,26 +72,26 @@
 
     Parameters
     ----------
-    backends : Backends
+    backends : FakeBackends
         Shared by all nodes.
     cfg : TicketSettings
         Bounds of each node.
-    cut : set of str
+    unreachable : set of str
         Addresses that cannot be reached; nothing is sent.
     lose_reply : callable
         Whether the reply to a message gets lost, after it took effect.
-    before : callable
+    before_delivery : callable
         Awaited before a message arrives, for example to delay it.
     """
 
-    backends: Backends
+    backends: FakeBackends
     nursery: trio.Nursery
     cfg: TicketSettings = field(default_factory=TicketSettings)
     nodes: dict[str, Any] = field(default_factory=dict)
     members: dict[str, Member] = field(default_factory=dict)
-    cut: set[str] = field(default_factory=set)
+    unreachable: set[str] = field(default_factory=set)
     lose_reply: Callable[[str, object], bool] = lambda _address, _msg: False
-    before: Callable[[str, object], Awaitable[None]] | None = None
+    before_delivery: Callable[[str, object], Awaitable[None]] | None = None
 
     async def start(self, name: str, incarnation: int = 1) -> Any:
         """Start a node, in place of an earlier life of the same name."""
@@ -123,8 +123,8 @@
             clock=clock,
             handlers=Handlers(),
             leaving=False,
-            membership=_View(self.members),
-            peers=_Peers(self, name),
+            membership=_FakeMembership(self.members),
+            peers=_FakePeers(self, name),
             scope=trio.CancelScope(),
             stopped=trio.Event(),
             telemetry=make_telemetry(telemetry, name, clock),
@@ -137,7 +137,7 @@
         state.scope.cancel()
         state.stopped.set()
 
-    def leave(self, state: Any, successor: str) -> None:
+    def announce_left(self, state: Any, successor: str) -> None:
         """Tell every node that a node has left, and who has its tickets."""
         self.members[state.node] = Member(
             state.node,
@@ -149,7 +149,7 @@
             handed_incarnation=state.tickets.own.incarnation,
         )
 
-    def remember(self, old: Member) -> None:
+    def announce_successor(self, old: Member) -> None:
         """Have the new life of a node say who has the tickets of its last one."""
         self.members[old.node] = replace(
             self.members[old.node],
@@ -179,7 +179,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _View:
+class _FakeMembership:
     members: dict[str, Member]
 
     def get(self, node: str) -> Member | None:
@@ -193,7 +193,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Peers:
+class _FakePeers:
     net: TicketNet
     name: str
 
@@ -201,10 +201,10 @@
         net = self.net
         message = codec.decode(codec.encode(message))
         await trio.lowlevel.checkpoint()
-        if address in net.cut or address not in net.nodes:
+        if address in net.unreachable or address not in net.nodes:
             return LinkLost(sent=False, detail=f"{address} is not reached")
-        if net.before is not None:
-            await net.before(address, message)
+        if net.before_delivery is not None:
+            await net.before_delivery(address, message)
         state = net.nodes.get(address)
         if state is None:
             return LinkLost(sent=True, detail=f"{address} is gone")
@@ -215,7 +215,7 @@
                 nursery.start_soon(_cancel_with, state, scope)
                 reply = await state.handlers.asks[type(message)](self.name, message)
                 nursery.cancel_scope.cancel()
-        if net.lose_reply(address, message) or address in net.cut:
+        if net.lose_reply(address, message) or address in net.unreachable:
             return LinkLost(sent=True, detail="the reply was lost")
         if isinstance(reply, LinkLost):
             return reply
@@ -227,7 +227,9 @@
     scope.cancel()
 
 
-def answering(backends_of: Callable[[], Backends], duration_s: float = 0.0) -> Runner:
+def run_counting_runner(
+    backends_of: Callable[[], FakeBackends], duration_s: float = 0.0
+) -> Runner:
     """Return a runner that answers each call with its count of runs.
 
     Parameters
@@ -240,7 +242,7 @@
 
     async def runner(head: CallHead, body: bytes) -> Outcome:
         backends = backends_of()
-        backends.ran(head)
+        backends.record_run(head)
         await trio.sleep(duration_s)
         count = backends.runs[(head.ticket, head.child_key)]
         return Answered(200, (), b"run %d of %s" % (count, body))
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/violations.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/violations.py
@@ -42,7 +42,7 @@
 
 
 def find_violations(
-    report: CallerReport, runs: list[Run], wrong_below: int
+    report: CallerReport, runs: list[Run], wrong_downstream: int
 ) -> Violations:
     """Hold what callers were told against what ran.
 
@@ -52,12 +52,12 @@
         What callers hold.
     runs : list of Run
         From all backend servers.
-    wrong_below : int
+    wrong_downstream : int
         Wrong answers that backend servers got from others.
     """
     return Violations(
         double_runs=tuple(double_runs(runs)),
         false_refusals=tuple(false_refusals(runs, report.refused)),
-        wrong_answers=report.total(Ending.WRONG) + wrong_below,
+        wrong_answers=report.total(Ending.WRONG) + wrong_downstream,
         open_requests=report.sent - report.ended,
     )
