--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/builders.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data: whole objects from the few values a test is about.
+"""Builders of test data: complete objects, of which a test sets only some fields.
 
 Examples
 --------
@@ -27,24 +27,24 @@
 
 
 def a_service(name: str = "certs", team: str = TEAM) -> ServiceName:
-    """Return the name of a service of Queensland."""
+    """Return the name of a service, by default of team `TEAM`."""
     return ServiceName(team, name)
 
 
 def a_ticket(
     sequence: int = 0, *, node: str = "certs-1", incarnation: int = 1
 ) -> Ticket:
-    """Return a ticket of node ``certs-1``."""
+    """Return a ticket, by default the first one issued by node ``certs-1``."""
     return Ticket(node, incarnation, sequence)
 
 
 def a_head(call_id: str = "call-1", **changes: Any) -> CallHead:
-    """Return the head of a root call that looks up a certificate.
+    """Return the head of an idempotent root call that looks up a certificate.
 
     Parameters
     ----------
     call_id : str
-        Also the root's id, if the root is not named.
+        Identifier of the call; also the default of ``root_id``.
     **changes
         Fields of `CallHead` to set.
     """
@@ -68,7 +68,15 @@
 
 
 def an_issue_head(call_id: str = "call-1", **changes: Any) -> CallHead:
-    """Return the head of a non-idempotent root call: it issues a certificate."""
+    """Return the head of a non-idempotent root call that issues a certificate.
+
+    Parameters
+    ----------
+    call_id : str
+        Identifier of the call; also the default of ``root_id``.
+    **changes
+        Fields of `CallHead` to set.
+    """
     fields: dict[str, Any] = {
         "route": "certs/issue",
         "method": "POST",
@@ -81,7 +89,7 @@
 
 
 def a_load(**changes: Any) -> LoadReport:
-    """Return the load of an instance that admits every call."""
+    """Return the load report of an instance that admits every call."""
     load = LoadReport(
         level_priority=9, level_cohort=127, in_flight=3, limit=20, queued=0
     )
@@ -95,12 +103,12 @@
 
 
 def a_refusal(reason: Reason = Reason.OVERLOAD, **changes: Any) -> Refused:
-    """Return a refusal."""
+    """Return a refusal, by default because of overload."""
     return replace(Refused(reason), **changes)
 
 
 def an_unknown(reason: Reason = Reason.CONNECTION_LOST, **changes: Any) -> Unknown:
-    """Return an unknown outcome."""
+    """Return an unknown outcome, by default because the connection was lost."""
     return replace(Unknown(reason), **changes)
 
 
@@ -110,11 +118,11 @@
 
 
 def a_backend_load(**changes: Any) -> BackendLoad:
-    """Return the word of a healthy backend server with 20 slots."""
+    """Return the load report of a healthy, idle backend server with 20 slots."""
     load = BackendLoad(healthy=True, slots=20, in_flight=0, draining=False)
     return replace(load, **changes)
 
 
 def an_object(path: str = f"/settings/{TEAM}", **changes: Any) -> StoredObject:
-    """Return an object of the platform at version 1."""
+    """Return an object of the platform's store at version 1."""
     return replace(StoredObject(path, 1, b"[team]\n"), **changes)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/demo.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/demo.py
@@ -1,7 +1,7 @@
-"""Show real calls crossing real processes: ``python -m fuchsiagap_standins.demo``.
+"""Demonstrate calls between real processes: ``python -m fuchsiagap_standins.demo``.
 
-Starts the platform stand-in, three data centres with a few nodes and their backend
-servers, drives calls for about ten seconds and checks what became of each.
+Starts the platform stand-in and, in three data centres, a few nodes with their backend
+servers. Sends requests for about ten seconds and checks the outcome of each one.
 """
 
 from __future__ import annotations
@@ -59,17 +59,17 @@
 
 _FLAGS = new_flags()
 _GRAPH = flags.DEFINE_string(
-    "graph", "queensland", "Name or INI file of the graph.", flag_values=_FLAGS
+    "graph", "queensland", "Name or INI file of the call graph.", flag_values=_FLAGS
 )
 _SECONDS = flags.DEFINE_float(
-    "seconds", 10.0, "How long to send requests.", flag_values=_FLAGS
+    "seconds", 10.0, "How long to send requests, in seconds.", flag_values=_FLAGS
 )
-_RATE = flags.DEFINE_float("rate", 40.0, "Requests a second.", flag_values=_FLAGS)
+_RATE = flags.DEFINE_float("rate", 40.0, "Requests per second.", flag_values=_FLAGS)
 _INSTANCES = flags.DEFINE_integer(
-    "instances", 2, "Instances of a service at most.", flag_values=_FLAGS
+    "instances", 2, "Maximum number of instances of a service.", flag_values=_FLAGS
 )
 _TIME_SCALE = flags.DEFINE_float(
-    "time_scale", 0.25, "Factor on all service times.", flag_values=_FLAGS
+    "time_scale", 0.25, "Factor applied to all service times.", flag_values=_FLAGS
 )
 _SEED = flags.DEFINE_integer(
     "seed", 1, "Seed of arrivals and service times.", flag_values=_FLAGS
@@ -77,11 +77,11 @@
 _FAULTS = flags.DEFINE_list(
     "faults",
     [],
-    f"Faults to bring about on the way: {', '.join(FAULTS)}.",
+    f"Faults to inject while requests are sent: {', '.join(FAULTS)}.",
     flag_values=_FLAGS,
 )
 _KEEP = flags.DEFINE_string(
-    "keep", "", "Folder to keep settings and logs in.", flag_values=_FLAGS
+    "keep", "", "Folder in which to keep settings and logs.", flag_values=_FLAGS
 )
 
 
@@ -97,7 +97,9 @@
             _print_line(line)
         rng = random.Random(_SEED.value)
         if not await _wait_until_ready(running, rng):
-            _print_line("no answer: the nodes did not get ready")
+            _print_line(
+                "not every service answered through every node before the timeout"
+            )
             return _report_ended(group) or EXIT_NO_ANSWER
         report = await _send_requests(running, rng)
         if ended := _report_ended(group):
@@ -109,11 +111,17 @@
 
 
 def _report_ended(group: ProcessGroup) -> int:
-    """Name the processes that ended unasked; return the exit code for it, or 0."""
+    """Print the processes that exited unexpectedly.
+
+    Returns
+    -------
+    int
+        `EXIT_PROCESS_ENDED`, or 0 if all processes run.
+    """
     ended = group.ended()
     for process in ended:
         _print_line(
-            f"{process.name} ended with {process.exit_code}:\n{process.log_tail()}"
+            f"{process.name} exited with {process.exit_code}:\n{process.log_tail()}"
         )
     return EXIT_PROCESS_ENDED if ended else 0
 
@@ -134,8 +142,14 @@
 
 
 async def _wait_until_ready(running: Deployment, rng: random.Random) -> bool:
-    """Wait until every node gets an answer from every service, by way of routes
-    that may be repeated.
+    """Wait until all idempotent routes are answered through every node.
+
+    Only idempotent routes are used, as probes are repeated.
+
+    Returns
+    -------
+    bool
+        False on a timeout, or if a process exited.
     """
     with trio.move_on_after(_READY_TIMEOUT_S):
         async with httpx.AsyncClient(trust_env=False) as client:
@@ -160,13 +174,13 @@
 
 
 async def _send_requests(running: Deployment, rng: random.Random) -> CallerReport:
-    """Send requests by the callers' library and return what became of them."""
+    """Send requests with the client library and return their outcomes."""
     graph = running.cfg.graph
     nodes = running.caller_addresses
     cfg = CallerSettings(graph, _RATE.value, _SECONDS.value * MS_PER_S)
     client_cfg = ClientSettings(nodes, timeout=_REQUEST_TIMEOUT_MS)
     report = CallerReport()
-    _print_line(f"sending {cfg.rate:g} requests a second for {_SECONDS.value:g} s ...")
+    _print_line(f"sending {cfg.rate:g} requests/s for {_SECONDS.value:g} s ...")
     async with (
         open_client(client_cfg, rng=rng) as client,
         trio.open_nursery() as background,
@@ -202,10 +216,10 @@
     for line in _table(report):
         _print_line(line)
     for reason, count in sorted(report.reasons.items()):
-        _print_line(f"  {count} requests without an answer: {reason}")
+        _print_line(f"  {count} requests not answered: {reason}")
     for node, code in sorted(exit_codes.items()):
         if code != 0:
-            _print_line(f"  {node} ended with {code} when asked to stop")
+            _print_line(f"  {node} exited with code {code} on SIGTERM")
     if violations.total:
         _print_line(f"  violations: {violations}")
     answered = report.total(Ending.ANSWERED)
@@ -239,7 +253,7 @@
 
 
 async def _run_until_done_or_stopped(folder: Path) -> int:
-    """Run the demo; Ctrl-C and SIGTERM end it and its processes."""
+    """Run the demo; SIGINT, SIGTERM and SIGHUP stop it and its processes."""
     code = EXIT_STOPPED
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_cancel_on_signal, nursery.cancel_scope)
@@ -265,11 +279,25 @@
 
 
 def main(argv: Sequence[str]) -> int:
-    """Run the program."""
+    """Run the demo and return its exit code.
+
+    Parameters
+    ----------
+    argv : sequence of str
+        The command line, the program's name first.
+
+    Returns
+    -------
+    int
+        0 if requests were answered and no check failed, else one of the ``EXIT_``
+        constants.
+    """
     parse_flags(_FLAGS, argv, __doc__ or "")
     unknown = set(_FAULTS.value) - FAULTS.keys()
     if unknown:
-        _print_line(f"--faults: {sorted(unknown)}; expected some of {sorted(FAULTS)}")
+        _print_line(
+            f"--faults: unknown {sorted(unknown)}; expected some of {sorted(FAULTS)}"
+        )
         return EXIT_USAGE
     logging.getLogger("httpx").setLevel(logging.WARNING)
     if _KEEP.value:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/demo_faults.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/demo_faults.py
@@ -1,4 +1,4 @@
-"""What can be made to go wrong while the demo runs."""
+"""Faults that the demo injects while it sends requests."""
 
 from __future__ import annotations
 
@@ -25,18 +25,16 @@
 async def _restart(
     running: Deployment, host_spec: HostSpec, _: float, print_line: PrintLine
 ) -> None:
-    print_line(f"  {host_spec.node} is asked to stop, and started again")
+    print_line(f"  {host_spec.node} is stopped gracefully and restarted")
     code = await running.group.stop(host_spec.node)
-    print_line(f"  {host_spec.node} ended with {code}")
+    print_line(f"  {host_spec.node} exited with code {code}")
     await start_node(running, host_spec)
 
 
 async def _kill(
     running: Deployment, host_spec: HostSpec, duration_s: float, print_line: PrintLine
 ) -> None:
-    print_line(
-        f"  {host_spec.node} is killed, and started again after {duration_s:.1f} s"
-    )
+    print_line(f"  {host_spec.node} is killed and restarted after {duration_s:.1f} s")
     running.group.kill(host_spec.node)
     await trio.sleep(duration_s)
     await start_node(running, host_spec)
@@ -92,18 +90,18 @@
 async def inject_faults(
     names: Sequence[str], running: Deployment, duration_s: float, print_line: PrintLine
 ) -> None:
-    """Bring about faults one after another, evenly over a time.
+    """Inject faults at even intervals.
 
     Parameters
     ----------
     names : sequence of str
         Keys of `FAULTS`.
     running : Deployment
-        Each fault of a node hits another one, in turn.
+        The processes. Faults of a node hit the nodes in turn.
     duration_s : float
-        The time in seconds; each fault lasts for half of its share at most.
-    say : callable
-        Shows a line.
+        Seconds over which the faults are spread; each lasts half an interval at most.
+    print_line : callable
+        Prints a line of progress.
     """
     interval_s = duration_s / (len(names) + 1)
     async with trio.open_nursery() as nursery:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/deployment.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/deployment.py
@@ -1,4 +1,4 @@
-"""A small deployment of real processes: platform, nodes and backend servers."""
+"""Run platform, nodes and backend servers as processes on this machine."""
 
 from __future__ import annotations
 
@@ -28,20 +28,21 @@
 
 @dataclass(frozen=True, slots=True)
 class DeploymentSettings:
-    """What is started.
+    """Settings of a deployment.
 
     Parameters
     ----------
     graph : Graph
-        Its services; data centre number `i` has the address 127.0.0.(11 + i).
+        Call graph with the services to run. Hosts of data centre number `i`, from 0,
+        have the address 127.0.0.(11 + i).
     graph_file : str
         Name or path of the graph, for the backend servers.
     instances : int
-        Instances of each service at most.
+        Maximum number of instances of each service.
     time_scale : float
-        Factor on all service times.
+        Factor applied to all service times.
     seed : int
-        Seed of the stand-ins.
+        Seed of the stand-ins' random choices.
     """
 
     graph: Graph
@@ -53,20 +54,20 @@
 
 @dataclass(slots=True)
 class Deployment:
-    """What runs.
+    """Running processes and their addresses.
 
     Parameters
     ----------
     cfg : DeploymentSettings
-        What was asked for.
+        The deployment's settings.
     group : ProcessGroup
         The processes.
     host_specs : tuple of HostSpec
-        The hosts.
+        The hosts, each with a node and its backend server.
     platform : str
         ``IP:PORT`` of the platform.
     backends : dict
-        ``IP:PORT`` of the backend server by node.
+        ``IP:PORT`` of each node's backend server, by node name.
     """
 
     cfg: DeploymentSettings
@@ -77,7 +78,7 @@
 
     @property
     def caller_addresses(self) -> tuple[str, ...]:
-        """Where the nodes that run listen for callers."""
+        """Addresses at which running nodes listen for callers."""
         running = self.group.running
         return tuple(
             host_spec.callers
@@ -86,12 +87,12 @@
         )
 
     async def stop_nodes(self) -> dict[str, int]:
-        """Shut all nodes down gracefully, while their backend servers run on.
+        """Shut down all nodes gracefully; their backend servers keep running.
 
         Returns
         -------
         dict
-            Exit code by node.
+            Exit code by node name.
         """
         exit_codes: dict[str, int] = {}
 
@@ -109,19 +110,20 @@
 async def run_deployment(
     group: ProcessGroup, cfg: DeploymentSettings
 ) -> AsyncIterator[Deployment]:
-    """Start platform, backend servers and nodes, with the settings of the team.
+    """Start platform, backend servers and nodes, with the team's settings stored.
 
     Parameters
     ----------
     group : ProcessGroup
-        Ends the processes.
+        Runs the processes, and stops them when it is closed.
     cfg : DeploymentSettings
-        What to start.
+        Settings of the deployment.
 
     Yields
     ------
     Deployment
-        All processes listen; nodes may not all know each other yet.
+        The deployment once all processes listen. Nodes may not have discovered all
+        other nodes yet.
     """
     reservations: list[Reservation] = []
     try:
@@ -141,7 +143,7 @@
 
 
 async def put_settings(platform: str, graph: Graph) -> None:
-    """Put the settings of the graph's team on the platform."""
+    """Store the settings of the graph's team on the platform."""
     url = f"http://{platform}/objects{settings_path(graph.team)}"
     async with httpx.AsyncClient(trust_env=False) as client:
         response = await client.put(url, content=settings_text(graph))
@@ -149,13 +151,20 @@
 
 
 async def start_node(deployment: Deployment, host_spec: HostSpec) -> None:
-    """Start the node of a place, for the first time or again."""
+    """Start or restart the node of a host."""
     ini = _host_ini(deployment, host_spec)
     await deployment.group.start_node(host_spec.node, ini, host_spec.callers)
 
 
 async def read_runs(deployment: Deployment) -> tuple[list[Run], int]:
-    """Return what ran on the backend servers, and how many wrong answers they got."""
+    """Read the run logs of all backend servers.
+
+    Returns
+    -------
+    tuple
+        All runs, and the number of wrong answers that backend servers received from
+        called services.
+    """
     runs: list[Run] = []
     wrong = 0
     async with httpx.AsyncClient(trust_env=False) as client:
@@ -201,7 +210,7 @@
 
 
 def _first_peers(deployment: Deployment) -> list[str]:
-    """Return one node of each data centre."""
+    """Return the peer addresses of one node per data centre, up to the maximum."""
     peer_by_data_centre: dict[str, str] = {}
     for host_spec in deployment.host_specs:
         peer_by_data_centre.setdefault(host_spec.data_centre, host_spec.peers)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/fuzz.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/fuzz.py
@@ -1,4 +1,4 @@
-"""Bytes that are nearly right, for decoders."""
+"""Mutate valid encoded messages, to fuzz decoders."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     import random
 
-# What decoders have been seen to stumble over, in JSON and in CBOR.
+# JSON and CBOR fragments that decoders have failed on.
 _FRAGMENTS = (
     b"null",
     b"true",
@@ -31,14 +31,14 @@
 
 
 def mutate(text: bytes, rng: random.Random) -> bytes:
-    """Return bytes with a few changes: cut, doubled, replaced or put in.
+    """Return bytes with a few random deletions, duplications and insertions.
 
     Parameters
     ----------
     text : bytes
-        Bytes that are right.
+        A valid message.
     rng : random.Random
-        Decides what is changed.
+        Source of the changes.
     """
     for _ in range(rng.randint(1, _MAX_CHANGES)):
         start = rng.randrange(len(text) + 1)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/in_process.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/in_process.py
@@ -31,12 +31,14 @@
 
 
 class InProcessBackend:
-    """A backend server without sockets; implements `ports.BackendServer`.
+    """Connect a node to a backend stand-in without sockets.
+
+    Implements `fuchsiagap_node.core.ports.BackendServer`.
 
     Parameters
     ----------
     server : BackendStandIn
-        The backend server.
+        The backend server that runs the calls.
     """
 
     def __init__(self, server: BackendStandIn) -> None:
@@ -47,7 +49,7 @@
     async def send(
         self, head: CallHead, body: bytes, remaining: Milliseconds
     ) -> Answered | Refused | Unknown:
-        """Run one call; see `ports.BackendServer.send`."""
+        """Run one call; see `fuchsiagap_node.core.ports.BackendServer.send`."""
         await trio.lowlevel.checkpoint()
         if self._down:
             return Refused(Reason.NO_BACKEND, detail="connection refused")
@@ -67,30 +69,36 @@
         return Answered(reply.status, (), reply.body)
 
     async def load(self) -> BackendLoad | None:
-        """Ask for its health and load."""
+        """Return the backend server's load report, or None after `crash`."""
         await trio.lowlevel.checkpoint()
         return None if self._down else self.server.load()
 
     def crash(self) -> None:
-        """Lose all that runs and take no connection until `restart`."""
+        """Cancel all running calls and refuse new ones until `restart`."""
         self._down = True
         for scope in self._scopes:
             scope.cancel()
 
     def restart(self) -> None:
-        """Take connections again."""
+        """Accept calls again after `crash`."""
         self._down = False
 
 
 def call_out_through(state: Callable[[], NodeState], graph: Graph) -> CallOut:
-    """Return how a backend server calls out through a node in this process.
+    """Return a function that sends child calls through a node in this process.
 
     Parameters
     ----------
     state : callable
-        Returns the node; it may be made after the backend server.
+        Returns the node's state. It is called for each child call, so the node may be
+        created after the backend server.
     graph : Graph
-        Gives the team of the called services.
+        Call graph, which names the team of the called services.
+
+    Returns
+    -------
+    callable
+        Sends a child call and returns its result.
     """
 
     async def call_out(child: ChildCall) -> ChildResult:
@@ -112,7 +120,7 @@
 
 
 def result_of(outcome: Outcome) -> ChildResult:
-    """Return an outcome as the backend server sees it."""
+    """Convert the outcome of a child call to the result that its caller receives."""
     if isinstance(outcome, Answered):
         return ChildResult(ChildOutcome.ANSWERED, outcome.status, outcome.body)
     if isinstance(outcome, Refused):
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/membership_fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/membership_fleet.py
@@ -1,7 +1,7 @@
-"""Nodes that do membership only, over the network in memory.
+"""Fleets of nodes that run membership only, over an in-memory network.
 
-They run the real view, links, gossip and digest; there are no calls. For tests of
-membership and its bench.
+Members table, links, gossip and digests are those of the real node. The nodes handle
+no calls. Used by the tests and benchmarks of membership.
 
 Examples
 --------
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True)
 class Traffic:
-    """What a node sent."""
+    """Number of messages that a node sent, and their bytes."""
 
     messages: int = 0
     n_bytes: int = 0
@@ -77,18 +77,18 @@
 
 @dataclass(slots=True)
 class _Router:
-    """Keeps the instances it was last given."""
+    """Router that stores the latest list of instances."""
 
     instances: tuple[Instance, ...] = ()
 
     def update(self, members: tuple[Instance, ...]) -> None:
-        """Take the instances over."""
+        """Replace the instances."""
         self.instances = members
 
 
 @dataclass(slots=True, eq=False)
 class MemberNode:
-    """A node with the part of `NodeState` that membership uses."""
+    """Node with the attributes of `NodeState` that membership uses."""
 
     cfg: _Config
     clock: Clock
@@ -108,31 +108,33 @@
 
     @property
     def address(self) -> str:
-        """Where other nodes reach it."""
+        """Address at which the node listens for other nodes."""
         return self.membership.self_member.address
 
     def state_of(self, node: str) -> MemberState | None:
-        """Return the state of another node in this one's view."""
+        """Return the state of a node in this node's members table; None if unknown."""
         member = self.membership.get(node)
         return None if member is None else member.state
 
 
 @dataclass(slots=True, eq=False)
 class MembershipFleet:
-    """Nodes that run in one nursery.
+    """Set of membership nodes that run in one nursery.
 
     Parameters
     ----------
     rng : random.Random
         Source of all randomness.
     network : FakeNetwork
-        Between them.
+        Network between the nodes.
     store : ObjectStore
-        The platform.
+        Object store of the platform.
     cfg : MembershipSettings
-        Of each node.
+        Membership settings of every node.
     nursery : trio.Nursery
-        Where they run.
+        Nursery of the nodes' tasks.
+    nodes : dict
+        Running nodes by name.
     """
 
     rng: random.Random
@@ -153,21 +155,21 @@
         platform: Platform | None = None,
         known_members: Iterable[Member] = (),
     ) -> MemberNode:
-        """Start a node, or a new life of one that crashed or left.
+        """Start a node, or restart one that crashed or left.
 
         Parameters
         ----------
         name, data_centre : str
-            The node.
+            Name and data centre of the node.
         first : iterable of str
-            Addresses of its first peers.
+            Peer addresses that the node contacts first.
         incarnation : int, optional
-            Its life; by default higher than that of all started before.
+            Incarnation of the node; by default higher than all earlier ones.
         platform : Platform, optional
-            By default the fleet's.
+            Platform that the node uses; by default the fleet's store.
         known_members : iterable of Member
-            Members it knows from the start, so that a large fleet need not join
-            one by one.
+            Members in the node's table from the start. A large fleet then does not
+            have to join one node after another.
         """
         self._n_started += 1
         node = self._make(
@@ -183,18 +185,18 @@
         return node
 
     def crash(self, name: str) -> None:
-        """Stop a node without a word."""
+        """Stop a node without notice to the others."""
         node = self.nodes.pop(name)
         node.scope.cancel()
         self.network.crash(node.address)
 
     def addresses(self, data_centre: str) -> set[str]:
-        """Return the addresses of the nodes of a data centre."""
+        """Return the peer addresses of the running nodes of a data centre."""
         members = (node.membership.self_member for node in self.nodes.values())
         return {m.address for m in members if m.data_centre == data_centre}
 
     def agree(self) -> bool:
-        """Whether all views are the same and name just the nodes that run."""
+        """Whether all members tables are equal and list exactly the running nodes."""
         names = set(self.nodes)
         return len({n.membership.hash for n in self.nodes.values()}) <= 1 and all(
             {m.node for m in node.membership.members() if not m.gone} == names
@@ -204,7 +206,7 @@
     async def until(
         self, condition: Callable[[], bool], limit: Milliseconds = 60_000.0
     ) -> Milliseconds:
-        """Wait until something holds; see `memory_nodes.until`."""
+        """Wait until a condition holds; see `memory_nodes.until`."""
         return await until(condition, limit, interval_s=0.02)
 
     def _make(
@@ -265,16 +267,16 @@
     cfg: MembershipSettings | None = None,
     profile: LinkProfile | None = None,
 ) -> AsyncIterator[MembershipFleet]:
-    """Open a fleet without nodes; all stop at the end.
+    """Open a fleet without nodes, and stop all its nodes on exit.
 
     Parameters
     ----------
     seed : int
-        Of all randomness.
+        Seed of all randomness.
     cfg : MembershipSettings, optional
-        Of each node.
+        Membership settings of every node.
     profile : LinkProfile, optional
-        Of all links.
+        Delay and capacity of all links.
     """
     async with open_fleet_environment(seed, profile) as env:
         yield MembershipFleet(
@@ -288,23 +290,23 @@
 
 @dataclass(slots=True, eq=False)
 class _CountingLink:
-    """A link that counts what is sent on it."""
+    """Link that counts the frames and bytes sent over it."""
 
     link: Link
     sent: Traffic
 
     async def send(self, frame: bytes) -> LinkClosed | None:
-        """Count and send."""
+        """Count a frame and send it."""
         self.sent.messages += 1
         self.sent.n_bytes += len(frame)
         return await self.link.send(frame)
 
     async def receive(self) -> bytes | LinkClosed:
-        """Receive."""
+        """Wait for the next frame."""
         return await self.link.receive()
 
     async def aclose(self) -> None:
-        """Close."""
+        """Close the link."""
         await self.link.aclose()
 
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/memory_nodes.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/memory_nodes.py
@@ -1,4 +1,4 @@
-"""What nodes in memory have in common: settings, ports, a platform and a network."""
+"""Settings, ports, platform and network shared by all in-memory fleets."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 TEAM = "salt-fog"
 OPERATORS_TOKEN = "operators-token"
-# Time of day at the start of a run, in milliseconds.
+# Wall clock at the start of a run, in milliseconds since the epoch.
 START_WALL_MS = 1_700_000_000_000.0
 _MAX_CALLS_PER_LINK = 1_000
 
@@ -38,18 +38,19 @@
     first: Iterable[str] = (),
     service: str = "certs",
 ) -> NodeConfig:
-    """Return the settings of a node in memory, whose addresses are made from its name.
+    """Return the settings of an in-memory node, with addresses made from its name.
 
     Parameters
     ----------
     name, data_centre : str
-        The node.
+        Name and data centre of the node.
     first : iterable of str
-        Addresses of its first peers.
+        Peer addresses that the node contacts first.
     service : str
-        What its backend server serves, for team `TEAM`.
+        Service of its backend server; the team is `TEAM`.
     """
-    # A file takes no names; they are set once it is read.
+    # Settings files accept IP addresses only. The addresses with names replace these
+    # after parsing.
     listen = ("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
     text = node_ini(
         HostSpec(name, service, data_centre, *listen),
@@ -74,22 +75,22 @@
     rng: random.Random,
     incarnation: int,
 ) -> NodePorts:
-    """Return what a node in memory needs from outside.
+    """Return the ports of an in-memory node to its environment.
 
     Parameters
     ----------
     cfg : NodeConfig
-        The node's settings.
+        Settings of the node.
     network : FakeNetwork
-        By which it reaches others.
+        Network to the other nodes.
     store : ObjectStore
-        The platform.
+        Object store of the platform.
     backend : BackendServer
-        On its host.
+        Backend server on the node's host.
     rng : random.Random
-        The seed of its random choices is drawn from it.
+        Source of the seed of the node's own random generator.
     incarnation : int
-        Of this life of the node.
+        Incarnation of the node.
     """
     return NodePorts(
         clock=trio_clock(START_WALL_MS),
@@ -108,18 +109,18 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetEnvironment:
-    """What the nodes of a fleet stand on.
+    """Environment shared by the nodes of a fleet.
 
     Parameters
     ----------
     rng : random.Random
-        Of all randomness.
+        Source of all randomness.
     network : FakeNetwork
-        Connects them.
+        Network between the nodes.
     store : ObjectStore
-        The platform's store.
+        Object store of the platform.
     nursery : trio.Nursery
-        Holds their tasks.
+        Nursery of the nodes' tasks.
     """
 
     rng: random.Random
@@ -132,14 +133,14 @@
 async def open_fleet_environment(
     seed: int, profile: LinkProfile | None = None
 ) -> AsyncIterator[FleetEnvironment]:
-    """Open a network and a platform without anything on them; all stops at the end.
+    """Open a network and a platform without nodes, and stop all tasks on exit.
 
     Parameters
     ----------
     seed : int
-        Of all randomness.
+        Seed of all randomness.
     profile : LinkProfile, optional
-        Of all links.
+        Delay and capacity of all links.
     """
     rng = random.Random(seed)
     network = FakeNetwork(random.Random(rng.getrandbits(64)), profile)
@@ -150,16 +151,16 @@
 
 
 def uninstrumented_wire(hello: Hello, handlers: Handlers, stamp: int = 0) -> Wire:
-    """Return a wire without a clock, that counts nothing.
+    """Return a `Wire` without clock and metrics.
 
     Parameters
     ----------
     hello : Hello
-        What the node says of itself.
+        First message on each link, which identifies the node.
     handlers : Handlers
-        Who answers what.
+        Handlers of the messages that the node receives.
     stamp : int, default=0
-        Reading of the clock that each frame carries.
+        Clock stamp of every frame.
     """
     return Wire(
         hello,
@@ -176,26 +177,31 @@
     limit: Milliseconds = 60_000.0,
     interval_s: float = 0.01,
 ) -> Milliseconds:
-    """Wait until something holds; return after how many milliseconds.
+    """Wait until a condition holds.
 
     Parameters
     ----------
     condition : callable
-        Looked at again and again.
+        Polled until it returns True.
     limit : float
-        Milliseconds within which it has to hold.
+        Milliseconds within which the condition has to hold.
     interval_s : float
-        Seconds between two looks.
+        Seconds between two polls.
+
+    Returns
+    -------
+    float
+        Milliseconds waited.
 
     Raises
     ------
     AssertionError
-        If it does not hold within the limit.
+        If the condition does not hold within the limit.
     """
     started = trio.current_time()
     while not condition():
         waited = (trio.current_time() - started) * MS_PER_S
         if waited > limit:
-            raise AssertionError(f"it does not hold after {waited:.0f} ms")
+            raise AssertionError(f"condition does not hold after {waited:.0f} ms")
         await trio.sleep(interval_s)
     return (trio.current_time() - started) * MS_PER_S
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/network.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/network.py
@@ -1,4 +1,4 @@
-"""Links between nodes in memory, with delay, cuts, losses and pauses."""
+"""In-memory network between nodes, with delays, partitions, losses and pauses."""
 
 from __future__ import annotations
 
@@ -22,18 +22,19 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkProfile:
-    """How links of a fake network behave when nothing is wrong.
+    """Behaviour of a fake network's links while no fault is injected.
 
     Parameters
     ----------
     delay : float
-        Milliseconds one way.
+        Delay in one direction, in milliseconds.
     jitter : float
-        Milliseconds added at most, evenly drawn; frames of a link stay in order.
+        Maximum additional delay in milliseconds, drawn from a uniform distribution. The
+        frames of a link stay in order.
     dial_timeout : float
-        Milliseconds until dialling a node that cannot be reached fails.
+        Milliseconds after which dialling an unreachable node fails.
     capacity : int
-        Frames under way in one direction before the sender has to wait.
+        Frames in flight in one direction from which on the sender has to wait.
     """
 
     delay: Milliseconds = 0.5
@@ -43,21 +44,21 @@
 
 
 class FakeNetwork:
-    """A network of nodes in one process.
+    """In-memory network between nodes of one process.
 
     Parameters
     ----------
     rng : random.Random
         Source of the jitter.
     profile : LinkProfile
-        Of all links.
+        Delay and capacity of all links.
 
     Notes
     -----
-    A cut or a pause holds frames back until it ends, as TCP would; it closes no
-    link. `crash` and `drop_links` close links, and what was under way is lost.
-    The tasks of a paused node go on running here, but nothing of what they send
-    gets out and nothing gets in before `resume`.
+    `cut` and `pause` delay frames until `heal` or `resume`, as TCP would, and close no
+    link. `crash` and `drop_links` close links, and the frames in flight are lost. The
+    tasks of a paused node keep running, but none of its frames are delivered before
+    `resume`.
     """
 
     def __init__(self, rng: random.Random, profile: LinkProfile | None = None) -> None:
@@ -72,14 +73,14 @@
     async def listen(
         self, address: str, serve: Callable[[Link], Awaitable[object]]
     ) -> None:
-        """Serve the links dialled to an address until cancelled.
+        """Accept links at an address until cancelled.
 
         Parameters
         ----------
         address : str
             ``IP:PORT``.
         serve : callable
-            Started as a task of its own with each accepted link.
+            Called in a new task with each accepted link.
         """
         async with trio.open_nursery() as nursery:
 
@@ -90,43 +91,43 @@
             try:
                 await trio.sleep_forever()
             finally:
-                # After a crash another node may listen there.
+                # After a crash, another node may listen at the address.
                 if self._listeners.get(address) is accept:
                     del self._listeners[address]
 
     def dial_from(self, source: str) -> Dial:
-        """Return the function by which the node at `source` dials others."""
+        """Return the function with which the node at `source` dials other nodes."""
         return partial(self._dial, source)
 
     def cut(self, side_a: set[str], side_b: set[str]) -> None:
-        """Hold back all frames between two sets of addresses."""
+        """Partition the network: delay all frames between two sets of addresses."""
         self._cuts |= {frozenset((a, b)) for a in side_a for b in side_b if a != b}
         self._notify()
 
     def heal(self) -> None:
-        """End all cuts; frames held back are on their way again."""
+        """End all partitions; delayed frames are delivered."""
         self._cuts.clear()
         self._notify()
 
     def pause(self, address: str) -> None:
-        """Hold back all frames from and to a node."""
+        """Delay all frames from and to a node."""
         self._paused.add(address)
         self._notify()
 
     def resume(self, address: str) -> None:
-        """End the pause of a node."""
+        """End the pause of a node; delayed frames are delivered."""
         self._paused.discard(address)
         self._notify()
 
     def drop_links(self, address: str, other: str | None = None) -> int:
-        """Close links of a node at both ends; frames under way are lost.
+        """Close links of a node at both ends; frames in flight are lost.
 
         Parameters
         ----------
         address : str
-            The node.
+            Address of the node.
         other : str, optional
-            Only links with this node.
+            Close only links with the node at this address.
 
         Returns
         -------
@@ -141,12 +142,12 @@
         return lost // 2
 
     def crash(self, address: str) -> None:
-        """Stop listening at an address and close its links."""
+        """Stop the listener at an address and close its links."""
         self._listeners.pop(address, None)
         self.drop_links(address)
 
     def reachable(self, source: str, target: str) -> bool:
-        """Whether frames get from one address to the other now."""
+        """Whether frames are currently delivered between two addresses."""
         if source in self._paused or target in self._paused:
             return False
         return frozenset((source, target)) not in self._cuts
@@ -162,7 +163,7 @@
             await trio.sleep(2 * self._draw_delay())
             accept = self._listeners.get(address)
             if accept is None:
-                return DialFailed(address, "nobody listens there")
+                return DialFailed(address, "no listener at this address")
             to_target = _Pipe(source, address)
             to_source = _Pipe(address, source)
             self._pipes += (to_target, to_source)
@@ -192,7 +193,7 @@
 
 @dataclass(eq=False, slots=True)
 class _Pipe:
-    """One direction of a link."""
+    """One direction of a link, with its frames in flight and their arrival times."""
 
     source: str
     target: str
@@ -211,7 +212,7 @@
 
 
 class _MemoryLink:
-    """One end of a link; implements `fuchsiagap_node.core.ports.Link`."""
+    """One end of an in-memory link; implements `fuchsiagap_node.core.ports.Link`."""
 
     def __init__(self, network: FakeNetwork, incoming: _Pipe, outgoing: _Pipe) -> None:
         self._network = network
@@ -219,7 +220,7 @@
         self._outgoing = outgoing
 
     async def send(self, frame: bytes) -> LinkClosed | None:
-        """Hand a frame to the link."""
+        """Send a frame, after a wait if the link is at capacity."""
         pipe = self._outgoing
         await trio.lowlevel.checkpoint()
         while (
@@ -235,7 +236,7 @@
         return None
 
     async def receive(self) -> bytes | LinkClosed:
-        """Wait for the next frame that gets through."""
+        """Wait until the next frame is delivered."""
         pipe = self._incoming
         await trio.lowlevel.checkpoint()
         while True:
@@ -253,7 +254,7 @@
                 return frame
 
     async def aclose(self) -> None:
-        """Close the link; frames already sent still arrive, as with TCP."""
+        """Close the link; frames sent before still arrive, as with TCP."""
         network = self._network
         self._outgoing.closed = LinkClosed("closed by the other end")
         self._outgoing.notify()
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/node_fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/node_fleet.py
@@ -1,6 +1,7 @@
-"""Whole nodes of a call graph over the network in memory, each with its backend server.
+"""Fleets of complete nodes of a call graph, each with its backend server.
 
-All of the nodes is real but their transports. For tests of the graceful shutdown.
+Only the transports are replaced, by an in-memory network. Used by the tests of graceful
+shutdown.
 """
 
 from __future__ import annotations
@@ -50,25 +51,28 @@
 
 @dataclass(slots=True, eq=False)
 class NodeFleet:
-    """Nodes that run in one nursery.
+    """Set of complete nodes that run in one nursery.
 
     Parameters
     ----------
     graph : Graph
-        Services and their calls.
+        Call graph with the services.
     rng : random.Random
         Source of all randomness.
     network : FakeNetwork
-        Between the nodes.
+        Network between the nodes.
     store : ObjectStore
-        The platform.
+        Object store of the platform.
     nursery : trio.Nursery
-        Where they run.
-
-    Attributes
-    ----------
+        Nursery of the nodes' tasks.
+    nodes : dict
+        Running nodes by name.
+    backends : list of BackendStandIn
+        All backend servers, including those of stopped nodes.
     refusals : Counter
-        Refusals that callers met, by reason.
+        Refusals that `request` retried, by reason.
+    ended : dict
+        Events that are set when a node has stopped, by node name.
     """
 
     graph: Graph
@@ -84,13 +88,13 @@
     _n_started: int = 0
 
     async def add_all(self) -> None:
-        """Start one node in each place of the graph, one after another."""
+        """Start the nodes of all services of the graph, one after another."""
         for service in self.graph.services:
             for i, data_centre in enumerate(self.graph.placement(service)):
                 await self.add(f"{service.name}-{i}", service.name, data_centre)
 
     async def add(self, name: str, service: str, data_centre: str) -> NodeState:
-        """Start a node and its backend server."""
+        """Start a node and its backend server, and wait until the node has joined."""
         self._n_started += 1
         self._placements[name] = service, data_centre
         first = [n.cfg.peer_address for n in self.nodes.values()][:3]
@@ -120,34 +124,40 @@
         return state
 
     def request_drain(self, name: str) -> trio.Event:
-        """Ask a node to leave; the event is set when its process has ended."""
+        """Start a graceful shutdown; return the event that is set when it is done."""
         self.nodes[name].request_drain()
         return self.ended[name]
 
     async def restart(self, name: str) -> None:
-        """Stop a node gracefully and start it anew."""
+        """Shut down a node gracefully and start it again."""
         await self.request_drain(name).wait()
         await self.add(name, *self._placements[name])
 
     def entry(self, avoid: Iterable[str] = ()) -> NodeState:
-        """Return a node for a caller to ask."""
+        """Return a random running node as the entry point of a caller.
+
+        Parameters
+        ----------
+        avoid : iterable of str
+            Names of nodes that are not returned.
+        """
         names = sorted(self.nodes.keys() - set(avoid))
         return self.nodes[self.rng.choice(names)]
 
     async def request(self, route: GraphRoute, number: int) -> Outcome:
-        """Ask as a caller does: what was refused as not run is tried elsewhere.
+        """Send a request as a caller does, with refusals retried at other nodes.
 
         Parameters
         ----------
         route : GraphRoute
-            What is asked for.
+            Route of the request.
         number : int
-            Number of the request.
+            Number of the request, which determines its target and nonce.
 
         Returns
         -------
         Answered, Refused or Unknown
-            The first outcome that is no refusal, or the last refusal.
+            The first outcome that is not a refusal, or the refusal of the last retry.
         """
         ticket = None if route.idempotent else self._ticket()
         refused: set[str] = set()
@@ -161,17 +171,17 @@
             await sleep_ms(outcome.retry_after)
 
     def runs(self) -> list[Run]:
-        """Return all runs of all backend servers, those of ended ones too."""
+        """Return the runs of all backend servers, including those of stopped nodes."""
         return [run for server in self.backends for run in server.runs]
 
     async def until(
         self, condition: Callable[[], bool], limit: Milliseconds = 60_000.0
     ) -> Milliseconds:
-        """Wait until something holds; see `memory_nodes.until`."""
+        """Wait until a condition holds; see `memory_nodes.until`."""
         return await until(condition, limit)
 
     def agree(self) -> bool:
-        """Whether all views name just the nodes that run."""
+        """Whether all members tables list exactly the running nodes."""
         names = set(self.nodes)
         return all(
             {m.node for m in node.membership.members() if not m.gone} == names
@@ -185,10 +195,21 @@
         return str(tickets[0])
 
     def call(self, route: GraphRoute, number: int, ticket: str | None) -> CallRequest:
-        """Return a request as it comes in at a node."""
+        """Return a request as a node receives it from a caller.
+
+        Parameters
+        ----------
+        route : GraphRoute
+            Route of the request.
+        number : int
+            Number of the request, which determines its target and nonce.
+        ticket : str or None
+            Ticket of a non-idempotent request.
+        """
         own = {}
         if ticket is not None:
-            # A copy is sent only after all earlier ones were refused as not run.
+            # A request is retried only after all earlier attempts were refused as not
+            # run, hence "0": no earlier attempt may have run.
             own = {call_headers.TICKET: ticket, call_headers.REPEAT: "0"}
         return CallRequest(
             service=self.graph.service_name(route),
@@ -213,14 +234,14 @@
 
 @asynccontextmanager
 async def open_node_fleet(graph: Graph, seed: int) -> AsyncIterator[NodeFleet]:
-    """Open a fleet without nodes; all stop at the end.
+    """Open a fleet without nodes, and stop all its nodes on exit.
 
     Parameters
     ----------
     graph : Graph
-        Services and their calls.
+        Call graph with the services.
     seed : int
-        Of all randomness.
+        Seed of all randomness.
     """
     async with open_fleet_environment(seed) as env:
         yield NodeFleet(
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/node_ini.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/node_ini.py
@@ -1,4 +1,4 @@
-"""The settings file of a node, for real processes and for nodes in memory."""
+"""Settings files of nodes, for processes and in-memory nodes."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 @dataclass(frozen=True, slots=True)
 class HostSpec:
-    """One host: a node and its backend server.
+    """Host with a node and its backend server.
 
     Parameters
     ----------
     node : str
-        Name of the node; its backend server is called the same with ``-backend``.
+        Name of the node.
     service : str
-        The service.
+        Service of the backend server.
     data_centre : str
-        Where the host stands.
+        Data centre of the host.
     callers, peers, admin : str
-        ``IP:PORT`` where the node listens.
+        ``IP:PORT`` at which the node listens for callers, other nodes and operators.
     """
 
     node: str
@@ -36,7 +36,7 @@
 
     @property
     def backend(self) -> str:
-        """Name of the backend server's process."""
+        """Name of the backend server's process: the node's name and ``-backend``."""
         return f"{self.node}-backend"
 
 
@@ -50,27 +50,27 @@
     operators_token: str = "",
     **backend_keys: int,
 ) -> str:
-    """Return the settings file of a node.
+    """Return the text of a node's settings file.
 
     Parameters
     ----------
     host_spec : HostSpec
-        The node, and where it listens.
+        The node and the addresses at which it listens.
     team : str
-        Team of its service.
+        Team that owns the service.
     backend, platform : str
-        ``IP:PORT`` of its backend server and of the platform.
+        ``IP:PORT`` of the backend server and of the platform.
     first : iterable of str
-        Peer addresses of the nodes to ask first.
+        Peer addresses that the node contacts first.
     operators_token : str
-        Token of the operators; empty for none.
+        Operators' token for the admin port; empty if there is none.
     **backend_keys
-        Further keys of ``[backend]``, for example ``slots``.
+        Further keys of section ``[backend]``, for example ``slots``.
 
     Returns
     -------
     str
-        An INI text.
+        Settings in INI format.
     """
     lines = [
         "[node]",
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/settings_fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/settings_fleet.py
@@ -1,7 +1,7 @@
-"""Nodes that do membership and settings only, over the network in memory.
+"""Fleets of nodes that run membership and settings only, over an in-memory network.
 
-Their state, links, gossip and settings are the real ones; there are no calls. For
-tests of settings and their bench.
+State, links, gossip and settings are those of the real node. The nodes handle no calls.
+Used by the tests and benchmarks of settings.
 
 Examples
 --------
@@ -64,13 +64,13 @@
 
 @dataclass(slots=True)
 class Traffic:
-    """Messages about settings, replies included, and their bytes."""
+    """Number of messages about settings, including replies, and their bytes."""
 
     messages: int = 0
     n_bytes: int = 0
 
     def count(self, msg: object) -> None:
-        """Count a message if it is about settings."""
+        """Count a message if its type is one of `messages_settings`."""
         if type(msg).__module__ == messages_settings.__name__:
             self.messages += 1
             self.n_bytes += len(encode(msg))
@@ -78,7 +78,7 @@
 
 @dataclass(slots=True, eq=False)
 class _CountingPeers:
-    """Counts what goes over the links of a node, and may lose news."""
+    """Peers of a node, with messages counted and `SettingsNews` lost at random."""
 
     links: LinkPeers
     fleet: SettingsFleet
@@ -101,10 +101,10 @@
 
 
 class _NoBackend:
-    """A backend server that is never asked."""
+    """Backend server of a node that handles no calls."""
 
     async def send(self, *_args: object) -> Answered | Refused | Unknown:
-        raise AssertionError("there are no calls here")
+        raise AssertionError("nodes of a settings fleet handle no calls")
 
     async def load(self) -> BackendLoad | None:
         return None
@@ -112,20 +112,24 @@
 
 @dataclass(slots=True, eq=False)
 class SettingsFleet:
-    """Nodes that run in one nursery.
+    """Set of settings nodes that run in one nursery.
 
     Parameters
     ----------
     rng : random.Random
         Source of all randomness.
     network : FakeNetwork
-        Between them.
+        Network between the nodes.
     store : ObjectStore
-        The platform.
+        Object store of the platform.
     nursery : trio.Nursery
-        Where they run.
+        Nursery of the nodes' tasks.
+    nodes : dict
+        Running nodes by name.
     news_loss : float
-        Probability that a piece of news gets lost.
+        Probability that a `SettingsNews` message is lost.
+    traffic : Traffic
+        Messages about settings between all nodes.
     """
 
     rng: random.Random
@@ -145,16 +149,16 @@
         first: Iterable[str] = (),
         known_members: Iterable[Member] = (),
     ) -> NodeState:
-        """Start a node, or a new life of one that crashed.
+        """Start a node, or restart one that crashed.
 
         Parameters
         ----------
         name, data_centre : str
-            The node.
+            Name and data centre of the node.
         first : iterable of str
-            Addresses of its first peers.
+            Peer addresses that the node contacts first.
         known_members : iterable of Member
-            Members it knows from the start.
+            Members in the node's table from the start.
         """
         self._n_started += 1
         cfg = a_node_config(name, data_centre, first)
@@ -169,21 +173,21 @@
         return state
 
     def crash(self, name: str) -> None:
-        """Stop a node without a word."""
+        """Stop a node without notice to the others."""
         state = self.nodes.pop(name)
         self._scopes.pop(name).cancel()
         self.network.crash(state.cfg.peer_address)
 
     def addresses(self, data_centre: str) -> set[str]:
-        """Return the addresses of the nodes of a data centre."""
+        """Return the peer addresses of the running nodes of a data centre."""
         return {state.cfg.peer_address for state in self.of(data_centre)}
 
     def of(self, data_centre: str) -> list[NodeState]:
-        """Return the nodes of a data centre."""
+        """Return the running nodes of a data centre."""
         return [s for s in self.nodes.values() if s.cfg.data_centre == data_centre]
 
     def in_force(self, team: str, version: int, data_centre: str = "") -> bool:
-        """Whether a version is in force on all nodes, or on those of a data centre."""
+        """Whether a version is in force on all nodes, or on all of one data centre."""
         states = self.of(data_centre) if data_centre else self.nodes.values()
         texts = (state.book.text(team) for state in states)
         return all(text is not None and text.version == version for text in texts)
@@ -191,7 +195,7 @@
     async def until(
         self, condition: Callable[[], bool], limit: Milliseconds = 60_000.0
     ) -> Milliseconds:
-        """Wait until something holds; see `memory_nodes.until`."""
+        """Wait until a condition holds; see `memory_nodes.until`."""
         return await until(condition, limit)
 
     async def _run(
@@ -214,14 +218,14 @@
 async def open_settings_fleet(
     seed: int, profile: LinkProfile | None = None
 ) -> AsyncIterator[SettingsFleet]:
-    """Open a fleet without nodes; all stop at the end.
+    """Open a fleet without nodes, and stop all its nodes on exit.
 
     Parameters
     ----------
     seed : int
-        Of all randomness.
+        Seed of all randomness.
     profile : LinkProfile, optional
-        Of all links.
+        Delay and capacity of all links.
     """
     async with open_fleet_environment(seed, profile) as env:
         yield SettingsFleet(
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/testing.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/testing.py
@@ -2,7 +2,7 @@
 
 See Also
 --------
-fuchsiagap_standins.network : links between nodes, in memory and with faults.
+fuchsiagap_standins.network : in-memory network between nodes, with faults.
 fuchsiagap_standins.builders : builders of test data.
 """
 
@@ -31,7 +31,7 @@
 
 
 class VirtualRunStuck(AssertionError):
-    """A run under the virtual clock did not end within its limit."""
+    """Raised if a run under the virtual clock exceeds one of its time limits."""
 
 
 def run_virtual(
@@ -41,7 +41,7 @@
     limit_s: float = VIRTUAL_LIMIT_S,
     real_limit_s: float = REAL_LIMIT_S,
 ) -> T:
-    """Run an async function under a virtual clock that jumps over all waiting.
+    """Run an async function under a virtual clock that skips all waiting.
 
     Two runs with the same seed schedule their tasks in the same order.
 
@@ -52,12 +52,12 @@
     *args
         Its arguments.
     seed : int
-        Seed of the scheduler's order of tasks that are ready at once.
+        Seed of the order in which the scheduler runs tasks that are ready together.
     limit_s : float
-        Virtual seconds after which the run fails; a wait for something that never
-        comes ends here.
+        Virtual seconds after which the run fails; ends a wait for an event that never
+        occurs.
     real_limit_s : float
-        Real seconds after which the run fails; a loop that never waits ends here.
+        Real seconds after which the run fails; ends a loop that never waits.
 
     Returns
     -------
@@ -67,7 +67,7 @@
     Raises
     ------
     VirtualRunStuck
-        If one of the limits was reached.
+        If the run exceeds one of the limits.
 
     Examples
     --------
@@ -89,14 +89,14 @@
     trio.run(main, clock=MockClock(autojump_threshold=0), instruments=[watchdog])
     if not results:
         raise VirtualRunStuck(
-            f"the run did not end within {limit_s} virtual seconds and"
-            f" {real_limit_s} real ones"
+            f"run did not end within {limit_s} virtual seconds and"
+            f" {real_limit_s} real seconds"
         )
     return results[0]
 
 
 class _Watchdog(trio.abc.Instrument):
-    """Cancel the run once it has taken too much real time."""
+    """Instrument that cancels the run after a limit in real seconds."""
 
     def __init__(self, limit_s: float) -> None:
         self.scope: trio.CancelScope | None = None
@@ -109,7 +109,7 @@
 
 
 def _seed_scheduler(seed: int) -> None:
-    # trio shuffles the tasks that are ready at once, so that nobody relies on their
-    # order. It has these two for test tools that want the same order again.
+    # trio runs tasks that are ready together in random order, so that programs do not
+    # depend on it. These private variables make the order reproducible for tests.
     vars(_trio_run)["_ALLOW_DETERMINISTIC_SCHEDULING"] = True
     vars(_trio_run)["_r"] = random.Random(seed)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bad_input.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bad_input.py
@@ -1,4 +1,4 @@
-"""Kinds of bad input, by the port they are sent to."""
+"""Malformed HTTP requests and link frames, for tests of a node's ports."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def _control_headers():
-    """Return malformed values of the headers that steer a call."""
+    """Yield requests with malformed call headers and tickets."""
     numbers = (b"x", b"-1", b"1.5", b"1e3", b"9" * 40, b"\xd9\xa3", b"0x10", b"1 2")
     for name in (b"deadline-ms", b"allowance", b"priority"):
         for value in numbers:
@@ -94,7 +94,7 @@
 
 
 def _truncated_requests():
-    """Return requests whose sender leaves before they are whole."""
+    """Yield incomplete requests; their sender closes the connection after them."""
     bookings = b"/salt-fog/bookings/bookings"
     yield from (
         b"GET /salt-fog/boo",
@@ -106,7 +106,7 @@
 
 
 def _frames():
-    """Return frames that no node sends to another."""
+    """Yield frames that no node sends to another."""
     rng = random.Random(1)
     values = (
         *(None, True, 1, -1, 1.5, "text", b"bytes", [], {}, [[]], {"a": 1}),
@@ -119,10 +119,10 @@
     yield from (
         b"",
         b"\xff",
-        b"\x9f" * 1000,  # arrays in arrays that never end
-        b"\x81" * 5000,  # arrays of one element, very deep
-        b"\x9b\xff\xff\xff\xff\xff\xff\xff\xff",  # an array of 2**64 elements
-        b"\x5b\x7f\xff\xff\xff\xff\xff\xff\xff",  # bytes of 2**63 length
+        b"\x9f" * 1000,  # 1,000 nested arrays of indefinite length
+        b"\x81" * 5000,  # 5,000 nested arrays of one element
+        b"\x9b\xff\xff\xff\xff\xff\xff\xff\xff",  # an array of 2**64 - 1 elements
+        b"\x5b\x7f\xff\xff\xff\xff\xff\xff\xff",  # a byte string of 2**63 - 1 bytes
         b"\xc2\x58\xff" + bytes(255),  # a very large integer
         b"\xd9\xff\xff\x01",  # an unknown CBOR tag
         b"\xd8\x1c\x81\xd8\x1d\x00",  # a value that contains itself
@@ -132,5 +132,5 @@
 HTTP_REQUESTS = (*_http_requests(), *_control_headers(), *_ticket_requests())
 TRUNCATED_REQUESTS = tuple(_truncated_requests())
 FRAMES = tuple(_frames())
-# Beyond the largest frame there may be.
+# Larger than the largest frame that a node accepts.
 OVERSIZED_FRAME = bytes(300_000)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_bad_input.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input of all kinds ends in a clear error, and the node goes on serving."""
+"""Malformed input to a node causes an error response and no outage."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 @asynccontextmanager
 async def open_single_node():
-    """Run one node with its backend server as processes."""
+    """Run one node and its backend server as processes."""
     with tempfile.TemporaryDirectory() as name:
         path = Path(name) / "small.ini"
         path.write_text(GRAPH)
@@ -66,7 +66,7 @@
 
 
 async def exchange(address, data):
-    """Send raw bytes and return all that comes back; None if nothing ends it."""
+    """Send raw bytes; return all bytes received, or None on a timeout."""
     host, _, port = address.rpartition(":")
     received = b""
     with trio.move_on_after(ANSWER_TIMEOUT_S):
@@ -92,14 +92,14 @@
 
 
 def is_error(received):
-    """Whether the answer is an HTTP error, or the connection was just closed."""
+    """Whether the answer is an HTTP error, or the connection closed without one."""
     if received is None:
         return False
     return not received or received.startswith((b"HTTP/1.1 4", b"HTTP/1.1 5"))
 
 
 class BadInputTest(TestCase):
-    def test_bad_input_of_a_hundred_kinds(self):
+    def test_malformed_input_is_rejected(self):
         self.assertGreater(
             len(HTTP_REQUESTS) + len(TRUNCATED_REQUESTS) + len(FRAMES), 100
         )
@@ -148,7 +148,7 @@
                 return
 
     async def hold_idle_connections(self, running):
-        """Leave many links and requests unfinished, and be served all the same."""
+        """Hold many incomplete requests open; the node must still serve others."""
         (host_spec,) = running.host_specs
         streams = []
         for address in (host_spec.callers, host_spec.peers, host_spec.admin):
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_graphs.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_graphs.py
@@ -1,4 +1,4 @@
-"""Call graphs: the committed ones, and what is wrong with others."""
+"""Tests of call graphs: the committed ones, their arithmetic and faulty files."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 
 
 class CommittedGraphsTest(TestCase):
-    def test_sizes_are_those_of_the_brief(self):
+    def test_services_have_the_expected_sizes(self):
         expected = {
             "queensland": {
                 "results": (5, 100, 700),
@@ -93,31 +93,32 @@
                 self.assertEqual(route.idempotent, found.idempotent)
                 self.assertEqual(route.timeout, found.timeout)
 
-    def test_chains_are_several_services_deep(self):
+    def test_longest_chain_has_four_services(self):
         for name in GRAPHS:
             graph = load_graph(name)
             self.assertEqual(4, max(depth(graph, route) for route in graph.roots))
 
-    def test_capacity_keeps_a_virtual_minute_cheap(self):
+    def test_capacity_is_200_to_400_requests_per_second(self):
+        # At higher request rates, simulations under the virtual clock take too long.
         for name in GRAPHS:
             capacity = capacity_per_s(load_graph(name))
             self.assertTrue(200 <= capacity <= 400, (name, capacity))
 
 
 class ArithmeticTest(TestCase):
-    def test_calls_at_once_take_the_time_of_the_longest(self):
+    def test_parallel_calls_take_the_longest_duration(self):
         graph = small()
         top = graph.route("top/ask")
         self.assertEqual(200.0, chain_time(graph, top))
         self.assertEqual(600.0, chain_time(graph, top, {"low": 5.0}))
         self.assertEqual({"top": 200.0, "low": 150.0}, slot_time(graph, top))
 
-    def test_capacity_is_that_of_the_tightest_service(self):
+    def test_capacity_is_that_of_the_bottleneck_service(self):
         graph = small()
         self.assertEqual(50.0, capacity_per_s(graph))
         self.assertAlmostEqual(1000 * 10 / 750, capacity_per_s(graph, {"low": 5.0}))
 
-    def test_own_times_have_the_mean_and_the_spread_asked_for(self):
+    def test_own_times_have_configured_mean_and_spread(self):
         graph = small()
         rng = random.Random(5)
         route = graph.route("low/find")
@@ -132,7 +133,7 @@
 
 
 class FaultyGraphTest(TestCase):
-    def test_each_fault_is_named_with_its_place(self):
+    def test_fault_names_its_section_and_key(self):
         cases = {
             ("slots = 5", "slots = none"): ("low", "slots"),
             ("slots = 5", ""): ("low", "slots"),
@@ -156,7 +157,7 @@
                 places = {(fault.section, fault.key) for fault in graph.faults}
                 self.assertIn(place, places)
 
-    def test_all_faults_come_at_once(self):
+    def test_all_faults_are_reported_together(self):
         text = SMALL.replace("slots = 5", "slots = x").replace("idempotent = yes", "")
         self.assertEqual(3, len(read_graph("small.ini", text).faults))
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_guarantees.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_guarantees.py
@@ -1,3 +1,5 @@
+"""The guarantees page names existing tests and every planted bug."""
+
 from __future__ import annotations
 
 import re
@@ -26,7 +28,7 @@
         self.assertEqual(set(), named - found)
         self.assertTrue(named)
 
-    def test_each_planted_bug_is_of_some_promise(self):
+    def test_each_planted_bug_belongs_to_a_guarantee(self):
         planted = set(breaks.BREAKS) | set(table.BREAKS)
         lists = re.findall(r"Planted: ([^.]*)\.", self.page)
         named = {name.strip() for names in lists for name in names.split(",")}
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_in_process.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_in_process.py
@@ -1,4 +1,4 @@
-"""Backend servers in the node's own process."""
+"""Tests of backend servers in the node's own process."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
         run_virtual(main, limit_s=600)
 
-    def test_answer_is_that_of_the_core(self):
+    def test_answer_is_that_of_the_backend_server(self):
         async def use(backend, _):
             outcome = await backend.send(HEAD, b"", 1_000.0)
             self.assertIsInstance(outcome, Answered)
@@ -54,7 +54,7 @@
 
         self.run_backend(use)
 
-    def test_crash_loses_what_runs_and_refuses_what_comes(self):
+    def test_crash_cancels_running_calls_and_refuses_new_ones(self):
         async def use(backend, server):
             server.faults = BackendFaults(hang=1.0)
             outcomes = []
@@ -77,7 +77,7 @@
 
         self.run_backend(use)
 
-    def test_outcomes_as_a_backend_server_sees_them(self):
+    def test_outcomes_convert_to_child_results(self):
         seen = [result_of(outcome).outcome for outcome in outcomes()]
         self.assertEqual(list(ChildOutcome), seen)
         self.assertEqual(500, result_of(an_answer(b"", status=500)).status)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_testing.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_testing.py
@@ -1,4 +1,4 @@
-"""The virtual clock and the fake network."""
+"""Tests of the virtual clock and the fake network."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 
 class RunVirtualTest(TestCase):
-    def test_jumps_over_waiting(self):
+    def test_virtual_clock_skips_waiting(self):
         async def sleep_for_an_hour():
             await trio.sleep(3600)
             return trio.current_time()
 
         self.assertEqual(3600.0, run_virtual(sleep_for_an_hour))
 
-    def test_waiting_for_nothing_fails(self):
+    def test_endless_wait_fails(self):
         self.assertRaises(VirtualRunStuck, run_virtual, trio.sleep_forever)
 
-    def test_loop_without_waiting_fails(self):
+    def test_endless_loop_fails(self):
         async def yield_forever():
             while True:
                 await trio.lowlevel.checkpoint()
@@ -35,7 +35,7 @@
         with self.assertRaises(VirtualRunStuck):
             run_virtual(yield_forever, real_limit_s=0.05)
 
-    def test_same_seed_same_order(self):
+    def test_same_seed_gives_same_task_order(self):
         async def record_order(n):
             order = []
 
@@ -55,7 +55,7 @@
 
 
 async def with_echo(network, use):
-    """Run `use` beside a node at "b" that echoes frames."""
+    """Run `use` while the node at address "b" echoes the frames it receives."""
 
     async def echo(link):
         while isinstance(frame := await link.receive(), bytes):
@@ -88,7 +88,7 @@
 
         self.run_with_echo(use, delay=5.0, jitter=3.0)
 
-    def test_cut_holds_frames_until_healed(self):
+    def test_cut_delays_frames_until_healed(self):
         async def use(network, dial):
             link = await dial("b")
             network.cut({"a"}, {"b"})
@@ -115,7 +115,7 @@
 
         self.run_with_echo(use)
 
-    def test_lost_link_loses_frames_at_both_ends(self):
+    def test_dropped_link_loses_frames_at_both_ends(self):
         async def use(network, dial):
             link = await dial("b")
             await link.send(b"x")
@@ -135,7 +135,7 @@
 
         self.run_with_echo(use)
 
-    def test_closing_lets_sent_frames_arrive(self):
+    def test_frames_sent_before_close_arrive(self):
         async def main():
             network = FakeNetwork(random.Random(1))
             received = []
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_ticket_faults.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_ticket_faults.py
@@ -1,4 +1,4 @@
-"""Random faults break no promise of the tickets, and a planted bug is seen."""
+"""Random faults break no guarantee of the tickets, and a planted bug is found."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
         logging.disable(logging.WARNING)
         self.addCleanup(logging.disable, logging.NOTSET)
 
-    def test_no_promise_is_broken(self) -> None:
+    def test_faults_break_no_guarantee(self) -> None:
         outcomes: Counter[str] = Counter()
         faults: Counter[str] = Counter()
         for seed in range(N_RUNS):
@@ -36,7 +36,7 @@
     def test_the_same_seed_gives_the_same_run(self) -> None:
         self.assertEqual(run_tickets(7), run_tickets(7))
 
-    def test_a_ticket_that_is_not_burnt_is_seen(self) -> None:
+    def test_unburnt_ticket_is_found(self) -> None:
         settle = TicketWindow.settle
 
         def leave_unburnt(window: TicketWindow, sequence: int) -> Settled:
@@ -48,4 +48,4 @@
 
         self.patch(TicketWindow, "settle", leave_unburnt)
         found = [text for seed in range(5) for text in run_tickets(seed).violations]
-        self.assertIn("ran, said not to have", "".join(found))
+        self.assertIn("ran after being reported as not run", "".join(found))
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_violations.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_violations.py
@@ -1,4 +1,4 @@
-"""Each kind of violation is found, and truthful outcomes are not called one."""
+"""Each kind of violation is found, and correct outcomes are not reported."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def report_of(**endings):
-    """Return a report of one route with so many requests of each ending."""
+    """Return a report of one route with the given number of requests per outcome."""
     row = RouteReport(sent=sum(endings.values()))
     for name, count in endings.items():
         row.endings[Ending(name)] = count
@@ -38,30 +38,30 @@
             self.assertEqual((("n1", run.place, run.route),), found.double_runs)
             self.assertEqual(1, found.total)
 
-    def test_runs_that_may_be_repeated_or_backed_out_are_none(self):
+    def test_idempotent_and_backed_out_runs_are_no_violation(self):
         backed_out = replace(ISSUE_RUN, state=RunState.BACKED_OUT)
         other = replace(ISSUE_RUN, nonce="n2")
         runs = [ISSUE_RUN, backed_out, other, LOOKUP_RUN, LOOKUP_RUN]
         self.assertEqual(0, find_violations(report_of(answered=2), runs, 0).total)
 
-    def test_refusal_of_what_ran_or_had_a_child_that_ran(self):
+    def test_refusal_of_a_run_or_its_child_is_false(self):
         backed_out = replace(ISSUE_RUN, state=RunState.BACKED_OUT)
         for runs in ([ISSUE_RUN], [LOOKUP_RUN], [backed_out, CHILD_RUN]):
             found = find_violations(refused("n1"), runs, 0)
             self.assertEqual(("n1",), found.false_refusals)
 
-    def test_refusal_of_what_backed_out_or_never_ran_is_true(self):
+    def test_refusal_without_a_run_is_true(self):
         backed_out = replace(ISSUE_RUN, state=RunState.BACKED_OUT)
         for runs in ([], [backed_out], [replace(ISSUE_RUN, nonce="n2")]):
             self.assertEqual(0, find_violations(refused("n1"), runs, 0).total)
 
-    def test_wrong_answers_at_the_caller_and_below(self):
+    def test_wrong_answers_at_callers_and_backend_servers(self):
         self.assertEqual(5, find_violations(report_of(wrong=2), [], 3).total)
 
-    def test_caller_who_holds_nothing(self):
+    def test_request_without_an_outcome(self):
         report = report_of(answered=2)
         report.routes["certs/issue"].sent = 3
         self.assertEqual(1, find_violations(report, [], 0).open_requests)
 
-    def test_runs_come_whole_through_json(self):
+    def test_run_round_trips_through_json(self):
         self.assertEqual(CHILD_RUN, run_from_json(CHILD_RUN.to_json()))
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/ticket_faults.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/ticket_faults.py
@@ -1,7 +1,7 @@
-"""Randomised runs of tickets under faults, with the promises checked at each step.
+"""Check the guarantees of tickets in randomised runs under faults.
 
-Homes, hand-over and settling are the real ones; links, members and backend servers
-are fakes, as in `fuchsiagap_standins.ticket_nodes`.
+Home nodes, hand-over and settling are those of the real node. Links, membership and
+backend servers are fakes of `fuchsiagap_standins.ticket_nodes`.
 """
 
 from __future__ import annotations
@@ -33,16 +33,18 @@
 
 @dataclass(slots=True)
 class TicketReport:
-    """What a run did.
+    """Result of a run.
 
     Parameters
     ----------
     outcomes : dict
-        Copies by the kind of their outcome.
+        Number of attempts and settlements by type of outcome; ``left`` counts attempts
+        that the caller abandoned.
     faults : dict
-        Faults by kind.
+        Number of injected faults by kind; ``handed-over`` counts planned stops with a
+        completed hand-over.
     violations : list of str
-        Promises that did not hold.
+        Violations of the guarantees.
     """
 
     outcomes: dict[str, int] = field(default_factory=dict)
@@ -61,24 +63,24 @@
     not_run: set[tuple[Ticket, str]] = field(default_factory=set)
 
     async def any_node(self) -> Any:
-        """Wait for a node that runs, and return one."""
+        """Return a random running node, after a wait if there is none."""
         while not self.net.nodes:
             await trio.sleep(0.01)
         return self.rng.choice(list(self.net.nodes.values()))
 
 
 def run_tickets(seed: int) -> TicketReport:
-    """Run requests, repeats, questions and faults, all drawn from a seed.
+    """Run requests, repeated attempts, settlements and faults drawn from a seed.
 
     Parameters
     ----------
     seed : int
-        The same seed gives the same run.
+        Seed of all randomness; the same seed gives the same run.
 
     Returns
     -------
     TicketReport
-        With every promise that did not hold.
+        Outcomes and faults, with all violations.
     """
     return run_virtual(_main, seed, seed=seed)
 
@@ -103,7 +105,9 @@
         nursery.cancel_scope.cancel()
     for ticket, child_key in run.not_run:
         if net.backends.n_runs(ticket, child_key):
-            report.violations.append(f"{ticket} {child_key} ran, said not to have")
+            report.violations.append(
+                f"{ticket} {child_key} ran after being reported as not run"
+            )
     for key, count in net.backends.runs.items():
         if count > 1:
             report.violations.append(f"{key} ran {count} times")
@@ -143,7 +147,7 @@
 
 
 async def _request(run: _Run) -> None:
-    """Send copies of one request at random times through random nodes."""
+    """Send attempts of one request at random times through random nodes."""
     rng = run.rng
     await trio.sleep(rng.random() * _RUN_DURATION_S)
     issued = issue_batch(await run.any_node(), 1)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/ticket_nodes.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/ticket_nodes.py
@@ -1,7 +1,7 @@
-"""A few nodes with tickets only, whose links a test can cut, delay or lose.
+"""Nodes that handle tickets only, with links that a test can break or delay.
 
-The homes, their hand-over and their messages are the real ones; members, links and
-the dispatch are fakes.
+Home nodes, hand-over and messages are those of the real node. Membership, links and
+dispatch are fakes.
 """
 
 from __future__ import annotations
@@ -43,45 +43,52 @@
 
 @dataclass(slots=True, eq=False)
 class FakeBackends:
-    """What runs calls, and how often each was run.
+    """Backend servers that run calls and count the runs of each one.
 
     Parameters
     ----------
     runner : callable
-        Runs one call.
+        Runs one call and returns its outcome.
     runs : dict
-        Runs that were handed over, by (ticket, child key).
+        Number of runs by ticket and child key.
     """
 
     runner: Runner
     runs: dict[tuple[Ticket | None, str], int] = field(default_factory=dict)
 
     def n_runs(self, ticket: Ticket, child_key: str = "") -> int:
-        """Return how often a call was run."""
+        """Return the number of runs of a call."""
         return self.runs.get((ticket, child_key), 0)
 
     def record_run(self, head: CallHead) -> None:
-        """Note that a call is run now."""
+        """Count a run of a call; called by the runner."""
         key = (head.ticket, head.child_key)
         self.runs[key] = self.runs.get(key, 0) + 1
 
 
 @dataclass(slots=True, eq=False)
 class TicketNet:
-    """Nodes, who their members are, and what their links do.
+    """Set of ticket nodes with fake membership and links.
 
     Parameters
     ----------
     backends : FakeBackends
-        Shared by all nodes.
+        Backend servers, shared by all nodes.
+    nursery : trio.Nursery
+        Nursery of the nodes' tasks.
     cfg : TicketSettings
-        Bounds of each node.
+        Ticket settings of every node.
+    nodes : dict
+        State of each running node by peer address.
+    members : dict
+        Member records that all nodes see, by node name.
     unreachable : set of str
-        Addresses that cannot be reached; nothing is sent.
+        Peer addresses to which no message is sent.
     lose_reply : callable
-        Whether the reply to a message gets lost, after it took effect.
+        Whether the reply to a message is lost, given address and message. The message
+        has taken effect.
     before_delivery : callable
-        Awaited before a message arrives, for example to delay it.
+        Awaited before a message is delivered, for example to delay it; None for none.
     """
 
     backends: FakeBackends
@@ -94,7 +101,7 @@
     before_delivery: Callable[[str, object], Awaitable[None]] | None = None
 
     async def start(self, name: str, incarnation: int = 1) -> Any:
-        """Start a node, in place of an earlier life of the same name."""
+        """Start a node, or restart one with a new incarnation."""
         state = self._make_state(name, incarnation)
         self.nodes[state.cfg.peer_address] = state
         self.members[name] = Member(name, incarnation, state.cfg.peer_address, "hall-a")
@@ -132,13 +139,13 @@
         )
 
     def crash(self, state: Any) -> None:
-        """End a node at once; it is not reached any more."""
+        """Stop a node without notice; it can no longer be reached."""
         self.nodes.pop(state.cfg.peer_address, None)
         state.scope.cancel()
         state.stopped.set()
 
     def announce_left(self, state: Any, successor: str) -> None:
-        """Tell every node that a node has left, and who has its tickets."""
+        """Record that a node has left and which node took over its tickets."""
         self.members[state.node] = Member(
             state.node,
             state.tickets.own.incarnation,
@@ -150,7 +157,7 @@
         )
 
     def announce_successor(self, old: Member) -> None:
-        """Have the new life of a node say who has the tickets of its last one."""
+        """Record the successor of a node's previous incarnation in its new record."""
         self.members[old.node] = replace(
             self.members[old.node],
             successor=old.successor,
@@ -158,7 +165,7 @@
         )
 
     def run_of(self, head: CallHead, body: bytes) -> home.Run:
-        """Return what dispatches a call."""
+        """Return a function that runs a call at the backend servers."""
 
         async def run() -> Outcome:
             return await self.backends.runner(head, body)
@@ -166,7 +173,7 @@
         return run
 
     async def call(self, state: Any, head: CallHead, body: bytes = b"") -> Outcome:
-        """Enter a non-idempotent call at a node."""
+        """Send a non-idempotent call through a node, and return its outcome."""
         assert head.ticket is not None
         place = home_of(state, head.ticket)
         if isinstance(place, HomeHere):
@@ -202,15 +209,17 @@
         message = codec.decode(codec.encode(message))
         await trio.lowlevel.checkpoint()
         if address in net.unreachable or address not in net.nodes:
-            return LinkLost(sent=False, detail=f"{address} is not reached")
+            return LinkLost(sent=False, detail=f"{address} is unreachable")
         if net.before_delivery is not None:
             await net.before_delivery(address, message)
         state = net.nodes.get(address)
         if state is None:
-            return LinkLost(sent=True, detail=f"{address} is gone")
-        reply: object = LinkLost(sent=True, detail=f"{address} stopped")
+            return LinkLost(sent=True, detail=f"{address} stopped before delivery")
+        reply: object = LinkLost(
+            sent=True, detail=f"{address} stopped before its reply"
+        )
         with trio.CancelScope() as scope:
-            # The end of the node ends what it does for others.
+            # A node that stops cancels the requests of its peers that it handles.
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(_cancel_with, state, scope)
                 reply = await state.handlers.asks[type(message)](self.name, message)
@@ -230,14 +239,14 @@
 def run_counting_runner(
     backends_of: Callable[[], FakeBackends], duration_s: float = 0.0
 ) -> Runner:
-    """Return a runner that answers each call with its count of runs.
+    """Return a runner that answers each call with its number of runs.
 
     Parameters
     ----------
     backends_of : callable
-        Returns the backends, to note the run.
+        Returns the backend servers that count the runs.
     duration_s : float, default=0.0
-        How long a run takes.
+        Duration of a run in seconds.
     """
 
     async def runner(head: CallHead, body: bytes) -> Outcome:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/violations.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/violations.py
@@ -1,4 +1,4 @@
-"""Hold what callers were told against what ran."""
+"""Compare the outcomes that callers received with the runs of backend servers."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Violations:
-    """What must never be.
+    """Violations of the guarantees to callers.
 
     Parameters
     ----------
     double_runs : tuple
-        Non-idempotent calls that ran more than once.
+        Nonce, place and route of each non-idempotent call that ran more than once.
     false_refusals : tuple of str
-        Requests that were called not run, and were run.
+        Nonces of requests that were refused as not run although they ran.
     wrong_answers : int
-        Answers that were not the caller's own, or not whole.
+        Number of answers that belong to another request or are incomplete.
     open_requests : int
-        Requests whose caller holds nothing in the end.
+        Number of requests without any outcome.
     """
 
     double_runs: tuple[tuple[str, str, str], ...]
@@ -36,7 +36,7 @@
 
     @property
     def total(self) -> int:
-        """How many there are."""
+        """Total number of violations."""
         lists = len(self.double_runs) + len(self.false_refusals)
         return lists + self.wrong_answers + self.open_requests
 
@@ -44,16 +44,21 @@
 def find_violations(
     report: CallerReport, runs: list[Run], wrong_downstream: int
 ) -> Violations:
-    """Hold what callers were told against what ran.
+    """Compare the outcomes that callers received with the runs of backend servers.
 
     Parameters
     ----------
     report : CallerReport
-        What callers hold.
+        Outcomes that callers received.
     runs : list of Run
-        From all backend servers.
+        Runs of all backend servers.
     wrong_downstream : int
-        Wrong answers that backend servers got from others.
+        Wrong answers that backend servers received from called services.
+
+    Returns
+    -------
+    Violations
+        All violations found.
     """
     return Violations(
         double_runs=tuple(double_runs(runs)),
