--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/ticket_case.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/ticket_case.py
@@ -15,7 +15,7 @@
     FakeBackends,
     Runner,
     TicketNet,
-    run_counting_runner,
+    counting_runner,
 )
 
 if TYPE_CHECKING:
@@ -39,7 +39,7 @@
         async def main() -> None:
             async with trio.open_nursery() as nursery:
                 self.backends = FakeBackends(
-                    runner or run_counting_runner(lambda: self.backends, 0.1)
+                    runner or counting_runner(lambda: self.backends, 0.1)
                 )
                 self.net = TicketNet(self.backends, nursery, self.cfg)
                 for name in ("a", "b", "c"):
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/demo.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/demo.py
@@ -97,9 +97,7 @@
             _print_line(line)
         rng = random.Random(_SEED.value)
         if not await _wait_until_ready(running, rng):
-            _print_line(
-                "not every service answered through every node before the timeout"
-            )
+            _print_line("not every service answered through every node")
             return _report_ended(group) or EXIT_NO_ANSWER
         report = await _send_requests(running, rng)
         if ended := _report_ended(group):
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/ticket_faults.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/ticket_faults.py
@@ -154,14 +154,14 @@
     if not isinstance(issued, tuple):
         return
     child_key = rng.choice(("", "", "k0"))
-    async with trio.open_nursery() as copies:
+    async with trio.open_nursery() as attempts:
         for _ in range(rng.randint(1, 4)):
-            copies.start_soon(_copy, run, issued[0], child_key)
+            attempts.start_soon(_send_attempt, run, issued[0], child_key)
         if rng.random() < 0.3 and not child_key:
-            copies.start_soon(_settle, run, issued[0])
+            attempts.start_soon(_settle, run, issued[0])
 
 
-async def _copy(run: _Run, ticket: Ticket, child_key: str) -> None:
+async def _send_attempt(run: _Run, ticket: Ticket, child_key: str) -> None:
     rng = run.rng
     await trio.sleep(rng.random() * 1.5)
     deadline = trio.current_time() * 1000.0 + rng.choice((100.0, 1000.0, 3000.0))
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/ticket_nodes.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/ticket_nodes.py
@@ -236,7 +236,7 @@
     scope.cancel()
 
 
-def run_counting_runner(
+def counting_runner(
     backends_of: Callable[[], FakeBackends], duration_s: float = 0.0
 ) -> Runner:
     """Return a runner that answers each call with its number of runs.
