--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/ticket_nodes.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/ticket_nodes.py
@@ -209,7 +209,7 @@
         message = codec.decode(codec.encode(message))
         await trio.lowlevel.checkpoint()
         if address in net.unreachable or address not in net.nodes:
-            return LinkLost(sent=False, detail=f"{address} is unreachable")
+            return LinkLost(sent=False, detail=f"{address} is not reached")
         if net.before_delivery is not None:
             await net.before_delivery(address, message)
         state = net.nodes.get(address)
