--- a/conftest.py
+++ b/conftest.py
@@ -10,7 +10,7 @@
 # Modules whose tests start processes of their own, by the group that runs them one
 # after the other: more of them at a time would wait for each other's processor time,
 # and their verdicts would hang on the machine.
-_GROUPS = {
+_GROUP_BY_MODULE = {
     "test_soak": "soak",
     "test_sheet": "sheets",
     # Plays of real nodes in virtual time, which keep a core busy for minutes.
@@ -28,6 +28,6 @@
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
     """Put the tests that start processes into their groups."""
     for item in items:
-        group = _GROUPS.get(Path(item.path).stem)
+        group = _GROUP_BY_MODULE.get(Path(item.path).stem)
         if group is not None:
             item.add_marker(pytest.mark.xdist_group(group))
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/backend.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/backend.py
@@ -12,7 +12,7 @@
 from fuchsiagap_node.core.callpath.entry import CallRequest, enter
 from fuchsiagap_node.core.ports import BackendLoad
 from fuchsiagap_standins.answers import CallMark, answer_body, is_own_answer, mark_from
-from fuchsiagap_standins.bench.faults.shape import COPY, ROUTES, Route
+from fuchsiagap_standins.bench.faults.topology import COPY_HEADER, ROUTES, Route
 from fuchsiagap_standins.run_log import Run, RunState
 
 if TYPE_CHECKING:
@@ -25,13 +25,13 @@
     from fuchsiagap_node.core.state import NodeState
     from fuchsiagap_standins.bench.faults.evidence import Evidence
 
-_OWN_TIME_MS = (5.0, 60.0)
+_SERVICE_TIME_MS = (5.0, 60.0)
 # A few calls take so long that a planned stop has to wait for them.
-_LONG_SHARE = 0.02
-_LONG_MS = (2_500.0, 4_000.0)
+_SLOW_CALL_SHARE = 0.02
+_SLOW_SERVICE_TIME_MS = (2_500.0, 4_000.0)
 _OK = 200
 _FAILED_STATUS = 503
-_NOT_RUN_SHARE = 0.03
+_REFUSAL_SHARE = 0.03
 
 
 class RecordingBackend:
@@ -61,7 +61,7 @@
     ) -> None:
         self.node = node
         self.slots = slots
-        self.slowness = 1.0
+        self.service_time_factor = 1.0
         self.down = False
         self._evidence = evidence
         self._rng = rng
@@ -76,23 +76,23 @@
         if self.down:
             return Refused(Reason.NO_BACKEND, detail="connection refused")
         full = len(self._scopes) >= self.slots
-        if full or self._rng.random() < _NOT_RUN_SHARE:
+        if full or self._rng.random() < _REFUSAL_SHARE:
             return Refused(Reason.BACKEND_REFUSED, detail="no slot is free")
         route = ROUTES[head.route]
         mark = mark_from(dict(head.headers))
-        run = self._log(head, mark)
+        run = self._start_run(head, mark)
         answer: Answered | None = None
         with trio.CancelScope() as scope:
             self._scopes.add(scope)
             try:
-                answer = await self._work(head, route, mark)
+                answer = await self._run(head, route, mark)
                 run.state = RunState.DONE
             except trio.Cancelled:
                 run.state = RunState.CANCELLED
                 raise
             finally:
                 self._scopes.discard(scope)
-                self._evidence.run_ended(self.node, run)
+                self._evidence.record_run_end(self.node, run)
         if answer is None:
             return Unknown(Reason.CONNECTION_LOST, detail="the connection was lost")
         return answer
@@ -114,7 +114,7 @@
         """Take connections again."""
         self.down = False
 
-    def _log(self, head: CallHead, mark: CallMark) -> Run:
+    def _start_run(self, head: CallHead, mark: CallMark) -> Run:
         run = Run(
             instance=self.node,
             route=head.route,
@@ -124,22 +124,26 @@
             call_id=head.call_id,
             started=trio.current_time(),
         )
-        copy = dict(head.headers).get(COPY, "")
-        self._evidence.run_started(self.node, run, copy)
+        copy = dict(head.headers).get(COPY_HEADER, "")
+        self._evidence.record_run_start(self.node, run, copy)
         return run
 
-    async def _work(self, head: CallHead, route: Route, mark: CallMark) -> Answered:
-        is_long = self._rng.random() < _LONG_SHARE
-        own_time = self._rng.uniform(*(_LONG_MS if is_long else _OWN_TIME_MS))
-        await sleep_ms(own_time if is_long else own_time * self.slowness)
+    async def _run(self, head: CallHead, route: Route, mark: CallMark) -> Answered:
+        is_slow = self._rng.random() < _SLOW_CALL_SHARE
+        service_time = self._rng.uniform(
+            *(_SLOW_SERVICE_TIME_MS if is_slow else _SERVICE_TIME_MS)
+        )
+        await sleep_ms(
+            service_time if is_slow else service_time * self.service_time_factor
+        )
         for index, name in enumerate(route.calls):
             child = ROUTES[name]
-            below = mark.below(index)
-            outcome = await self._call(head, child, below)
+            child_mark = mark.below(index)
+            outcome = await self._call(head, child, child_mark)
             if not isinstance(outcome, Answered) or outcome.status != _OK:
                 return Answered(_FAILED_STATUS, (), b"a call below failed")
-            own = is_own_answer(outcome.body, below, name)
-            self._evidence.answer_checked(below.nonce, own)
+            is_correct = is_own_answer(outcome.body, child_mark, name)
+            self._evidence.record_answer(child_mark.nonce, is_correct)
         return Answered(_OK, (), answer_body(mark, head.route))
 
     async def _call(self, head: CallHead, child: Route, mark: CallMark) -> Outcome:
@@ -156,5 +160,5 @@
         )
         outcome = await enter(self._state(), req)
         if not child.idempotent:
-            self._evidence.child_told(mark, child, outcome)
+            self._evidence.record_child_outcome(mark, child, outcome)
         return outcome
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/breaks.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/breaks.py
@@ -80,8 +80,8 @@
 
     async def hand_over(*args: Any) -> Outcome:
         outcome: Outcome = await original(*args)
-        lost = isinstance(outcome, Unknown)
-        return Refused(Reason.CONNECTION_LOST) if lost else outcome
+        is_unknown = isinstance(outcome, Unknown)
+        return Refused(Reason.CONNECTION_LOST) if is_unknown else outcome
 
     original = _patch(stack, attempts, "_hand_over", hand_over)
 
@@ -117,8 +117,8 @@
     """A node asks for any text and takes it over, also one older than its own."""
 
     def adopt(self: SettingsBook, text: Any) -> Any:
-        held = self._entries.get(text.team)
-        if held is not None and held.text.version > text.version:
+        held_entry = self._entries.get(text.team)
+        if held_entry is not None and held_entry.text.version > text.version:
             del self._entries[text.team]
         return original(self, text)
 
@@ -129,31 +129,33 @@
 def _skip_drain_notice(stack: ExitStack) -> None:
     """A node that shall stop tells nobody and goes on taking work until idle."""
 
-    async def quiet_drain(state: NodeState, reason: str) -> None:
+    async def drain_without_notice(state: NodeState, reason: str) -> None:
         await drain._until_idle(state)
 
-    _patch(stack, drain, "drain", quiet_drain)
+    _patch(stack, drain, "drain", drain_without_notice)
 
 
 def _stop_with_work(stack: ExitStack) -> None:
     """A planned stop does not wait for the requests in progress."""
 
-    async def impatient(state: NodeState, reason: str) -> None:
+    async def drain_at_once(state: NodeState, reason: str) -> None:
         state.leaving = True
 
-    async def at_once(*_: object) -> None:
+    async def return_at_once(*_: object) -> None:
         pass
 
-    _patch(stack, drain, "drain", impatient)
-    _patch(stack, node, "_until_quiet", at_once)
+    _patch(stack, drain, "drain", drain_at_once)
+    _patch(stack, node, "_until_quiet", return_at_once)
 
 
 def _swap_answers(stack: ExitStack) -> None:
     """A reply goes to the ask that has waited longest, not to its own."""
 
     def take_reply(self: PeerConn, number: int, msg: object) -> None:
-        waiting = [n for n, waiter in self._waiters.items() if not waiter.done.is_set()]
-        original(self, min(waiting) if waiting else number, msg)
+        unanswered = [
+            n for n, waiter in self._waiters.items() if not waiter.done.is_set()
+        ]
+        original(self, min(unanswered) if unanswered else number, msg)
 
     original = _patch(stack, PeerConn, "_take_reply", take_reply)
 
@@ -164,14 +166,14 @@
     def lend_up_to(self: Allowance, n_most: int) -> int:
         return max(min(n_most, self.remaining), 0)
 
-    def unbooked(self: Allowance, *args: int, **kwargs: int) -> None:
+    def ignore_booking(self: Allowance, *args: int, **kwargs: int) -> None:
         return None
 
     _patch(stack, Allowance, "lend_up_to", lend_up_to)
     _patch(stack, Allowance, "lend", lambda self: self.remaining)
-    _patch(stack, Allowance, "settle", unbooked)
-    _patch(stack, Allowance, "write_off", unbooked)
-    _patch(stack, Allowance, "_check", unbooked)
+    _patch(stack, Allowance, "settle", ignore_booking)
+    _patch(stack, Allowance, "write_off", ignore_booking)
+    _patch(stack, Allowance, "_check", ignore_booking)
     _patch(stack, Allowance, "take", lambda self: True)
 
 
@@ -180,8 +182,8 @@
     original_head = attempts.attempt_head
 
     def attempt_head(head: CallHead, n_sent: int, repeat: bool) -> CallHead:
-        made = original_head(head, n_sent, repeat)
-        return replace(made, child_key=f"{made.child_key}#{made.call_id}")
+        new_head = original_head(head, n_sent, repeat)
+        return replace(new_head, child_key=f"{new_head.child_key}#{new_head.call_id}")
 
     _patch(stack, dispatch, "attempt_head", attempt_head)
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/callers.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/callers.py
@@ -17,12 +17,12 @@
 from fuchsiagap_client.core.request import Request
 from fuchsiagap_client.core.settings import ClientSettings
 from fuchsiagap_standins.answers import CallMark, is_own_answer
-from fuchsiagap_standins.bench.faults.evidence import Told
-from fuchsiagap_standins.bench.faults.shape import (
+from fuchsiagap_standins.bench.faults.evidence import RequestRecord
+from fuchsiagap_standins.bench.faults.topology import (
     ALLOWANCE,
+    CLIENT_ROUTE_WEIGHTS,
     CLIENT_ROUTES,
-    CLIENT_WEIGHTS,
-    COPY,
+    COPY_HEADER,
     DATA_CENTRES,
     NODES,
     ROUTES,
@@ -34,12 +34,12 @@
     from fuchsiagap.core.calls.outcome import Outcome
     from fuchsiagap_standins.bench.faults.fleet import Fleet
 
-_PAUSE_S = 0.35
+_MEAN_PAUSE_S = 0.35
 _TIMEOUT_MS = 5_000.0
 _ATTEMPT_TIMEOUTS_MS = (0.0, 150.0, 400.0)
 _SIZES = (64,) * 11 + (150_000,)
-_HARD_COPIES = 3
-_HARD_PATIENCE_S = (0.05, 0.4)
+_MAX_COPIES = 3
+_COPY_TIMEOUT_S = (0.05, 0.4)
 
 
 @dataclass(slots=True)
@@ -56,30 +56,37 @@
     def next_request(self) -> tuple[Route, CallMark]:
         """Draw what to ask for, under a nonce of its own."""
         self.n_sent += 1
-        name = self.rng.choices(CLIENT_ROUTES, CLIENT_WEIGHTS)[0]
+        name = self.rng.choices(CLIENT_ROUTES, CLIENT_ROUTE_WEIGHTS)[0]
         nonce = f"{self.name}-{self.n_sent}"
         return ROUTES[name], CallMark(nonce, size=self.rng.choice(_SIZES))
 
-    def note(
-        self, route: Route, mark: CallMark, outcome: Outcome, copies: int, hard: bool
+    def record(
+        self,
+        route: Route,
+        mark: CallMark,
+        outcome: Outcome,
+        copies: int,
+        aggressive: bool,
     ) -> None:
         """Note what the caller holds in the end, and check an answer."""
         evidence = self.fleet.evidence
         if isinstance(outcome, Answered) and outcome.status == 200:
-            own = is_own_answer(outcome.body, mark, route.name)
-            evidence.answer_checked(mark.nonce, own)
+            is_correct = is_own_answer(outcome.body, mark, route.name)
+            evidence.record_answer(mark.nonce, is_correct)
         now = trio.current_time()
-        evidence.told.append(Told(mark.nonce, route.name, outcome, now, copies, hard))
+        evidence.requests.append(
+            RequestRecord(mark.nonce, route.name, outcome, now, copies, aggressive)
+        )
 
 
 def make_caller(fleet: Fleet, name: str, data_centre: str) -> _Caller:
     """Return a caller in a data centre, who knows the nodes there first."""
     rng = random.Random(fleet.rng.getrandbits(64))
     transport = MemoryTransport(fleet, data_centre, rng)
-    near = [f"{node}:80" for node, centre in NODES if centre == data_centre]
-    far = [f"{node}:80" for node, centre in NODES if centre != data_centre]
-    rng.shuffle(far)
-    return _Caller(name, fleet, rng, transport, (*near, *far))
+    local_nodes = [f"{node}:80" for node, centre in NODES if centre == data_centre]
+    remote_nodes = [f"{node}:80" for node, centre in NODES if centre != data_centre]
+    rng.shuffle(remote_nodes)
+    return _Caller(name, fleet, rng, transport, (*local_nodes, *remote_nodes))
 
 
 async def run_library_callers(fleet: Fleet, count: int) -> None:
@@ -112,21 +119,21 @@
         trio.open_nursery() as nursery,
     ):
 
-        async def one() -> None:
+        async def send_one() -> None:
             route, mark = caller.next_request()
             body = mark.nonce.encode()
             req = Request(route.method, route.path, body, mark.headers())
             outcome = await client.send(req)
-            caller.note(route, mark, outcome, copies=1, hard=False)
+            caller.record(route, mark, outcome, copies=1, aggressive=False)
 
         while trio.current_time() < caller.fleet.conditions.load_s:
             await trio.sleep(
-                caller.rng.expovariate(1.0 / caller.fleet.conditions.pause)
+                caller.rng.expovariate(1.0 / caller.fleet.conditions.mean_pause_s)
             )
-            nursery.start_soon(one)
+            nursery.start_soon(send_one)
 
 
-async def run_hard_caller(fleet: Fleet, name: str, until: float) -> None:
+async def run_aggressive_caller(fleet: Fleet, name: str, until: float) -> None:
     """Repeat each request soon and through any node, all copies with one ticket.
 
     Parameters
@@ -143,30 +150,30 @@
         transport=caller.transport, timeout=None, trust_env=False
     ) as http:
         while trio.current_time() < until:
-            await _ask_hard(caller, http)
-            await trio.sleep(caller.rng.expovariate(1.0 / _PAUSE_S))
+            await _send_copies(caller, http)
+            await trio.sleep(caller.rng.expovariate(1.0 / _MEAN_PAUSE_S))
 
 
-async def _ask_hard(caller: _Caller, http: httpx.AsyncClient) -> None:
+async def _send_copies(caller: _Caller, http: httpx.AsyncClient) -> None:
     ticket = await _take_ticket(caller, http)
     if ticket is None:
         return
     route, mark = caller.next_request()
     outcome: Outcome = Unknown(Reason.DEADLINE)
     copies = 0
-    while copies < _HARD_COPIES and not isinstance(outcome, Answered):
+    while copies < _MAX_COPIES and not isinstance(outcome, Answered):
         copies += 1
-        numbered = (COPY, str(copies))
-        headers = [*mark.headers(), numbered, (call_headers.TICKET, ticket)]
+        copy_header = (COPY_HEADER, str(copies))
+        headers = [*mark.headers(), copy_header, (call_headers.TICKET, ticket)]
         node = caller.rng.choice(caller.nodes)
         # The last copy is waited for; the others are given up soon.
-        patience = caller.rng.uniform(*_HARD_PATIENCE_S)
-        if copies == _HARD_COPIES:
-            patience = _TIMEOUT_MS
+        copy_timeout = caller.rng.uniform(*_COPY_TIMEOUT_S)
+        if copies == _MAX_COPIES:
+            copy_timeout = _TIMEOUT_MS
         outcome = Unknown(Reason.DEADLINE)
-        with trio.move_on_after(patience):
+        with trio.move_on_after(copy_timeout):
             outcome = await _send(http, node, route, headers, mark.nonce.encode())
-    caller.note(route, mark, outcome, copies, hard=True)
+    caller.record(route, mark, outcome, copies, aggressive=True)
 
 
 async def _take_ticket(caller: _Caller, http: httpx.AsyncClient) -> str | None:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/cli.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/cli.py
@@ -46,7 +46,7 @@
         How many runs, and how many of them side by side.
     shown : int
         Events of a failed run that are printed.
-    broken : str
+    bug : str
         Bug to plant, or empty.
     as_json : bool
         Whether the result is printed as JSON.
@@ -56,25 +56,25 @@
     runs: int
     jobs: int
     shown: int
-    broken: str
+    bug: str
     as_json: bool
 
 
 def _read_flags(argv: list[str]) -> Options:
     """Read the flags; `flags.Error` if they are not valid."""
     values: Any = flags.FlagValues()  # type: ignore[no-untyped-call]
-    for name, default, least, doc in (
+    for name, default, minimum, help_text in (
         ("seed", 1, None, "Seed of the first run."),
         ("runs", 20, 1, "How many runs."),
         ("jobs", 1, 1, "Runs side by side."),
         ("shown", 200, 0, "Events of a failed run to print."),
     ):
-        flags.DEFINE_integer(name, default, doc, least, flag_values=values)
+        flags.DEFINE_integer(name, default, help_text, minimum, flag_values=values)
     flags.DEFINE_enum("break", "", ["", *BREAKS], "Bug to plant.", flag_values=values)
     flags.DEFINE_bool("json", False, "Print one line of JSON.", flag_values=values)
-    rest = values(["faults", *argv])
-    if len(rest) > 1:
-        raise flags.Error(f"unexpected argument {rest[1]!r}")
+    positional = values(["faults", *argv])
+    if len(positional) > 1:
+        raise flags.Error(f"unexpected argument {positional[1]!r}")
     return Options(
         values["seed"].value,
         values["runs"].value,
@@ -144,37 +144,37 @@
     for result in _results(options):
         totals.add(result)
         if result.findings.violations:
-            _show(result, options)
-        if _is_caught(result, options):
+            _print_failure(result, options)
+        if _is_detected(result, options):
             break
     if options.as_json:
         print(json.dumps(totals.to_json()))
     else:
-        _show_totals(totals)
-    if options.broken:
-        return int(totals.violations[BREAKS[options.broken].check] == 0)
+        _print_totals(totals)
+    if options.bug:
+        return int(totals.violations[BREAKS[options.bug].check] == 0)
     return int(totals.violations.total() > 0)
 
 
-def _is_caught(result: RunResult, options: Options) -> bool:
+def _is_detected(result: RunResult, options: Options) -> bool:
     """Whether the planted bug was noticed by the check that it is for."""
-    if not options.broken:
+    if not options.bug:
         return False
-    return result.findings.count(BREAKS[options.broken].check) > 0
+    return result.findings.count(BREAKS[options.bug].check) > 0
 
 
 def _results(options: Options) -> Iterator[RunResult]:
     seeds = range(options.seed, options.seed + options.runs)
-    if options.jobs == 1 or options.broken:
-        yield from (run_once(seed, options.broken) for seed in seeds)
+    if options.jobs == 1 or options.bug:
+        yield from (run_once(seed, options.bug) for seed in seeds)
         return
     with ProcessPoolExecutor(options.jobs) as pool:
         yield from pool.map(run_once, seeds)
 
 
-def _show(result: RunResult, options: Options) -> None:
+def _print_failure(result: RunResult, options: Options) -> None:
     """Print a failed run's seed, what was found, and its time line."""
-    planted = f" --break {options.broken}" if options.broken else ""
+    planted = f" --break {options.bug}" if options.bug else ""
     repeat = f"--seed {result.seed} --runs 1{planted}"
     print(f"seed {result.seed} failed; repeat it with {repeat}", file=sys.stderr)
     for fault in result.faults:
@@ -186,7 +186,7 @@
         print(line, file=sys.stderr)
 
 
-def _show_totals(totals: Totals) -> None:
+def _print_totals(totals: Totals) -> None:
     for name, value in totals.to_json().items():
         print(f"{name}: {value}")
     print(f"outcomes: {dict(totals.outcomes)}")
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/conditions.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/conditions.py
@@ -22,7 +22,7 @@
         Calls a backend server works on at once; it sheds what is more.
     kept_answers : int
         Outcomes that the home of a ticket keeps.
-    pause : float
+    mean_pause_s : float
         Seconds between two requests of a caller, on average.
     load_s : float
         Seconds at which callers send their last request.
@@ -30,7 +30,7 @@
 
     slots: int = 20
     kept_answers: int = 50_000
-    pause: float = 0.35
+    mean_pause_s: float = 0.35
     load_s: float = LOAD_S
 
 
@@ -39,5 +39,5 @@
     return Conditions(
         slots=rng.choice((2, 5, 20)),
         kept_answers=rng.choice((4, 50_000)),
-        pause=rng.choice((0.2, 0.35)),
+        mean_pause_s=rng.choice((0.2, 0.35)),
     )
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/fleet.py
@@ -17,7 +17,7 @@
 from fuchsiagap_node.core.wire.messages_call import CallMessage
 from fuchsiagap_standins.answers import mark_from
 from fuchsiagap_standins.bench.faults.backend import RecordingBackend
-from fuchsiagap_standins.bench.faults.shape import NODES, TEAMS, node_config
+from fuchsiagap_standins.bench.faults.topology import NODES, TEAMS, node_config
 from fuchsiagap_standins.network import FakeNetwork
 from fuchsiagap_standins.platform import ObjectStore
 
@@ -33,11 +33,11 @@
     from fuchsiagap_standins.bench.faults.conditions import Conditions
     from fuchsiagap_standins.bench.faults.evidence import Evidence
 
-_WALL_MS = 1_700_000_000_000.0
+_START_WALL_MS = 1_700_000_000_000.0
 
 
 @dataclass(slots=True, eq=False)
-class Life:
+class NodeProcess:
     """One life of a node's process.
 
     Parameters
@@ -46,15 +46,15 @@
         The node's settings.
     state : NodeState or None
         Set once it takes calls.
-    edge : trio.Nursery or None
+    request_nursery : trio.Nursery or None
         Where its callers' requests are served.
     scope : trio.CancelScope
         Cancelled by a crash.
     backend : RecordingBackend
         The backend server on its host.
-    planned : bool
+    stop_requested : bool
         Whether it was asked to stop.
-    ended : bool
+    exited : bool
         Whether the process is gone.
     adopted : list of (str, int)
         Teams and versions whose settings it took over, in order.
@@ -64,9 +64,9 @@
     backend: RecordingBackend
     scope: trio.CancelScope
     state: NodeState | None = None
-    edge: trio.Nursery | None = None
-    planned: bool = False
-    ended: bool = False
+    request_nursery: trio.Nursery | None = None
+    stop_requested: bool = False
+    exited: bool = False
     adopted: list[tuple[str, int]] = field(default_factory=list)
 
     @property
@@ -95,9 +95,9 @@
         Of all processes.
     nursery : trio.Nursery
         Where the lives run.
-    lives : dict
+    processes : dict
         The latest life of each node.
-    past : list of Life
+    all_processes : list of NodeProcess
         All lives, the latest included.
     """
 
@@ -108,148 +108,152 @@
     store: ObjectStore
     clock: Clock
     nursery: trio.Nursery
-    lives: dict[str, Life] = field(default_factory=dict)
-    past: list[Life] = field(default_factory=list)
-    cuts: list[frozenset[str]] = field(default_factory=list)
+    processes: dict[str, NodeProcess] = field(default_factory=dict)
+    all_processes: list[NodeProcess] = field(default_factory=list)
+    partitions: list[frozenset[str]] = field(default_factory=list)
     paused: set[str] = field(default_factory=set)
-    answer_delay: float = 0.0
-    request_delay: float = 0.0
+    max_answer_delay_ms: float = 0.0
+    max_request_delay_ms: float = 0.0
     written: dict[str, dict[int, bytes]] = field(default_factory=dict)
 
     def write(self, path: str, value: bytes) -> None:
         """Put an object on the platform without a call."""
         self.store._apply(path, value, None, False)
 
-    def _note_writes(self) -> None:
+    def _record_writes(self) -> None:
         """Keep each version of a team's settings that takes effect."""
         apply = self.store._apply
         teams = {settings_path(team): team for team in TEAMS}
         self.written = {team: {} for team in TEAMS}
 
-        def noting(path: str, value: bytes, *rest: Any) -> Any:
+        def recording(path: str, value: bytes, *rest: Any) -> Any:
             result = apply(path, value, *rest)
             if path in teams and isinstance(result, StoredObject):
                 self.written[teams[path]][result.version] = value
             return result
 
-        vars(self.store)["_apply"] = noting
+        vars(self.store)["_apply"] = recording
 
-    def start(self, name: str) -> Life:
+    def start(self, name: str) -> NodeProcess:
         """Start a new life of a node."""
         data_centre = dict(NODES)[name]
         cfg = node_config(name, data_centre, self.conditions)
-        life: Life
+        process: NodeProcess
 
         def state() -> NodeState:
-            assert life.state is not None
-            return life.state
+            assert process.state is not None
+            return process.state
 
         rng = random.Random(self.rng.getrandbits(64))
         backend = RecordingBackend(
             name, self.evidence, rng, state, self.conditions.slots
         )
-        life = Life(cfg, backend, trio.CancelScope())
-        self.lives[name] = life
-        self.past.append(life)
-        self.nursery.start_soon(self._run, life)
-        return life
+        process = NodeProcess(cfg, backend, trio.CancelScope())
+        self.processes[name] = process
+        self.all_processes.append(process)
+        self.nursery.start_soon(self._run, process)
+        return process
 
     def crash(self, name: str) -> None:
         """End a node's process at once."""
-        life = self.lives[name]
+        process = self.processes[name]
         self.evidence.leaving_since.pop(name, None)
-        life.ended = True
-        life.scope.cancel()
-        self.network.crash(life.cfg.peer_address)
+        process.exited = True
+        process.scope.cancel()
+        self.network.crash(process.cfg.peer_address)
 
     def stop(self, name: str) -> None:
         """Ask a node to stop by plan."""
-        life = self.lives[name]
-        if life.state is None or life.ended or life.planned:
+        process = self.processes[name]
+        if process.state is None or process.exited or process.stop_requested:
             return
-        life.planned = True
+        process.stop_requested = True
         self.evidence.leaving_since[name] = trio.current_time()
-        life.state.request_drain()
+        process.state.request_drain()
 
     def reachable(self, one: str, other: str) -> bool:
         """Whether two data centres reach each other."""
         return not any(
-            (one in cut) is not (other in cut) for cut in self.cuts if one != other
+            (one in partition) is not (other in partition)
+            for partition in self.partitions
+            if one != other
         )
 
-    def apply_cuts(self) -> None:
-        """Make network and platform follow `cuts` and `paused`."""
+    def apply_partitions(self) -> None:
+        """Make network and platform follow `partitions` and `paused`."""
         self.network.heal()
         address = {name: f"{name}:7000" for name, _ in NODES}
-        for cut in self.cuts:
-            inside = {address[name] for name, centre in NODES if centre in cut}
+        for partition in self.partitions:
+            inside = {address[name] for name, centre in NODES if centre in partition}
             self.network.cut(inside, set(address.values()) - inside)
-        cut_off = {
-            name for name, centre in NODES if any(centre in c for c in self.cuts)
+        isolated = {
+            name for name, centre in NODES if any(centre in c for c in self.partitions)
         }
-        self.store.set_cut_off(cut_off | self.paused)
+        self.store.set_cut_off(isolated | self.paused)
 
-    async def _run(self, life: Life) -> None:
-        cfg = life.cfg
-        with life.scope:
+    async def _run(self, process: NodeProcess) -> None:
+        cfg = process.cfg
+        with process.scope:
             ports = NodePorts(
                 clock=self.clock,
                 rng=random.Random(self.rng.getrandbits(64)),
-                incarnation=int(_WALL_MS + trio.current_time() * MS_PER_S) + 1,
+                incarnation=int(_START_WALL_MS + trio.current_time() * MS_PER_S) + 1,
                 dial=partial(_dial, self.network, cfg.peer_address),
                 listen=partial(self.network.listen, cfg.peer_address),
-                backend=life.backend,
+                backend=process.backend,
                 platform=self.store.view(cfg.name),
             )
             async with trio.open_nursery() as nursery:
-                state = await nursery.start(run_node, cfg, ports, partial(_edge, life))
-                self._watch(life, state)
-                life.state = state
-        self._ended(life)
-
-    def _watch(self, life: Life, state: NodeState) -> None:
+                state = await nursery.start(
+                    run_node, cfg, ports, partial(_hold_request_nursery, process)
+                )
+                self._instrument(process, state)
+                process.state = state
+        self._record_exit(process)
+
+    def _instrument(self, process: NodeProcess, state: NodeState) -> None:
         """Count the attempts that reach the gate, by client request."""
         enter = state.gate.enter
 
-        async def counted(head: CallHead) -> Admitted | Refused:
+        async def counting_enter(head: CallHead) -> Admitted | Refused:
             self.evidence.attempts[mark_from(dict(head.headers)).nonce] += 1
             return await enter(head)
 
-        vars(state.gate)["enter"] = counted
+        vars(state.gate)["enter"] = counting_enter
         serve = state.handlers.asks[CallMessage]
 
-        async def received(peer: str, msg: CallMessage) -> object:
-            self.evidence.call_received(life.name, peer)
+        async def recording_serve(peer: str, msg: CallMessage) -> object:
+            self.evidence.record_peer_call(process.name, peer)
             return await serve(peer, msg)
 
-        state.handlers.asks[CallMessage] = received
+        state.handlers.asks[CallMessage] = recording_serve
         adopt = state.book.adopt
 
-        def noting(text: TeamText) -> Adopted | Stale | Invalid:
+        def recording(text: TeamText) -> Adopted | Stale | Invalid:
             result = adopt(text)
             if isinstance(result, Adopted):
-                life.adopted.append((text.team, result.version))
+                process.adopted.append((text.team, result.version))
             return result
 
-        vars(state.book)["adopt"] = noting
+        vars(state.book)["adopt"] = recording
 
-    def _ended(self, life: Life) -> None:
-        if not life.ended and life.planned:
-            assert life.state is not None
-            for call_id in life.state.calls.serving:
-                self.evidence.cut.append(f"call {call_id} at {life.name}")
-        life.ended = True
-        if self.lives[life.name] is life:
-            self.evidence.leaving_since.pop(life.name, None)
+    def _record_exit(self, process: NodeProcess) -> None:
+        if not process.exited and process.stop_requested:
+            assert process.state is not None
+            for call_id in process.state.calls.serving:
+                self.evidence.interrupted.append(f"call {call_id} at {process.name}")
+        process.exited = True
+        if self.processes[process.name] is process:
+            self.evidence.leaving_since.pop(process.name, None)
 
 
-async def _edge(life: Life, state: NodeState) -> None:
+async def _hold_request_nursery(process: NodeProcess, state: NodeState) -> None:
     async with trio.open_nursery() as nursery:
-        life.edge = nursery
+        process.request_nursery = nursery
         try:
             await trio.sleep_forever()
         finally:
-            life.edge = None
+            process.request_nursery = None
 
 
 def _dial(network: FakeNetwork, address: str, nursery: trio.Nursery) -> Dial:
@@ -281,8 +285,8 @@
         evidence=evidence,
         network=FakeNetwork(random.Random(rng.getrandbits(64))),
         store=ObjectStore(random.Random(rng.getrandbits(64))),
-        clock=trio_clock(_WALL_MS),
+        clock=trio_clock(_START_WALL_MS),
         nursery=nursery,
     )
-    fleet._note_writes()
+    fleet._record_writes()
     return fleet
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/inject.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/inject.py
@@ -7,10 +7,10 @@
 
 import trio
 
-from fuchsiagap_standins.bench.faults.callers import run_hard_caller
+from fuchsiagap_standins.bench.faults.callers import run_aggressive_caller
 from fuchsiagap_standins.bench.faults.operators import run_operator
 from fuchsiagap_standins.bench.faults.plan import Fault, FaultKind
-from fuchsiagap_standins.bench.faults.shape import NODES
+from fuchsiagap_standins.bench.faults.topology import NODES
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -20,9 +20,9 @@
 
 _N_HARD_CALLERS = 4
 _N_OPERATORS = 3
-_SLOWNESS = 12.0
-_LONGEST_DELAY_MS = 600.0
-_SLOW_PLATFORM_MS = 1_200.0
+_SLOW_SERVICE_FACTOR = 12.0
+_MAX_DELAY_MS = 600.0
+_SLOW_PLATFORM_LATENCY_MS = 1_200.0
 
 
 async def inject(fleet: Fleet, changes: Changes, fault: Fault) -> None:
@@ -42,35 +42,37 @@
 
 
 async def _platform_down(fleet: Fleet, _changes: Changes, fault: Fault) -> None:
-    await _platform_faulty(fleet, fault, outage=True)
+    await _with_platform_faults(fleet, fault, outage=True)
 
 
 async def _platform_slow(fleet: Fleet, _changes: Changes, fault: Fault) -> None:
-    await _platform_faulty(fleet, fault, latency=_SLOW_PLATFORM_MS)
+    await _with_platform_faults(fleet, fault, latency=_SLOW_PLATFORM_LATENCY_MS)
 
 
 async def _answers_lost(fleet: Fleet, changes: Changes, fault: Fault) -> None:
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_race, fleet, changes, fault)
-        await _platform_faulty(fleet, fault, lose_answers=0.6, lose_requests=0.2)
+        nursery.start_soon(_run_racing_operators, fleet, changes, fault)
+        await _with_platform_faults(fleet, fault, lose_answers=0.6, lose_requests=0.2)
 
 
-async def _platform_faulty(fleet: Fleet, fault: Fault, **wrong: float) -> None:
-    healthy = fleet.store.faults
-    fleet.store.set_faults(replace(healthy, **wrong))  # type: ignore[arg-type]
+async def _with_platform_faults(
+    fleet: Fleet, fault: Fault, **fault_values: float
+) -> None:
+    previous_faults = fleet.store.faults
+    fleet.store.set_faults(replace(previous_faults, **fault_values))  # type: ignore[arg-type]
     await trio.sleep(fault.duration)
-    now = fleet.store.faults
-    undone = {name: getattr(type(now)(), name) for name in wrong}
-    fleet.store.set_faults(replace(now, **undone))
+    current_faults = fleet.store.faults
+    defaults = {name: getattr(type(current_faults)(), name) for name in fault_values}
+    fleet.store.set_faults(replace(current_faults, **defaults))
 
 
 async def _partition(fleet: Fleet, _changes: Changes, fault: Fault) -> None:
-    cut = frozenset({fault.data_centre})
-    fleet.cuts.append(cut)
-    fleet.apply_cuts()
+    partition = frozenset({fault.data_centre})
+    fleet.partitions.append(partition)
+    fleet.apply_partitions()
     await trio.sleep(fault.duration)
-    fleet.cuts.remove(cut)
-    fleet.apply_cuts()
+    fleet.partitions.remove(partition)
+    fleet.apply_partitions()
 
 
 async def _pause(fleet: Fleet, _changes: Changes, fault: Fault) -> None:
@@ -79,11 +81,11 @@
         return
     fleet.paused.add(fault.node)
     fleet.network.pause(address)
-    fleet.apply_cuts()
+    fleet.apply_partitions()
     await trio.sleep(fault.duration)
     fleet.paused.discard(fault.node)
     fleet.network.resume(address)
-    fleet.apply_cuts()
+    fleet.apply_partitions()
 
 
 async def _delay_frames(fleet: Fleet, _changes: Changes, fault: Fault) -> None:
@@ -97,7 +99,7 @@
 async def _crash(fleet: Fleet, _changes: Changes, fault: Fault) -> None:
     fleet.crash(fault.node)
     await trio.sleep(fault.duration)
-    _revive(fleet, fault.node)
+    _restart_if_exited(fleet, fault.node)
 
 
 async def _crash_data_centre(fleet: Fleet, _changes: Changes, fault: Fault) -> None:
@@ -106,87 +108,89 @@
         fleet.crash(name)
     await trio.sleep(fault.duration)
     for name in names:
-        _revive(fleet, name)
+        _restart_if_exited(fleet, name)
 
 
 async def _restart(fleet: Fleet, _changes: Changes, fault: Fault) -> None:
     fleet.crash(fault.node)
     await trio.sleep(0.05)
-    _revive(fleet, fault.node)
+    _restart_if_exited(fleet, fault.node)
 
 
 async def _planned_stop(fleet: Fleet, _changes: Changes, fault: Fault) -> None:
-    life = fleet.lives[fault.node]
-    while life.state is None and not life.ended:
+    process = fleet.processes[fault.node]
+    while process.state is None and not process.exited:
         # It starts again after another fault.
         await trio.sleep(0.05)
     fleet.stop(fault.node)
-    while not life.ended:
+    while not process.exited:
         await trio.sleep(0.05)
     await trio.sleep(fault.duration / 4)
-    _revive(fleet, fault.node)
+    _restart_if_exited(fleet, fault.node)
 
 
 async def _rolling_restart(fleet: Fleet, changes: Changes, fault: Fault) -> None:
-    for name in sorted(fleet.lives):
+    for name in sorted(fleet.processes):
         await _planned_stop(fleet, changes, replace(fault, node=name, duration=0.2))
 
 
-def _revive(fleet: Fleet, node: str) -> None:
-    if fleet.lives[node].ended:
+def _restart_if_exited(fleet: Fleet, node: str) -> None:
+    if fleet.processes[node].exited:
         fleet.start(node)
 
 
 async def _lose_links(fleet: Fleet, _changes: Changes, fault: Fault) -> None:
-    ends = fault.at + fault.duration
-    while trio.current_time() < ends:
+    end_time = fault.at + fault.duration
+    while trio.current_time() < end_time:
         fleet.network.lose_links(f"{fault.node}:7000")
         await trio.sleep(0.3)
 
 
 async def _delay_answers(fleet: Fleet, _changes: Changes, fault: Fault) -> None:
-    fleet.answer_delay = _LONGEST_DELAY_MS
+    fleet.max_answer_delay_ms = _MAX_DELAY_MS
     await trio.sleep(fault.duration)
-    fleet.answer_delay = 0.0
+    fleet.max_answer_delay_ms = 0.0
 
 
 async def _delay_requests(fleet: Fleet, _changes: Changes, fault: Fault) -> None:
-    fleet.request_delay = _LONGEST_DELAY_MS
+    fleet.max_request_delay_ms = _MAX_DELAY_MS
     await trio.sleep(fault.duration)
-    fleet.request_delay = 0.0
+    fleet.max_request_delay_ms = 0.0
 
 
 async def _slow_service(fleet: Fleet, _changes: Changes, fault: Fault) -> None:
     service = fault.node.partition("-")[0]
-    lives = [life for life in fleet.past if life.name.startswith(service)]
-    for life in lives:
-        life.backend.slowness = _SLOWNESS
+    processes = [
+        process for process in fleet.all_processes if process.name.startswith(service)
+    ]
+    for process in processes:
+        process.backend.service_time_factor = _SLOW_SERVICE_FACTOR
     await trio.sleep(fault.duration)
-    for life in lives:
-        life.backend.slowness = 1.0
+    for process in processes:
+        process.backend.service_time_factor = 1.0
 
 
 async def _backend_crash(fleet: Fleet, _changes: Changes, fault: Fault) -> None:
-    backend = fleet.lives[fault.node].backend
+    backend = fleet.processes[fault.node].backend
     backend.crash()
     await trio.sleep(fault.duration)
     backend.restart()
 
 
 async def _hard_retries(fleet: Fleet, _changes: Changes, fault: Fault) -> None:
-    until = fault.at + fault.duration
+    end_time = fault.at + fault.duration
     async with trio.open_nursery() as nursery:
         for index in range(_N_HARD_CALLERS):
             name = f"hard-{fault.at:.3f}-{index}"
-            nursery.start_soon(run_hard_caller, fleet, name, until)
+            nursery.start_soon(run_aggressive_caller, fleet, name, end_time)
 
 
-async def _race(fleet: Fleet, changes: Changes, fault: Fault) -> None:
-    until = fault.at + fault.duration
+async def _run_racing_operators(fleet: Fleet, changes: Changes, fault: Fault) -> None:
+    end_time = fault.at + fault.duration
     async with trio.open_nursery() as nursery:
         for index in range(_N_OPERATORS):
             name = f"operator-{fault.at:.3f}-{index}"
-            nursery.start_soon(run_operator, fleet, changes, name, until)
+            nursery.start_soon(run_operator, fleet, changes, name, end_time)
 
 
 _INJECTORS: dict[FaultKind, Callable[[Fleet, Changes, Fault], Awaitable[None]]] = {
@@ -208,5 +212,5 @@
     FaultKind.SERVICE_SLOW: _slow_service,
     FaultKind.BACKEND_CRASH: _backend_crash,
     FaultKind.HARD_RETRIES: _hard_retries,
-    FaultKind.RACING_OPERATORS: _race,
+    FaultKind.RACING_OPERATORS: _run_racing_operators,
 }
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/operators.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/operators.py
@@ -14,7 +14,7 @@
     delete_settings,
     put_settings,
 )
-from fuchsiagap_standins.bench.faults.shape import (
+from fuchsiagap_standins.bench.faults.topology import (
     OPERATORS_TOKEN,
     OTHER_TEAM,
     TEAMS,
@@ -26,8 +26,8 @@
     from fuchsiagap_node.core.state import NodeState
     from fuchsiagap_standins.bench.faults.fleet import Fleet
 
-_PAUSE_S = 0.4
-_PATIENCE_S = 6.0
+_MEAN_PAUSE_S = 0.4
+_CHANGE_TIMEOUT_S = 6.0
 _DELETE_SHARE = 0.4
 
 
@@ -52,8 +52,8 @@
 
     def denied(self) -> list[Change]:
         """Return those whose operators were told that nothing was changed."""
-        open_kinds = (Accepted, Unsettled, type(None))
-        return [c for c in self.made if not isinstance(c.result, open_kinds)]
+        possibly_applied = (Accepted, Unsettled, type(None))
+        return [c for c in self.made if not isinstance(c.result, possibly_applied)]
 
 
 async def run_operator(fleet: Fleet, changes: Changes, name: str, until: float) -> None:
@@ -73,22 +73,24 @@
     rng = random.Random(fleet.rng.getrandbits(64))
     number = 0
     while trio.current_time() < until:
-        await trio.sleep(rng.expovariate(1.0 / _PAUSE_S))
-        life = fleet.lives[rng.choice(sorted(fleet.lives))]
-        if life.state is None or life.ended:
+        await trio.sleep(rng.expovariate(1.0 / _MEAN_PAUSE_S))
+        process = fleet.processes[rng.choice(sorted(fleet.processes))]
+        if process.state is None or process.exited:
             continue
         number += 1
         change = Change(f"{name}-{number}", trio.current_time())
         changes.made.append(change)
-        with trio.move_on_after(_PATIENCE_S):
-            change.result = await _change(life.state, change.change_id, rng)
+        with trio.move_on_after(_CHANGE_TIMEOUT_S):
+            change.result = await _change(process.state, change.change_id, rng)
 
 
 async def _change(state: NodeState, change_id: str, rng: random.Random) -> WriteResult:
     """Put a team's settings; those of the other team are deleted now and then."""
     team = rng.choice(TEAMS)
-    held = state.book.text(team)
-    expected = rng.choice((held.version if held is not None else None, None))
+    current_text = state.book.text(team)
+    expected = rng.choice(
+        (current_text.version if current_text is not None else None, None)
+    )
     if team == OTHER_TEAM and rng.random() < _DELETE_SHARE:
         return await delete_settings(state, team, expected, change_id, OPERATORS_TOKEN)
     text = team_text(rng.randrange(500))
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/plan.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/plan.py
@@ -6,7 +6,7 @@
 from enum import StrEnum
 from typing import TYPE_CHECKING
 
-from fuchsiagap_standins.bench.faults.shape import DATA_CENTRES, NODES
+from fuchsiagap_standins.bench.faults.topology import DATA_CENTRES, NODES
 
 if TYPE_CHECKING:
     import random
@@ -40,11 +40,11 @@
     RACING_OPERATORS = "racing-operators"
 
 
-_SHORTEST_S = {
+_MIN_DURATION_S = {
     FaultKind.LAPSED_WHILE_PAUSED: 2.5,
     FaultKind.PARTITION: 1.0,
 }
-_LONGEST_S = {
+_MAX_DURATION_S = {
     FaultKind.PAUSE: 0.6,
     FaultKind.FRAMES_DELAYED: 0.4,
 }
@@ -84,8 +84,8 @@
     first = _draw(rng, rng.uniform(FIRST_FAULT_S, LAST_FAULT_S))
     faults = [first]
     if rng.random() < 0.5:
-        during = first.at + rng.random() * first.duration
-        faults.append(_draw(rng, min(during, LAST_FAULT_S)))
+        overlap_at = first.at + rng.random() * first.duration
+        faults.append(_draw(rng, min(overlap_at, LAST_FAULT_S)))
     if rng.random() < 0.3:
         faults.append(_draw(rng, rng.uniform(FIRST_FAULT_S, LAST_FAULT_S)))
     return tuple(sorted(faults, key=lambda fault: fault.at))
@@ -93,12 +93,12 @@
 
 def _draw(rng: random.Random, at: float) -> Fault:
     kind = rng.choice(tuple(FaultKind))
-    shortest = _SHORTEST_S.get(kind, 0.2)
-    longest = _LONGEST_S.get(kind, 4.0)
+    min_duration = _MIN_DURATION_S.get(kind, 0.2)
+    max_duration = _MAX_DURATION_S.get(kind, 4.0)
     return Fault(
         kind=kind,
         at=at,
-        duration=rng.uniform(shortest, longest),
+        duration=rng.uniform(min_duration, max_duration),
         node=rng.choice(NODES)[0],
         data_centre=rng.choice(DATA_CENTRES),
     )
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/run.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/run.py
@@ -21,7 +21,7 @@
 from fuchsiagap_standins.bench.faults.checks import (
     NOT_AT_REST,
     Findings,
-    check_rest,
+    check_convergence,
     check_run,
 )
 from fuchsiagap_standins.bench.faults.conditions import Conditions, draw_conditions
@@ -30,8 +30,8 @@
 from fuchsiagap_standins.bench.faults.inject import inject
 from fuchsiagap_standins.bench.faults.operators import Changes, run_operator
 from fuchsiagap_standins.bench.faults.plan import Fault, draw_faults
-from fuchsiagap_standins.bench.faults.shape import NODES, TEAM, team_text
 from fuchsiagap_standins.bench.faults.timeline import merged_events
+from fuchsiagap_standins.bench.faults.topology import NODES, TEAM, team_text
 from fuchsiagap_standins.testing import run_virtual
 
 if TYPE_CHECKING:
@@ -40,8 +40,8 @@
 _N_LIBRARY_CALLERS = 6
 _START_S = 2.0
 # Healed, nodes agree on members within 5 s and on settings within 9 s.
-_REST_S = 9.0
-_END_S = 40.0
+_CONVERGENCE_TIMEOUT_S = 9.0
+_LOAD_DEADLINE_S = 40.0
 _REAL_LIMIT_S = 60.0
 
 
@@ -75,7 +75,7 @@
 
 def run_once(
     seed: int,
-    broken: str = "",
+    bug: str = "",
     faults: Iterable[Fault] | None = None,
     conditions: Conditions | None = None,
 ) -> RunResult:
@@ -85,7 +85,7 @@
     ----------
     seed : int
         Of all randomness.
-    broken : str
+    bug : str
         A bug to plant; see `breaks`.
     faults : iterable of Fault, optional
         Instead of those that the seed draws.
@@ -101,10 +101,16 @@
     drawn_conditions = draw_conditions(rng)
     drawn = draw_faults(rng)
     chosen = drawn if faults is None else tuple(faults)
-    tight = conditions or drawn_conditions
-    with planted(broken):
+    run_conditions = conditions or drawn_conditions
+    with planted(bug):
         return run_virtual(
-            _run, seed, rng, tight, chosen, seed=seed, real_limit_s=_REAL_LIMIT_S
+            _run,
+            seed,
+            rng,
+            run_conditions,
+            chosen,
+            seed=seed,
+            real_limit_s=_REAL_LIMIT_S,
         )
 
 
@@ -112,34 +118,34 @@
     seed: int, rng: random.Random, conditions: Conditions, faults: tuple[Fault, ...]
 ) -> RunResult:
     evidence, changes = Evidence(), Changes()
-    stuck: list[str] = []
+    overruns: list[str] = []
     async with trio.open_nursery() as nursery:
         fleet = open_fleet(rng, conditions, evidence, nursery)
-        put_first_settings(fleet)
+        write_initial_settings(fleet)
         for name, _ in NODES:
             fleet.start(name)
         await trio.sleep(_START_S)
-        with trio.move_on_at(_END_S) as scope:
+        with trio.move_on_at(_LOAD_DEADLINE_S) as scope:
             async with trio.open_nursery() as load:
                 load.start_soon(run_library_callers, fleet, _N_LIBRARY_CALLERS)
-                ends = conditions.load_s
-                load.start_soon(run_operator, fleet, changes, "operator", ends)
+                end_time = conditions.load_s
+                load.start_soon(run_operator, fleet, changes, "operator", end_time)
                 for fault in faults:
                     load.start_soon(inject, fleet, changes, fault)
         if scope.cancelled_caught:
-            stuck.append(f"load or faults go on after {_END_S:.0f} s")
-        unrested = await _rest(fleet)
+            overruns.append(f"load or faults go on after {_LOAD_DEADLINE_S:.0f} s")
+        unconverged = await _wait_for_convergence(fleet)
         findings = check_run(fleet, evidence, changes, faults)
-        findings.judge(NOT_AT_REST, stuck, 1)
-        for check, found in unrested.items():
-            findings.judge(check, found, len(NODES))
+        findings.add_result(NOT_AT_REST, overruns, 1)
+        for check, found in unconverged.items():
+            findings.add_result(check, found, len(NODES))
         timeline = merged_events(fleet) if findings.violations else ()
         nursery.cancel_scope.cancel()
-    outcomes = Counter(type(told.outcome).__name__ for told in evidence.told)
-    return RunResult(seed, faults, len(evidence.told), findings, outcomes, timeline)
+    outcomes = Counter(type(record.outcome).__name__ for record in evidence.requests)
+    return RunResult(seed, faults, len(evidence.requests), findings, outcomes, timeline)
 
 
-def put_first_settings(fleet: Fleet) -> None:
+def write_initial_settings(fleet: Fleet) -> None:
     """Have the platform hold the team's settings from the start."""
     text = team_text(0)
     at = "2026-01-01T00:00:00Z"
@@ -147,9 +153,9 @@
     fleet.write(settings_path(TEAM), format_stored_text(record, (), text).encode())
 
 
-async def _rest(fleet: Fleet) -> dict[str, list[str]]:
+async def _wait_for_convergence(fleet: Fleet) -> dict[str, list[str]]:
     """Wait until all nodes agree; return where they do not in time."""
-    ends = trio.current_time() + _REST_S
-    while check_rest(fleet) and trio.current_time() < ends:
+    end_time = trio.current_time() + _CONVERGENCE_TIMEOUT_S
+    while check_convergence(fleet) and trio.current_time() < end_time:
         await trio.sleep(0.1)
-    return check_rest(fleet)
+    return check_convergence(fleet)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/timeline.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/timeline.py
@@ -20,9 +20,9 @@
         The nodes.
     """
     events: list[Event] = []
-    for life in fleet.past:
-        if life.state is not None:
-            events.extend(life.state.telemetry.ring.since().events)
+    for process in fleet.all_processes:
+        if process.state is not None:
+            events.extend(process.state.telemetry.ring.since().events)
     events.sort(key=lambda event: (event.stamp, event.process))
     if not events:
         return ()
@@ -32,6 +32,6 @@
 
 def _line(event: Event, first: int) -> str:
     at = (event.stamp >> _STAMP_SHIFT) - first
-    said = " ".join(f"{name}={value}" for name, value in event.detail.items())
+    detail_text = " ".join(f"{name}={value}" for name, value in event.detail.items())
     ids = f"{event.call_id or '-'} {event.root_id or '-'}"
-    return f"{at:8d} ms {event.process:10s} {event.kind.value:24s} {ids} {said}"
+    return f"{at:8d} ms {event.process:10s} {event.kind.value:24s} {ids} {detail_text}"
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/shape.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/topology.py
@@ -20,7 +20,7 @@
 OPERATORS_TOKEN = memory_nodes.OPERATORS_TOKEN
 ALLOWANCE = 3
 # Header with the number of a copy that a caller sends without the library.
-COPY = "standin-copy"
+COPY_HEADER = "standin-copy"
 DATA_CENTRES = ("hall-a", "hall-b", "hall-c")
 # Name of each node and the data centre it runs in; the service is the name's head.
 NODES: tuple[tuple[str, str], ...] = (
@@ -84,7 +84,7 @@
 }
 # What clients ask for, and how often compared with the others.
 CLIENT_ROUTES = ("results/lookup", "results/report", "certs/issue")
-CLIENT_WEIGHTS = (2, 3, 5)
+CLIENT_ROUTE_WEIGHTS = (2, 3, 5)
 
 
 def n_calls(name: str) -> int:
@@ -92,15 +92,19 @@
     return 1 + sum(n_calls(child) for child in ROUTES[name].calls)
 
 
-def team_text(marker: int) -> str:
-    """Return the team's settings; `marker` makes each text another one.
+def team_text(extra_timeout_ms: int) -> str:
+    """Return the team's settings; `extra_timeout_ms` makes each text another one.
 
     Parameters
     ----------
-    marker : int
+    extra_timeout_ms : int
         Milliseconds above the least timeout.
     """
-    lines = ["[team]", f"attempts = {ALLOWANCE}", f"timeout = {6_000 + marker}ms"]
+    lines = [
+        "[team]",
+        f"attempts = {ALLOWANCE}",
+        f"timeout = {6_000 + extra_timeout_ms}ms",
+    ]
     for route in ROUTES.values():
         idempotent = "yes" if route.idempotent else "no"
         lines += [
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/transport.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/transport.py
@@ -16,13 +16,13 @@
     import random
     from collections.abc import AsyncIterator
 
-    from fuchsiagap_standins.bench.faults.fleet import Fleet, Life
+    from fuchsiagap_standins.bench.faults.fleet import Fleet, NodeProcess
 
-_DELAY_MS = (0.5, 6.0)
-_POLL_MS = 20.0
-_CONNECT_MS = 300.0
+_NETWORK_DELAY_MS = (0.5, 6.0)
+_POLL_INTERVAL_MS = 20.0
+_CONNECT_TIMEOUT_MS = 300.0
 # Share of callers who leave without the node noticing, as in a partition.
-_UNNOTICED_SHARE = 0.3
+_UNNOTICED_DISCONNECT_SHARE = 0.3
 
 
 @dataclass(slots=True, eq=False)
@@ -65,76 +65,91 @@
     async def handle_async_request(self, request: httpx.Request) -> httpx.Response:
         """Send a request to the node its URL names; see `httpx`."""
         name = request.url.host
-        await self._travel()
-        life = self._fleet.lives.get(name)
-        if life is None or life.ended or life.edge is None or life.state is None:
+        await self._sleep_network_delay()
+        process = self._fleet.processes.get(name)
+        if (
+            process is None
+            or process.exited
+            or process.request_nursery is None
+            or process.state is None
+        ):
             raise httpx.ConnectError("connection refused")
-        if not self._reaches(life):
-            await sleep_ms(_CONNECT_MS)
+        if not self._is_reachable(process):
+            await sleep_ms(_CONNECT_TIMEOUT_MS)
             raise httpx.ConnectTimeout("no answer")
         exchange = _Exchange()
-        delay = self._rng.random() * self._fleet.request_delay
-        req = _read(request)
-        life.edge.start_soon(_arrive, self._fleet, life, req, exchange, delay)
+        delay = self._rng.random() * self._fleet.max_request_delay_ms
+        req = _to_node_request(request)
+        process.request_nursery.start_soon(
+            _deliver, self._fleet, process, req, exchange, delay
+        )
         try:
             await exchange.done.wait()
-            await self._travel(self._fleet.answer_delay)
-            while not self._reaches(life):
-                await sleep_ms(_POLL_MS)
+            await self._sleep_network_delay(self._fleet.max_answer_delay_ms)
+            while not self._is_reachable(process):
+                await sleep_ms(_POLL_INTERVAL_MS)
         except trio.Cancelled:
-            if self._rng.random() > _UNNOTICED_SHARE:
+            if self._rng.random() > _UNNOTICED_DISCONNECT_SHARE:
                 exchange.scope.cancel()
             raise
         if exchange.response is None:
             raise httpx.ReadError("connection lost")
-        return _write(exchange.response)
+        return _to_client_response(exchange.response)
 
-    def _reaches(self, life: Life) -> bool:
-        there = life.cfg.data_centre
-        paused = life.name in self._fleet.paused
-        return not paused and self._fleet.reachable(self._data_centre, there)
+    def _is_reachable(self, process: NodeProcess) -> bool:
+        node_data_centre = process.cfg.data_centre
+        paused = process.name in self._fleet.paused
+        return not paused and self._fleet.reachable(self._data_centre, node_data_centre)
 
-    async def _travel(self, more: float = 0.0) -> None:
-        await sleep_ms(self._rng.uniform(*_DELAY_MS) + self._rng.random() * more)
+    async def _sleep_network_delay(self, max_extra_ms: float = 0.0) -> None:
+        await sleep_ms(
+            self._rng.uniform(*_NETWORK_DELAY_MS) + self._rng.random() * max_extra_ms
+        )
 
 
-async def _arrive(
-    fleet: Fleet, life: Life, req: HttpRequest, exchange: _Exchange, delay: float
+async def _deliver(
+    fleet: Fleet,
+    process: NodeProcess,
+    req: HttpRequest,
+    exchange: _Exchange,
+    delay: float,
 ) -> None:
     """Serve a request after its time on the way; its caller may be gone by then."""
     try:
         with exchange.scope:
             await sleep_ms(delay)
-            await _serve(fleet, life, req, exchange)
+            await _serve(fleet, process, req, exchange)
     finally:
         exchange.done.set()
 
 
 async def _serve(
-    fleet: Fleet, life: Life, req: HttpRequest, exchange: _Exchange
+    fleet: Fleet, process: NodeProcess, req: HttpRequest, exchange: _Exchange
 ) -> None:
-    assert life.state is not None
-    calls = life.state.calls
+    assert process.state is not None
+    calls = process.state.calls
     calls.n_responding += 1
     try:
-        exchange.response = await callers._respond(life.state, req)
+        exchange.response = await callers._respond(process.state, req)
     except trio.Cancelled:
-        given_up = exchange.scope.cancel_called
-        if life.planned and not life.ended and not given_up:
-            fleet.evidence.cut.append(f"{req.method} {req.target} at {life.name}")
+        caller_cancelled = exchange.scope.cancel_called
+        if process.stop_requested and not process.exited and not caller_cancelled:
+            fleet.evidence.interrupted.append(
+                f"{req.method} {req.target} at {process.name}"
+            )
         raise
     finally:
         calls.n_responding -= 1
         calls.note_end()
 
 
-def _read(request: httpx.Request) -> HttpRequest:
+def _to_node_request(request: httpx.Request) -> HttpRequest:
     headers = [(name.lower(), value) for name, value in request.headers.raw]
     target = request.url.raw_path.decode("ascii")
     return HttpRequest(request.method, target, headers, request.read())
 
 
-def _write(response: HttpResponse) -> httpx.Response:
+def _to_client_response(response: HttpResponse) -> httpx.Response:
     length = (b"content-length", str(len(response.body)).encode())
     headers = [*response.headers, length]
     stream = _Body(response.body)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/fleet.py
@@ -20,7 +20,7 @@
 _STEADY_S = 20.0
 _SETTLE_S = 5.0
 _TRIALS = 5
-_LIMIT_MS = 20_000.0
+_TIMEOUT_MS = 20_000.0
 _MS_PER_S = 1e3
 
 
@@ -87,21 +87,21 @@
 async def _measure(n_nodes: int, n_data_centres: int, seed: int) -> FleetFigures:
     rng = random.Random(seed)
     async with open_fleet(seed) as fleet:
-        halls = [f"hall-{i}" for i in range(n_data_centres)]
-        await _start(fleet, n_nodes, halls)
-        steady = await _steady(fleet)
-        spread = [await _spread(fleet, rng) for _ in range(_TRIALS)]
-        ends = [await _end(fleet, rng) for _ in range(_TRIALS)]
-        vanished = [await _vanish(fleet, rng) for _ in range(_TRIALS)]
-        fleet.add("new-1", halls[0], first=_first(fleet))
-        joined = await fleet.until(fleet.agree, _LIMIT_MS)
-        healed = await _heal(fleet, halls)
+        data_centre_names = [f"hall-{i}" for i in range(n_data_centres)]
+        await _start_nodes(fleet, n_nodes, data_centre_names)
+        steady = await _measure_steady_state(fleet)
+        spread = [await _measure_spread(fleet, rng) for _ in range(_TRIALS)]
+        exits = [await _measure_process_exit(fleet, rng) for _ in range(_TRIALS)]
+        vanished = [await _measure_host_loss(fleet, rng) for _ in range(_TRIALS)]
+        fleet.add("new-1", data_centre_names[0], first=_seed_peers(fleet))
+        joined = await fleet.until(fleet.agree, _TIMEOUT_MS)
+        healed = await _measure_partition_recovery(fleet, data_centre_names)
     return FleetFigures(
         nodes=n_nodes,
         data_centres=n_data_centres,
         vanish_ms_median=statistics.median(vanished),
         vanish_ms_max=max(vanished),
-        end_ms_median=statistics.median(ends),
+        end_ms_median=statistics.median(exits),
         spread_ms_median=statistics.median(spread),
         spread_ms_max=max(spread),
         join_ms=joined,
@@ -115,7 +115,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Steady:
+class _SteadyState:
     messages: float
     n_bytes: float
     n_bytes_max: float
@@ -123,10 +123,16 @@
     links: float
 
 
-async def _start(fleet: Fleet, n_nodes: int, halls: list[str]) -> None:
+async def _start_nodes(
+    fleet: Fleet, n_nodes: int, data_centre_names: list[str]
+) -> None:
     """Start all nodes, each knowing all others, as after a long time together."""
     nodes = [
-        fleet.add(f"certs-{i}", halls[i % len(halls)], incarnation=1_000 + i)
+        fleet.add(
+            f"certs-{i}",
+            data_centre_names[i % len(data_centre_names)],
+            incarnation=1_000 + i,
+        )
         for i in range(n_nodes)
     ]
     members = [node.membership.self_member for node in nodes]
@@ -136,7 +142,7 @@
     assert fleet.agree()
 
 
-async def _steady(fleet: Fleet) -> _Steady:
+async def _measure_steady_state(fleet: Fleet) -> _SteadyState:
     nodes = list(fleet.nodes.values())
     before = [(node.sent.messages, node.sent.n_bytes) for node in nodes]
     started = time.process_time()
@@ -144,7 +150,7 @@
     cpu_s = time.process_time() - started
     messages = [n.sent.messages - b[0] for n, b in zip(nodes, before, strict=True)]
     n_bytes = [n.sent.n_bytes - b[1] for n, b in zip(nodes, before, strict=True)]
-    return _Steady(
+    return _SteadyState(
         messages=statistics.mean(messages) / _STEADY_S,
         n_bytes=statistics.mean(n_bytes) / _STEADY_S,
         n_bytes_max=max(n_bytes) / _STEADY_S,
@@ -153,73 +159,79 @@
     )
 
 
-async def _spread(fleet: Fleet, rng: random.Random) -> Milliseconds:
+async def _measure_spread(fleet: Fleet, rng: random.Random) -> Milliseconds:
     node = fleet.nodes[rng.choice(sorted(fleet.nodes))]
     await trio.sleep(rng.random())
-    word = node.membership.announce_state(MemberState.ALIVE)
+    announced = node.membership.announce_state(MemberState.ALIVE)
 
-    def everywhere() -> bool:
+    def is_in_all_views() -> bool:
         views = (other.membership for other in fleet.nodes.values())
-        return all(view.get(node.name) == word for view in views)
+        return all(view.get(node.name) == announced for view in views)
 
-    return await fleet.until(everywhere, _LIMIT_MS)
+    return await fleet.until(is_in_all_views, _TIMEOUT_MS)
 
 
-async def _end(fleet: Fleet, rng: random.Random) -> Milliseconds:
+async def _measure_process_exit(fleet: Fleet, rng: random.Random) -> Milliseconds:
     name = rng.choice(sorted(fleet.nodes))
-    hall = fleet.nodes[name].membership.self_member.data_centre
+    data_centre_name = fleet.nodes[name].membership.self_member.data_centre
     await trio.sleep(rng.random())
     fleet.crash(name)
-    taken = await _until_dead(fleet, name)
-    await _replace(fleet, name, hall)
-    return taken
+    elapsed_ms = await _wait_until_dead(fleet, name)
+    await _replace(fleet, name, data_centre_name)
+    return elapsed_ms
 
 
-async def _vanish(fleet: Fleet, rng: random.Random) -> Milliseconds:
+async def _measure_host_loss(fleet: Fleet, rng: random.Random) -> Milliseconds:
     name = rng.choice(sorted(fleet.nodes))
-    hall = fleet.nodes[name].membership.self_member.data_centre
+    data_centre_name = fleet.nodes[name].membership.self_member.data_centre
     await trio.sleep(rng.random())
     node = fleet.nodes.pop(name)
     fleet.network.pause(node.address)
     node.scope.cancel()
-    taken = await _until_dead(fleet, name)
+    elapsed_ms = await _wait_until_dead(fleet, name)
     fleet.network.crash(node.address)
     fleet.network.resume(node.address)
-    await _replace(fleet, name, hall)
-    return taken
+    await _replace(fleet, name, data_centre_name)
+    return elapsed_ms
 
 
-async def _until_dead(fleet: Fleet, name: str) -> Milliseconds:
-    def noticed() -> bool:
+async def _wait_until_dead(fleet: Fleet, name: str) -> Milliseconds:
+    def is_dead_in_all_views() -> bool:
         states = (node.state_of(name) for node in fleet.nodes.values())
         return all(state is MemberState.DEAD for state in states)
 
-    return await fleet.until(noticed, _LIMIT_MS)
+    return await fleet.until(is_dead_in_all_views, _TIMEOUT_MS)
 
 
-async def _replace(fleet: Fleet, name: str, hall: str) -> None:
-    fleet.add(name, hall, first=_first(fleet))
-    await fleet.until(fleet.agree, _LIMIT_MS)
+async def _replace(fleet: Fleet, name: str, data_centre_name: str) -> None:
+    fleet.add(name, data_centre_name, first=_seed_peers(fleet))
+    await fleet.until(fleet.agree, _TIMEOUT_MS)
     await trio.sleep(_SETTLE_S)
 
 
-def _first(fleet: Fleet) -> list[str]:
+def _seed_peers(fleet: Fleet) -> list[str]:
     return [next(iter(fleet.nodes.values())).address]
 
 
-async def _heal(fleet: Fleet, halls: list[str]) -> Milliseconds:
-    cut_off = fleet.addresses(halls[-1])
-    rest = {node.address for node in fleet.nodes.values()} - cut_off
-    fleet.network.cut(cut_off | {"new-2:7000"}, rest)
+async def _measure_partition_recovery(
+    fleet: Fleet, data_centre_names: list[str]
+) -> Milliseconds:
+    isolated_addresses = fleet.addresses(data_centre_names[-1])
+    other_addresses = {
+        node.address for node in fleet.nodes.values()
+    } - isolated_addresses
+    fleet.network.cut(isolated_addresses | {"new-2:7000"}, other_addresses)
     # The digests would tell each side of the other.
     fleet.store.set_faults(PlatformFaults(outage=True))
     await trio.sleep(_SETTLE_S)
-    lost = next(n for n in sorted(fleet.nodes) if fleet.nodes[n].address in rest)
-    fleet.crash(lost)
-    fleet.add("new-2", halls[-1], first=sorted(cut_off)[:1])
+    crashed_node = next(
+        n for n in sorted(fleet.nodes) if fleet.nodes[n].address in other_addresses
+    )
+    fleet.crash(crashed_node)
+    fleet.add("new-2", data_centre_names[-1], first=sorted(isolated_addresses)[:1])
     await trio.sleep(_SETTLE_S)
     # What was held back is lost, so that nothing but the syncs can help.
-    for address in cut_off:
+    for address in isolated_addresses:
         fleet.network.lose_links(address)
     fleet.network.heal()
-    return await fleet.until(fleet.agree, _LIMIT_MS)
+    return await fleet.until(fleet.agree, _TIMEOUT_MS)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/links.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/links.py
@@ -24,7 +24,7 @@
 
 _N_DIALS = 100
 _N_MESSAGES = 2_000
-_PACE_S = 0.002
+_SEND_INTERVAL_S = 0.002
 _US_PER_S = 1e6
 
 
@@ -59,38 +59,38 @@
     async with trio.open_nursery() as nursery:
         (listener,) = await trio.open_tcp_listeners(0, host="127.0.0.1")
         address = f"127.0.0.1:{listener.socket.getsockname()[1]}"
-        there = _peers(address, websocket_dial(nursery), nursery)
-        here = _peers("127.0.0.1:1", websocket_dial(nursery), nursery)
-        await nursery.start(serve_links, [listener], there.take)
+        server_peers = _make_peers(address, websocket_dial(nursery), nursery)
+        client_peers = _make_peers("127.0.0.1:1", websocket_dial(nursery), nursery)
+        await nursery.start(serve_links, [listener], server_peers.take)
 
         async def reopen() -> None:
-            here.drop(address)
-            while here.linked():
+            client_peers.drop(address)
+            while client_peers.linked():
                 await trio.sleep(0)
-            await here.notify(address, Heartbeat(0))
+            await client_peers.notify(address, Heartbeat(0))
 
-        async def beat() -> None:
-            await here.notify(address, Heartbeat(1 << 60))
-            await trio.sleep(_PACE_S)
+        async def send_heartbeat() -> None:
+            await client_peers.notify(address, Heartbeat(1 << 60))
+            await trio.sleep(_SEND_INTERVAL_S)
 
         async def ping() -> None:
-            await here.ask(address, Ping("certs-1"))
-            await trio.sleep(_PACE_S)
-
-        async def nothing() -> None:
-            await trio.sleep(_PACE_S)
-
-        await here.notify(address, Heartbeat(0))
-        open_us = await _cost(reopen, _N_DIALS)
-        idle_us = await _cost(nothing, _N_MESSAGES)
-        heartbeat_us = await _cost(beat, _N_MESSAGES) - idle_us
-        ping_us = await _cost(ping, _N_MESSAGES) - idle_us
-        link_bytes = await _link_memory(address, there.wire, nursery)
+            await client_peers.ask(address, Ping("certs-1"))
+            await trio.sleep(_SEND_INTERVAL_S)
+
+        async def wait_only() -> None:
+            await trio.sleep(_SEND_INTERVAL_S)
+
+        await client_peers.notify(address, Heartbeat(0))
+        open_us = await _measure_cpu_us(reopen, _N_DIALS)
+        idle_us = await _measure_cpu_us(wait_only, _N_MESSAGES)
+        heartbeat_us = await _measure_cpu_us(send_heartbeat, _N_MESSAGES) - idle_us
+        ping_us = await _measure_cpu_us(ping, _N_MESSAGES) - idle_us
+        link_bytes = await _measure_link_memory(address, server_peers.wire, nursery)
         nursery.cancel_scope.cancel()
     return LinkFigures(open_us, heartbeat_us, ping_us, link_bytes)
 
 
-def _peers(address: str, dial: Dial, nursery: trio.Nursery) -> LinkPeers:
+def _make_peers(address: str, dial: Dial, nursery: trio.Nursery) -> LinkPeers:
     handlers = Handlers()
 
     async def on_heartbeat(_peer: str, _msg: Heartbeat) -> None:
@@ -106,7 +106,7 @@
     return LinkPeers(LinkSettings(), wire, dial, nursery)
 
 
-async def _cost(action: Callable[[], Awaitable[None]], count: int) -> float:
+async def _measure_cpu_us(action: Callable[[], Awaitable[None]], count: int) -> float:
     """Return microseconds of processor time for each of many."""
     await action()
     started = time.process_time()
@@ -115,14 +115,16 @@
     return (time.process_time() - started) * _US_PER_S / count
 
 
-async def _link_memory(address: str, wire: Wire, nursery: trio.Nursery) -> float:
+async def _measure_link_memory(
+    address: str, wire: Wire, nursery: trio.Nursery
+) -> float:
     """Return bytes of one end of a link; both ends are in this process."""
     n_links = 50
     dial = websocket_dial(nursery)
     tracemalloc.start()
     try:
         others = [
-            LinkPeers(LinkSettings(), _renamed(wire, i), dial, nursery)
+            LinkPeers(LinkSettings(), _with_address(wire, i), dial, nursery)
             for i in range(n_links)
         ]
         before = tracemalloc.get_traced_memory()[0]
@@ -134,6 +136,6 @@
         tracemalloc.stop()
 
 
-def _renamed(wire: Wire, number: int) -> Wire:
+def _with_address(wire: Wire, number: int) -> Wire:
     name = f"127.0.0.1:{number + 2}"
     return replace(wire, hello=Hello(name, 1, "hall-a", name))
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/loopback.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/loopback.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(slots=True)
-class _Loopback:
+class _LoopbackNetwork:
     """Stands where `Fleet` expects a network; knows who listens at which port."""
 
     nursery: trio.Nursery
@@ -103,7 +103,7 @@
     async with trio.open_nursery() as nursery:
         fleet = Fleet(
             rng=rng,
-            network=cast("FakeNetwork", _Loopback(nursery)),
+            network=cast("FakeNetwork", _LoopbackNetwork(nursery)),
             store=ObjectStore(random.Random(seed)),
             cfg=MembershipSettings(),
             nursery=nursery,
@@ -115,16 +115,19 @@
         nodes = list(fleet.nodes.values())
         messages = sum(node.sent.messages for node in nodes)
         n_bytes = sum(node.sent.n_bytes for node in nodes)
-        started, wall = time.process_time(), time.monotonic()
+        started, started_wall = time.process_time(), time.monotonic()
         await trio.sleep(_MEASURED_S)
-        cpu_s, taken_s = time.process_time() - started, time.monotonic() - wall
+        cpu_s, elapsed_s = (
+            time.process_time() - started,
+            time.monotonic() - started_wall,
+        )
         messages = sum(node.sent.messages for node in nodes) - messages
         n_bytes = sum(node.sent.n_bytes for node in nodes) - n_bytes
         links = sum(len(node.peers.linked()) for node in nodes)
         fleet.crash("certs-1")
-        ended = await fleet.until(lambda: _all_see_dead(fleet, "certs-1"))
+        exit_ms = await fleet.until(lambda: _all_see_dead(fleet, "certs-1"))
         nursery.cancel_scope.cancel()
-    node_seconds = _N_NODES * taken_s
+    node_seconds = _N_NODES * elapsed_s
     return LoopbackFigures(
         nodes=_N_NODES,
         data_centres=_N_DATA_CENTRES,
@@ -132,7 +135,7 @@
         messages_per_s=messages / node_seconds,
         bytes_per_s=n_bytes / node_seconds,
         links=links / _N_NODES,
-        end_ms=ended,
+        end_ms=exit_ms,
     )
 
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/view.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/view.py
@@ -84,39 +84,39 @@
     seed : int
         Of all randomness.
     """
-    members = [_member(i) for i in range(n_members)]
+    members = [_make_member(i) for i in range(n_members)]
     newer = [replace(member, refutation=1) for member in members]
     dead = [replace(member, refutation=1, state=MemberState.DEAD) for member in newer]
-    view = _empty(seed)
-    join_us = _per_item(lambda: view.merge(members), n_members)
-    stale_us = _per_item(lambda: view.merge(members), n_members)
-    apply_us = _per_item(lambda: view.merge(newer), n_members)
-    instances_us = _shortest(view.instances) * _US_PER_S
-    neighbours_us = _shortest(lambda: (predecessors(view), receivers(view)))
-    digest_us = _shortest(view.digest) * _US_PER_S
+    view = _make_empty_view(seed)
+    join_us = _cpu_us_per_item(lambda: view.merge(members), n_members)
+    stale_us = _cpu_us_per_item(lambda: view.merge(members), n_members)
+    apply_us = _cpu_us_per_item(lambda: view.merge(newer), n_members)
+    instances_us = _min_cpu_s(view.instances) * _US_PER_S
+    neighbours_us = _min_cpu_s(lambda: (predecessors(view), receivers(view)))
+    digest_us = _min_cpu_s(view.digest) * _US_PER_S
     batch = Updates(tuple(members[: view.cfg.max_updates]))
-    wire_s = _shortest(lambda: decode(encode(batch)))
-    hall = tuple(members[::_N_DATA_CENTRES])
-    stored_s = _shortest(lambda: decode_members(encode_members(hall)))
-    death_us = _per_item(lambda: view.merge(dead), n_members)
+    wire_s = _min_cpu_s(lambda: decode(encode(batch)))
+    data_centre_members = tuple(members[::_N_DATA_CENTRES])
+    stored_s = _min_cpu_s(lambda: decode_members(encode_members(data_centre_members)))
+    death_us = _cpu_us_per_item(lambda: view.merge(dead), n_members)
     return ViewFigures(
         members=n_members,
         apply_us=apply_us,
         stale_us=stale_us,
         join_us=join_us,
         death_us=death_us,
-        bytes_per_member=_memory(n_members, seed) / n_members,
+        bytes_per_member=_measure_memory(n_members, seed) / n_members,
         instances_us=instances_us,
         neighbours_us=neighbours_us * _US_PER_S,
         digest_us=digest_us,
         wire_bytes_per_member=len(encode(batch)) / len(batch.members),
         wire_us_per_member=wire_s * _US_PER_S / len(batch.members),
-        stored_bytes=len(encode_members(hall)),
+        stored_bytes=len(encode_members(data_centre_members)),
         stored_ms=stored_s * _MS_PER_S,
     )
 
 
-def _member(number: int) -> Member:
+def _make_member(number: int) -> Member:
     service = f"service-{number % 220}"
     return Member(
         node=f"{service}-{number // 220}",
@@ -128,16 +128,16 @@
     )
 
 
-def _empty(seed: int) -> Membership:
+def _make_empty_view(seed: int) -> Membership:
     clock = Clock(now=lambda: 0.0, wall=lambda: 0.0)
-    me = replace(_member(0), node="self", services=())
-    return Membership(MembershipSettings(), me, clock, random.Random(seed))
+    self_member = replace(_make_member(0), node="self", services=())
+    return Membership(MembershipSettings(), self_member, clock, random.Random(seed))
 
 
-def _memory(n_members: int, seed: int) -> int:
+def _measure_memory(n_members: int, seed: int) -> int:
     """Return the bytes of a view whose words came in frames, as they do."""
     size = MembershipSettings().max_updates
-    members = [_member(i) for i in range(n_members)]
+    members = [_make_member(i) for i in range(n_members)]
     frames = [
         encode(Updates(tuple(members[start : start + size])))
         for start in range(0, n_members, size)
@@ -145,7 +145,7 @@
     del members
     tracemalloc.start()
     try:
-        view = _empty(seed)
+        view = _make_empty_view(seed)
         for frame in frames:
             msg = decode(frame)
             assert isinstance(msg, Updates)
@@ -156,13 +156,13 @@
         tracemalloc.stop()
 
 
-def _per_item(action: Callable[[], object], n_items: int) -> float:
+def _cpu_us_per_item(action: Callable[[], object], n_items: int) -> float:
     started = time.process_time()
     action()
     return (time.process_time() - started) * _US_PER_S / n_items
 
 
-def _shortest(action: Callable[[], object]) -> float:
+def _min_cpu_s(action: Callable[[], object]) -> float:
     times = []
     for _ in range(_ROUNDS):
         started = time.process_time()
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bench/faults/test_breaks.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bench/faults/test_breaks.py
@@ -6,38 +6,38 @@
 from fuchsiagap_standins.bench.faults.conditions import Conditions
 from fuchsiagap_standins.bench.faults.plan import Fault, FaultKind
 from fuchsiagap_standins.bench.faults.run import RunResult, run_once
-from fuchsiagap_standins.bench.faults.shape import NODES
+from fuchsiagap_standins.bench.faults.topology import NODES
 
 N_SEEDS = 6
 AT_S = 2.2
 
 
-def a_fault(kind: FaultKind, node: str = "certs-1", at: float = AT_S) -> Fault:
+def make_fault(kind: FaultKind, node: str = "certs-1", at: float = AT_S) -> Fault:
     return Fault(kind, at, 2.0, node, "hall-a")
 
 
-def caught(broken: str, *faults: Fault, **tight: int) -> RunResult:
+def run_until_detected(bug: str, *faults: Fault, **overrides: int) -> RunResult:
     """Return the first run whose check notices the planted bug, or the last."""
-    conditions = Conditions(pause=0.15, load_s=4.5, **tight)
+    conditions = Conditions(mean_pause_s=0.15, load_s=4.5, **overrides)
     for seed in range(1, N_SEEDS + 1):
-        result = run_once(seed, broken, faults, conditions)
-        if result.findings.count(BREAKS[broken].check):
+        result = run_once(seed, bug, faults, conditions)
+        if result.findings.count(BREAKS[bug].check):
             break
     return result
 
 
 class PlantedBugTest(TestCase):
-    def assertCaught(self, broken: str, *faults: Fault, **tight: int):  # noqa: N802
-        found = caught(broken, *faults, **tight).findings.violations
-        self.assertIn(BREAKS[broken].check, found, broken)
+    def assertDetected(self, bug: str, *faults: Fault, **overrides: int):  # noqa: N802
+        found = run_until_detected(bug, *faults, **overrides).findings.violations
+        self.assertIn(BREAKS[bug].check, found, bug)
 
     def test_forget_window(self):
-        self.assertCaught("forget-window", a_fault(FaultKind.ANSWERS_DELAYED))
+        self.assertDetected("forget-window", make_fault(FaultKind.ANSWERS_DELAYED))
 
     def test_retry_unknown(self):
         nodes = ("certs-1", "certs-2", "cycles-1")
-        faults = [a_fault(FaultKind.LINKS_LOST, node) for node in nodes]
-        self.assertCaught("retry-unknown", *faults)
+        faults = [make_fault(FaultKind.LINKS_LOST, node) for node in nodes]
+        self.assertDetected("retry-unknown", *faults)
 
     def test_refuse_unknown(self):
         faults = [
@@ -45,36 +45,41 @@
             for n in range(8)
             for node in ("certs-1", "certs-2")
         ]
-        self.assertCaught("refuse-unknown", *faults)
+        self.assertDetected("refuse-unknown", *faults)
 
     def test_unburnt_not_run(self):
-        fault = a_fault(FaultKind.ANSWERS_DELAYED)
-        self.assertCaught("unburnt-not-run", fault, kept_answers=2)
+        fault = make_fault(FaultKind.ANSWERS_DELAYED)
+        self.assertDetected("unburnt-not-run", fault, kept_answers=2)
 
     def test_reborn_home(self):
         nodes = ("results-1", "results-2", "cycles-1", "cycles-2", "certs-1")
-        faults = [a_fault(FaultKind.RESTART, node, at=3.0) for node in nodes]
-        self.assertCaught("reborn-home", *faults, a_fault(FaultKind.ANSWERS_DELAYED))
+        faults = [make_fault(FaultKind.RESTART, node, at=3.0) for node in nodes]
+        self.assertDetected(
+            "reborn-home", *faults, make_fault(FaultKind.ANSWERS_DELAYED)
+        )
 
     def test_key_by_parent_call(self):
-        faults = [a_fault(FaultKind.LINKS_LOST, node) for node, _ in NODES]
-        self.assertCaught("key-by-parent-call", *faults)
+        faults = [make_fault(FaultKind.LINKS_LOST, node) for node, _ in NODES]
+        self.assertDetected("key-by-parent-call", *faults)
 
     def test_adopt_lower_version(self):
-        faults = [a_fault(FaultKind.RACING_OPERATORS), a_fault(FaultKind.PARTITION)]
-        self.assertCaught("adopt-lower-version", *faults)
+        faults = [
+            make_fault(FaultKind.RACING_OPERATORS),
+            make_fault(FaultKind.PARTITION),
+        ]
+        self.assertDetected("adopt-lower-version", *faults)
 
     def test_skip_drain_notice(self):
-        self.assertCaught("skip-drain-notice", a_fault(FaultKind.ROLLING_RESTART))
+        self.assertDetected("skip-drain-notice", make_fault(FaultKind.ROLLING_RESTART))
 
     def test_stop_with_work(self):
-        self.assertCaught("stop-with-work", a_fault(FaultKind.ROLLING_RESTART))
+        self.assertDetected("stop-with-work", make_fault(FaultKind.ROLLING_RESTART))
 
     def test_swap_answers(self):
-        self.assertCaught("swap-answers")
+        self.assertDetected("swap-answers")
 
     def test_lose_allowance(self):
-        self.assertCaught("lose-allowance", a_fault(FaultKind.CRASH), slots=2)
+        self.assertDetected("lose-allowance", make_fault(FaultKind.CRASH), slots=2)
 
     def test_every_planted_bug_has_a_test(self):
         named = {name.removeprefix("test_") for name in dir(self)}
@@ -91,6 +96,6 @@
         self.assertEqual(one.requests, other.requests)
         self.assertGreater(one.requests, 0)
 
-    def test_a_failure_brings_its_time_line(self):
-        result = caught("swap-answers")
+    def test_a_failure_includes_its_timeline(self):
+        result = run_until_detected("swap-answers")
         self.assertTrue(any("call-received" in line for line in result.timeline))
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bench/faults/test_cli.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bench/faults/test_cli.py
@@ -36,7 +36,7 @@
             status = main(list(argv))
         return status, out.getvalue(), err.getvalue()
 
-    def test_json_has_just_the_promised_keys(self):
+    def test_json_has_exactly_the_documented_keys(self):
         status, out, err = self.command("--seed", "1", "--runs", "1", "--json")
         found = json.loads(out)
         self.assertEqual(KEYS, list(found))
@@ -46,14 +46,14 @@
         self.assertEqual((0, 0), (status, found["violations"]), err)
         self.assertGreater(found["invariants_checked"], found["requests"])
 
-    def test_a_planted_bug_is_printed_with_its_seed_and_time_line(self):
+    def test_a_planted_bug_is_printed_with_its_seed_and_timeline(self):
         flags = ("--break", "swap-answers", "--runs", "3", "--seed", "5")
         status, _, err = self.command(*flags)
         self.assertEqual(0, status)
         self.assertIn("seed 5 failed; repeat it with --seed 5 --runs 1", err)
         self.assertIn("call-received", err)
 
-    def test_bad_flags_are_named(self):
+    def test_invalid_flags_are_reported(self):
         for flag in ("--runs=0", "--break=nothing", "extra"):
             status, _, err = self.command(flag)
             self.assertEqual(2, status)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bench/faults/test_found.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bench/faults/test_regressions.py
@@ -27,8 +27,8 @@
 from fuchsiagap_standins.bench.faults.conditions import Conditions
 from fuchsiagap_standins.bench.faults.evidence import Evidence
 from fuchsiagap_standins.bench.faults.fleet import Fleet, open_fleet
-from fuchsiagap_standins.bench.faults.run import put_first_settings
-from fuchsiagap_standins.bench.faults.shape import NODES, ROUTES
+from fuchsiagap_standins.bench.faults.run import write_initial_settings
+from fuchsiagap_standins.bench.faults.topology import NODES, ROUTES
 from fuchsiagap_standins.builders import an_issue_head
 from fuchsiagap_standins.testing import run_virtual
 
@@ -48,7 +48,7 @@
     async def run() -> T:
         async with trio.open_nursery() as nursery:
             fleet = open_fleet(random.Random(1), Conditions(), Evidence(), nursery)
-            put_first_settings(fleet)
+            write_initial_settings(fleet)
             for name, _ in NODES:
                 fleet.start(name)
             await trio.sleep(START_S)
@@ -60,7 +60,7 @@
 
 
 def node(fleet: Fleet, name: str) -> NodeState:
-    state = fleet.lives[name].state
+    state = fleet.processes[name].state
     assert state is not None
     return state
 
@@ -68,11 +68,13 @@
 def issue_request(home: NodeState) -> CallRequest:
     """Return a request of a caller without the library, with a ticket of `home`."""
     route = ROUTES["certs/issue"]
-    issued = issue_batch(home, 1)
-    assert isinstance(issued, tuple)
-    own = {call_headers.TICKET: str(issued[0])}
+    tickets = issue_batch(home, 1)
+    assert isinstance(tickets, tuple)
+    control_headers = {call_headers.TICKET: str(tickets[0])}
     headers = CallMark("n").headers()
-    return CallRequest(route.service, route.method, route.target, own, headers, b"")
+    return CallRequest(
+        route.service, route.method, route.target, control_headers, headers, b""
+    )
 
 
 async def refuse_all(_head: object) -> Refused:
@@ -80,15 +82,15 @@
 
 
 class PlainCallerTest(TestCase):
-    def test_a_copy_held_back_does_not_run_after_another_was_refused(self):
+    def test_a_delayed_copy_does_not_run_after_another_was_refused(self):
         async def scenario(fleet: Fleet) -> Outcome:
             req = issue_request(node(fleet, "results-1"))
             gates = [node(fleet, name).gate for name in ("certs-1", "certs-2")]
-            entered = [gate.enter for gate in gates]
+            original_enters = [gate.enter for gate in gates]
             for gate in gates:
                 vars(gate)["enter"] = refuse_all
             refused = await enter(node(fleet, "results-2"), req)
-            for gate, original in zip(gates, entered, strict=True):
+            for gate, original in zip(gates, original_enters, strict=True):
                 vars(gate)["enter"] = original
             held_back = await enter(node(fleet, "cycles-1"), req)
             self.assertEqual([], fleet.evidence.runs)
@@ -97,7 +99,7 @@
 
         self.assertIsInstance(with_fleet(scenario), Refused)
 
-    def test_a_node_without_settings_does_not_call_not_run_what_ran(self):
+    def test_a_node_without_settings_does_not_report_a_run_as_not_run(self):
         async def scenario(fleet: Fleet) -> Outcome:
             req = issue_request(node(fleet, "results-1"))
             answered = await enter(node(fleet, "results-2"), req)
@@ -114,29 +116,31 @@
         async def scenario(fleet: Fleet) -> list[str]:
             seen: list[str] = []
 
-            async def note(head: CallHead) -> Refused:
+            async def refuse_and_record(head: CallHead) -> Refused:
                 seen.append(head.call_id)
                 return Refused(Reason.BAD_REQUEST)
 
             for name in ("results-1", "results-2"):
-                vars(node(fleet, name).gate)["enter"] = note
+                vars(node(fleet, name).gate)["enter"] = refuse_and_record
             route = ROUTES["results/report"]
-            own = {call_headers.REPEAT: "1"}
+            control_headers = {call_headers.REPEAT: "1"}
             await enter(
                 node(fleet, "certs-1"),
-                CallRequest(route.service, route.method, route.target, own, (), b""),
+                CallRequest(
+                    route.service, route.method, route.target, control_headers, (), b""
+                ),
             )
             return seen
 
         self.assertEqual([True], [is_repeat(seen) for seen in with_fleet(scenario)])
 
-    def test_a_child_that_was_refused_is_started_again_only_if_paid_for(self):
+    def test_a_refused_child_is_rerun_only_with_allowance(self):
         async def scenario(fleet: Fleet) -> list[type]:
             home = node(fleet, "results-1")
-            issued = issue_batch(home, 1)
-            assert isinstance(issued, tuple)
+            tickets = issue_batch(home, 1)
+            assert isinstance(tickets, tuple)
             gates = [node(fleet, name).gate for name in ("cycles-1", "cycles-2")]
-            entered = [gate.enter for gate in gates]
+            original_enters = [gate.enter for gate in gates]
             for gate in gates:
                 vars(gate)["enter"] = refuse_all
             outcomes = []
@@ -147,19 +151,19 @@
                     route="cycles/close",
                     parent_id=f"{call_id}~1!",
                     child_key="k",
-                    ticket=issued[0],
+                    ticket=tickets[0],
                     allowance=allowance,
                     deadline=home.clock.now() + 900.0,
                 )
                 outcomes.append(type(await send_home(home, head, b"")))
-                for gate, original in zip(gates, entered, strict=True):
+                for gate, original in zip(gates, original_enters, strict=True):
                     vars(gate)["enter"] = original
             return outcomes
 
         expected = [Refused, Refused, Answered]
         self.assertEqual(expected, with_fleet(scenario))
 
-    def test_an_attempt_without_an_answer_ends_at_any_deadline(self):
+    def test_an_unanswered_attempt_is_unknown_at_any_deadline(self):
         async def scenario(fleet: Fleet) -> set[type]:
             state = node(fleet, "results-1")
 
@@ -181,14 +185,14 @@
 
 
 class LeavingTest(TestCase):
-    def test_what_waited_in_the_queue_is_not_handed_over(self):
+    def test_a_queued_call_is_refused_once_the_node_leaves(self):
         async def scenario(fleet: Fleet) -> Outcome:
             state = node(fleet, "certs-1")
-            admit, enter_gate = trio.Event(), state.gate.enter
+            admit, original_enter = trio.Event(), state.gate.enter
 
             async def queued(head: CallHead) -> object:
                 await admit.wait()
-                return await enter_gate(head)
+                return await original_enter(head)
 
             vars(state.gate)["enter"] = queued
             outcomes = []
--- a/tools/check_findings.py
+++ b/tools/check_findings.py
@@ -16,7 +16,7 @@
 JOURNAL = ROOT / "journal"
 
 
-def broken(day: dict[str, Any]) -> str:
+def list_failures(day: dict[str, Any]) -> str:
     """Return what a day broke; empty if nothing."""
     found = [f"{rule} {times}" for rule, times in day["rules"].items()]
     found += [str(text) for text in day["short"]]
@@ -25,14 +25,14 @@
     return "; ".join(found)
 
 
-def missing(page: str, entries: list[dict[str, Any]]) -> list[str]:
+def find_unreported(page: str, entries: list[dict[str, Any]]) -> list[str]:
     """Return a line for each day that broke something and whose entry is not named."""
     lines = []
     for entry in entries:
         if entry["id"] in page:
             continue
         for day in entry.get("days") or []:
-            what = broken(day)
+            what = list_failures(day)
             if what:
                 name = f"{entry['id']} {entry['site']} {day['name']}"
                 lines.append(f"{name}: {what.splitlines()[0][:200]}")
@@ -41,7 +41,7 @@
 
 def main() -> int:
     entries = [json.loads(path.read_text()) for path in sorted(JOURNAL.glob("*.json"))]
-    lines = missing(PAGE.read_text(), entries)
+    lines = find_unreported(PAGE.read_text(), entries)
     for line in lines:
         print(f"not in docs/findings.md: {line}")
     print(f"{len(entries)} entries, {len(lines)} days without a finding")
--- a/tools/check_logs.py
+++ b/tools/check_logs.py
@@ -13,23 +13,23 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-_FAULT = '"event": "fault"'
+_FAULT_FIELD = '"event": "fault"'
 _SHOWN_CHARS = 2_000
 
 
-def faults(lines: Iterable[str]) -> list[str]:
+def find_fault_lines(lines: Iterable[str]) -> list[str]:
     """Return the lines that tell of a fault."""
-    return [line.rstrip("\n") for line in lines if _FAULT in line]
+    return [line.rstrip("\n") for line in lines if _FAULT_FIELD in line]
 
 
 def main(paths: list[str]) -> int:
     found: list[str] = []
     for path in paths:
         if path == "-":
-            found += faults(sys.stdin)
+            found += find_fault_lines(sys.stdin)
             continue
         with open(path, errors="replace") as lines:
-            found += faults(lines)
+            found += find_fault_lines(lines)
     for line in found:
         print(line[:_SHOWN_CHARS])
     print(f"{len(found)} fault lines in {len(paths)} files")
--- a/tools/check_names.py
+++ b/tools/check_names.py
@@ -9,7 +9,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 # Names that only the platform's pages use; its plain words (name, route, zone) are not
 # listed, since they are words of any program.
-NAMES = re.compile(
+PLATFORM_NAMES = re.compile(
     r"heartbeatUrl|weightedServices|pathPrefix|maxAttempts|targetLatency|warmupLeft"
     r"|Target-Instance|Server-Signature|Caller-Service|Server-Load|Not-Executed"
     r"|Instance-Id|Deadline-Ms|appAddr|listenAddrs|currentRev|waitMs|Store-Era"
@@ -18,18 +18,18 @@
 
 
 def main() -> int:
-    faults = 0
+    n_faults = 0
     for path in sorted(ROOT.glob("packages/**/*.py")):
         for number, line in enumerate(path.read_text("utf-8").splitlines(), 1):
-            if found := NAMES.search(line):
+            if found := PLATFORM_NAMES.search(line):
                 print(
                     f"{path.relative_to(ROOT)}:{number}: {found[0]} is the platform's"
                 )
-                faults += 1
+                n_faults += 1
     if (ROOT / "platform" / "__init__.py").exists():
         print("platform/__init__.py would hide the standard module of that name")
-        faults += 1
-    return 1 if faults else 0
+        n_faults += 1
+    return 1 if n_faults else 0
 
 
 if __name__ == "__main__":
--- a/tools/journal_table.py
+++ b/tools/journal_table.py
@@ -13,17 +13,17 @@
 from typing import Any
 
 # Prices shown for a day, and the least that is worth a mention.
-_PRICES_SHOWN = 3
-_LEAST_PRICE = 0.01
+_MAX_PRICES_SHOWN = 3
+_MIN_PRICE_SHOWN = 0.01
 
 
-def _prices(day: dict[str, Any]) -> str:
+def _format_prices(day: dict[str, Any]) -> str:
     prices = sorted(day["prices"], key=lambda price: -float(price[2]))
-    shown = [p for p in prices[:_PRICES_SHOWN] if float(p[2]) >= _LEAST_PRICE]
+    shown = [p for p in prices[:_MAX_PRICES_SHOWN] if float(p[2]) >= _MIN_PRICE_SHOWN]
     return ", ".join(f"{name} {float(worth):.3f}" for name, _, worth in shown)
 
 
-def _missed(day: dict[str, Any]) -> str:
+def _format_failures(day: dict[str, Any]) -> str:
     found = [str(text) for text in day["short"]]
     found += [f"{rule} {times}" for rule, times in day["rules"].items()]
     if day["fault"]:
@@ -31,21 +31,21 @@
     return "; ".join(found) or "-"
 
 
-def _by_class(day: dict[str, Any]) -> str:
+def _format_credit_by_class(day: dict[str, Any]) -> str:
     """Return the credit of each kind of request, in the order of the site's sheet."""
     return " ".join(f"{share:.2f}" for share in day["by_class"] if share is not None)
 
 
-def row(day: dict[str, Any]) -> str:
+def format_row(day: dict[str, Any]) -> str:
     """Return a day as a row of a table."""
     cells = [
         day["name"],
         f"{day['G']:.3f}",
         f"{day['score']:.2f}",
         f"{day['parts'][0][2]:.2f}",
-        _by_class(day),
-        _prices(day),
-        _missed(day),
+        _format_credit_by_class(day),
+        _format_prices(day),
+        _format_failures(day),
         f"{day['cpu_s']:.0f}",
     ]
     return "| " + " | ".join(cells) + " |"
@@ -57,7 +57,7 @@
     for path in paths:
         entry = json.loads(Path(path).read_text())
         for day in entry["days"]:
-            print(row(day))
+            print(format_row(day))
     return 0
 
 
--- a/tools/operator_pages.py
+++ b/tools/operator_pages.py
@@ -20,27 +20,31 @@
 DOCS = Path(__file__).resolve().parent.parent / "docs"
 CLI = DOCS / "cli.md"
 METRICS = DOCS / "operators" / "metrics-and-logs.md"
-FOLDER = Path(__file__).resolve().parent / "pages"
+TEMPLATES = Path(__file__).resolve().parent / "pages"
 _HIDDEN_FLAGS = ("h",)
 
 
-def cli_page() -> str:
-    found = define_flags()
+def render_cli_page() -> str:
+    flag_definitions = define_flags()
     commands = [
         (
-            f"`{one.usage}`",
-            one.summary,
-            " ".join(f"`--{name}`" for name in one.flags) or "-",
+            f"`{command.usage}`",
+            command.summary,
+            " ".join(f"`--{name}`" for name in command.flags) or "-",
         )
-        for one in COMMANDS
+        for command in COMMANDS
     ]
     flags = [
-        (f"`--{name}`", _one_line(found[name].help), _default(found[name].default))
-        for name in found
+        (
+            f"`--{name}`",
+            _one_line(flag_definitions[name].help),
+            _format_default(flag_definitions[name].default),
+        )
+        for name in flag_definitions
         if name not in _HIDDEN_FLAGS
     ]
     codes = [(str(int(code)), meaning) for code, meaning in MEANINGS.items()]
-    return _filled(
+    return _fill_template(
         "cli.md",
         commands=_table(("command", "what it does", "flags of its own"), commands),
         flags=_table(("flag", "what it does", "default"), flags),
@@ -48,23 +52,23 @@
     )
 
 
-def metrics_page() -> str:
+def render_metrics_page() -> str:
     kinds = [
         (f"`{kind}`", "yes" if kind in LOGGED_KINDS else "", meaning)
         for kind, meaning in EVENTS.items()
     ]
     invariants = [(f"`{name}`", meaning) for name, meaning in INVARIANTS.items()]
-    return _filled(
+    return _fill_template(
         "metrics-and-logs.md",
-        counters=_metrics(COUNTERS, "_total"),
-        gauges=_metrics(GAUGES, ""),
-        measures=_metrics(MEASURES, "_seconds"),
+        counters=_metrics_table(COUNTERS, "_total"),
+        gauges=_metrics_table(GAUGES, ""),
+        measures=_metrics_table(MEASURES, "_seconds"),
         events=_table(("event", "log line", "meaning"), kinds),
         invariants=_table(("invariant", "meaning"), invariants),
     )
 
 
-def _metrics(table: dict[str, MetricSpec], suffix: str) -> str:
+def _metrics_table(table: dict[str, MetricSpec], suffix: str) -> str:
     rows = [
         (f"`{name}{suffix}`", ", ".join(spec.labels) or "-", spec.help)
         for name, spec in table.items()
@@ -72,7 +76,7 @@
     return _table(("metric", "labels", "meaning"), rows)
 
 
-def _default(value: object) -> str:
+def _format_default(value: object) -> str:
     return f"`{value}`" if value and value != -1 else "-"
 
 
@@ -85,18 +89,20 @@
     return "\n".join("| " + " | ".join(cells) + " |" for cells in lines)
 
 
-def _filled(name: str, **tables: str) -> str:
-    text = (FOLDER / name).read_text(encoding="utf-8")
+def _fill_template(name: str, **tables: str) -> str:
+    text = (TEMPLATES / name).read_text(encoding="utf-8")
     for key, table in tables.items():
         text = text.replace(f"{{{{{key}}}}}", table)
     return text
 
 
 def main(argv: list[str]) -> int:
-    pages = {CLI: cli_page(), METRICS: metrics_page()}
+    pages = {CLI: render_cli_page(), METRICS: render_metrics_page()}
     if "--check" in argv:
-        same = all(path.read_text(encoding="utf-8") == pages[path] for path in pages)
-        return 0 if same else 1
+        is_current = all(
+            path.read_text(encoding="utf-8") == pages[path] for path in pages
+        )
+        return 0 if is_current else 1
     for path, text in pages.items():
         path.write_text(text, encoding="utf-8")
     return 0
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -17,15 +17,15 @@
 ROOT = Path(__file__).resolve().parent.parent
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
 # Lines that the list may have.
-MOST_KNOWN_RED = 3
+MAX_KNOWN_RED = 3
 # Processes that run tests: half of the cores, and two for tests that start processes of
 # their own and mostly wait (see `conftest.py`).
-WORKERS = (os.cpu_count() or 2) // 2 + 2
+N_WORKERS = (os.cpu_count() or 2) // 2 + 2
 # Tests that took longest are named.
-SLOWEST = 5
+N_SLOWEST_SHOWN = 5
 
 
-class _Counts:
+class _ResultRecorder:
     """Which tests passed and which failed, in whichever process they ran."""
 
     def __init__(self) -> None:
@@ -51,40 +51,40 @@
     return ".".join(part for part in (module, *rest.split("::")) if part)
 
 
-def known_red() -> dict[str, str]:
+def read_known_red() -> dict[str, str]:
     """Return the lines of the list by the test that each names."""
     if not KNOWN_RED.exists():
         return {}
     lines = [line for line in KNOWN_RED.read_text().splitlines() if line.strip()]
-    if len(lines) > MOST_KNOWN_RED:
+    if len(lines) > MAX_KNOWN_RED:
         raise SystemExit(f"{KNOWN_RED.name}: {len(lines)} lines, 3 are allowed")
     return {line.split()[0].rstrip(":"): line for line in lines}
 
 
-def check_known_red(passed: set[str], failed: set[str]) -> int:
+def count_unexpected_failures(passed: set[str], failed: set[str]) -> int:
     """Print what is known to fail; return how many tests failed beside it."""
-    red = known_red()
-    for name, line in red.items():
+    expected_failures = read_known_red()
+    for name, line in expected_failures.items():
         if name in failed:
             print(f"known red: {line}")
         elif name in passed:
             print(f"known red, passed this time: {line}")
-    return len(failed - red.keys())
+    return len(failed - expected_failures.keys())
 
 
 def main(patterns: list[str]) -> int:
     os.chdir(ROOT)
-    counts = _Counts()
+    recorder = _ResultRecorder()
     arguments = [
         *("packages", "platform", "tools"),
-        *("-q", "--disable-warnings", f"--durations={SLOWEST}"),
-        *("-n", str(WORKERS), "--dist", "loadgroup"),
+        *("-q", "--disable-warnings", f"--durations={N_SLOWEST_SHOWN}"),
+        *("-n", str(N_WORKERS), "--dist", "loadgroup"),
     ]
     if patterns:
         arguments += ["-k", " or ".join(patterns)]
-    code = pytest.main(arguments, plugins=[counts])
-    passed = counts.passed - counts.failed
-    failed = check_known_red(passed, counts.failed)
+    code = pytest.main(arguments, plugins=[recorder])
+    passed = recorder.passed - recorder.failed
+    failed = count_unexpected_failures(passed, recorder.failed)
     if code not in (pytest.ExitCode.OK, pytest.ExitCode.TESTS_FAILED):
         print(f"the test runner ended with {code!r}")
         failed = max(failed, 1)
