--- a/conftest.py
+++ b/conftest.py
@@ -1,4 +1,4 @@
-"""How the tests share the processes that run them."""
+"""Distribution of the tests over the test processes of pytest-xdist."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 import pytest
 
-# Modules whose tests start processes of their own, by the group that runs them one
-# after the other: more of them at a time would wait for each other's processor time,
-# and their verdicts would hang on the machine.
+# Group by test module. The tests of a group run one after the other. They start
+# processes of their own, and in parallel would compete for CPU time, so that results
+# would depend on the machine.
 _GROUP_BY_MODULE = {
     "test_soak": "soak",
     "test_sheet": "sheets",
-    # Plays of real nodes in virtual time, which keep a core busy for minutes.
+    # Simulations of real nodes in virtual time that occupy a core for minutes.
     "test_crashing": "sheets",
     "test_signals": "processes",
     "test_processes": "processes",
@@ -21,12 +21,12 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Keep what the tests provoke off the screen; a test reads logs by itself."""
+    """Keep expected log lines off the console; tests that check logs capture them."""
     logging.getLogger().addHandler(logging.NullHandler())
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Put the tests that start processes into their groups."""
+    """Assign the tests of the listed modules to their groups."""
     for item in items:
         group = _GROUP_BY_MODULE.get(Path(item.path).stem)
         if group is not None:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/__init__.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/__init__.py
@@ -1,4 +1,4 @@
-"""Randomised runs of real nodes under faults; see `cli` for the command."""
+"""Randomised fault injection bench with real nodes; see `cli` for the command."""
 
 from __future__ import annotations
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/backend.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/backend.py
@@ -1,4 +1,4 @@
-"""The backend servers of a randomised run: they log each run and call onwards."""
+"""In-memory backend servers that log each run and call downstream services."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     from fuchsiagap_standins.bench.faults.evidence import Evidence
 
 _SERVICE_TIME_MS = (5.0, 60.0)
-# A few calls take so long that a planned stop has to wait for them.
+# Some calls take long enough that a planned stop has to wait for them.
 _SLOW_CALL_SHARE = 0.02
 _SLOW_SERVICE_TIME_MS = (2_500.0, 4_000.0)
 _OK = 200
@@ -35,20 +35,27 @@
 
 
 class RecordingBackend:
-    """A backend server in memory; implements `ports.BackendServer`.
+    """In-memory backend server that implements `ports.BackendServer`.
 
     Parameters
     ----------
     node : str
         Name of the node on the same host.
     evidence : Evidence
-        Where runs are logged.
+        Collects the runs for the checks.
     rng : random.Random
         Source of service times and of refusals.
     state : callable
-        Returns the node, through which it makes its own calls.
+        Returns the state of the node through which downstream calls are made.
     slots : int
-        Calls it works on at once; it sheds what is more.
+        Maximum number of concurrent calls; further calls are refused.
+
+    Attributes
+    ----------
+    service_time_factor : float
+        Multiplies the service time of calls that are not slow anyway.
+    down : bool
+        Whether connections are refused.
     """
 
     def __init__(
@@ -71,13 +78,13 @@
     async def send(
         self, head: CallHead, body: bytes, remaining: Milliseconds
     ) -> Answered | Refused | Unknown:
-        """Run one call and log it; see `ports.BackendServer.send`."""
+        """Run a call and log the run; see `ports.BackendServer.send`."""
         await trio.lowlevel.checkpoint()
         if self.down:
             return Refused(Reason.NO_BACKEND, detail="connection refused")
         full = len(self._scopes) >= self.slots
         if full or self._rng.random() < _REFUSAL_SHARE:
-            return Refused(Reason.BACKEND_REFUSED, detail="no slot is free")
+            return Refused(Reason.BACKEND_REFUSED, detail="no free slot")
         route = ROUTES[head.route]
         mark = mark_from(dict(head.headers))
         run = self._start_run(head, mark)
@@ -94,24 +101,24 @@
                 self._scopes.discard(scope)
                 self._evidence.record_run_end(self.node, run)
         if answer is None:
-            return Unknown(Reason.CONNECTION_LOST, detail="the connection was lost")
+            return Unknown(Reason.CONNECTION_LOST, detail="connection lost")
         return answer
 
     async def load(self) -> BackendLoad | None:
-        """Ask for its health and load."""
+        """Return health and load, or None while the server is down."""
         await trio.lowlevel.checkpoint()
         if self.down:
             return None
         return BackendLoad(True, self.slots, len(self._scopes), False)
 
     def crash(self) -> None:
-        """Lose all that runs and take no connection until `restart`."""
+        """Cancel all runs and refuse connections until `restart`."""
         self.down = True
         for scope in tuple(self._scopes):
             scope.cancel()
 
     def restart(self) -> None:
-        """Take connections again."""
+        """Accept connections again."""
         self.down = False
 
     def _start_run(self, head: CallHead, mark: CallMark) -> Run:
@@ -141,7 +148,7 @@
             child_mark = mark.below(index)
             outcome = await self._call(head, child, child_mark)
             if not isinstance(outcome, Answered) or outcome.status != _OK:
-                return Answered(_FAILED_STATUS, (), b"a call below failed")
+                return Answered(_FAILED_STATUS, (), b"downstream call failed")
             is_correct = is_own_answer(outcome.body, child_mark, name)
             self._evidence.record_answer(child_mark.nonce, is_correct)
         return Answered(_OK, (), answer_body(mark, head.route))
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/breaks.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/breaks.py
@@ -1,7 +1,7 @@
-"""Bugs that can be planted, one or more for each invariant.
+"""Bugs that can be planted to verify that each check detects a violation.
 
-The product has no switch for them: each wraps a named function of it for the time of
-a run. A check that finds none of these would be none.
+The product has no switch for them: each bug replaces functions of the product by name
+while a run lasts.
 """
 
 from __future__ import annotations
@@ -33,12 +33,12 @@
 
 @contextmanager
 def planted(name: str) -> Iterator[None]:
-    """Plant a bug for the time of a block.
+    """Plant a bug while the ``with`` block runs.
 
     Parameters
     ----------
     name : str
-        One of `BREAKS`; empty for none.
+        Key of `BREAKS`; empty for no bug.
     """
     with ExitStack() as stack:
         if name:
@@ -47,14 +47,14 @@
 
 
 def _patch(stack: ExitStack, owner: object, name: str, new: object) -> Any:
-    """Put `new` in the place of a function; return the original."""
+    """Replace attribute `name` of `owner` by `new`; return the original."""
     original = getattr(owner, name)
     stack.enter_context(mock.patch.object(owner, name, new))
     return original
 
 
 def _forget_window(stack: ExitStack) -> None:
-    """A window forgets that a ticket was used as soon as its run has ended."""
+    """Make a window forget that a ticket was used as soon as its run has ended."""
 
     def finish(self: TicketWindow, record: Any, outcome: Outcome) -> None:
         original(self, record, outcome)
@@ -67,7 +67,7 @@
 
 
 def _retry_unknown(stack: ExitStack) -> None:
-    """A non-idempotent call goes elsewhere after an outcome that is not known."""
+    """Retry a non-idempotent call at another instance after an unknown outcome."""
 
     def may_retry(head: CallHead, outcome: Outcome) -> bool:
         return original(head, outcome) or isinstance(outcome, Unknown)
@@ -76,7 +76,7 @@
 
 
 def _refuse_unknown(stack: ExitStack) -> None:
-    """A call whose link broke after it was sent is called not run."""
+    """Report a call as not run if its link broke after it was sent."""
 
     async def hand_over(*args: Any) -> Outcome:
         outcome: Outcome = await original(*args)
@@ -87,8 +87,8 @@
 
 
 def _unburnt_not_run(stack: ExitStack) -> None:
-    """A ticket that was not started is called not run, but not burnt; a forgotten
-    one is called not run too.
+    """Report an unstarted ticket as burnt without burning it, and a forgotten
+    ticket as burnt too.
     """
 
     def settle(self: TicketWindow, sequence: int) -> Any:
@@ -101,7 +101,7 @@
 
 
 def _reborn_home(stack: ExitStack) -> None:
-    """A new life of a home answers for the tickets of the old one."""
+    """Let a restarted home node accept tickets of its previous incarnation."""
 
     def window_of(self: Tickets, ticket: Any) -> TicketWindow | None:
         if ticket.node == self.own.node:
@@ -114,7 +114,7 @@
 
 
 def _adopt_lower_version(stack: ExitStack) -> None:
-    """A node asks for any text and takes it over, also one older than its own."""
+    """Make a node request every settings text and adopt older versions too."""
 
     def adopt(self: SettingsBook, text: Any) -> Any:
         held_entry = self._entries.get(text.team)
@@ -127,7 +127,7 @@
 
 
 def _skip_drain_notice(stack: ExitStack) -> None:
-    """A node that shall stop tells nobody and goes on taking work until idle."""
+    """Make a draining node send no notice and accept work until it is idle."""
 
     async def drain_without_notice(state: NodeState, reason: str) -> None:
         await drain._until_idle(state)
@@ -136,7 +136,7 @@
 
 
 def _stop_with_work(stack: ExitStack) -> None:
-    """A planned stop does not wait for the requests in progress."""
+    """Make a planned stop not wait for the requests in progress."""
 
     async def drain_at_once(state: NodeState, reason: str) -> None:
         state.leaving = True
@@ -149,7 +149,7 @@
 
 
 def _swap_answers(stack: ExitStack) -> None:
-    """A reply goes to the ask that has waited longest, not to its own."""
+    """Deliver a reply to the oldest pending request instead of to its own."""
 
     def take_reply(self: PeerConn, number: int, msg: object) -> None:
         unanswered = [
@@ -161,10 +161,10 @@
 
 
 def _lose_allowance(stack: ExitStack) -> None:
-    """A share that travels with an attempt stays in the ledger as well."""
+    """Keep the share of an attempt in the allowance as well, so it counts twice."""
 
-    def lend_up_to(self: Allowance, n_most: int) -> int:
-        return max(min(n_most, self.remaining), 0)
+    def lend_up_to(self: Allowance, n_max: int) -> int:
+        return max(min(n_max, self.remaining), 0)
 
     def ignore_booking(self: Allowance, *args: int, **kwargs: int) -> None:
         return None
@@ -178,7 +178,7 @@
 
 
 def _key_by_parent_call(stack: ExitStack) -> None:
-    """Each child of a repeated parent gets a key of its own."""
+    """Give each child of a repeated parent a new key, so repeats are not matched."""
     original_head = attempts.attempt_head
 
     def attempt_head(head: CallHead, n_sent: int, repeat: bool) -> CallHead:
@@ -195,9 +195,9 @@
     Parameters
     ----------
     plant : callable
-        Plants it for the life of an `ExitStack`.
+        Plants the bug until the given `ExitStack` is closed.
     check : str
-        The check of `checks` that has to notice it.
+        Name of the check in `checks` that has to detect it.
     """
 
     plant: Callable[[ExitStack], None]
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/callers.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/callers.py
@@ -1,4 +1,4 @@
-"""The callers of a randomised run: with the client library, and hard without it."""
+"""Callers of a randomised run, with the client library and without it."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class _Caller:
-    """One caller: where it is, and its own randomness."""
+    """A caller with its own random numbers, transport and list of nodes."""
 
     name: str
     fleet: Fleet
@@ -54,7 +54,7 @@
     n_sent: int = 0
 
     def next_request(self) -> tuple[Route, CallMark]:
-        """Draw what to ask for, under a nonce of its own."""
+        """Draw the route of the next request and give it a unique nonce."""
         self.n_sent += 1
         name = self.rng.choices(CLIENT_ROUTES, CLIENT_ROUTE_WEIGHTS)[0]
         nonce = f"{self.name}-{self.n_sent}"
@@ -68,7 +68,7 @@
         copies: int,
         aggressive: bool,
     ) -> None:
-        """Note what the caller holds in the end, and check an answer."""
+        """Record the final outcome of a request, and check its answer."""
         evidence = self.fleet.evidence
         if isinstance(outcome, Answered) and outcome.status == 200:
             is_correct = is_own_answer(outcome.body, mark, route.name)
@@ -80,7 +80,7 @@
 
 
 def make_caller(fleet: Fleet, name: str, data_centre: str) -> _Caller:
-    """Return a caller in a data centre, who knows the nodes there first."""
+    """Return a caller that lists the nodes of its own data centre first."""
     rng = random.Random(fleet.rng.getrandbits(64))
     transport = MemoryTransport(fleet, data_centre, rng)
     local_nodes = [f"{node}:80" for node, centre in NODES if centre == data_centre]
@@ -97,7 +97,7 @@
     fleet : Fleet
         The nodes.
     count : int
-        Callers side by side.
+        Number of concurrent callers.
     """
     async with trio.open_nursery() as nursery:
         for index in range(count):
@@ -134,16 +134,16 @@
 
 
 async def run_aggressive_caller(fleet: Fleet, name: str, until: float) -> None:
-    """Repeat each request soon and through any node, all copies with one ticket.
+    """Retry each request early through random nodes, with one ticket for all copies.
 
     Parameters
     ----------
     fleet : Fleet
         The nodes.
     name : str
-        Of the caller.
+        Name of the caller.
     until : float
-        Seconds at which it stops.
+        Virtual time in seconds at which the caller stops.
     """
     caller = make_caller(fleet, name, fleet.rng.choice(DATA_CENTRES))
     async with httpx.AsyncClient(
@@ -166,7 +166,7 @@
         copy_header = (COPY_HEADER, str(copies))
         headers = [*mark.headers(), copy_header, (call_headers.TICKET, ticket)]
         node = caller.rng.choice(caller.nodes)
-        # The last copy is waited for; the others are given up soon.
+        # Only the last copy gets the long time-out; earlier ones are abandoned early.
         copy_timeout = caller.rng.uniform(*_COPY_TIMEOUT_S)
         if copies == _MAX_COPIES:
             copy_timeout = _TIMEOUT_MS
@@ -200,6 +200,6 @@
     try:
         response = await http.request(route.method, url, headers=headers, content=body)
     except httpx.TransportError as exc:
-        # Also where this copy was not sent: others may have run.
+        # Unknown even if this copy was not sent, because other copies may have run.
         return Unknown(Reason.CONNECTION_LOST, detail=repr(exc))
     return read_outcome(response)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/checks.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/checks.py
@@ -1,4 +1,4 @@
-"""What must hold after a run, whatever faults came."""
+"""Checks of the invariants that must hold after a run under any faults."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 NOT_AT_REST = "not_at_rest"
 _OK = 200
 
-# While these last, a notice may be held back as long as they do, and a call too.
+# These faults may delay the drain notice, and calls, for their whole duration.
 _DELAYS_NOTICE = frozenset(
     {
         FaultKind.PARTITION,
@@ -51,45 +51,50 @@
 
 @dataclass(slots=True)
 class Findings:
-    """What the checks of a run found.
+    """Results of the checks of a run.
 
     Parameters
     ----------
     checked : int
-        Single checks made.
+        Number of items checked.
     violations : dict
-        What was found, by check.
+        Descriptions of the violations, by check.
     """
 
     checked: int = 0
     violations: dict[str, list[str]] = field(default_factory=dict)
 
     def add_result(self, check: str, found: list[str], checked: int) -> None:
-        """Take the result of one check over."""
+        """Add the violations that a check found and the number of items checked."""
         self.checked += checked
         if found:
             self.violations.setdefault(check, []).extend(found)
 
     def count(self, check: str) -> int:
-        """Return how many violations a check found."""
+        """Return the number of violations that a check found."""
         return len(self.violations.get(check, ()))
 
 
 def check_run(
     fleet: Fleet, evidence: Evidence, changes: Changes, faults: tuple[Fault, ...]
 ) -> Findings:
-    """Check all that a run left behind.
+    """Check all invariants on the data collected in a run.
 
     Parameters
     ----------
     fleet : Fleet
-        The nodes, at rest.
+        The nodes, after load and faults have ended.
     evidence : Evidence
-        Run logs and what callers hold.
+        Logs of the backend servers and outcomes of the requests.
     changes : Changes
-        What operators were told.
+        Settings changes of the operators and their results.
     faults : tuple of Fault
-        What went wrong.
+        Faults that were injected.
+
+    Returns
+    -------
+    Findings
+        Violations by check.
     """
     findings = Findings()
     non_idempotent = [run for run in evidence.runs if not run.idempotent]
@@ -127,7 +132,7 @@
     ]
     findings.add_result(FALSE_NOT_RUN, false_refusals, len(refused))
     places = Counter((run.nonce, run.place) for run in evidence.runs)
-    # Another run of the parent may have asked for the child again.
+    # With several runs of the parent, another run may have started the child.
     false_refusals = [
         f"child {nonce} {place} {route}"
         for nonce, place, route in evidence.refused_children
@@ -140,10 +145,11 @@
 def _has_run(
     evidence: Evidence, record: RequestRecord, runs_with_effect: set[tuple[str, str]]
 ) -> bool:
-    """Whether what a refusal was about has run.
+    """Whether a refused request has run.
 
-    A non-idempotent request is all its copies, which bear one ticket. An idempotent
-    one is so for the library only; for other callers each copy is a request.
+    All copies of a non-idempotent request share a ticket and count as one request, and
+    so do the attempts of the client library. Without the library, each copy of an
+    idempotent request counts on its own.
     """
     if record.aggressive and ROUTES[record.route].idempotent:
         return (record.nonce, record.copies) in evidence.copies_started
@@ -151,7 +157,7 @@
 
 
 def _check_descendants_ran(findings: Findings, evidence: Evidence) -> None:
-    """An answered request has run, and so has all that it needs below."""
+    """Check that each answered request and all its downstream calls have run."""
     runs_with_effect = {
         (run.nonce, run.place) for run in evidence.runs if run.had_effect
     }
@@ -176,7 +182,7 @@
 
 
 def _is_above_bound(evidence: Evidence, record: RequestRecord) -> bool:
-    # Each copy of a caller without the library brings an allowance of its own.
+    # Each copy sent without the library carries its own retry allowance.
     bound = record.copies * (n_calls(record.route) + ALLOWANCE)
     return evidence.attempts[record.nonce] > bound
 
@@ -194,10 +200,14 @@
         findings.add_result(REVERTED_SETTINGS, overwritten, len(texts))
     accepted, denied = changes.accepted(), changes.denied()
     lost = [
-        f"accepted, lost: {c}" for c in accepted if c.change_id not in stored_change_ids
+        f"accepted but lost: {c}"
+        for c in accepted
+        if c.change_id not in stored_change_ids
     ]
     findings.add_result(REVERTED_SETTINGS, lost, len(accepted))
-    kept = [f"denied, stands: {c}" for c in denied if c.change_id in stored_change_ids]
+    kept = [
+        f"denied but stored: {c}" for c in denied if c.change_id in stored_change_ids
+    ]
     findings.add_result(REVERTED_SETTINGS, kept, len(denied))
     for process in fleet.all_processes:
         findings.add_result(
@@ -206,7 +216,7 @@
 
 
 def _find_overwritten_versions(texts: dict[int, StoredText]) -> Iterator[str]:
-    """Yield versions that replaced another one than their records say."""
+    """Yield each version that replaced a different version than its record says."""
     previous_version = 0
     for version, text in texts.items():
         recorded_version = (
@@ -244,19 +254,24 @@
 
 
 def check_convergence(fleet: Fleet) -> dict[str, list[str]]:
-    """Return where nodes still differ after everything has healed; empty at best.
+    """Return the differences between nodes in settings and views of the members.
 
     Parameters
     ----------
     fleet : Fleet
         The nodes.
+
+    Returns
+    -------
+    dict
+        Descriptions by check; empty if all running nodes agree.
     """
     live = [process for process in fleet.processes.values() if not process.exited]
     names = {process.name for process in live}
     stale_settings, differing_views = [], []
     for process in live:
         if process.state is None:
-            differing_views.append(f"{process.name} has not started")
+            differing_views.append(f"{process.name} does not take calls yet")
             continue
         has = dict(process.state.book.vector())
         for team, versions in fleet.written.items():
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/cli.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/cli.py
@@ -1,7 +1,8 @@
-"""The command: ``python -m fuchsiagap_standins.bench faults --seed N --runs K --json``.
+"""Command line of the fault injection bench.
 
-Exits with 1 if a run violated an invariant; with ``--break`` if the check that the bug
-is for did not notice it.
+``python -m fuchsiagap_standins.bench faults --seed N --runs K --json`` exits with 1 if
+a run violated an invariant. With ``--break`` it exits with 1 if the check meant to
+detect the planted bug did not detect it.
 """
 
 from __future__ import annotations
@@ -36,16 +37,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """What the flags ask for.
+    """Values of the command-line flags.
 
     Parameters
     ----------
     seed : int
-        Seed of the first run; each further one has the next.
+        Seed of the first run; it increases by one from run to run.
     runs, jobs : int
-        How many runs, and how many of them side by side.
+        Number of runs, and of runs executed in parallel.
     shown : int
-        Events of a failed run that are printed.
+        Maximum number of events printed for a failed run.
     bug : str
         Bug to plant, or empty.
     as_json : bool
@@ -61,13 +62,13 @@
 
 
 def _read_flags(argv: list[str]) -> Options:
-    """Read the flags; `flags.Error` if they are not valid."""
+    """Parse the flags; raise `flags.Error` if they are invalid."""
     values: Any = flags.FlagValues()  # type: ignore[no-untyped-call]
     for name, default, minimum, help_text in (
         ("seed", 1, None, "Seed of the first run."),
-        ("runs", 20, 1, "How many runs."),
-        ("jobs", 1, 1, "Runs side by side."),
-        ("shown", 200, 0, "Events of a failed run to print."),
+        ("runs", 20, 1, "Number of runs."),
+        ("jobs", 1, 1, "Number of runs executed in parallel."),
+        ("shown", 200, 0, "Maximum number of events printed for a failed run."),
     ):
         flags.DEFINE_integer(name, default, help_text, minimum, flag_values=values)
     flags.DEFINE_enum("break", "", ["", *BREAKS], "Bug to plant.", flag_values=values)
@@ -87,7 +88,7 @@
 
 @dataclass(slots=True)
 class Totals:
-    """The sums over all runs."""
+    """Sums over all runs."""
 
     runs: int = 0
     requests: int = 0
@@ -97,7 +98,7 @@
     outcomes: Counter[str] = field(default_factory=Counter)
 
     def add(self, result: RunResult) -> None:
-        """Add one run."""
+        """Add the counts of a run."""
         self.runs += 1
         self.requests += result.requests
         self.faults.update(fault.kind for fault in result.faults)
@@ -107,7 +108,7 @@
             self.violations[check] += len(found)
 
     def to_json(self) -> dict[str, Any]:
-        """Return the sums as the bench prints them."""
+        """Return the sums under the keys that the bench prints."""
         return {
             "runs": self.runs,
             "requests": self.requests,
@@ -126,7 +127,7 @@
     Parameters
     ----------
     argv : list of str
-        Flags.
+        Command-line flags.
 
     Returns
     -------
@@ -138,7 +139,7 @@
     except flags.Error as exc:
         print(exc, file=sys.stderr)
         return 2
-    # The faults are meant; what the nodes log about them says nothing new.
+    # The nodes log the effects of the injected faults, which are expected here.
     logging.disable(logging.CRITICAL)
     totals = Totals()
     for result in _results(options):
@@ -157,7 +158,7 @@
 
 
 def _is_detected(result: RunResult, options: Options) -> bool:
-    """Whether the planted bug was noticed by the check that it is for."""
+    """Whether the check meant to detect the planted bug found a violation."""
     if not options.bug:
         return False
     return result.findings.count(BREAKS[options.bug].check) > 0
@@ -173,7 +174,7 @@
 
 
 def _print_failure(result: RunResult, options: Options) -> None:
-    """Print a failed run's seed, what was found, and its time line."""
+    """Print seed, faults, violations and timeline of a failed run."""
     planted = f" --break {options.bug}" if options.bug else ""
     repeat = f"--seed {result.seed} --runs 1{planted}"
     print(f"seed {result.seed} failed; repeat it with {repeat}", file=sys.stderr)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/conditions.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/conditions.py
@@ -1,4 +1,4 @@
-"""How tight things are in a randomised run, apart from faults."""
+"""Capacity and load of a randomised run."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 if TYPE_CHECKING:
     import random
 
-# Seconds of virtual time: load runs, then everything heals and comes to rest.
+# Seconds of virtual time after which the callers send no more requests.
 LOAD_S = 9.0
 
 
 @dataclass(frozen=True, slots=True)
 class Conditions:
-    """How tight things are in a run, apart from faults.
+    """Capacity and load of a run.
 
     Parameters
     ----------
     slots : int
-        Calls a backend server works on at once; it sheds what is more.
+        Maximum number of concurrent calls of a backend server.
     kept_answers : int
-        Outcomes that the home of a ticket keeps.
+        Maximum number of outcomes that the home node of a ticket keeps.
     mean_pause_s : float
-        Seconds between two requests of a caller, on average.
+        Mean time between two requests of a caller, in seconds.
     load_s : float
-        Seconds at which callers send their last request.
+        Virtual time in seconds after which callers send no more requests.
     """
 
     slots: int = 20
@@ -35,7 +35,7 @@
 
 
 def draw_conditions(rng: random.Random) -> Conditions:
-    """Return the conditions of a run."""
+    """Draw the conditions of a run."""
     return Conditions(
         slots=rng.choice((2, 5, 20)),
         kept_answers=rng.choice((4, 50_000)),
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/evidence.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/evidence.py
@@ -1,4 +1,4 @@
-"""What a run leaves behind, for the checks: runs, callers' outcomes, attempts."""
+"""Data collected in a run for the checks: runs, request outcomes and attempts."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
 
 @dataclass(slots=True)
 class RequestRecord:
-    """What one client request was told in the end.
+    """Final outcome of a client request.
 
     Parameters
     ----------
     nonce : str
-        Of the request.
+        Unique identifier of the request.
     route : str
-        What was asked for.
+        Name of the requested route.
     outcome : Outcome
-        What its caller holds.
+        Outcome that the caller received last.
     ended_at : float
-        Seconds; the caller sends no copy after this.
+        Virtual time in seconds after which the caller sends no more copies.
     copies : int
-        Copies that were sent.
+        Number of copies sent.
     aggressive : bool
-        Whether the caller repeats hard, without the client library.
+        Whether the caller retries early and without the client library.
     """
 
     nonce: str
@@ -48,26 +48,33 @@
 
 @dataclass(slots=True)
 class Evidence:
-    """All that the checks of a run look at.
+    """Data that the checks of a run inspect.
 
     Parameters
     ----------
     runs : list of Run
-        Logs of all backend servers.
+        Runs of all backend servers.
     requests : list of RequestRecord
-        What callers hold.
+        Client requests that have ended.
     refused_children : list of (str, str, str)
-        (nonce, place, route) of children whose parent was told "not run".
+        (nonce, place, route) of downstream calls that were refused as not run.
     attempts : Counter
-        Attempts that reached a node beside a backend server, by nonce.
+        Attempts that reached the node of a backend server, by nonce.
     leaving_since : dict
-        Seconds at which each leaving node began to leave, by node.
+        Virtual time in seconds at which each leaving node began to drain, by node.
+    stopping : set of str
+        Nodes whose ending runs count as interrupted.
     late_runs, late_calls : list of str
-        Runs that a leaving node started late, and calls it was sent late.
-    copies_started : set of (str, int)
-        Copies, by nonce and number, of callers without the library that ran.
+        Runs that a node started, and calls it received, more than `LEAVING_GRACE_S`
+        after it began to drain.
     interrupted : list of str
-        What a planned stop cut.
+        Runs, calls and requests that a planned stop interrupted.
+    copies_started : set of (str, int)
+        Nonce and number of each copy that ran and was sent without the library.
+    answers : int
+        Number of answers compared with the expected ones.
+    wrong_answers : list of str
+        Nonces of the requests whose answers differed.
     """
 
     runs: list[Run] = field(default_factory=list)
@@ -84,7 +91,7 @@
     wrong_answers: list[str] = field(default_factory=list)
 
     def record_run_start(self, node: str, run: Run, copy: str) -> None:
-        """Log a run; note if its node has been leaving for long."""
+        """Record a run, and whether its node began to drain too long ago."""
         if copy and run.place == ROOT_PLACE:
             self.copies_started.add((run.nonce, int(copy)))
         self.runs.append(run)
@@ -93,18 +100,18 @@
             self.late_runs.append(f"{run.route} of {run.nonce} on {node}")
 
     def record_peer_call(self, node: str, peer: str) -> None:
-        """Note a call that another node sends to one that has long been leaving."""
+        """Record a call from a peer to a node that began to drain too long ago."""
         since = self.leaving_since.get(node)
         if since is not None and trio.current_time() - since > LEAVING_GRACE_S:
             self.late_calls.append(f"from {peer} to {node}")
 
     def record_run_end(self, node: str, run: Run) -> None:
-        """Note a run that ended because its node stopped by plan."""
+        """Record a run that ended because its node stopped as planned."""
         if node in self.stopping:
             self.interrupted.append(f"run {run.route} of {run.nonce} on {node}")
 
     def record_answer(self, nonce: str, is_correct: bool) -> None:
-        """Count an answer that was compared with what it should be."""
+        """Count a checked answer, and record it if it was wrong."""
         self.answers += 1
         if not is_correct:
             self.wrong_answers.append(nonce)
@@ -112,9 +119,10 @@
     def record_child_outcome(
         self, mark: CallMark, route: Route, outcome: Outcome
     ) -> None:
-        """Note a child that a backend server was told was not run."""
+        """Record a downstream call that was refused as not run."""
         if isinstance(outcome, Refused):
             self.refused_children.append((mark.nonce, mark.place, route.name))
 
 
+# Seconds after the start of a drain from which on runs and peer calls are violations.
 LEAVING_GRACE_S = 2.0
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/fleet.py
@@ -1,4 +1,4 @@
-"""The nodes of a randomised run: real ones, over links in memory."""
+"""Real nodes of a randomised run, connected by an in-memory network."""
 
 from __future__ import annotations
 
@@ -38,26 +38,26 @@
 
 @dataclass(slots=True, eq=False)
 class NodeProcess:
-    """One life of a node's process.
+    """A process of a node, from its start to its exit.
 
     Parameters
     ----------
     cfg : NodeConfig
-        The node's settings.
-    state : NodeState or None
-        Set once it takes calls.
-    request_nursery : trio.Nursery or None
-        Where its callers' requests are served.
+        Settings of the node.
+    backend : RecordingBackend
+        Backend server on the host of the node.
     scope : trio.CancelScope
         Cancelled by a crash.
-    backend : RecordingBackend
-        The backend server on its host.
+    state : NodeState or None
+        Set once the node takes calls.
+    request_nursery : trio.Nursery or None
+        Runs the requests of callers.
     stop_requested : bool
-        Whether it was asked to stop.
+        Whether a planned stop was requested.
     exited : bool
-        Whether the process is gone.
+        Whether the process has exited.
     adopted : list of (str, int)
-        Teams and versions whose settings it took over, in order.
+        Team and version of each settings text adopted, in order.
     """
 
     cfg: NodeConfig
@@ -71,7 +71,7 @@
 
     @property
     def name(self) -> str:
-        """Name of the node."""
+        """The name of the node."""
         return self.cfg.name
 
 
@@ -82,23 +82,31 @@
     Parameters
     ----------
     rng : random.Random
-        Source of all randomness.
+        Source of all random numbers.
     conditions : Conditions
-        How tight things are.
+        Capacity and load of the run.
     evidence : Evidence
-        What the run leaves behind.
+        Collects the data for the checks.
     network : FakeNetwork
-        Between nodes.
+        Network between the nodes.
     store : ObjectStore
-        The platform.
+        Object store of the platform.
     clock : Clock
-        Of all processes.
+        Clock of all processes.
     nursery : trio.Nursery
-        Where the lives run.
+        Runs the processes.
     processes : dict
-        The latest life of each node.
+        Latest process of each node, by node.
     all_processes : list of NodeProcess
-        All lives, the latest included.
+        All processes since the start, including the latest ones.
+    partitions : list of frozenset of str
+        For each partition in force, the data centres that it isolates.
+    paused : set of str
+        Nodes that are paused.
+    max_answer_delay_ms, max_request_delay_ms : float
+        Upper bounds of the extra delay of answers and requests in milliseconds.
+    written : dict
+        Text of each stored version of the settings, by team and version.
     """
 
     rng: random.Random
@@ -117,11 +125,11 @@
     written: dict[str, dict[int, bytes]] = field(default_factory=dict)
 
     def write(self, path: str, value: bytes) -> None:
-        """Put an object on the platform without a call."""
+        """Write an object directly to the store of the platform."""
         self.store._apply(path, value, None, False)
 
     def _record_writes(self) -> None:
-        """Keep each version of a team's settings that takes effect."""
+        """Record each version of a team's settings that the store accepts."""
         apply = self.store._apply
         teams = {settings_path(team): team for team in TEAMS}
         self.written = {team: {} for team in TEAMS}
@@ -135,7 +143,7 @@
         vars(self.store)["_apply"] = recording
 
     def start(self, name: str) -> NodeProcess:
-        """Start a new life of a node."""
+        """Start a new process of a node."""
         data_centre = dict(NODES)[name]
         cfg = node_config(name, data_centre, self.conditions)
         process: NodeProcess
@@ -155,7 +163,7 @@
         return process
 
     def crash(self, name: str) -> None:
-        """End a node's process at once."""
+        """Kill the process of a node."""
         process = self.processes[name]
         self.evidence.leaving_since.pop(name, None)
         process.exited = True
@@ -163,7 +171,7 @@
         self.network.crash(process.cfg.peer_address)
 
     def stop(self, name: str) -> None:
-        """Ask a node to stop by plan."""
+        """Request a planned stop of a node."""
         process = self.processes[name]
         if process.state is None or process.exited or process.stop_requested:
             return
@@ -172,7 +180,7 @@
         process.state.request_drain()
 
     def reachable(self, one: str, other: str) -> bool:
-        """Whether two data centres reach each other."""
+        """Whether two data centres can reach each other."""
         return not any(
             (one in partition) is not (other in partition)
             for partition in self.partitions
@@ -180,7 +188,7 @@
         )
 
     def apply_partitions(self) -> None:
-        """Make network and platform follow `partitions` and `paused`."""
+        """Update network and platform to match `partitions` and `paused`."""
         self.network.heal()
         address = {name: f"{name}:7000" for name, _ in NODES}
         for partition in self.partitions:
@@ -212,7 +220,7 @@
         self._record_exit(process)
 
     def _instrument(self, process: NodeProcess, state: NodeState) -> None:
-        """Count the attempts that reach the gate, by client request."""
+        """Record attempts at the admission gate, peer calls and adopted settings."""
         enter = state.gate.enter
 
         async def counting_enter(head: CallHead) -> Admitted | Refused:
@@ -271,13 +279,18 @@
     Parameters
     ----------
     rng : random.Random
-        Source of all randomness.
+        Source of all random numbers.
     conditions : Conditions
-        How tight things are.
+        Capacity and load of the run.
     evidence : Evidence
-        What the run leaves behind.
+        Collects the data for the checks.
     nursery : trio.Nursery
-        Where the nodes run.
+        Runs the processes.
+
+    Returns
+    -------
+    Fleet
+        Fleet on which `Fleet.start` starts the nodes.
     """
     fleet = Fleet(
         rng=rng,
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/inject.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/inject.py
@@ -1,4 +1,4 @@
-"""Bringing a planned fault about, and ending it."""
+"""Injection of planned faults, and recovery from them."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 
 
 async def inject(fleet: Fleet, changes: Changes, fault: Fault) -> None:
-    """Bring a fault about at its time and end it after its duration.
+    """Inject a fault at its time and end it after its duration.
 
     Parameters
     ----------
     fleet : Fleet
         The nodes.
     changes : Changes
-        What racing operators do.
+        Collects the settings changes of racing operators.
     fault : Fault
-        The fault.
+        Fault to inject.
     """
     await trio.sleep_until(fault.at)
     await _INJECTORS[fault.kind](fleet, changes, fault)
@@ -120,7 +120,7 @@
 async def _planned_stop(fleet: Fleet, _changes: Changes, fault: Fault) -> None:
     process = fleet.processes[fault.node]
     while process.state is None and not process.exited:
-        # It starts again after another fault.
+        # The node is restarting after another fault.
         await trio.sleep(0.05)
     fleet.stop(fault.node)
     while not process.exited:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/operators.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/operators.py
@@ -1,4 +1,4 @@
-"""The operators of a randomised run: they change settings at once."""
+"""Operators of a randomised run, who change settings concurrently."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class Change:
-    """One change, and what its operator was told; None if nothing in time."""
+    """A settings change with its result, which is None after a time-out."""
 
     change_id: str
     at: float
@@ -42,33 +42,33 @@
 
 @dataclass(slots=True)
 class Changes:
-    """All changes of a run."""
+    """All settings changes of a run."""
 
     made: list[Change] = field(default_factory=list)
 
     def accepted(self) -> list[Change]:
-        """Return those whose operators were told that they are accepted."""
+        """Return the changes that were reported as accepted."""
         return [change for change in self.made if isinstance(change.result, Accepted)]
 
     def denied(self) -> list[Change]:
-        """Return those whose operators were told that nothing was changed."""
+        """Return the changes that were reported as not applied."""
         possibly_applied = (Accepted, Unsettled, type(None))
         return [c for c in self.made if not isinstance(c.result, possibly_applied)]
 
 
 async def run_operator(fleet: Fleet, changes: Changes, name: str, until: float) -> None:
-    """Change settings again and again, each time through another node.
+    """Change settings repeatedly, each time through a random node.
 
     Parameters
     ----------
     fleet : Fleet
         The nodes.
     changes : Changes
-        Where each change is noted.
+        Collects the changes.
     name : str
-        Of the operator.
+        Name of the operator.
     until : float
-        Seconds at which it stops.
+        Virtual time in seconds at which the operator stops.
     """
     rng = random.Random(fleet.rng.getrandbits(64))
     number = 0
@@ -85,7 +85,7 @@
 
 
 async def _change(state: NodeState, change_id: str, rng: random.Random) -> WriteResult:
-    """Put a team's settings; those of the other team are deleted now and then."""
+    """Put the settings of a random team, or delete those of `OTHER_TEAM`."""
     team = rng.choice(TEAMS)
     current_text = state.book.text(team)
     expected = rng.choice(
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/plan.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/plan.py
@@ -1,4 +1,4 @@
-"""Which faults come when: drawn from the seed, one to three, often overlapping."""
+"""Random selection of the one to three faults of a run, which often overlap."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 if TYPE_CHECKING:
     import random
 
-# Seconds of virtual time, within the time of the load.
+# Bounds of the start of a fault in seconds of virtual time, while the load runs.
 FIRST_FAULT_S = 2.3
 LAST_FAULT_S = 7.0
 
 
 class FaultKind(StrEnum):
-    """The faults that a run can bring about."""
+    """Kinds of faults that can be injected."""
 
     PLATFORM_DOWN = "platform-down"
     PLATFORM_SLOW = "platform-slow"
@@ -52,18 +52,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault of a run.
+    """A fault of a run.
 
     Parameters
     ----------
     kind : FaultKind
-        What goes wrong.
+        Kind of the fault.
     at, duration : float
-        Seconds of virtual time.
+        Start and duration in seconds of virtual time.
     node : str
-        Which node, if it is about one.
+        Affected node, used by kinds that affect one node or service.
     data_centre : str
-        Which data centre, if it is about one.
+        Affected data centre, used by kinds that affect one data centre.
     """
 
     kind: FaultKind
@@ -74,12 +74,17 @@
 
 
 def draw_faults(rng: random.Random) -> tuple[Fault, ...]:
-    """Return the faults of a run; half of the runs have a pair that overlaps.
+    """Draw the faults of a run; about half of the runs have an overlapping pair.
 
     Parameters
     ----------
     rng : random.Random
-        Of the run.
+        Random numbers of the run.
+
+    Returns
+    -------
+    tuple of Fault
+        One to three faults, ordered by start.
     """
     first = _draw(rng, rng.uniform(FIRST_FAULT_S, LAST_FAULT_S))
     faults = [first]
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/run.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/run.py
@@ -1,4 +1,4 @@
-"""One randomised run, from its seed to its findings."""
+"""Execution of a randomised run from its seed to the findings of its checks."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 _N_LIBRARY_CALLERS = 6
 _START_S = 2.0
-# Healed, nodes agree on members within 5 s and on settings within 9 s.
+# After the last fault, nodes agree on members within 5 s and on settings within 9 s.
 _CONVERGENCE_TIMEOUT_S = 9.0
 _LOAD_DEADLINE_S = 40.0
 _REAL_LIMIT_S = 60.0
@@ -47,22 +47,22 @@
 
 @dataclass(frozen=True, slots=True)
 class RunResult:
-    """What came of one run.
+    """Result of a run.
 
     Parameters
     ----------
     seed : int
-        Repeats the run.
+        Seed that reproduces the run.
     faults : tuple of Fault
-        What went wrong.
+        Faults that were injected.
     requests : int
-        Client requests that ended.
-    outcomes : dict
-        How many ended how.
+        Number of client requests that ended.
     findings : Findings
-        What the checks found.
+        Results of the checks.
+    outcomes : Counter
+        Number of client requests by type of outcome.
     timeline : tuple of str
-        The events of all processes, in order; only after a violation.
+        Events of all processes in order; empty without a violation.
     """
 
     seed: int
@@ -79,23 +79,23 @@
     faults: Iterable[Fault] | None = None,
     conditions: Conditions | None = None,
 ) -> RunResult:
-    """Run nodes, callers and operators under the faults of a seed.
+    """Run nodes, callers and operators under faults, and check the invariants.
 
     Parameters
     ----------
     seed : int
-        Of all randomness.
+        Seed of all random numbers.
     bug : str
-        A bug to plant; see `breaks`.
+        Bug to plant, a key of `breaks.BREAKS`; empty for none.
     faults : iterable of Fault, optional
-        Instead of those that the seed draws.
+        Faults to inject instead of those drawn from the seed.
     conditions : Conditions, optional
-        Instead of those that the seed draws.
+        Conditions to use instead of those drawn from the seed.
 
     Returns
     -------
     RunResult
-        The same for the same arguments.
+        Equal for equal arguments.
     """
     rng = random.Random(seed)
     drawn_conditions = draw_conditions(rng)
@@ -133,7 +133,7 @@
                 for fault in faults:
                     load.start_soon(inject, fleet, changes, fault)
         if scope.cancelled_caught:
-            overruns.append(f"load or faults go on after {_LOAD_DEADLINE_S:.0f} s")
+            overruns.append(f"load or faults still active at {_LOAD_DEADLINE_S:.0f} s")
         unconverged = await _wait_for_convergence(fleet)
         findings = check_run(fleet, evidence, changes, faults)
         findings.add_result(NOT_AT_REST, overruns, 1)
@@ -146,7 +146,7 @@
 
 
 def write_initial_settings(fleet: Fleet) -> None:
-    """Have the platform hold the team's settings from the start."""
+    """Store the settings of `TEAM` on the platform before the nodes start."""
     text = team_text(0)
     at = "2026-01-01T00:00:00Z"
     record = ChangeRecord("first", Action.PUT, "operators", at, 0, text_digest(text))
@@ -154,7 +154,7 @@
 
 
 async def _wait_for_convergence(fleet: Fleet) -> dict[str, list[str]]:
-    """Wait until all nodes agree; return where they do not in time."""
+    """Wait until all nodes agree; return the differences left after the time-out."""
     end_time = trio.current_time() + _CONVERGENCE_TIMEOUT_S
     while check_convergence(fleet) and trio.current_time() < end_time:
         await trio.sleep(0.1)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/timeline.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/timeline.py
@@ -1,4 +1,4 @@
-"""The time line of a run: events of all processes, merged by their stamps."""
+"""Timeline of a run: the events of all processes merged by their timestamps."""
 
 from __future__ import annotations
 
@@ -8,16 +8,22 @@
     from fuchsiagap.core.telemetry.events import Event
     from fuchsiagap_standins.bench.faults.fleet import Fleet
 
+# Bits of the logical counter below the milliseconds of an event timestamp.
 _STAMP_SHIFT = 16
 
 
 def merged_events(fleet: Fleet) -> tuple[str, ...]:
-    """Return the events of all lives of all nodes as lines, in order.
+    """Return the events of all processes of all nodes as lines of text, in order.
 
     Parameters
     ----------
     fleet : Fleet
         The nodes.
+
+    Returns
+    -------
+    tuple of str
+        One line per event; times are in milliseconds since the first event.
     """
     events: list[Event] = []
     for process in fleet.all_processes:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/topology.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/topology.py
@@ -1,4 +1,4 @@
-"""The fleet and the services of a randomised run: what stands before any fault."""
+"""Nodes, data centres, services and routes of a randomised run."""
 
 from __future__ import annotations
 
@@ -14,15 +14,16 @@
     from fuchsiagap_standins.bench.faults.conditions import Conditions
 
 TEAM = memory_nodes.TEAM
-# A team without backend servers, whose settings are changed and deleted.
+# Team without backend servers, whose settings are changed and deleted.
 OTHER_TEAM = "sahel-vision"
 TEAMS = (TEAM, OTHER_TEAM)
 OPERATORS_TOKEN = memory_nodes.OPERATORS_TOKEN
+# Retries allowed for a client request and all its downstream calls.
 ALLOWANCE = 3
-# Header with the number of a copy that a caller sends without the library.
+# Header with the number of the copy, set by callers without the client library.
 COPY_HEADER = "standin-copy"
 DATA_CENTRES = ("hall-a", "hall-b", "hall-c")
-# Name of each node and the data centre it runs in; the service is the name's head.
+# (node, data centre); the part of the node name before "-" is its service.
 NODES: tuple[tuple[str, str], ...] = (
     ("results-1", "hall-a"),
     ("results-2", "hall-b"),
@@ -35,18 +36,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """What clients or backend servers can ask for.
+    """A route that clients and backend servers can request.
 
     Parameters
     ----------
     name : str
-        ``SERVICE/ROUTE``.
+        Name in the form ``SERVICE/ROUTE``.
     method, target : str
-        As the backend server sees it.
+        HTTP method and target that the backend server receives.
     idempotent : bool
-        Whether it may run more than once.
+        Whether a call may run more than once.
     calls : tuple of str
-        Names of the routes its backend server calls, in this order.
+        Names of the downstream routes that the backend server calls, in order.
     """
 
     name: str
@@ -57,12 +58,12 @@
 
     @property
     def service(self) -> ServiceName:
-        """The service that serves it."""
+        """The service that the route belongs to."""
         return ServiceName(TEAM, self.name.partition("/")[0])
 
     @property
     def path(self) -> str:
-        """The path that callers use."""
+        """The path that callers request."""
         return f"/{TEAM}/{self.service.name}{self.target}"
 
 
@@ -82,23 +83,23 @@
         Route("cycles/close", "POST", "/closures", False),
     )
 }
-# What clients ask for, and how often compared with the others.
+# Routes that clients request, and their relative frequencies.
 CLIENT_ROUTES = ("results/lookup", "results/report", "certs/issue")
 CLIENT_ROUTE_WEIGHTS = (2, 3, 5)
 
 
 def n_calls(name: str) -> int:
-    """Return the number of calls of a route's whole tree."""
+    """Return the number of calls of a route, including all downstream calls."""
     return 1 + sum(n_calls(child) for child in ROUTES[name].calls)
 
 
 def team_text(extra_timeout_ms: int) -> str:
-    """Return the team's settings; `extra_timeout_ms` makes each text another one.
+    """Return the text of a team's settings.
 
     Parameters
     ----------
     extra_timeout_ms : int
-        Milliseconds above the least timeout.
+        Milliseconds added to the call time-out, so that texts differ.
     """
     lines = [
         "[team]",
@@ -117,14 +118,14 @@
 
 
 def node_config(name: str, data_centre: str, conditions: Conditions) -> NodeConfig:
-    """Return the settings of a node; its addresses are made from its name.
+    """Return the settings of a node, whose addresses are derived from its name.
 
     Parameters
     ----------
     name, data_centre : str
-        The node.
+        Name and data centre of the node.
     conditions : Conditions
-        Of the run.
+        Capacity and load of the run.
     """
     others = [f"{other}:7000" for other, _ in NODES if other != name]
     service = name.partition("-")[0]
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/transport.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/transport.py
@@ -1,4 +1,4 @@
-"""HTTP between callers and nodes in memory: the real edge, without sockets."""
+"""In-memory HTTP transport from callers to the request handlers of real nodes."""
 
 from __future__ import annotations
 
@@ -21,13 +21,14 @@
 _NETWORK_DELAY_MS = (0.5, 6.0)
 _POLL_INTERVAL_MS = 20.0
 _CONNECT_TIMEOUT_MS = 300.0
-# Share of callers who leave without the node noticing, as in a partition.
+# Share of cancelled requests whose disconnect the node does not notice, as in a
+# partition.
 _UNNOTICED_DISCONNECT_SHARE = 0.3
 
 
 @dataclass(slots=True, eq=False)
 class _Exchange:
-    """A request at a node, and its response once there is one."""
+    """A request in progress at a node, with its response once it is there."""
 
     done: trio.Event = field(default_factory=trio.Event)
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
@@ -36,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Body(httpx.AsyncByteStream):
-    """A body that is read from the connection, so that its bytes are counted."""
+    """A streamed response body, so that httpx counts its bytes."""
 
     content: bytes
 
@@ -45,16 +46,16 @@
 
 
 class MemoryTransport(httpx.AsyncBaseTransport):
-    """Carries a caller's requests to the nodes of a fleet.
+    """Transport of httpx that delivers the requests of a caller to a fleet.
 
     Parameters
     ----------
     fleet : Fleet
         The nodes.
     data_centre : str
-        Where the caller is; a partition cuts it off as it does the nodes there.
+        Data centre of the caller, which partitions isolate together with its nodes.
     rng : random.Random
-        Source of delays.
+        Source of network delays and unnoticed disconnects.
     """
 
     def __init__(self, fleet: Fleet, data_centre: str, rng: random.Random) -> None:
@@ -63,7 +64,17 @@
         self._rng = rng
 
     async def handle_async_request(self, request: httpx.Request) -> httpx.Response:
-        """Send a request to the node its URL names; see `httpx`."""
+        """Send a request to the node named by the host of its URL.
+
+        Raises
+        ------
+        httpx.ConnectError
+            If no process of the node takes requests.
+        httpx.ConnectTimeout
+            If the node cannot be reached.
+        httpx.ReadError
+            If the connection ends without a response.
+        """
         name = request.url.host
         await self._sleep_network_delay()
         process = self._fleet.processes.get(name)
@@ -76,7 +87,7 @@
             raise httpx.ConnectError("connection refused")
         if not self._is_reachable(process):
             await sleep_ms(_CONNECT_TIMEOUT_MS)
-            raise httpx.ConnectTimeout("no answer")
+            raise httpx.ConnectTimeout("connection attempt timed out")
         exchange = _Exchange()
         delay = self._rng.random() * self._fleet.max_request_delay_ms
         req = _to_node_request(request)
@@ -114,7 +125,7 @@
     exchange: _Exchange,
     delay: float,
 ) -> None:
-    """Serve a request after its time on the way; its caller may be gone by then."""
+    """Serve a request after its network delay, even if the caller has disconnected."""
     try:
         with exchange.scope:
             await sleep_ms(delay)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/__init__.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/__init__.py
@@ -1,4 +1,4 @@
-"""What membership costs and how fast it is, against the number of nodes."""
+"""Bench of the cost and speed of group membership by number of nodes."""
 
 from __future__ import annotations
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/cli.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/cli.py
@@ -1,4 +1,4 @@
-"""The command line of the membership bench.
+"""Command line of the membership bench.
 
 Examples
 --------
@@ -27,7 +27,7 @@
     Parameters
     ----------
     argv : list of str
-        Its flags.
+        Command-line flags.
 
     Returns
     -------
@@ -39,7 +39,7 @@
     parser.add_argument("--data-centres", type=int, default=3)
     parser.add_argument("--members", type=int, default=_VIEW_MEMBERS)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--links", action="store_true", help="cost of real links too")
+    parser.add_argument("--links", action="store_true", help="measure real links too")
     parser.add_argument("--json", action="store_true")
     args = parser.parse_args(argv)
     sizes = [int(size) for size in args.sizes.split(",") if size]
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/fleet.py
@@ -1,4 +1,4 @@
-"""Fleets of member nodes in memory under a virtual clock: times and traffic."""
+"""Propagation times and traffic of in-memory fleets under a virtual clock."""
 
 from __future__ import annotations
 
@@ -26,33 +26,36 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetFigures:
-    """Figures of one fleet.
+    """Measurements of a fleet.
 
     Parameters
     ----------
     nodes, data_centres : int
-        Its size.
+        Number of nodes and of data centres.
     vanish_ms_median, vanish_ms_max : float
-        From the moment a host vanishes until every node counts it as dead.
+        Milliseconds from the silent loss of a host until every node considers it dead.
     end_ms_median : float
-        The same for a process that ends, so that its address refuses links.
+        Milliseconds from the exit of a process, after which its address refuses links,
+        until every node considers it dead.
     spread_ms_median, spread_ms_max : float
-        From a node's word that it is leaving until every node has it, by updates
-        between neighbours alone.
+        Milliseconds from a node's announcement of a new state until every node has it,
+        through updates between neighbours alone.
     join_ms : float
-        From the start of a new node with one first peer until all views agree.
+        Milliseconds from the start of a new node with one seed peer until all views
+        agree.
     heal_ms : float
-        From the end of a cut of one data centre, with a crash on the one side and a
-        new node on the other, until all views agree.
+        Milliseconds from the end of a partition of one data centre until all views
+        agree. During the partition a node crashes on one side and a new one starts on
+        the other.
     messages_per_s, bytes_per_s : float
-        Sent by a node while nothing changes, mean over the nodes.
+        Mean rates sent per node while the membership does not change.
     bytes_per_s_max : float
-        By the node that sends most.
+        Rate of the node that sends the most bytes.
     cpu_ms_per_s : float
-        Processor time of a node while nothing changes; fake links included, real
-        ones not.
+        Mean CPU time per node while the membership does not change, including the
+        in-memory links, which stand in for real ones.
     links : float
-        Open links of a node, taken or dialled, mean over the nodes.
+        Mean number of open links per node, inbound and outbound.
     """
 
     nodes: int
@@ -72,14 +75,19 @@
 
 
 def measure_fleet(n_nodes: int, n_data_centres: int, seed: int) -> FleetFigures:
-    """Measure a fleet of one size.
+    """Measure a fleet of the given size.
 
     Parameters
     ----------
     n_nodes, n_data_centres : int
-        Its size.
+        Number of nodes and of data centres.
     seed : int
-        Of all randomness; the same seed gives the same times and traffic.
+        Seed of all random numbers; equal seeds give equal times and traffic.
+
+    Returns
+    -------
+    FleetFigures
+        Times, rates and CPU time.
     """
     return run_virtual(_measure, n_nodes, n_data_centres, seed, real_limit_s=3_600.0)
 
@@ -126,7 +134,7 @@
 async def _start_nodes(
     fleet: Fleet, n_nodes: int, data_centre_names: list[str]
 ) -> None:
-    """Start all nodes, each knowing all others, as after a long time together."""
+    """Start all nodes with complete views, as after a long time of operation."""
     nodes = [
         fleet.add(
             f"certs-{i}",
@@ -221,7 +229,7 @@
         node.address for node in fleet.nodes.values()
     } - isolated_addresses
     fleet.network.cut(isolated_addresses | {"new-2:7000"}, other_addresses)
-    # The digests would tell each side of the other.
+    # With a working platform, each side would learn of the other from the digests.
     fleet.store.set_faults(PlatformFaults(outage=True))
     await trio.sleep(_SETTLE_S)
     crashed_node = next(
@@ -230,7 +238,7 @@
     fleet.crash(crashed_node)
     fleet.add("new-2", data_centre_names[-1], first=sorted(isolated_addresses)[:1])
     await trio.sleep(_SETTLE_S)
-    # What was held back is lost, so that nothing but the syncs can help.
+    # Drop delayed messages, so that only the periodic synchronisation can repair views.
     for address in isolated_addresses:
         fleet.network.lose_links(address)
     fleet.network.heal()
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/links.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/links.py
@@ -1,4 +1,4 @@
-"""What a real link costs: to open, to send on, to keep."""
+"""Cost of real links: opening one, sending on it and keeping it open."""
 
 from __future__ import annotations
 
@@ -30,18 +30,18 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkFigures:
-    """Processor time of both ends together, over loopback in one process.
+    """CPU time of both ends of a link together, over loopback in one process.
 
     Parameters
     ----------
     open_us : float
-        Dialling, greeting and closing a link.
+        Microseconds for dialling, handshake and closing of a link.
     heartbeat_us : float
-        A heartbeat on an open link.
+        Microseconds for a heartbeat on an open link.
     ping_us : float
-        A probe with its reply on an open link.
+        Microseconds for a probe with its reply on an open link.
     link_bytes : float
-        Memory of an open link, as far as Python allots it.
+        Bytes of memory of one end of an open link, as traced by Python.
     """
 
     open_us: float
@@ -51,7 +51,13 @@
 
 
 def measure_links() -> LinkFigures:
-    """Measure links over loopback."""
+    """Measure links over the loopback interface.
+
+    Returns
+    -------
+    LinkFigures
+        CPU time and memory.
+    """
     return trio.run(_measure)
 
 
@@ -94,7 +100,7 @@
     handlers = Handlers()
 
     async def on_heartbeat(_peer: str, _msg: Heartbeat) -> None:
-        """Take it."""
+        """Ignore the heartbeat."""
 
     async def on_ping(_peer: str, msg: Ping) -> Ack:
         return Ack(msg.target, 1 << 60)
@@ -107,7 +113,7 @@
 
 
 async def _measure_cpu_us(action: Callable[[], Awaitable[None]], count: int) -> float:
-    """Return microseconds of processor time for each of many."""
+    """Return the mean CPU time of an action in microseconds, after one warm-up."""
     await action()
     started = time.process_time()
     for _ in range(count):
@@ -118,7 +124,7 @@
 async def _measure_link_memory(
     address: str, wire: Wire, nursery: trio.Nursery
 ) -> float:
-    """Return bytes of one end of a link; both ends are in this process."""
+    """Return the bytes of one end of a link; both ends are in this process."""
     n_links = 50
     dial = websocket_dial(nursery)
     tracemalloc.start()
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/loopback.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/loopback.py
@@ -1,4 +1,4 @@
-"""A fleet over real websockets on loopback, to see what its nodes cost."""
+"""CPU time and traffic of a fleet over real websockets on loopback."""
 
 from __future__ import annotations
 
@@ -31,20 +31,22 @@
 
 @dataclass(frozen=True, slots=True)
 class LoopbackFigures:
-    """Figures of a fleet in one process, in real time.
+    """Measurements of a fleet in one process, in real time.
 
     Parameters
     ----------
     nodes, data_centres : int
-        Its size.
+        Number of nodes and of data centres.
     cpu_ms_per_s : float
-        Processor time of a node while nothing changes, real links included.
+        Mean CPU time per node while the membership does not change, including the
+        links.
     messages_per_s, bytes_per_s : float
-        Sent by a node, without the library's own pings.
+        Mean rates sent per node, without the pings of the websocket library.
     links : float
-        Open links of a node, mean over the nodes.
+        Mean number of open links per node.
     end_ms : float
-        From the moment a node's process ends until every other counts it as dead.
+        Milliseconds from the exit of a node's process until every other node considers
+        it dead.
     """
 
     nodes: int
@@ -58,42 +60,47 @@
 
 @dataclass(slots=True)
 class _LoopbackNetwork:
-    """Stands where `Fleet` expects a network; knows who listens at which port."""
+    """Substitute for `FakeNetwork` that maps addresses of nodes to local ports."""
 
     nursery: trio.Nursery
     ports: dict[str, int] = field(default_factory=dict)
 
     def dial_from(self, _source: str) -> Dial:
-        """Return a dial over websockets to the nodes by their names."""
+        """Return a function that dials a node's address over a websocket."""
         dial = websocket_dial(self.nursery)
 
         async def by_name(address: str) -> Link | DialFailed:
             if address not in self.ports:
-                return DialFailed(address, "nobody listens there")
+                return DialFailed(address, "connection refused")
             return await dial(f"127.0.0.1:{self.ports[address]}")
 
         return by_name
 
     def crash(self, address: str) -> None:
-        """Nobody listens at a node's address any more; its links are its own."""
+        """Stop connections to a node's address; the node closes its own links."""
         self.ports.pop(address, None)
 
     async def listen(
         self, address: str, take: Callable[[Link], Awaitable[None]]
     ) -> None:
-        """Serve the links dialled to a node."""
+        """Serve the inbound links of a node."""
         (listener,) = await trio.open_tcp_listeners(0, host="127.0.0.1")
         self.ports[address] = listener.socket.getsockname()[1]
         await serve_links([listener], take)
 
 
 def measure_loopback(seed: int) -> LoopbackFigures:
-    """Measure a fleet over loopback; takes its time in real seconds.
+    """Measure a fleet over loopback in real time.
 
     Parameters
     ----------
     seed : int
-        Of the nodes' random choices.
+        Seed of the nodes' random choices.
+
+    Returns
+    -------
+    LoopbackFigures
+        CPU time, rates and detection time.
     """
     return trio.run(_measure, seed)
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/view.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/view.py
@@ -1,4 +1,4 @@
-"""What one view of many members costs: processor time and memory."""
+"""CPU time and memory of one node's view of many members."""
 
 from __future__ import annotations
 
@@ -29,34 +29,36 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewFigures:
-    """Figures of one view.
+    """Measurements of a view of the members.
+
+    Times are CPU times, in microseconds (``_us``) or milliseconds (``_ms``).
 
     Parameters
     ----------
     members : int
-        Members in the view.
+        Number of members in the view.
     apply_us : float
-        Taking a newer word on a member that stays on its rings.
+        Applying a newer update of a member that keeps its place on the rings.
     stale_us : float
-        Passing over a word that is no news.
+        Ignoring an update that the view has already applied.
     join_us, death_us : float
-        Putting a member on the rings; taking it off.
+        Adding a member to the rings, and removing it.
     bytes_per_member : float
-        Memory of a view for each member, its words made from frames.
+        Bytes of memory per member, with members decoded from frames.
     instances_us : float
         Listing the instances.
     neighbours_us : float
-        Working out who is watched and who is told.
+        Determining which members are monitored and which receive updates.
     digest_us : float
-        The hashes of all buckets.
+        Hashing all buckets.
     wire_bytes_per_member : float
-        Size of a word in a batch of updates.
+        Bytes per member in a batch of updates.
     wire_us_per_member : float
-        Writing and reading it.
+        Encoding and decoding, per member of the batch.
     stored_bytes : float
-        The digest of one data centre of a tenth of the members.
+        Bytes of the stored digest of a data centre with a tenth of the members.
     stored_ms : float
-        Writing and reading it.
+        Encoding and decoding that digest.
     """
 
     members: int
@@ -80,9 +82,14 @@
     Parameters
     ----------
     n_members : int
-        Members in it.
+        Number of members in the view.
     seed : int
-        Of all randomness.
+        Seed of all random numbers.
+
+    Returns
+    -------
+    ViewFigures
+        CPU times and sizes.
     """
     members = [_make_member(i) for i in range(n_members)]
     newer = [replace(member, refutation=1) for member in members]
@@ -135,7 +142,7 @@
 
 
 def _measure_memory(n_members: int, seed: int) -> int:
-    """Return the bytes of a view whose words came in frames, as they do."""
+    """Return the bytes of a view whose members are decoded from frames."""
     size = MembershipSettings().max_updates
     members = [_make_member(i) for i in range(n_members)]
     frames = [
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bench/faults/test_breaks.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bench/faults/test_breaks.py
@@ -1,3 +1,5 @@
+"""Each planted bug of the fault injection bench is detected by its check."""
+
 from __future__ import annotations
 
 from testtools import TestCase
@@ -17,7 +19,7 @@
 
 
 def run_until_detected(bug: str, *faults: Fault, **overrides: int) -> RunResult:
-    """Return the first run whose check notices the planted bug, or the last."""
+    """Return the first run whose check detects the planted bug, or the last run."""
     conditions = Conditions(mean_pause_s=0.15, load_s=4.5, **overrides)
     for seed in range(1, N_SEEDS + 1):
         result = run_once(seed, bug, faults, conditions)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bench/faults/test_regressions.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bench/faults/test_regressions.py
@@ -1,4 +1,4 @@
-"""Faults that randomised runs have found, each brought about by itself."""
+"""Regression tests of single faults that randomised runs have found."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def with_fleet(scenario: Callable[[Fleet], Awaitable[T]]) -> T:
-    """Run a scenario on nodes that know each other and the settings."""
+    """Run a scenario on nodes that have joined the fleet and adopted the settings."""
 
     async def run() -> T:
         async with trio.open_nursery() as nursery:
@@ -66,7 +66,7 @@
 
 
 def issue_request(home: NodeState) -> CallRequest:
-    """Return a request of a caller without the library, with a ticket of `home`."""
+    """Return a request with a ticket of `home`, as sent without the client library."""
     route = ROUTES["certs/issue"]
     tickets = issue_batch(home, 1)
     assert isinstance(tickets, tuple)
--- a/tools/check_findings.py
+++ b/tools/check_findings.py
@@ -1,7 +1,7 @@
-"""Fail where a day of the journal broke something and the findings are silent on it.
+"""Check that ``docs/findings.md`` names the journal entry of each day that failed.
 
-A day counts if it broke a rule, ended with a fault, or missed its gate. The page must
-name the journal entry (its identifier) of each.
+A day of a journal entry has failed if it broke a rule, ended with a fault or missed its
+minimum score. The page must contain the identifier of the entry.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def list_failures(day: dict[str, Any]) -> str:
-    """Return what a day broke; empty if nothing."""
+    """Return the failures of a day as text; empty if there are none."""
     found = [f"{rule} {times}" for rule, times in day["rules"].items()]
     found += [str(text) for text in day["short"]]
     if day["fault"] and not any("fault" in text for text in found):
@@ -26,7 +26,7 @@
 
 
 def find_unreported(page: str, entries: list[dict[str, Any]]) -> list[str]:
-    """Return a line for each day that broke something and whose entry is not named."""
+    """Return a line for each failed day whose entry the page does not name."""
     lines = []
     for entry in entries:
         if entry["id"] in page:
--- a/tools/check_logs.py
+++ b/tools/check_logs.py
@@ -1,8 +1,8 @@
-"""Fail on logs in which a node tells of an exception that it did not expect.
+"""Check that collected node logs contain no unexpected exceptions.
 
-``tools/check_logs.py FILE...`` reads collected lines, also with other text before
-them; ``-`` is standard input. It prints each such line, and exits with 1 if there is
-one.
+``tools/check_logs.py FILE...`` reads log lines, which may have a prefix; ``-`` reads
+standard input. It prints each line that reports an unexpected exception, and exits
+with 1 if there is one.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def find_fault_lines(lines: Iterable[str]) -> list[str]:
-    """Return the lines that tell of a fault."""
+    """Return the log lines of event ``fault``."""
     return [line.rstrip("\n") for line in lines if _FAULT_FIELD in line]
 
 
--- a/tools/check_names.py
+++ b/tools/check_names.py
@@ -1,4 +1,4 @@
-"""Fail where a name of the users' platform stands outside its own folder."""
+"""Check that names of the users' platform occur only in the platform adapter."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-# Names that only the platform's pages use; its plain words (name, route, zone) are not
-# listed, since they are words of any program.
+# Names that are specific to the platform. Its general terms (name, route, zone) are not
+# listed, because any program may use them.
 PLATFORM_NAMES = re.compile(
     r"heartbeatUrl|weightedServices|pathPrefix|maxAttempts|targetLatency|warmupLeft"
     r"|Target-Instance|Server-Signature|Caller-Service|Server-Load|Not-Executed"
@@ -23,11 +23,11 @@
         for number, line in enumerate(path.read_text("utf-8").splitlines(), 1):
             if found := PLATFORM_NAMES.search(line):
                 print(
-                    f"{path.relative_to(ROOT)}:{number}: {found[0]} is the platform's"
+                    f"{path.relative_to(ROOT)}:{number}: {found[0]} is a platform name"
                 )
                 n_faults += 1
     if (ROOT / "platform" / "__init__.py").exists():
-        print("platform/__init__.py would hide the standard module of that name")
+        print("platform/__init__.py would shadow the standard library module platform")
         n_faults += 1
     return 1 if n_faults else 0
 
--- a/tools/journal_table.py
+++ b/tools/journal_table.py
@@ -1,8 +1,8 @@
-"""Print a table of the days that journal entries tell of.
+"""Print a Markdown table of the days recorded in journal entries.
 
-``tools/journal_table.py FILE...`` reads entries and prints, for each day: worth, the
-credit of the whole day, of each kind of request and of the worst seconds, the largest
-prices, what missed a floor or broke a rule, and processor seconds.
+``tools/journal_table.py FILE...`` prints for each day its worth, its score, its credit
+in total and by class of request, the largest prices, missed minimums and broken rules,
+and the CPU time in seconds.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-# Prices shown for a day, and the least that is worth a mention.
+# Maximum number of prices shown for a day, and the smallest price shown.
 _MAX_PRICES_SHOWN = 3
 _MIN_PRICE_SHOWN = 0.01
 
@@ -32,12 +32,12 @@
 
 
 def _format_credit_by_class(day: dict[str, Any]) -> str:
-    """Return the credit of each kind of request, in the order of the site's sheet."""
+    """Return the credit of each class of request, in the order of the site's sheet."""
     return " ".join(f"{share:.2f}" for share in day["by_class"] if share is not None)
 
 
 def format_row(day: dict[str, Any]) -> str:
-    """Return a day as a row of a table."""
+    """Return a day as a row of the table."""
     cells = [
         day["name"],
         f"{day['G']:.3f}",
--- a/tools/operator_pages.py
+++ b/tools/operator_pages.py
@@ -1,4 +1,7 @@
-"""Write ``docs/cli.md`` and the page of metrics and logs from the program's tables."""
+"""Write ``docs/cli.md`` and the page of metrics and logs from the tables in the code.
+
+With ``--check`` it writes nothing and exits with 1 if a page is out of date.
+"""
 
 from __future__ import annotations
 
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,9 +1,9 @@
-"""Run every test of the workspace and close with a line ``N passed, N failed``.
+"""Run all tests of the repository and print ``N passed, N failed`` at the end.
 
-Tests run side by side in a few processes. Those that `KNOWN-RED.txt` names, one a line
-with its identifier first, may fail: they are printed and not counted as failed. One
-that passes is printed too: those that fail on some machines or now and then stay on the
-list until their cause is mended.
+Tests run in parallel processes. ``KNOWN-RED.txt`` lists tests that may fail, one per
+line with its identifier first. Such a test is printed and not counted as failed. If it
+passes it is printed too, because a test that fails only on some machines or at times
+stays on the list until its cause is fixed.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
-# Lines that the list may have.
+# Maximum number of lines in the list.
 MAX_KNOWN_RED = 3
-# Processes that run tests: half of the cores, and two for tests that start processes of
+# Number of test processes: half of the cores, and two for tests that start processes of
 # their own and mostly wait (see `conftest.py`).
 N_WORKERS = (os.cpu_count() or 2) // 2 + 2
-# Tests that took longest are named.
+# Number of slowest tests listed.
 N_SLOWEST_SHOWN = 5
 
 
 class _ResultRecorder:
-    """Which tests passed and which failed, in whichever process they ran."""
+    """Collects the names of passed and failed tests from all test processes."""
 
     def __init__(self) -> None:
         self.passed: set[str] = set()
@@ -45,24 +45,26 @@
 
 
 def test_name(node_id: str) -> str:
-    """Return the dotted name of a test from the one that pytest gives it."""
+    """Return the dotted name of a test from its pytest node identifier."""
     path, _, rest = node_id.partition("@")[0].partition("::")
     module = path.rpartition("src/")[2].removesuffix(".py").replace("/", ".")
     return ".".join(part for part in (module, *rest.split("::")) if part)
 
 
 def read_known_red() -> dict[str, str]:
-    """Return the lines of the list by the test that each names."""
+    """Return the lines of the list by test name."""
     if not KNOWN_RED.exists():
         return {}
     lines = [line for line in KNOWN_RED.read_text().splitlines() if line.strip()]
     if len(lines) > MAX_KNOWN_RED:
-        raise SystemExit(f"{KNOWN_RED.name}: {len(lines)} lines, 3 are allowed")
+        raise SystemExit(
+            f"{KNOWN_RED.name}: got {len(lines)} lines, expected at most 3"
+        )
     return {line.split()[0].rstrip(":"): line for line in lines}
 
 
 def count_unexpected_failures(passed: set[str], failed: set[str]) -> int:
-    """Print what is known to fail; return how many tests failed beside it."""
+    """Print the listed tests that ran; return the number of other failed tests."""
     expected_failures = read_known_red()
     for name, line in expected_failures.items():
         if name in failed:
@@ -86,7 +88,7 @@
     passed = recorder.passed - recorder.failed
     failed = count_unexpected_failures(passed, recorder.failed)
     if code not in (pytest.ExitCode.OK, pytest.ExitCode.TESTS_FAILED):
-        print(f"the test runner ended with {code!r}")
+        print(f"pytest exited with {code!r}")
         failed = max(failed, 1)
     print(f"{len(passed)} passed, {failed} failed", flush=True)
     return 1 if failed or not passed else 0
--- a/tools/settings_page.py
+++ b/tools/settings_page.py
@@ -1,4 +1,7 @@
-"""Write ``docs/settings.md`` from the tables that validate settings."""
+"""Write ``docs/settings.md`` from the tables that validate settings.
+
+With ``--check`` it writes nothing and exits with 1 if the page is out of date.
+"""
 
 from __future__ import annotations
 
