--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/checks.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/checks.py
@@ -33,11 +33,13 @@
 ATTEMPTS_ABOVE_BOUND = "attempts_above_bound"
 SETTINGS_NOT_IN_FORCE = "settings_not_in_force"
 VIEWS_DIFFER = "views_differ"
+# Invariant violations that the nodes detected and reported themselves.
 INSIDE = "inside"
+# Load or faults that did not end in time.
 NOT_AT_REST = "not_at_rest"
 _OK = 200
 
-# These faults may delay the drain notice, and calls, for their whole duration.
+# Kinds of faults that may delay the drain notice, and calls, for their whole duration.
 _DELAYS_NOTICE = frozenset(
     {
         FaultKind.PARTITION,
@@ -98,8 +100,8 @@
     """
     findings = Findings()
     non_idempotent = [run for run in evidence.runs if not run.idempotent]
-    doubled = [" ".join(mark) for mark in double_runs(evidence.runs)]
-    findings.add_result(DOUBLE_RUNS, doubled, len(non_idempotent))
+    double_run_marks = [" ".join(mark) for mark in double_runs(evidence.runs)]
+    findings.add_result(DOUBLE_RUNS, double_run_marks, len(non_idempotent))
     _check_refusals(findings, evidence)
     findings.add_result(WRONG_ANSWERS, evidence.wrong_answers, evidence.answers)
     _check_descendants_ran(findings, evidence)
@@ -199,16 +201,16 @@
         ]
         findings.add_result(REVERTED_SETTINGS, overwritten, len(texts))
     accepted, denied = changes.accepted(), changes.denied()
-    lost = [
+    lost_changes = [
         f"accepted but lost: {c}"
         for c in accepted
         if c.change_id not in stored_change_ids
     ]
-    findings.add_result(REVERTED_SETTINGS, lost, len(accepted))
-    kept = [
+    findings.add_result(REVERTED_SETTINGS, lost_changes, len(accepted))
+    stored_denials = [
         f"denied but stored: {c}" for c in denied if c.change_id in stored_change_ids
     ]
-    findings.add_result(REVERTED_SETTINGS, kept, len(denied))
+    findings.add_result(REVERTED_SETTINGS, stored_denials, len(denied))
     for process in fleet.all_processes:
         findings.add_result(
             REVERTED_SETTINGS, _find_version_regressions(process), len(process.adopted)
@@ -273,12 +275,12 @@
         if process.state is None:
             differing_views.append(f"{process.name} does not take calls yet")
             continue
-        has = dict(process.state.book.vector())
+        adopted_versions = dict(process.state.book.vector())
         for team, versions in fleet.written.items():
             newest = max(versions, default=0)
-            if has.get(team, 0) != newest:
+            if adopted_versions.get(team, 0) != newest:
                 stale_settings.append(
-                    f"{process.name}: {team} {has.get(team)} of {newest}"
+                    f"{process.name}: {team} {adopted_versions.get(team)} of {newest}"
                 )
         members = process.state.membership.members()
         seen = {m.node for m in members if m.state is MemberState.ALIVE}
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/run.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/run.py
@@ -99,8 +99,8 @@
     """
     rng = random.Random(seed)
     drawn_conditions = draw_conditions(rng)
-    drawn = draw_faults(rng)
-    chosen = drawn if faults is None else tuple(faults)
+    drawn_faults = draw_faults(rng)
+    chosen_faults = drawn_faults if faults is None else tuple(faults)
     run_conditions = conditions or drawn_conditions
     with planted(bug):
         return run_virtual(
@@ -108,7 +108,7 @@
             seed,
             rng,
             run_conditions,
-            chosen,
+            chosen_faults,
             seed=seed,
             real_limit_s=_REAL_LIMIT_S,
         )
