--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/breaks.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/breaks.py
@@ -87,8 +87,8 @@
 
 
 def _unburnt_not_run(stack: ExitStack) -> None:
-    """Report an unstarted ticket as burnt without burning it, and a forgotten
-    ticket as burnt too.
+    """Report a ticket that was not started as burnt without burning it, and a
+    forgotten ticket as burnt too.
     """
 
     def settle(self: TicketWindow, sequence: int) -> Any:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/timeline.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/timeline.py
@@ -8,7 +8,7 @@
     from fuchsiagap.core.telemetry.events import Event
     from fuchsiagap_standins.bench.faults.fleet import Fleet
 
-# Bits of the logical counter below the milliseconds of an event timestamp.
+# Event timestamps count in units of 2**-16 milliseconds.
 _STAMP_SHIFT = 16
 
 
--- a/tools/check_findings.py
+++ b/tools/check_findings.py
@@ -1,7 +1,7 @@
 """Check that ``docs/findings.md`` names the journal entry of each day that failed.
 
-A day of a journal entry has failed if it broke a rule, ended with a fault or missed its
-minimum score. The page must contain the identifier of the entry.
+A day of a journal entry has failed if it broke a rule, ended with a fault or missed a
+required minimum. The page must contain the identifier of the entry.
 """
 
 from __future__ import annotations
