--- a/tools/journal_table.py
+++ b/tools/journal_table.py
@@ -1,7 +1,7 @@
 """Print a Markdown table of the days recorded in journal entries.
 
-``tools/journal_table.py FILE...`` prints for each day its worth, the credit of the whole
-day, of each class of request and of the worst seconds, the largest prices, missed
+``tools/journal_table.py FILE...`` prints for each day its worth, the credit of the
+whole day, of each class of request and of the worst seconds, the largest prices, missed
 minimums and broken rules, and the CPU time in seconds.
 """
 
