--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/explain/test_explain.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/tests/explain/test_explain.py
@@ -12,7 +12,7 @@
 from fuchsiagap_ctl.explain.diagnosis import diagnose
 from fuchsiagap_ctl.explain.log_lines import parse_log
 from fuchsiagap_ctl.tests.fake_nodes import FakeNodes, temp_folder
-from fuchsiagap_standins.mesh.backend_server import Behaviour, Manner
+from fuchsiagap_standins.mesh.backend_server import Behaviour, ResponseMode
 from fuchsiagap_standins.mesh.deployment import a_deployment, a_route
 from fuchsiagap_standins.mesh.virtual import run_on_loopback
 
@@ -58,7 +58,7 @@
         async def act(caller, served):
             await caller.send("/read/1", "r1")
 
-        lines = lines_of(Behaviour(Manner.CUT), a_route("read"), act)
+        lines = lines_of(Behaviour(ResponseMode.CUT), a_route("read"), act)
         diagnosis = diagnose(parse_log(lines).lines, "r1")
         self.assertIn("broken answer", diagnosis.cause)
 
@@ -79,7 +79,7 @@
         async def act(caller, served):
             await caller.send("/read/1", "r1")
 
-        lines = lines_of(Behaviour(Manner.REFUSE), a_route("read"), act)
+        lines = lines_of(Behaviour(ResponseMode.REFUSE), a_route("read"), act)
         diagnosis = diagnose(parse_log(lines).lines, "r1")
         self.assertIn("did not run", diagnosis.cause)
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/gossip/test_failures.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/gossip/test_failures.py
@@ -9,7 +9,7 @@
 from fuchsiagap.core.clock import Clock
 from fuchsiagap.core.membership.member import MemberState
 from fuchsiagap.core.membership.settings import MembershipSettings
-from fuchsiagap_standins.members import open_fleet, run_virtual
+from fuchsiagap_standins.membership_fleet import open_membership_fleet, run_virtual
 from fuchsiagap_standins.platform import PlatformFaults
 
 DETECTION_MS = 3_000.0
@@ -38,7 +38,7 @@
 class TestFailures(TestCase):
     def test_dead_nodes_are_detected_everywhere_during_a_platform_outage(self):
         async def main():
-            async with open_fleet(seed=1) as fleet:
+            async with open_membership_fleet(seed=1) as fleet:
                 start(fleet, 4)
                 await fleet.until(fleet.agree)
                 fleet.store.set_faults(PLATFORM_OUTAGE)
@@ -63,7 +63,7 @@
                 cross_probe_interval=10_000.0,
                 sync_interval=10_000.0,
             )
-            async with open_fleet(seed=2, cfg=cfg) as fleet:
+            async with open_membership_fleet(seed=2, cfg=cfg) as fleet:
                 start(fleet, 1, DATA_CENTRES[:2])
                 await fleet.until(fleet.agree)
                 fleet.store.set_faults(PLATFORM_OUTAGE)
@@ -76,7 +76,7 @@
 
     def test_nodes_join_through_the_platform_or_through_peers_alone(self):
         async def main():
-            async with open_fleet(seed=3) as fleet:
+            async with open_membership_fleet(seed=3) as fleet:
                 start(fleet, 2)
                 await fleet.until(fleet.agree)
                 fleet.add("certs-new", first=["10.9.9.9:1"])
@@ -89,7 +89,7 @@
 
     def test_a_first_node_without_peers_is_joined_later(self):
         async def main():
-            async with open_fleet(seed=4) as fleet:
+            async with open_membership_fleet(seed=4) as fleet:
                 fleet.store.set_faults(PLATFORM_OUTAGE)
                 fleet.add("certs-1", first=["certs-2:7000"])
                 await trio.sleep(60.0)
@@ -100,7 +100,7 @@
 
     def test_a_paused_node_rejoins_and_removes_no_instances(self):
         async def main():
-            async with open_fleet(seed=5) as fleet:
+            async with open_membership_fleet(seed=5) as fleet:
                 start(fleet, 4)
                 await fleet.until(fleet.agree)
                 fleet.network.pause("certs-b1:7000")
@@ -130,7 +130,7 @@
 
     def test_suspicions_do_not_expire_during_a_process_pause(self):
         async def main():
-            async with open_fleet(seed=11) as fleet:
+            async with open_membership_fleet(seed=11) as fleet:
                 nodes = start(fleet, 4)
                 await fleet.until(fleet.agree)
                 stopped = nodes[4]
@@ -156,7 +156,7 @@
 
     def test_a_partitioned_data_centre_keeps_its_members_and_converges(self):
         async def main():
-            async with open_fleet(seed=6) as fleet:
+            async with open_membership_fleet(seed=6) as fleet:
                 start(fleet, 4)
                 await fleet.until(fleet.agree)
                 cut_off = fleet.addresses("hall-c")
@@ -181,7 +181,7 @@
                 self.assertFalse(fleet.agree())
                 # The delayed messages are lost.
                 for address in cut_off:
-                    fleet.network.lose_links(address)
+                    fleet.network.drop_links(address)
                 fleet.network.heal()
 
                 def is_converged():
@@ -196,7 +196,7 @@
 
     def test_halves_of_a_data_centre_converge_after_a_partition(self):
         async def main():
-            async with open_fleet(seed=7) as fleet:
+            async with open_membership_fleet(seed=7) as fleet:
                 start(fleet, 12, DATA_CENTRES[:1])
                 await fleet.until(fleet.agree)
                 names = sorted(fleet.addresses("hall-a"))
@@ -204,7 +204,7 @@
                 await trio.sleep(30.0)
                 self.assertFalse(fleet.agree())
                 for address in names[:6]:
-                    fleet.network.lose_links(address)
+                    fleet.network.drop_links(address)
                 fleet.network.heal()
                 await fleet.until(fleet.agree, CONVERGENCE_MS)
 
@@ -212,7 +212,7 @@
 
     def test_a_replaced_node_with_a_slow_clock_gets_a_higher_incarnation(self):
         async def main():
-            async with open_fleet(seed=8) as fleet:
+            async with open_membership_fleet(seed=8) as fleet:
                 start(fleet, 3, DATA_CENTRES[:1], first=["certs-a0:7000"])
                 await fleet.until(fleet.agree)
                 fleet.crash("certs-a1")
@@ -226,7 +226,7 @@
 
     def test_one_failed_link_marks_no_node_dead(self):
         async def main():
-            async with open_fleet(seed=9) as fleet:
+            async with open_membership_fleet(seed=9) as fleet:
                 start(fleet, 6, DATA_CENTRES[:1])
                 await fleet.until(fleet.agree)
                 dead = []
@@ -242,7 +242,7 @@
 
     def test_simultaneous_node_failures_are_detected_everywhere(self):
         async def main():
-            async with open_fleet(seed=12) as fleet:
+            async with open_membership_fleet(seed=12) as fleet:
                 nodes = start(fleet, 28, DATA_CENTRES[:1], first=["certs-a0:7000"])
                 await fleet.until(fleet.agree)
                 await trio.sleep(3.0)
@@ -260,13 +260,13 @@
 
     def test_views_converge_after_random_link_and_node_failures(self):
         async def main():
-            async with open_fleet(seed=10) as fleet:
+            async with open_membership_fleet(seed=10) as fleet:
                 start(fleet, 4)
                 await fleet.until(fleet.agree)
                 rng = random.Random(10)
                 for i in range(40):
                     name = rng.choice(sorted(fleet.nodes))
-                    fleet.network.lose_links(f"{name}:7000")
+                    fleet.network.drop_links(f"{name}:7000")
                     if i % 10 == 0:
                         fleet.crash(name)
                     await trio.sleep(0.2)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/peers/test_links.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/peers/test_links.py
@@ -23,7 +23,7 @@
 from fuchsiagap_node.core.wire.messages_call import CallMessage, Hello
 from fuchsiagap_standins.builders import a_head
 from fuchsiagap_standins.network import FakeNetwork
-from fuchsiagap_standins.settings_nodes import a_node_config
+from fuchsiagap_standins.settings_fleet import a_node_config
 from fuchsiagap_standins.testing import run_virtual
 
 A = "10.0.0.1:1"
@@ -213,7 +213,7 @@
         async def scenario(nodes: _TwoNodes) -> None:
             async def lose() -> None:
                 await trio.sleep(0.5)
-                nodes.network.lose_links(B)
+                nodes.network.drop_links(B)
 
             nodes.nursery.start_soon(lose)
             reply = await nodes.a.ask(B, Work("long", 60.0))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_member_digest.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/test_member_digest.py
@@ -11,7 +11,7 @@
 from fuchsiagap_node.core.ports import StoredObject
 from fuchsiagap_node.core.wire.codec import MalformedFrame, decode, encode
 from fuchsiagap_node.core.wire.messages_gossip import Heartbeat, Updates
-from fuchsiagap_standins.members import open_fleet, run_virtual
+from fuchsiagap_standins.membership_fleet import open_membership_fleet, run_virtual
 from fuchsiagap_standins.platform import PlatformFaults
 
 HALLS = ("hall-a", "hall-b")
@@ -35,7 +35,7 @@
 class TestDigest(TestCase):
     def test_relays_write_the_digest_only_when_it_changed(self):
         async def main():
-            async with open_fleet(seed=1, cfg=CFG) as fleet:
+            async with open_membership_fleet(seed=1, cfg=CFG) as fleet:
                 start_nodes(fleet, 5)
                 await fleet.until(fleet.agree)
                 await trio.sleep(6 * DIGEST_INTERVAL_S)
@@ -59,7 +59,7 @@
 
     def test_a_crash_costs_few_writes_and_deletes_the_announcement(self):
         async def main():
-            async with open_fleet(seed=2, cfg=CFG) as fleet:
+            async with open_membership_fleet(seed=2, cfg=CFG) as fleet:
                 start_nodes(fleet, 4)
                 await fleet.until(fleet.agree)
                 await trio.sleep(6 * DIGEST_INTERVAL_S)
@@ -78,7 +78,7 @@
 
     def test_members_are_kept_after_an_isolated_node_writes_the_digest(self):
         async def main():
-            async with open_fleet(seed=3, cfg=CFG) as fleet:
+            async with open_membership_fleet(seed=3, cfg=CFG) as fleet:
                 start_nodes(fleet, 3)
                 await fleet.until(fleet.agree)
                 await trio.sleep(3 * DIGEST_INTERVAL_S)
@@ -99,7 +99,7 @@
 
     def test_lost_responses_and_malformed_digests_are_recovered_from(self):
         async def main():
-            async with open_fleet(seed=4, cfg=CFG) as fleet:
+            async with open_membership_fleet(seed=4, cfg=CFG) as fleet:
                 await fleet.store.put("/members/hall-b", b"no digest", None)
                 await fleet.store.put("/announce/hall-b/x", zlib.compress(b"x"), None)
                 faults = PlatformFaults(lose_answers=0.3, lose_requests=0.3)
@@ -118,7 +118,7 @@
 
     def test_data_centres_discover_each_other_through_the_platform(self):
         async def main():
-            async with open_fleet(seed=5, cfg=CFG) as fleet:
+            async with open_membership_fleet(seed=5, cfg=CFG) as fleet:
                 fleet.store.set_faults(PlatformFaults(outage=True))
                 for hall in HALLS:
                     first = [f"certs-{hall[-1]}0:7000"]
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/admin_app.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/admin_app.py
@@ -1,7 +1,8 @@
-"""A stand-in for the administration APIs of many nodes, all at one address.
+"""Stand-in for the administration APIs of many nodes, all served at one address.
 
 ``python -m fuchsiagap_standins.admin_app --nodes 400 --events 200`` prints the address
-it listens on. Answers are made once, so that it costs little beside its clients.
+that the server listens on. The page of events is built once, so that the server uses
+little CPU compared with its clients.
 """
 
 from __future__ import annotations
@@ -15,8 +16,8 @@
 
 from fuchsiagap.core.telemetry.events import EventKind
 from fuchsiagap.core.telemetry.hlc import stamp_at
-from fuchsiagap_standins.programs import new_flags, parse_flags
-from fuchsiagap_standins.serving import announce, serve_app, until_stopped
+from fuchsiagap_standins.command_line import new_flags, parse_flags
+from fuchsiagap_standins.serving import announce, serve_app, wait_for_stop_signal
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Sequence
@@ -29,36 +30,39 @@
 _BIND = flags.DEFINE_string(
     "bind", "127.0.0.1:0", "IP:PORT to listen on.", flag_values=_FLAGS
 )
-_NODES = flags.DEFINE_integer("nodes", 100, "How many nodes.", flag_values=_FLAGS)
-_EVENTS = flags.DEFINE_integer("events", 100, "Events of each.", flag_values=_FLAGS)
+_NODES = flags.DEFINE_integer("nodes", 100, "Number of nodes.", flag_values=_FLAGS)
+_EVENTS = flags.DEFINE_integer(
+    "events", 100, "Number of events per node.", flag_values=_FLAGS
+)
 
 
 def admin_stand_in(
     n_nodes: int, n_events: int
 ) -> Callable[[dict[str, Any], Any, Callable[..., Awaitable[None]]], Awaitable[None]]:
-    """Return the ASGI application.
+    """Return an ASGI application that serves the status and events of all nodes.
 
     Parameters
     ----------
     n_nodes : int
-        How many nodes its status tells of.
+        Number of members that the status lists.
     n_events : int
-        How many events each of them has.
+        Number of events that each node returns.
     """
-    page = _page(n_events)
+    page = _events_page(n_events)
 
     async def app(
         scope: dict[str, Any], receive: Any, send: Callable[..., Awaitable[None]]
     ) -> None:
         if scope["type"] != "http":
-            # The server takes this for an application that needs no start.
-            raise RuntimeError("only http is served")
+            # An error on the lifespan scope tells the server that the application has
+            # no start-up or shutdown phase.
+            raise RuntimeError("unsupported ASGI scope: only http is served")
         if scope["path"] == "/v1/events":
             body = page
         else:
-            own = dict(scope["headers"])[b"host"].decode()
+            host = dict(scope["headers"])[b"host"].decode()
             body = _status(
-                n_nodes if b"members=no" not in scope["query_string"] else 0, own
+                n_nodes if b"members=no" not in scope["query_string"] else 0, host
             )
         await send({"type": "http.response.start", "status": 200, "headers": _JSON})
         await send({"type": "http.response.body", "body": body})
@@ -66,7 +70,7 @@
     return app
 
 
-def _page(n_events: int) -> bytes:
+def _events_page(n_events: int) -> bytes:
     events = [
         {
             "stamp": stamp_at(_START_MS + number),
@@ -114,12 +118,12 @@
     async with trio.open_nursery() as nursery:
         app = admin_stand_in(n_nodes, n_events)
         announce(await nursery.start(serve_app, app, bind))
-        await until_stopped()
+        await wait_for_stop_signal()
         nursery.cancel_scope.cancel()
 
 
 def main(argv: Sequence[str]) -> None:
-    """Run the program."""
+    """Run the server with the flags in `argv`."""
     parse_flags(_FLAGS, argv, "Stand-in for the administration APIs of many nodes.")
     trio.run(_run, _BIND.value, _NODES.value, _EVENTS.value)
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/backend.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/backend.py
@@ -1,8 +1,8 @@
-"""Stand-in of a backend server, without its transport.
+"""Stand-in for a backend server, independent of the transport.
 
-It has slots and a short queue, takes its time, makes calls of its own as the call
-graph says, can be cold, slow, draining or shedding, and says of its load what it is
-told to say.
+It has a concurrency limit and a bounded queue, draws service times at random and makes
+the child calls of the call graph. It can be cold, slow, draining or shedding load, and
+can report a stale or false load.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     ChildCall,
     ChildOutcome,
     ChildResult,
-    LoadWord,
+    LoadReportMode,
 )
 from fuchsiagap_standins.graphs.sizes import draw_own_time, may_have_effect
 from fuchsiagap_standins.run_log import Run, RunState
@@ -34,12 +34,13 @@
 
     from fuchsiagap_standins.graphs.model import GraphRoute
 
-_LIED_SLOTS_FACTOR = 4
+# Factor on the number of slots in a false load report.
+_FALSE_SLOTS_FACTOR = 4
 
 
 @dataclass(slots=True)
-class _Progress:
-    """How far the calls below one call have come."""
+class _ChildCallProgress:
+    """Results so far of the child calls of one call."""
 
     refused: bool = False
     failed: bool = False
@@ -48,18 +49,18 @@
 
 
 class BackendStandIn:
-    """A backend server's state and rules.
+    """State and behaviour of one backend server.
 
     Parameters
     ----------
     cfg : BackendSettings
-        What it is.
+        Service, capacity and cold start.
     call_out : callable
-        Makes a call through the local node.
+        Makes a child call through the local node.
     rng : random.Random
         Source of service times and faults.
     clock : Clock, optional
-        By default that of the running loop.
+        Defaults to the clock of the running event loop.
     """
 
     def __init__(
@@ -80,30 +81,31 @@
         self._slots = trio.Semaphore(cfg.slots)
         self._in_flight = 0
         self._started = self._clock.now()
-        self._said: tuple[Milliseconds, BackendLoad] | None = None
+        self._last_load: tuple[Milliseconds, BackendLoad] | None = None
         self._routes = tuple(
             route for route in cfg.graph.routes if route.service == cfg.service
         )
 
     async def handle(self, call: BackendCall) -> BackendReply:
-        """Run one call; cancelling the task cancels it.
+        """Run one call; cancelling the task cancels the run.
 
         Parameters
         ----------
         call : BackendCall
-            The call.
+            Call as received from the node.
 
         Returns
         -------
         BackendReply
-            The answer; `not_run` only if nothing had an effect.
+            Answer; `not_run` is set only if neither the call nor any of its child
+            calls can have had an effect.
         """
         route = self._route_of(call)
         if route is None:
             return BackendReply(404, b"no such path")
         if self.draining or self.faults.shedding:
             return BackendReply(503, b"shedding", not_run=True)
-        if self._slots.value == 0 and self._n_waiting >= self.cfg.queue:
+        if self._slots.value == 0 and self._n_queued >= self.cfg.queue:
             return BackendReply(503, b"the queue is full", not_run=True)
         async with self._slots:
             self._in_flight += 1
@@ -113,29 +115,32 @@
                 self._in_flight -= 1
 
     def load(self) -> BackendLoad | None:
-        """Return what the load endpoint says, which may lag or mislead."""
-        word = self.faults.load_word
-        if word is LoadWord.SILENT:
+        """Return the load report, which may be missing, stale or false."""
+        mode = self.faults.load_word
+        if mode is LoadReportMode.SILENT:
             return None
-        if word is LoadWord.LYING:
-            slots = _LIED_SLOTS_FACTOR * self.cfg.slots
+        if mode is LoadReportMode.LYING:
+            slots = _FALSE_SLOTS_FACTOR * self.cfg.slots
             return BackendLoad(healthy=True, slots=slots, in_flight=0, draining=False)
         now = self._clock.now()
-        if self._said is not None:
-            said_at, said = self._said
-            if word is LoadWord.FROZEN or now - said_at < self.faults.load_lag:
-                return said
-        said = BackendLoad(
+        if self._last_load is not None:
+            reported_at, load = self._last_load
+            if (
+                mode is LoadReportMode.FROZEN
+                or now - reported_at < self.faults.load_lag
+            ):
+                return load
+        load = BackendLoad(
             healthy=not self.faults.shedding,
             slots=self.cfg.slots,
-            in_flight=self._in_flight + self._n_waiting,
+            in_flight=self._in_flight + self._n_queued,
             draining=self.draining,
         )
-        self._said = now, said
-        return said
+        self._last_load = now, load
+        return load
 
     @property
-    def _n_waiting(self) -> int:
+    def _n_queued(self) -> int:
         return self._slots.statistics().tasks_waiting
 
     async def _run(self, call: BackendCall, route: GraphRoute) -> BackendReply:
@@ -150,51 +155,58 @@
         )
         self.runs.append(run)
         try:
-            return await self._work(call, route, run)
+            return await self._execute(call, route, run)
         except trio.Cancelled:
             run.state = RunState.CANCELLED
             raise
 
-    async def _work(
+    async def _execute(
         self, call: BackendCall, route: GraphRoute, run: Run
     ) -> BackendReply:
         if self._rng.random() < self.faults.hang:
             await trio.sleep_forever()
         factor = self.faults.slow * self._cold_factor()
         await sleep_ms(draw_own_time(self.cfg.graph, route, self._rng, factor))
-        progress = await self._call_below(call, route)
+        progress = await self._make_child_calls(call, route)
         if progress.refused and not progress.had_effect:
             run.state = RunState.BACKED_OUT
-            return BackendReply(503, b"refused below", not_run=True)
+            return BackendReply(503, b"a child call was refused", not_run=True)
         if progress.refused or progress.failed:
             run.state = RunState.FAILED
-            return BackendReply(502, b"a call below failed")
+            return BackendReply(502, b"a child call failed")
         run.state = RunState.DONE
         if self._rng.random() < self.faults.lose_answers:
             return BackendReply(0, lost=True)
         return BackendReply(200, answer_body(call.mark, route.name))
 
-    async def _call_below(self, call: BackendCall, route: GraphRoute) -> _Progress:
-        """Make the calls of a route, stage by stage, until one is not answered."""
-        progress = _Progress()
+    async def _make_child_calls(
+        self, call: BackendCall, route: GraphRoute
+    ) -> _ChildCallProgress:
+        """Make child calls stage by stage until one is refused or fails."""
+        progress = _ChildCallProgress()
         index = 0
         for stage in route.calls:
             async with trio.open_nursery() as nursery:
                 for name in stage:
-                    child = self._child(call, self.cfg.graph.route(name), index)
-                    nursery.start_soon(self._call_one, child, progress)
+                    child = self._child_call(call, self.cfg.graph.route(name), index)
+                    nursery.start_soon(self._make_child_call, child, progress)
                     index += 1
             if progress.refused or progress.failed:
                 break
         return progress
 
-    def _child(self, call: BackendCall, route: GraphRoute, index: int) -> ChildCall:
-        # The path carries the nonce, so that a cache in between would show.
+    def _child_call(
+        self, call: BackendCall, route: GraphRoute, index: int
+    ) -> ChildCall:
+        # The path depends on the nonce, so that answers from a cache on the way are
+        # detected as wrong.
         number = sum(call.mark.nonce.encode()) + index
-        mark = call.mark.below(index)
+        mark = call.mark.child(index)
         return ChildCall(call.call_id, str(index), route, route.target(number), mark)
 
-    async def _call_one(self, child: ChildCall, progress: _Progress) -> None:
+    async def _make_child_call(
+        self, child: ChildCall, progress: _ChildCallProgress
+    ) -> None:
         result = await self._call_out(child)
         if result.outcome is ChildOutcome.REFUSED:
             progress.refused = True
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/plan.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/plan.py
@@ -1,4 +1,4 @@
-"""Which faults come when: drawn from the seed, one to three, often overlapping."""
+"""Random selection of the one to three faults of a run, which often overlap."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 from enum import StrEnum
 from typing import TYPE_CHECKING
 
-from fuchsiagap_standins.bench.faults.shape import DATA_CENTRES, NODES
+from fuchsiagap_standins.bench.faults.topology import DATA_CENTRES, NODES
 
 if TYPE_CHECKING:
     import random
 
-# Seconds of virtual time, within the time of the load.
+# Bounds of the start of a fault in seconds of virtual time, while the load runs.
 FIRST_FAULT_S = 2.3
 LAST_FAULT_S = 7.0
 
 
 class FaultKind(StrEnum):
-    """The faults that a run can bring about."""
+    """Kinds of faults that can be injected."""
 
     PLATFORM_DOWN = "platform-down"
     PLATFORM_SLOW = "platform-slow"
@@ -40,11 +40,11 @@
     RACING_OPERATORS = "racing-operators"
 
 
-_SHORTEST_S = {
+_MIN_DURATION_S = {
     FaultKind.LAPSED_WHILE_PAUSED: 2.5,
     FaultKind.PARTITION: 1.0,
 }
-_LONGEST_S = {
+_MAX_DURATION_S = {
     FaultKind.PAUSE: 0.6,
     FaultKind.FRAMES_DELAYED: 0.4,
 }
@@ -52,18 +52,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault of a run.
+    """A fault of a run.
 
     Parameters
     ----------
     kind : FaultKind
-        What goes wrong.
+        Kind of the fault.
     at, duration : float
-        Seconds of virtual time.
+        Start and duration in seconds of virtual time.
     node : str
-        Which node, if it is about one.
+        Affected node, used by kinds that affect one node or service.
     data_centre : str
-        Which data centre, if it is about one.
+        Affected data centre, used by kinds that affect one data centre.
     """
 
     kind: FaultKind
@@ -74,18 +74,23 @@
 
 
 def draw_faults(rng: random.Random) -> tuple[Fault, ...]:
-    """Return the faults of a run; half of the runs have a pair that overlaps.
+    """Draw the faults of a run; about half of the runs have an overlapping pair.
 
     Parameters
     ----------
     rng : random.Random
-        Of the run.
+        Random numbers of the run.
+
+    Returns
+    -------
+    tuple of Fault
+        One to three faults, ordered by start.
     """
     first = _draw(rng, rng.uniform(FIRST_FAULT_S, LAST_FAULT_S))
     faults = [first]
     if rng.random() < 0.5:
-        during = first.at + rng.random() * first.duration
-        faults.append(_draw(rng, min(during, LAST_FAULT_S)))
+        overlap_at = first.at + rng.random() * first.duration
+        faults.append(_draw(rng, min(overlap_at, LAST_FAULT_S)))
     if rng.random() < 0.3:
         faults.append(_draw(rng, rng.uniform(FIRST_FAULT_S, LAST_FAULT_S)))
     return tuple(sorted(faults, key=lambda fault: fault.at))
@@ -93,12 +98,12 @@
 
 def _draw(rng: random.Random, at: float) -> Fault:
     kind = rng.choice(tuple(FaultKind))
-    shortest = _SHORTEST_S.get(kind, 0.2)
-    longest = _LONGEST_S.get(kind, 4.0)
+    min_duration = _MIN_DURATION_S.get(kind, 0.2)
+    max_duration = _MAX_DURATION_S.get(kind, 4.0)
     return Fault(
         kind=kind,
         at=at,
-        duration=rng.uniform(shortest, longest),
+        duration=rng.uniform(min_duration, max_duration),
         node=rng.choice(NODES)[0],
         data_centre=rng.choice(DATA_CENTRES),
     )
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/run.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/run.py
@@ -1,4 +1,4 @@
-"""One randomised run, from its seed to its findings."""
+"""Execution of a randomised run from its seed to the findings of its checks."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from fuchsiagap_standins.bench.faults.checks import (
     NOT_AT_REST,
     Findings,
-    check_rest,
+    check_convergence,
     check_run,
 )
 from fuchsiagap_standins.bench.faults.conditions import Conditions, draw_conditions
@@ -30,8 +30,8 @@
 from fuchsiagap_standins.bench.faults.inject import inject
 from fuchsiagap_standins.bench.faults.operators import Changes, run_operator
 from fuchsiagap_standins.bench.faults.plan import Fault, draw_faults
-from fuchsiagap_standins.bench.faults.shape import NODES, TEAM, team_text
 from fuchsiagap_standins.bench.faults.timeline import merged_events
+from fuchsiagap_standins.bench.faults.topology import NODES, TEAM, team_text
 from fuchsiagap_standins.testing import run_virtual
 
 if TYPE_CHECKING:
@@ -39,30 +39,30 @@
 
 _N_LIBRARY_CALLERS = 6
 _START_S = 2.0
-# Healed, nodes agree on members within 5 s and on settings within 9 s.
-_REST_S = 9.0
-_END_S = 40.0
+# After the last fault, nodes agree on members within 5 s and on settings within 9 s.
+_CONVERGENCE_TIMEOUT_S = 9.0
+_LOAD_DEADLINE_S = 40.0
 _REAL_LIMIT_S = 60.0
 
 
 @dataclass(frozen=True, slots=True)
 class RunResult:
-    """What came of one run.
+    """Result of a run.
 
     Parameters
     ----------
     seed : int
-        Repeats the run.
+        Seed that reproduces the run.
     faults : tuple of Fault
-        What went wrong.
+        Faults that were injected.
     requests : int
-        Client requests that ended.
-    outcomes : dict
-        How many ended how.
+        Number of client requests that ended.
     findings : Findings
-        What the checks found.
+        Results of the checks.
+    outcomes : Counter
+        Number of client requests by type of outcome.
     timeline : tuple of str
-        The events of all processes, in order; only after a violation.
+        Events of all processes in order; empty without a violation.
     """
 
     seed: int
@@ -75,36 +75,42 @@
 
 def run_once(
     seed: int,
-    broken: str = "",
+    bug: str = "",
     faults: Iterable[Fault] | None = None,
     conditions: Conditions | None = None,
 ) -> RunResult:
-    """Run nodes, callers and operators under the faults of a seed.
+    """Run nodes, callers and operators under faults, and check the invariants.
 
     Parameters
     ----------
     seed : int
-        Of all randomness.
-    broken : str
-        A bug to plant; see `breaks`.
+        Seed of all random numbers.
+    bug : str
+        Bug to plant, a key of `breaks.BREAKS`; empty for none.
     faults : iterable of Fault, optional
-        Instead of those that the seed draws.
+        Faults to inject instead of those drawn from the seed.
     conditions : Conditions, optional
-        Instead of those that the seed draws.
+        Conditions to use instead of those drawn from the seed.
 
     Returns
     -------
     RunResult
-        The same for the same arguments.
+        Equal for equal arguments.
     """
     rng = random.Random(seed)
     drawn_conditions = draw_conditions(rng)
-    drawn = draw_faults(rng)
-    chosen = drawn if faults is None else tuple(faults)
-    tight = conditions or drawn_conditions
-    with planted(broken):
+    drawn_faults = draw_faults(rng)
+    chosen_faults = drawn_faults if faults is None else tuple(faults)
+    run_conditions = conditions or drawn_conditions
+    with planted(bug):
         return run_virtual(
-            _run, seed, rng, tight, chosen, seed=seed, real_limit_s=_REAL_LIMIT_S
+            _run,
+            seed,
+            rng,
+            run_conditions,
+            chosen_faults,
+            seed=seed,
+            real_limit_s=_REAL_LIMIT_S,
         )
 
 
@@ -112,44 +118,44 @@
     seed: int, rng: random.Random, conditions: Conditions, faults: tuple[Fault, ...]
 ) -> RunResult:
     evidence, changes = Evidence(), Changes()
-    stuck: list[str] = []
+    overruns: list[str] = []
     async with trio.open_nursery() as nursery:
         fleet = open_fleet(rng, conditions, evidence, nursery)
-        put_first_settings(fleet)
+        write_initial_settings(fleet)
         for name, _ in NODES:
             fleet.start(name)
         await trio.sleep(_START_S)
-        with trio.move_on_at(_END_S) as scope:
+        with trio.move_on_at(_LOAD_DEADLINE_S) as scope:
             async with trio.open_nursery() as load:
                 load.start_soon(run_library_callers, fleet, _N_LIBRARY_CALLERS)
-                ends = conditions.load_s
-                load.start_soon(run_operator, fleet, changes, "operator", ends)
+                end_time = conditions.load_s
+                load.start_soon(run_operator, fleet, changes, "operator", end_time)
                 for fault in faults:
                     load.start_soon(inject, fleet, changes, fault)
         if scope.cancelled_caught:
-            stuck.append(f"load or faults go on after {_END_S:.0f} s")
-        unrested = await _rest(fleet)
+            overruns.append(f"load or faults still active at {_LOAD_DEADLINE_S:.0f} s")
+        unconverged = await _wait_for_convergence(fleet)
         findings = check_run(fleet, evidence, changes, faults)
-        findings.judge(NOT_AT_REST, stuck, 1)
-        for check, found in unrested.items():
-            findings.judge(check, found, len(NODES))
+        findings.add_result(NOT_AT_REST, overruns, 1)
+        for check, found in unconverged.items():
+            findings.add_result(check, found, len(NODES))
         timeline = merged_events(fleet) if findings.violations else ()
         nursery.cancel_scope.cancel()
-    outcomes = Counter(type(told.outcome).__name__ for told in evidence.told)
-    return RunResult(seed, faults, len(evidence.told), findings, outcomes, timeline)
+    outcomes = Counter(type(record.outcome).__name__ for record in evidence.requests)
+    return RunResult(seed, faults, len(evidence.requests), findings, outcomes, timeline)
 
 
-def put_first_settings(fleet: Fleet) -> None:
-    """Have the platform hold the team's settings from the start."""
+def write_initial_settings(fleet: Fleet) -> None:
+    """Store the settings of `TEAM` on the platform before the nodes start."""
     text = team_text(0)
     at = "2026-01-01T00:00:00Z"
     record = ChangeRecord("first", Action.PUT, "operators", at, 0, text_digest(text))
     fleet.write(settings_path(TEAM), format_stored_text(record, (), text).encode())
 
 
-async def _rest(fleet: Fleet) -> dict[str, list[str]]:
-    """Wait until all nodes agree; return where they do not in time."""
-    ends = trio.current_time() + _REST_S
-    while check_rest(fleet) and trio.current_time() < ends:
+async def _wait_for_convergence(fleet: Fleet) -> dict[str, list[str]]:
+    """Wait until all nodes agree; return the differences left after the time-out."""
+    end_time = trio.current_time() + _CONVERGENCE_TIMEOUT_S
+    while check_convergence(fleet) and trio.current_time() < end_time:
         await trio.sleep(0.1)
-    return check_rest(fleet)
+    return check_convergence(fleet)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/caller.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/caller.py
@@ -1,7 +1,7 @@
-"""Stand-in of callers: an open loop at a rate, with hard retries.
+"""Stand-in for callers: an open-loop load generator with retries.
 
-An open loop sends when it is time, however many requests are still waiting; so a
-system that slows down gets no relief from its callers.
+In an open loop, requests arrive at a fixed mean rate, however many earlier requests
+are still in flight. A system that slows down therefore gets no relief from its callers.
 """
 
 from __future__ import annotations
@@ -14,36 +14,36 @@
 
 from fuchsiagap.core.clock import MS_PER_S, Clock, Milliseconds, trio_clock
 from fuchsiagap_standins.answers import CallMark
-from fuchsiagap_standins.calling import Attempt, ClientRequest, Ending
 from fuchsiagap_standins.graphs.sizes import draw_root
+from fuchsiagap_standins.request_senders import Attempt, ClientRequest, RequestOutcome
 
 if TYPE_CHECKING:
     import random
 
-    from fuchsiagap_standins.calling import SendAttempt, TakeTicket
     from fuchsiagap_standins.graphs.model import Graph, GraphRoute
+    from fuchsiagap_standins.request_senders import SendAttempt, TakeTicket
 
-_LONGEST_US = 600_000_000
+_MAX_LATENCY_US = 600_000_000
 _US_PER_MS = 1000
-_DIGITS = 3
+_SIGNIFICANT_DIGITS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class CallerSettings:
-    """How callers behave.
+    """Request rate and retry behaviour of callers.
 
     Parameters
     ----------
     graph : Graph
-        Gives the routes and their shares.
+        Call graph, which holds the routes and their shares of the requests.
     rate : float
-        Requests a second; arrivals are random (a Poisson process).
+        Mean number of requests per second; arrivals form a Poisson process.
     duration : float
-        Milliseconds for which requests are sent.
+        Milliseconds during which requests are sent.
     retries : int
-        Attempts more after one that was refused or is unknown.
+        Maximum number of retries after a refused or unknown attempt.
     pause : float
-        Milliseconds before an attempt more; hard callers wait not at all.
+        Milliseconds before each retry; by default retries are immediate.
     """
 
     graph: Graph
@@ -55,27 +55,31 @@
 
 @dataclass(slots=True)
 class RouteReport:
-    """What became of the requests of one route.
+    """Counts and latency of the requests of one route.
 
     Parameters
     ----------
     sent : int
-        Requests.
+        Number of requests sent.
     attempts : int
-        Attempts of all of them.
-    endings : dict
-        Requests by what their callers held in the end.
+        Number of attempts, retries included.
+    outcomes : dict
+        Number of requests by final outcome.
     latency : HdrHistogram
-        Microseconds from the first attempt to the answer, of those answered.
+        Microseconds from arrival to the answer, for answered requests.
     """
 
     sent: int = 0
     attempts: int = 0
-    endings: dict[Ending, int] = field(default_factory=lambda: dict.fromkeys(Ending, 0))
-    latency: Any = field(default_factory=lambda: HdrHistogram(1, _LONGEST_US, _DIGITS))
+    outcomes: dict[RequestOutcome, int] = field(
+        default_factory=lambda: dict.fromkeys(RequestOutcome, 0)
+    )
+    latency: Any = field(
+        default_factory=lambda: HdrHistogram(1, _MAX_LATENCY_US, _SIGNIFICANT_DIGITS)
+    )
 
     def percentile(self, percent: float) -> Milliseconds:
-        """Return a percentile of the latency; 0 if nothing was answered."""
+        """Return a percentile of the latency; 0 if no request was answered."""
         if self.latency.get_total_count() == 0:
             return 0.0
         value: float = self.latency.get_value_at_percentile(percent)
@@ -84,35 +88,35 @@
 
 @dataclass(slots=True)
 class CallerReport:
-    """What became of all requests.
+    """Outcomes of all requests.
 
     Parameters
     ----------
     routes : dict
-        Report by name of route.
+        Report of each route, by name.
     refused : list of str
-        Nonces of requests of which every attempt was refused.
+        Nonces of the requests whose attempts were all refused.
     reasons : dict
-        Attempts that were not answered, by reason.
+        Number of attempts without an answer, by reason.
     """
 
     routes: dict[str, RouteReport] = field(default_factory=dict)
     refused: list[str] = field(default_factory=list)
     reasons: dict[str, int] = field(default_factory=dict)
 
-    def total(self, ending: Ending) -> int:
-        """Return how many requests ended so."""
-        return sum(report.endings[ending] for report in self.routes.values())
+    def total(self, outcome: RequestOutcome) -> int:
+        """Return the number of requests with this final outcome."""
+        return sum(report.outcomes[outcome] for report in self.routes.values())
 
     @property
     def sent(self) -> int:
-        """Requests sent."""
+        """Number of requests sent."""
         return sum(report.sent for report in self.routes.values())
 
     @property
     def ended(self) -> int:
-        """Requests whose callers hold something."""
-        return sum(self.total(ending) for ending in Ending)
+        """Number of requests that have a final outcome."""
+        return sum(self.total(outcome) for outcome in RequestOutcome)
 
 
 async def run_callers(
@@ -123,28 +127,28 @@
     report: CallerReport,
     clock: Clock | None = None,
 ) -> None:
-    """Send requests for a while, and wait until the last has ended.
+    """Send requests for `cfg.duration` and wait until the last has ended.
 
     Parameters
     ----------
     cfg : CallerSettings
-        Rate, duration, retries.
+        Rate, duration and retries.
     send : callable
         Sends one attempt.
     take_ticket : callable
-        Returns a fresh ticket, or "" if there is none to be had.
+        Returns a new ticket, or "" if no ticket is available.
     rng : random.Random
         Draws arrivals and routes.
     report : CallerReport
-        Filled on the way, so that progress can be shown.
+        Updated during the run, so that progress can be shown.
     clock : Clock, optional
-        By default that of the running loop.
+        Defaults to the clock of the running event loop.
     """
     clock = clock or trio_clock()
-    ends = trio.current_time() + cfg.duration / MS_PER_S
+    end_time = trio.current_time() + cfg.duration / MS_PER_S
     arrival = trio.current_time()
     async with trio.open_nursery() as nursery:
-        while (arrival := arrival + rng.expovariate(cfg.rate)) < ends:
+        while (arrival := arrival + rng.expovariate(cfg.rate)) < end_time:
             await trio.sleep_until(arrival)
             route = draw_root(cfg.graph, rng)
             nonce = f"{rng.getrandbits(64):016x}"
@@ -162,38 +166,41 @@
     report: CallerReport,
     clock: Clock,
 ) -> None:
-    row = report.routes.setdefault(route.name, RouteReport())
-    row.sent += 1
+    route_report = report.routes.setdefault(route.name, RouteReport())
+    route_report.sent += 1
     started = clock.now()
     ticket = await take_ticket()
     target = route.target(int(nonce[:4], 16))
     request = ClientRequest(route, CallMark(nonce), target, ticket)
-    seen: list[Attempt] = []
+    attempts: list[Attempt] = []
     for attempt in range(1 + cfg.retries):
         if attempt > 0:
             await trio.sleep(cfg.pause / MS_PER_S)
-        row.attempts += 1
-        seen.append(await send(request))
-        if seen[-1].ending in (Ending.ANSWERED, Ending.WRONG):
+        route_report.attempts += 1
+        attempts.append(await send(request))
+        if attempts[-1].outcome in (RequestOutcome.ANSWERED, RequestOutcome.WRONG):
             break
-        reason = seen[-1].reason
+        reason = attempts[-1].reason
         report.reasons[reason] = report.reasons.get(reason, 0) + 1
-    ending = ending_of(seen)
-    row.endings[ending] += 1
-    if ending is Ending.ANSWERED:
-        taken_us = round((clock.now() - started) * _US_PER_MS)
-        row.latency.record_value(min(max(taken_us, 1), _LONGEST_US))
-    elif ending is Ending.REFUSED:
+    outcome = final_outcome(attempts)
+    route_report.outcomes[outcome] += 1
+    if outcome is RequestOutcome.ANSWERED:
+        latency_us = round((clock.now() - started) * _US_PER_MS)
+        route_report.latency.record_value(min(max(latency_us, 1), _MAX_LATENCY_US))
+    elif outcome is RequestOutcome.REFUSED:
         report.refused.append(nonce)
 
 
-def ending_of(attempts: list[Attempt]) -> Ending:
-    """Return what a caller holds after some attempts of one request."""
-    endings = {attempt.ending for attempt in attempts}
-    if Ending.WRONG in endings:
-        return Ending.WRONG
-    if Ending.ANSWERED in endings:
-        return Ending.ANSWERED
-    if endings == {Ending.REFUSED}:
-        return Ending.REFUSED
-    return Ending.UNKNOWN
+def final_outcome(attempts: list[Attempt]) -> RequestOutcome:
+    """Return the outcome of a request from those of its attempts.
+
+    A request is refused only if all its attempts were refused.
+    """
+    outcomes = {attempt.outcome for attempt in attempts}
+    if RequestOutcome.WRONG in outcomes:
+        return RequestOutcome.WRONG
+    if RequestOutcome.ANSWERED in outcomes:
+        return RequestOutcome.ANSWERED
+    if outcomes == {RequestOutcome.REFUSED}:
+        return RequestOutcome.REFUSED
+    return RequestOutcome.UNKNOWN
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/fuzz.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/fuzz.py
@@ -1,4 +1,4 @@
-"""Bytes that are nearly right, for decoders."""
+"""Mutate valid encoded messages, to fuzz decoders."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 if TYPE_CHECKING:
     import random
 
-# What decoders have been seen to stumble over, in JSON and in CBOR.
-_PIECES = (
+# JSON and CBOR fragments that decoders have failed on.
+_FRAGMENTS = (
     b"null",
     b"true",
     b"1e999",
@@ -27,26 +27,28 @@
     b"\xbf",
     b"9" * 400,
 )
-_MOST_CHANGES = 4
+_MAX_CHANGES = 4
 
 
-def mutated(text: bytes, rng: random.Random) -> bytes:
-    """Return bytes with a few changes: cut, doubled, replaced or put in.
+def mutate(text: bytes, rng: random.Random) -> bytes:
+    """Return bytes with a few random deletions, duplications and insertions.
 
     Parameters
     ----------
     text : bytes
-        Bytes that are right.
+        A valid message.
     rng : random.Random
-        Decides what is changed.
+        Source of the changes.
     """
-    for _ in range(rng.randint(1, _MOST_CHANGES)):
+    for _ in range(rng.randint(1, _MAX_CHANGES)):
         start = rng.randrange(len(text) + 1)
         end = min(len(text), start + rng.randrange(12))
-        piece = rng.choice((b"", text[start:end] * 2, rng.choice(_PIECES), _byte(rng)))
-        text = text[:start] + piece + text[end:]
+        fragment = rng.choice(
+            (b"", text[start:end] * 2, rng.choice(_FRAGMENTS), _random_byte(rng))
+        )
+        text = text[:start] + fragment + text[end:]
     return text
 
 
-def _byte(rng: random.Random) -> bytes:
+def _random_byte(rng: random.Random) -> bytes:
     return bytes((rng.randrange(256),))
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/memory_nodes.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/memory_nodes.py
@@ -1,4 +1,4 @@
-"""What nodes in memory have in common: settings, ports, a platform and a network."""
+"""Settings, ports, platform and network shared by all in-memory fleets."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from fuchsiagap_node.core.node import NodePorts
 from fuchsiagap_node.core.peers.conn import WireContext
 from fuchsiagap_standins.network import FakeNetwork, LinkProfile
-from fuchsiagap_standins.node_ini import Place, node_ini
+from fuchsiagap_standins.node_ini import HostSpec, node_ini
 from fuchsiagap_standins.platform import ObjectStore
 
 if TYPE_CHECKING:
@@ -27,9 +27,9 @@
 
 TEAM = "salt-fog"
 OPERATORS_TOKEN = "operators-token"
-# Time of day at the start of a run, in milliseconds.
-START_WALL = 1_700_000_000_000.0
-_LINK_CALLS = 1_000
+# Wall clock at the start of a run, in milliseconds since the epoch.
+START_WALL_MS = 1_700_000_000_000.0
+_MAX_CALLS_PER_LINK = 1_000
 
 
 def a_node_config(
@@ -38,21 +38,22 @@
     first: Iterable[str] = (),
     service: str = "certs",
 ) -> NodeConfig:
-    """Return the settings of a node in memory, whose addresses are made from its name.
+    """Return the settings of an in-memory node, with addresses made from its name.
 
     Parameters
     ----------
     name, data_centre : str
-        The node.
+        Name and data centre of the node.
     first : iterable of str
-        Addresses of its first peers.
+        Peer addresses that the node contacts first.
     service : str
-        What its backend server serves, for team `TEAM`.
+        Service of its backend server; the team is `TEAM`.
     """
-    # A file takes no names; they are set once it is read.
+    # Settings files accept IP addresses only. The addresses with names replace these
+    # after parsing.
     listen = ("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
     text = node_ini(
-        Place(name, service, data_centre, *listen),
+        HostSpec(name, service, data_centre, *listen),
         team=TEAM,
         backend="127.0.0.1:4",
         platform="127.0.0.1:5",
@@ -74,25 +75,25 @@
     rng: random.Random,
     incarnation: int,
 ) -> NodePorts:
-    """Return what a node in memory needs from outside.
+    """Return the ports of an in-memory node to its environment.
 
     Parameters
     ----------
     cfg : NodeConfig
-        The node's settings.
+        Settings of the node.
     network : FakeNetwork
-        By which it reaches others.
+        Network to the other nodes.
     store : ObjectStore
-        The platform.
+        Object store of the platform.
     backend : BackendServer
-        On its host.
+        Backend server on the node's host.
     rng : random.Random
-        The seed of its random choices is drawn from it.
+        Source of the seed of the node's own random generator.
     incarnation : int
-        Of this life of the node.
+        Incarnation of the node.
     """
     return NodePorts(
-        clock=trio_clock(START_WALL),
+        clock=trio_clock(START_WALL_MS),
         rng=random.Random(rng.getrandbits(64)),
         incarnation=incarnation,
         dial=partial(_dial, network, cfg.peer_address),
@@ -107,19 +108,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ground:
-    """What the nodes of a fleet stand on.
+class FleetEnvironment:
+    """Environment shared by the nodes of a fleet.
 
     Parameters
     ----------
     rng : random.Random
-        Of all randomness.
+        Source of all randomness.
     network : FakeNetwork
-        Connects them.
+        Network between the nodes.
     store : ObjectStore
-        The platform's store.
+        Object store of the platform.
     nursery : trio.Nursery
-        Holds their tasks.
+        Nursery of the nodes' tasks.
     """
 
     rng: random.Random
@@ -129,71 +130,80 @@
 
 
 @asynccontextmanager
-async def open_ground(
+async def open_fleet_environment(
     seed: int, profile: LinkProfile | None = None
-) -> AsyncIterator[Ground]:
-    """Open a network and a platform without anything on them; all stops at the end.
+) -> AsyncIterator[FleetEnvironment]:
+    """Open a network and a platform without nodes, and stop all tasks on exit.
 
     Parameters
     ----------
     seed : int
-        Of all randomness.
+        Seed of all randomness.
     profile : LinkProfile, optional
-        Of all links.
+        Delay and capacity of all links.
     """
     rng = random.Random(seed)
     network = FakeNetwork(random.Random(rng.getrandbits(64)), profile)
     store = ObjectStore(random.Random(rng.getrandbits(64)))
     async with trio.open_nursery() as nursery:
-        yield Ground(rng, network, store, nursery)
+        yield FleetEnvironment(rng, network, store, nursery)
         nursery.cancel_scope.cancel()
 
 
-def quiet_wire(hello: Hello, handlers: Handlers, stamp: int = 0) -> WireContext:
-    """Return a wire without a clock, that counts nothing.
+def uninstrumented_wire(
+    hello: Hello, handlers: Handlers, stamp: int = 0
+) -> WireContext:
+    """Return a `WireContext` without clock and metrics.
 
     Parameters
     ----------
     hello : Hello
-        What the node says of itself.
+        First message on each link, which identifies the node.
     handlers : Handlers
-        Who answers what.
+        Handlers of the messages that the node receives.
     stamp : int, default=0
-        Reading of the clock that each frame carries.
+        Clock stamp of every frame.
     """
     return WireContext(
         hello,
         handlers,
         stamp=lambda: stamp,
         observe=lambda _stamp: None,
-        max_concurrent_requests=_LINK_CALLS,
+        max_concurrent_requests=_MAX_CALLS_PER_LINK,
         count=lambda _name: None,
     )
 
 
 async def until(
-    holds: Callable[[], bool], limit: Milliseconds = 60_000.0, pause_s: float = 0.01
+    condition: Callable[[], bool],
+    limit: Milliseconds = 60_000.0,
+    interval_s: float = 0.01,
 ) -> Milliseconds:
-    """Wait until something holds; return after how many milliseconds.
+    """Wait until a condition holds.
 
     Parameters
     ----------
-    holds : callable
-        Looked at again and again.
+    condition : callable
+        Polled until it returns True.
     limit : float
-        Milliseconds within which it has to hold.
-    pause_s : float
-        Seconds between two looks.
+        Milliseconds within which the condition has to hold.
+    interval_s : float
+        Seconds between two polls.
+
+    Returns
+    -------
+    float
+        Milliseconds waited.
 
     Raises
     ------
     AssertionError
-        If it does not hold within the limit.
+        If the condition does not hold within the limit.
     """
     started = trio.current_time()
-    while not holds():
-        taken = (trio.current_time() - started) * MS_PER_S
-        if taken > limit:
-            raise AssertionError(f"it does not hold after {taken:.0f} ms")
-        await trio.sleep(pause_s)
+    while not condition():
+        waited = (trio.current_time() - started) * MS_PER_S
+        if waited > limit:
+            raise AssertionError(f"condition does not hold after {waited:.0f} ms")
+        await trio.sleep(interval_s)
     return (trio.current_time() - started) * MS_PER_S
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/backend_server.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/backend_server.py
@@ -1,4 +1,4 @@
-"""A backend server that does what a test tells it to."""
+"""Backend server whose behaviour tests can set for each request."""
 
 from __future__ import annotations
 
@@ -26,11 +26,35 @@
 
 
 class CallFailed(Exception):
-    """A call that a request needs has failed: its answer is a 500."""
+    """A nested call failed, so the request is answered with status 500."""
 
 
-class Manner(Enum):
-    """How a request is answered."""
+class ResponseMode(Enum):
+    """How the server responds to a request.
+
+    Attributes
+    ----------
+    ANSWER
+        Sends the response.
+    REFUSE
+        Responds with 503 and the header that says that the request was not run.
+    CUT
+        Closes the connection without a response.
+    SHORT
+        Closes the connection two bytes before the end of the response.
+    GARBLE
+        Sends bytes that are not HTTP.
+    MUTE
+        Sends nothing and keeps the connection open.
+    LATE_EXTRA
+        Sends the response, and a second one that nobody requested.
+    UNFRAMED
+        Sends the response without a length and closes the connection.
+    CRASH
+        Crashes, which closes all connections.
+    CRASH_SILENTLY
+        Crashes, and keeps all connections open.
+    """
 
     ANSWER = "answer"
     REFUSE = "refuse"
@@ -46,57 +70,57 @@
 
 @dataclass(frozen=True, slots=True)
 class Behaviour:
-    """What becomes of one request.
+    """How the server handles one request.
 
     Parameters
     ----------
-    manner : Manner
-        How it is answered.
-    work : float
-        Milliseconds of work.
-    status : int
-        Status of the answer.
-    body : bytes
-        Body of the answer.
+    mode : ResponseMode, default=ANSWER
+        How it responds.
+    work : float, default=0.0
+        Milliseconds that the request runs before that.
+    status : int, default=200
+        Status of the response.
+    body : bytes, default=b"whole"
+        Body of the response.
     """
 
-    manner: Manner = Manner.ANSWER
+    mode: ResponseMode = ResponseMode.ANSWER
     work: float = 0.0
     status: int = 200
     body: bytes = b"whole"
 
 
 class BackendServer:
-    """Takes requests on loopback and records what runs.
+    """Serves requests on loopback and records which ones ran.
 
     Parameters
     ----------
     address : str
         ``IP:PORT``.
     instance : str
-        Its incarnation; requests for another one are misdirected.
+        Incarnation of the server; requests for another one are answered with 421.
     names : HeaderNames, optional
-        Header names that it speaks.
+        Header names of requests and responses.
 
     Attributes
     ----------
     runs : Counter
-        Runs by identifier of the request.
+        Number of runs by identifier of the request.
     heads : list of Request
-        Requests as they came in.
+        All requests in order of arrival.
     cancelled : list of str
-        Identifiers of requests whose connection closed while they ran.
+        Identifiers of requests whose connection was closed while they ran.
     connections : int
-        Connections accepted so far.
+        Number of accepted connections.
     behave : callable
-        Returns what becomes of a request.
+        Returns the `Behaviour` for a request.
     on_run : callable or None
-        Told the identifier of a request that runs, and awaited before it is answered:
-        for calls of its own. It may raise `CallFailed`.
+        Called with the identifier of each request that runs and awaited before the
+        response, to make nested calls. It may raise `CallFailed`.
     is_up : bool
-        Whether it takes connections.
+        Whether the server is up, that is, has not crashed.
     on_crash : callable or None
-        Told that a request has crashed the server.
+        Called after a request has crashed the server.
     """
 
     def __init__(
@@ -114,37 +138,37 @@
         self.on_crash: Callable[[], None] | None = None
         self.is_up = True
         self._is_silent = False
-        self._life = trio.CancelScope()
+        self._serve_scope = trio.CancelScope()
         self._started = trio.Event()
 
     async def run(self) -> None:
-        """Serve until cancelled, from each start to the next crash."""
+        """Serve until cancelled, except between a crash and the restart."""
         while True:
-            with trio.CancelScope() as self._life:
+            with trio.CancelScope() as self._serve_scope:
                 async with trio.open_nursery() as nursery:
                     await accept_all(listen(self.address), self._serve, nursery)
             await self._started.wait()
 
     def crash(self, silently: bool = False) -> None:
-        """Answer nothing more; close all connections, unless it happens silently."""
+        """Stop responding; unless `silently`, also close all connections."""
         self.is_up = False
         self._started = trio.Event()
         self._is_silent = silently
         if not silently:
-            self._life.cancel()
+            self._serve_scope.cancel()
 
-    def start_again(self, instance: str) -> None:
-        """Serve as a new incarnation after a crash."""
+    def start_new_incarnation(self, instance: str) -> None:
+        """Restart as a new incarnation after a crash."""
         self.instance = instance
         self.is_up = True
         if self._is_silent:
             self._is_silent = False
-            self._life.cancel()
+            self._serve_scope.cancel()
         self._started.set()
 
     async def _serve(self, stream: Stream) -> None:
         self.connections += 1
-        # It reads every header as it came, so that tests see those of the node.
+        # The reader interprets no header, so that tests see those that the node sent.
         plain = HeaderNames(
             deadline=b"-", target=b"-", caller=b"-", key=b"-", workspace=b"-"
         )
@@ -158,18 +182,21 @@
         names = self._names
         request_id = _header(req, names.request_id)
         if _header(req, names.target) != self.instance:
-            await stream.send(self._whole(421, "", b"", not_run=True))
+            await stream.send(self._framed_response(421, "", b"", not_run=True))
             return
         behaviour = self.behave(req)
-        if behaviour.manner is Manner.REFUSE:
-            await stream.send(self._whole(503, request_id, b"", not_run=True))
+        if behaviour.mode is ResponseMode.REFUSE:
+            await stream.send(self._framed_response(503, request_id, b"", not_run=True))
             return
         self.runs[request_id] += 1
         if not await self._work(stream, behaviour.work):
             self.cancelled.append(request_id)
-            raise BrokenStream("the caller left")
-        if behaviour.manner in (Manner.CRASH, Manner.CRASH_SILENTLY) and self.is_up:
-            self.crash(silently=behaviour.manner is Manner.CRASH_SILENTLY)
+            raise BrokenStream("the caller closed the connection")
+        if (
+            behaviour.mode in (ResponseMode.CRASH, ResponseMode.CRASH_SILENTLY)
+            and self.is_up
+        ):
+            self.crash(silently=behaviour.mode is ResponseMode.CRASH_SILENTLY)
             if self.on_crash is not None:
                 self.on_crash()
         if self._is_silent:
@@ -182,42 +209,42 @@
         await self._send(stream, request_id, behaviour)
 
     async def _work(self, stream: Stream, work: float) -> bool:
-        """Work; False if the connection closes meanwhile."""
-        left = False
+        """Wait `work` milliseconds; return False if the connection closes first."""
+        is_closed = False
         if work:
             with trio.move_on_after(work / MS_PER_S):
                 await stream.receive()
-                left = True
-        return not left
+                is_closed = True
+        return not is_closed
 
     async def _send(self, stream: Stream, request_id: str, b: Behaviour) -> None:
-        whole = self._whole(b.status, request_id, b.body)
-        match b.manner:
-            case Manner.ANSWER:
-                await stream.send(whole)
-            case Manner.LATE_EXTRA:
-                await stream.send(whole)
+        response = self._framed_response(b.status, request_id, b.body)
+        match b.mode:
+            case ResponseMode.ANSWER:
+                await stream.send(response)
+            case ResponseMode.LATE_EXTRA:
+                await stream.send(response)
                 await trio.sleep(0.005)
-                await stream.send(self._whole(200, request_id, b"extra"))
-            case Manner.SHORT:
-                await stream.send(whole[: len(whole) - 2])
-                raise BrokenStream("told to cut the answer short")
-            case Manner.GARBLE:
+                await stream.send(self._framed_response(200, request_id, b"extra"))
+            case ResponseMode.SHORT:
+                await stream.send(response[: len(response) - 2])
+                raise BrokenStream("the response is truncated on purpose")
+            case ResponseMode.GARBLE:
                 await stream.send(b"\x00\x01 no answer\r\n\r\n")
-            case Manner.UNFRAMED:
+            case ResponseMode.UNFRAMED:
                 id_line = self._names.request_id + b": " + request_id.encode()
                 head = b"HTTP/1.1 %d X\r\n%s\r\n\r\n" % (b.status, id_line)
                 await stream.send(head + b.body)
-                raise BrokenStream("the answer ends with its connection")
-            case Manner.MUTE:
+                raise BrokenStream("the end of the connection ends the response")
+            case ResponseMode.MUTE:
                 await trio.sleep_forever()
             case _:
-                raise BrokenStream("told to cut the connection")
+                raise BrokenStream("the connection is closed on purpose")
 
-    def _whole(
+    def _framed_response(
         self, status: int, request_id: str, body: bytes, not_run: bool = False
     ) -> bytes:
-        """Return an answer with its length."""
+        """Return an encoded response with a ``Content-Length``."""
         names = self._names
         lines = [
             b"HTTP/1.1 %d X" % status,
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/bench_fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/bench_fleet.py
@@ -1,9 +1,10 @@
-"""Processor time of a deployment of many nodes, on loopback in one process.
+"""Measures the CPU time of a deployment of many nodes, on loopback in one process.
 
-Run as ``python -m fuchsiagap_standins.mesh.bench_fleet [NODES [A_SECOND]]``. Each
-request makes two calls one after the other, and each of these four, so that one request
-is eleven arrivals at backend servers. The figure holds the stand-ins of callers and
-backend servers too: compare it between versions and between sizes only.
+Run as ``python -m fuchsiagap_standins.mesh.bench_fleet [NODES [REQUESTS_PER_S]]``. Each
+request makes two nested calls one after the other, and each of these four, so that one
+request causes eleven arrivals at backend servers. The result includes the test doubles
+of callers and backend servers, so it is only meaningful for comparing versions of the
+software or numbers of nodes.
 """
 
 from __future__ import annotations
@@ -23,87 +24,98 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-# Services in the order of calls, the share of the nodes beside each, and how many calls
-# a request of the one before makes there.
+# Services in the order of calls, with their share of the nodes and the number of calls
+# that a request of the previous service makes to them.
 _SERVICES = (("pages", 0.45, 1), ("orders", 0.4, 2), ("stock", 0.15, 4))
-_ARRIVALS_A_REQUEST = 11
+_ARRIVALS_PER_REQUEST = 11
 _DATA_CENTRES = ("hall-a", "hall-b", "hall-c")
-# Seconds for which requests are sent, and for which the nodes are watched at rest.
-_LENGTH_S = 8.0
-_REST_S = 4.0
+# Seconds for which requests are sent, and for which the idle nodes are measured.
+_LOAD_S = 8.0
+_IDLE_S = 4.0
 _US_PER_S = 1e6
 _MS_PER_S = 1e3
-_SHOWN = 45
+_MAX_PROFILE_ROWS = 45
 
 
 @dataclass(frozen=True, slots=True)
 class FleetFigures:
-    """What a run measured.
+    """Result of a measurement.
 
     Parameters
     ----------
     nodes : int
-        Nodes.
+        Number of nodes.
     requests, answered : int
-        Requests of callers sent, and answered with success.
-    rest_ms : float
-        Milliseconds of processor time a second and node without any request.
-    us_an_arrival : float
-        Microseconds of processor time for each arrival at a backend server, with all
-        that goes on beside it.
+        Numbers of requests sent by callers, and of those answered with status 200.
+    idle_ms : float
+        CPU time per node in milliseconds per second, without any request.
+    us_per_arrival : float
+        CPU time of the whole process in microseconds per arrival at a backend server.
     """
 
     nodes: int
     requests: int
     answered: int
-    rest_ms: float
-    us_an_arrival: float
+    idle_ms: float
+    us_per_arrival: float
 
 
 async def measure(
-    nodes: int, a_second: float, profile: cProfile.Profile | None = None
+    nodes: int, request_rate: float, profile: cProfile.Profile | None = None
 ) -> FleetFigures:
-    """Start nodes, let them rest, then send requests to each in turn."""
+    """Measure a deployment, first idle and then with a constant rate of requests.
+
+    Parameters
+    ----------
+    nodes : int
+        Number of nodes.
+    request_rate : float
+        Requests per second of callers.
+    profile : cProfile.Profile, optional
+        Enabled while requests are sent.
+    """
     routes = [a_route(name, name, timeout=3_000.0) for name, _, _ in _SERVICES]
     async with a_deployment(*routes) as deployment:
-        fronts = _add_hosts(deployment, nodes)
+        entry_hosts = _add_hosts(deployment, nodes)
         await trio.sleep(6.0)
         before = processor_s()
-        await trio.sleep(_REST_S)
-        rest = processor_s() - before
+        await trio.sleep(_IDLE_S)
+        idle_cpu_s = processor_s() - before
         if profile is not None:
             profile.enable()
         before = processor_s()
-        answered = await _send_all(fronts, a_second)
-        spent = processor_s() - before
+        answered = await _send_all(entry_hosts, request_rate)
+        load_cpu_s = processor_s() - before
         if profile is not None:
             profile.disable()
-    requests = int(a_second * _LENGTH_S)
+    requests = int(request_rate * _LOAD_S)
     return FleetFigures(
         nodes,
         requests,
         answered,
-        _MS_PER_S * rest / _REST_S / nodes,
-        _US_PER_S * spent / (requests * _ARRIVALS_A_REQUEST),
+        _MS_PER_S * idle_cpu_s / _IDLE_S / nodes,
+        _US_PER_S * load_cpu_s / (requests * _ARRIVALS_PER_REQUEST),
     )
 
 
 def _add_hosts(deployment: Deployment, nodes: int) -> list[Host]:
-    """Add the hosts of all services; return those beside the first service."""
+    """Add the hosts of all services; return those of the first service."""
     hosts: list[list[Host]] = []
     for name, share, _ in _SERVICES:
         hosts.append([])
         for number in range(max(round(nodes * share), 1)):
             data_centre = _DATA_CENTRES[number % len(_DATA_CENTRES)]
             hosts[-1].append(deployment.add(name, data_centre, slots=64))
-    for here, (name, _, times) in zip(hosts[:-1], _SERVICES[1:], strict=True):
-        for host in here:
-            host.server.on_run = _calls(host, name, times)
+    for callers, (name, _, times) in zip(hosts[:-1], _SERVICES[1:], strict=True):
+        for host in callers:
+            host.server.on_run = _make_on_run(host, name, times)
     return hosts[0]
 
 
-def _calls(host: Host, service: str, times: int) -> Callable[[str], Awaitable[None]]:
-    """Return what a server does while it runs a request: calls one after the other."""
+def _make_on_run(
+    host: Host, service: str, times: int
+) -> Callable[[str], Awaitable[None]]:
+    """Return an `on_run` callback that makes `times` calls one after the other."""
 
     async def run(request_id: str) -> None:
         for number in range(times):
@@ -112,8 +124,8 @@
     return run
 
 
-async def _send_all(fronts: list[Host], a_second: float) -> int:
-    """Send requests evenly; return how many were answered with success."""
+async def _send_all(entry_hosts: list[Host], request_rate: float) -> int:
+    """Send requests at a constant rate; return how many were answered with 200."""
     answered = 0
 
     async def send(host: Host, request_id: str) -> None:
@@ -125,29 +137,29 @@
         answered += answer is not None and answer.status == 200
 
     async with trio.open_nursery() as nursery:
-        for number in range(int(a_second * _LENGTH_S)):
-            host = fronts[number % len(fronts)]
+        for number in range(int(request_rate * _LOAD_S)):
+            host = entry_hosts[number % len(entry_hosts)]
             nursery.start_soon(send, host, f"r{number}")
-            await trio.sleep(1.0 / a_second)
+            await trio.sleep(1.0 / request_rate)
     return answered
 
 
 def main() -> None:
-    """Measure and write one line; with ``profile`` as last word, what took the time."""
-    words = sys.argv[1:]
-    profile = cProfile.Profile() if words[-1:] == ["profile"] else None
-    numbers = [float(word) for word in words if word != "profile"]
+    """Measure and print one line; with last argument ``profile``, also a profile."""
+    args = sys.argv[1:]
+    profile = cProfile.Profile() if args[-1:] == ["profile"] else None
+    numbers = [float(arg) for arg in args if arg != "profile"]
     nodes = int(numbers[0]) if numbers else 60
-    a_second = numbers[1] if len(numbers) > 1 else 40.0
-    figures = trio.run(measure, nodes, a_second, profile)
+    request_rate = numbers[1] if len(numbers) > 1 else 40.0
+    figures = trio.run(measure, nodes, request_rate, profile)
     sys.stdout.write(
         f"{figures.nodes} nodes: {figures.answered} of {figures.requests} answered,"
-        f" {figures.rest_ms:.2f} ms a second and node at rest,"
-        f" {figures.us_an_arrival:.0f} us of processor time an arrival\n"
+        f" {figures.idle_ms:.2f} ms a second and node at rest,"
+        f" {figures.us_per_arrival:.0f} us of processor time an arrival\n"
     )
     if profile is not None:
         pstats.Stats(profile, stream=sys.stdout).sort_stats("tottime").print_stats(
-            _SHOWN
+            _MAX_PROFILE_ROWS
         )
 
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/memory_store.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/memory_store.py
@@ -1,4 +1,4 @@
-"""The platform's store, kept in memory, with its troubles."""
+"""In-memory double of the platform's store, with failures that tests can inject."""
 
 from __future__ import annotations
 
@@ -31,30 +31,32 @@
 
 
 class SharedState:
-    """What all nodes see of one store.
+    """Contents of the store, shared by the store clients of all nodes.
 
     Attributes
     ----------
     epoch : int
-        Counts its returns from a copy.
+        Incremented each time the store is restored from a backup.
     revision : int
-        Counts the changes.
+        Incremented by each change of the configuration.
     config : StoredConfig or None
         The configuration.
     members : dict of str to Member
-        Nodes that have announced themselves.
-    not_yet_listed : frozenset of str
-        Nodes that lists which may be old do not hold.
-    older : ConfigUpdate or None
-        What reads that may be old return; None for the newest.
-    calls : float
-        Calls by their price, watches included; a list that may be old counts a tenth.
+        Registered nodes by name.
+    missing_in_stale_list : frozenset of str
+        Nodes that are missing in member lists that are not linearizable.
+    stale_config : ConfigUpdate or None
+        Result of configuration reads that are not linearizable; None for the current
+        configuration.
+    call_cost : float
+        Total cost of all calls, watches included. A call costs 1, but a probe or a
+        read that is not linearizable costs 0.1.
     writes : int
-        Calls that change something.
+        Number of registrations.
     history_from : int
-        Oldest revision that can still be watched from.
-    news : trio.Event
-        Set at the next change.
+        Oldest revision from which a watch can start.
+    next_change : trio.Event
+        Set at the next change, then replaced by a new event.
     """
 
     def __init__(self) -> None:
@@ -62,85 +64,99 @@
         self.revision = 1
         self.config: StoredConfig | None = None
         self.members: dict[str, Member] = {}
-        self.not_yet_listed: frozenset[str] = frozenset()
-        self.older: ConfigUpdate | None = None
-        self.calls = 0.0
+        self.missing_in_stale_list: frozenset[str] = frozenset()
+        self.stale_config: ConfigUpdate | None = None
+        self.call_cost = 0.0
         self.writes = 0
         self.history_from = 0
-        self.news = trio.Event()
+        self.next_change = trio.Event()
 
-    def tell(self) -> None:
-        """Wake the waiting watches."""
-        news, self.news = self.news, trio.Event()
-        news.set()
+    def notify_watches(self) -> None:
+        """Wake the waiting watches after a change."""
+        change, self.next_change = self.next_change, trio.Event()
+        change.set()
 
     def put_config(self, config: RouteConfig) -> None:
-        """Accept a configuration."""
+        """Store a configuration and notify the watches."""
         self.revision += 1
         text = str(config.version).encode()
         self.config = StoredConfig(self.cursor, text, config)
-        self.tell()
+        self.notify_watches()
 
-    def come_back_from(
+    def restore(
         self, revision: int, config: StoredConfig | None, members: Iterable[str] = ()
     ) -> None:
-        """Hold what a copy held; an entry that it lacks is gone."""
+        """Restore the store from a backup, in a new epoch.
+
+        Parameters
+        ----------
+        revision : int
+            Revision of the backup.
+        config : StoredConfig or None
+            Configuration in the backup.
+        members : iterable of str
+            Nodes in the backup; all others are removed.
+        """
         self.epoch += 1
         self.revision = revision
         self.config = config
         kept = frozenset(members)
         self.members = {n: m for n, m in self.members.items() if n in kept}
-        self.tell()
+        self.notify_watches()
 
     @property
     def cursor(self) -> Cursor:
-        """Its newest place."""
+        """Cursor of the newest revision."""
         return Cursor(self.epoch, self.revision)
 
 
 class MemoryStore:
-    """One node's way to the shared state.
+    """Store client of one node.
 
     Parameters
     ----------
     state : SharedState
-        What the store holds.
+        Contents of the store.
     known : dict of int to RouteConfig
-        Configurations by version, to decode what other nodes send.
+        Configurations by version, for decoding those that other nodes send.
 
     Attributes
     ----------
     down : bool
-        Whether every call of this node fails.
-    mute : bool
-        Whether changes of this node are never answered.
-    silent : bool
-        Whether its watches hear of no changes and end without news.
+        Whether every call fails.
+    hangs_on_deregister : bool
+        Whether `deregister` never returns.
+    watch_is_silent : bool
+        Whether watches are not notified of changes and time out without an update.
     """
 
     def __init__(self, state: SharedState, known: dict[int, RouteConfig]) -> None:
         self._state = state
         self._known = known
         self.down = False
-        self.mute = False
-        self.silent = False
+        self.hangs_on_deregister = False
+        self.watch_is_silent = False
 
     def _call(self, price: float = 1.0) -> StoreFailed | None:
-        self._state.calls += price
+        self._state.call_cost += price
         return StoreFailed("down") if self.down else None
 
     async def read_config(self, linearizable: bool) -> ConfigResult:
-        """Return the configuration, or the one before unless `linearizable`."""
+        """Return the configuration; unless `linearizable`, it may be `stale_config`."""
         await trio.lowlevel.checkpoint()
         if (failed := self._call(1.0 if linearizable else 0.1)) is not None:
             return failed
         state = self._state
-        if not linearizable and state.older is not None:
-            return state.older
+        if not linearizable and state.stale_config is not None:
+            return state.stale_config
         return ConfigUpdate(state.cursor, state.config)
 
     async def watch_config(self, cursor: Cursor, wait: Milliseconds) -> ConfigResult:
-        """Wait for a change of the configuration after a cursor."""
+        """Wait up to `wait` milliseconds for a configuration newer than a cursor.
+
+        Returns `HistoryCompacted` if the store no longer has the cursor's revision or
+        has another epoch, and an update without configuration after the wait.
+        """
         revision = cursor.revision
         if (failed := self._call()) is not None:
             await trio.lowlevel.checkpoint()
@@ -158,34 +174,34 @@
                 is_newer = (
                     state.config is not None and state.config.cursor.revision > revision
                 )
-                if is_newer and not self.silent:
+                if is_newer and not self.watch_is_silent:
                     return ConfigUpdate(state.cursor, state.config)
-                await state.news.wait()
+                await state.next_change.wait()
         return ConfigUpdate(Cursor(state.epoch, max(revision, 1)), None)
 
     async def probe(self, node: str) -> ProbeResult:
-        """Ask for the entry of a node."""
+        """Return the epoch, and whether a node is registered."""
         await trio.lowlevel.checkpoint()
         if (failed := self._call(0.1)) is not None:
             return failed
         return ProbeReply(self._state.epoch, node in self._state.members)
 
     def decode_config(self, cursor: Cursor, text: bytes) -> StoredConfig | None:
-        """Return a configuration that another node sent; None if it is none."""
+        """Return the configuration encoded in `text`; None for an unknown version."""
         config = self._known.get(int(text))
         return None if config is None else StoredConfig(cursor, text, config)
 
     async def read_members(self, linearizable: bool) -> MembersResult:
-        """Return all nodes; unless `linearizable`, the list may be outdated."""
+        """Return all members; unless `linearizable`, some may be missing."""
         await trio.lowlevel.checkpoint()
         if (failed := self._call(1.0 if linearizable else 0.1)) is not None:
             return failed
-        hidden = frozenset() if linearizable else self._state.not_yet_listed
+        hidden = frozenset() if linearizable else self._state.missing_in_stale_list
         members = self._state.members
         return Members({n: m for n, m in members.items() if n not in hidden})
 
     async def register(self, member: Member) -> StoreFailed | None:
-        """Put this node among the others."""
+        """Add or replace the member entry of this node."""
         await trio.lowlevel.checkpoint()
         if (failed := self._call()) is not None:
             return failed
@@ -194,8 +210,12 @@
         return None
 
     async def deregister(self, node: str) -> StoreFailed | None:
-        """Take this node out."""
-        await (trio.sleep_forever() if self.mute else trio.lowlevel.checkpoint())
+        """Remove the member entry of this node."""
+        await (
+            trio.sleep_forever()
+            if self.hangs_on_deregister
+            else trio.lowlevel.checkpoint()
+        )
         if (failed := self._call()) is not None:
             return failed
         self._state.members.pop(node, None)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/calls.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/calls.py
@@ -1,24 +1,33 @@
-"""Specifications of calls on a link (own answer) and of the allowance (attempts)."""
+"""Specifications of calls on a link and of the retry allowance of a request."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from fuchsiagap_standins.model import carriers
+from fuchsiagap_standins.model import implementations
 from fuchsiagap_standins.model.spec import ENVIRONMENT, Action, Spec
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
+# Names of the bugs that can be planted in each specification.
 ANSWER_BREAKS = ("swap-answers", "reuse-call-id")
 ALLOWANCE_BREAKS = ("lose-allowance", "return-twice")
 
 
 class LinkState(NamedTuple):
-    """Calls of one link.
+    """State of the calls on one link.
 
-    `waiting` holds, for each caller, the call id it waits for (0: none), `frames` the
-    requests under way, `answers` the answers under way as (call id, caller it is for).
+    Attributes
+    ----------
+    next_id : int
+        Id of the next call.
+    waiting : tuple of int
+        Call id that each caller waits for; 0 for none.
+    frames, answers : frozenset of tuple
+        Requests and responses in flight, as call id and index of the caller.
+    wrong : bool
+        Whether a caller received the response to another call.
     """
 
     next_id: int
@@ -28,19 +37,17 @@
     wrong: bool
 
 
-def answers_spec(
-    callers: int, calls: int, broken: frozenset[str] = frozenset()
-) -> Spec:
-    """Return the specification of answers on a link: each to its own call.
+def answers_spec(callers: int, calls: int, bugs: frozenset[str] = frozenset()) -> Spec:
+    """Return the specification of calls on a link: each gets its own response.
 
     Parameters
     ----------
     callers : int
-        Callers that share the link.
+        Number of callers that share the link.
     calls : int
-        Calls in all.
-    broken : frozenset of str
-        Planted bugs, of `ANSWER_BREAKS`.
+        Maximum number of calls.
+    bugs : frozenset of str
+        Names of planted bugs, from `ANSWER_BREAKS`.
 
     Returns
     -------
@@ -53,11 +60,11 @@
             if call or state.next_id > calls:
                 continue
             call_id = state.next_id
-            if "reuse-call-id" in broken:
-                call_id = _least_free(state.waiting)
+            if "reuse-call-id" in bugs:
+                call_id = _lowest_free_id(state.waiting)
             yield state._replace(
                 next_id=state.next_id + 1,
-                waiting=_put(state.waiting, caller, call_id),
+                waiting=_replace_at(state.waiting, caller, call_id),
                 frames=state.frames | {(call_id, caller)},
             )
 
@@ -69,45 +76,48 @@
 
     def deliver(state: LinkState) -> Iterator[LinkState]:
         for answer in state.answers:
-            call_id, meant_for = answer
+            call_id, intended = answer
             following = state._replace(answers=state.answers - {answer})
-            got = _receiver(state.waiting, call_id, "swap-answers" in broken)
-            if got is not None:
+            receiver = _receiver(state.waiting, call_id, "swap-answers" in bugs)
+            if receiver is not None:
                 following = following._replace(
-                    waiting=_put(state.waiting, got, 0),
-                    wrong=state.wrong or got != meant_for,
+                    waiting=_replace_at(state.waiting, receiver, 0),
+                    wrong=state.wrong or receiver != intended,
                 )
             yield following
 
     def abandon(state: LinkState) -> Iterator[LinkState]:
         for caller, call in enumerate(state.waiting):
             if call:
-                yield state._replace(waiting=_put(state.waiting, caller, 0))
+                yield state._replace(waiting=_replace_at(state.waiting, caller, 0))
 
     return Spec(
         name="answers",
         initial=LinkState(1, (0,) * callers, frozenset(), frozenset(), False),
         actions=(
-            Action("caller sends", carriers.LINK_ASK, send),
-            Action("other node answers", carriers.LINK_SERVE, serve),
-            Action("answer arrives", carriers.LINK_ANSWER, deliver),
-            Action("caller gives up", carriers.LINK_ASK, abandon),
+            Action("caller sends", implementations.LINK_ASK, send),
+            Action("other node answers", implementations.LINK_SERVE, serve),
+            Action("answer arrives", implementations.LINK_ANSWER, deliver),
+            Action("caller gives up", implementations.LINK_ASK, abandon),
         ),
         invariants={"own_answer": lambda s: not s.wrong},
         goal=lambda s: not any(s.waiting) and not s.answers,
     )
 
 
-def _put(values: tuple[int, ...], index: int, value: int) -> tuple[int, ...]:
+def _replace_at(values: tuple[int, ...], index: int, value: int) -> tuple[int, ...]:
     return (*values[:index], value, *values[index + 1 :])
 
 
-def _least_free(waiting: tuple[int, ...]) -> int:
+def _lowest_free_id(waiting: tuple[int, ...]) -> int:
     return next(n for n in range(1, len(waiting) + 2) if n not in waiting)
 
 
 def _receiver(waiting: tuple[int, ...], call_id: int, in_order: bool) -> int | None:
-    """Return the caller that gets an answer; `in_order` is the planted bug."""
+    """Return the caller that gets a response; None if no caller waits for it.
+
+    With `in_order`, a planted bug, it is the caller of the oldest call.
+    """
     if in_order:
         ids = [call for call in waiting if call]
         return waiting.index(min(ids)) if ids else None
@@ -115,10 +125,18 @@
 
 
 class AllowanceState(NamedTuple):
-    """The allowance of one request with `children` calls below it.
+    """State of the retry allowance of one request and its nested calls.
 
-    `held` is what the parent holds. A child is (share, phase); `attempts` counts every
-    attempt at a child. A returning share is in `returning` until it arrives or is lost.
+    Attributes
+    ----------
+    held : int
+        Retries that the request may still make or lend.
+    children : tuple of (int, str)
+        Lent share of the allowance and phase of each nested call.
+    attempts : int
+        Number of attempts of all nested calls.
+    returning : tuple of int
+        Unused shares on their way back, until they arrive or are lost.
     """
 
     held: int
@@ -127,22 +145,23 @@
     returning: tuple[int, ...]
 
 
+# Phases of a nested call.
 NEW, TRIED, DONE = "new", "tried", "done"
 
 
 def allowance_spec(
-    children: int, allowance: int, broken: frozenset[str] = frozenset()
+    children: int, allowance: int, bugs: frozenset[str] = frozenset()
 ) -> Spec:
-    """Return the specification of the attempt allowance of one request.
+    """Return the specification of the retry allowance of one request.
 
     Parameters
     ----------
     children : int
-        Calls below the request.
+        Number of nested calls of the request.
     allowance : int
-        Extra attempts the request may make in all.
-    broken : frozenset of str
-        Planted bugs, of `ALLOWANCE_BREAKS`.
+        Maximum number of retries of all nested calls.
+    bugs : frozenset of str
+        Names of planted bugs, from `ALLOWANCE_BREAKS`.
 
     Returns
     -------
@@ -156,7 +175,7 @@
             if phase != NEW:
                 continue
             for share in range(state.held + 1):
-                left = state.held if "lose-allowance" in broken else state.held - share
+                left = state.held if "lose-allowance" in bugs else state.held - share
                 yield state._replace(
                     held=left,
                     children=_put_child(state.children, index, (share, TRIED)),
@@ -179,10 +198,10 @@
                     returning=(*state.returning, share),
                 )
 
-    def give_back(state: AllowanceState) -> Iterator[AllowanceState]:
+    def return_share(state: AllowanceState) -> Iterator[AllowanceState]:
         for index, share in enumerate(state.returning):
             rest = state.returning[:index] + state.returning[index + 1 :]
-            times = (1, 2) if "return-twice" in broken else (1,)
+            times = (1, 2) if "return-twice" in bugs else (1,)
             for n in times:
                 held = min(state.held + n * share, bound + 1)
                 yield state._replace(held=held, returning=rest)
@@ -196,10 +215,16 @@
         name="allowance",
         initial=AllowanceState(allowance, ((0, NEW),) * children, 0, ()),
         actions=(
-            Action("call goes out with a share", carriers.ALLOWANCE_SPLIT, start),
-            Action("refused, tried elsewhere", carriers.DISPATCH, retry),
-            Action("call ends", carriers.SERVE, finish),
-            Action("unused share comes back", carriers.ALLOWANCE_RETURN, give_back),
+            Action(
+                "call goes out with a share", implementations.ALLOWANCE_SPLIT, start
+            ),
+            Action("refused, tried elsewhere", implementations.DISPATCH, retry),
+            Action("call ends", implementations.SERVE, finish),
+            Action(
+                "unused share comes back",
+                implementations.ALLOWANCE_RETURN,
+                return_share,
+            ),
             Action("answer is lost with its share", ENVIRONMENT, lose),
         ),
         invariants={"attempts_bounded": lambda s: s.attempts <= bound},
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/drain.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/drain.py
@@ -1,28 +1,45 @@
-"""Specification of a planned stop: no new work, and no request cut.
+"""Specification of a planned stop: no new calls are accepted, and none is cut off.
 
-Each other node has one ordered link to the leaving node. A link can break; frames on it
-are then lost and the node may dial again. The leaving node ends when nothing runs and
-each connected node has acknowledged the notice.
+Each peer has one ordered link to the draining node. If a link breaks, its frames are
+lost and the peer may reconnect. The draining node stops when no call runs and all
+connected peers have acknowledged the drain notice.
 """
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from fuchsiagap_standins.model import carriers
+from fuchsiagap_standins.model import implementations
 from fuchsiagap_standins.model.spec import ENVIRONMENT, Action, Spec
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
+# Names of the bugs that can be planted.
 BREAKS = ("skip-drain-notice", "stop-with-work", "work-while-leaving")
 
+# States of the draining node.
 UP, LEAVING, STOPPED = "up", "leaving", "stopped"
+# Frames on a link.
 CALL, ACK, NOTICE = "call", "ack", "notice"
 
 
 class Peer(NamedTuple):
-    """Another node and its link: frames to and from the leaving node."""
+    """Another node and its link to the draining node.
+
+    Attributes
+    ----------
+    connected : bool
+        Whether the link is up.
+    knows : bool
+        Whether the peer knows that the node is draining.
+    acknowledged : bool
+        Whether the draining node has received the peer's acknowledgement.
+    to, back : tuple of str
+        Frames in flight to the draining node and from it.
+    calls : int
+        Number of calls sent so far.
+    """
 
     connected: bool = True
     knows: bool = False
@@ -33,7 +50,21 @@
 
 
 class State(NamedTuple):
-    """The leaving node and its peers."""
+    """State of the draining node and its peers.
+
+    Attributes
+    ----------
+    node : str
+        State of the draining node.
+    running : int
+        Number of running calls.
+    peers : tuple of Peer
+        All peers.
+    cut : bool
+        Whether the node stopped with a call running or in flight to it.
+    late_work : bool
+        Whether the node accepted a call while draining.
+    """
 
     node: str
     running: int
@@ -42,17 +73,17 @@
     late_work: bool
 
 
-def drain_spec(peers: int, calls: int, broken: frozenset[str] = frozenset()) -> Spec:
+def drain_spec(peers: int, calls: int, bugs: frozenset[str] = frozenset()) -> Spec:
     """Return the specification of a planned stop.
 
     Parameters
     ----------
     peers : int
-        Other nodes.
+        Number of other nodes.
     calls : int
-        Calls each of them makes.
-    broken : frozenset of str
-        Planted bugs, of `BREAKS`.
+        Maximum number of calls of each.
+    bugs : frozenset of str
+        Names of planted bugs, from `BREAKS`.
 
     Returns
     -------
@@ -75,7 +106,7 @@
                 to=rest, acknowledged=peer.acknowledged or frame == ACK
             )
             following = _with_peer(state, index, read)
-            if frame == CALL and _takes_work(state, broken):
+            if frame == CALL and _accepts_work(state, bugs):
                 late = state.late_work or state.node == LEAVING
                 following = following._replace(
                     running=state.running + 1, late_work=late
@@ -89,21 +120,21 @@
     def leave(state: State) -> Iterator[State]:
         if state.node != UP:
             return
-        told = tuple(
+        notified = tuple(
             p._replace(back=(*p.back, NOTICE)) if p.connected else p
             for p in state.peers
         )
-        if "skip-drain-notice" in broken:
-            told = state.peers
-        yield state._replace(node=LEAVING, peers=told)
+        if "skip-drain-notice" in bugs:
+            notified = state.peers
+        yield state._replace(node=LEAVING, peers=notified)
 
-    def hear(state: State) -> Iterator[State]:
+    def receive_notice(state: State) -> Iterator[State]:
         for index, peer in enumerate(state.peers):
             if peer.connected and peer.back:
-                heard = peer._replace(
+                informed = peer._replace(
                     knows=True, back=peer.back[1:], to=(*peer.to, ACK)
                 )
-                yield _with_peer(state, index, heard)
+                yield _with_peer(state, index, informed)
 
     def gossip(state: State) -> Iterator[State]:
         if any(peer.knows for peer in state.peers):
@@ -123,14 +154,18 @@
         for index, peer in enumerate(state.peers):
             if peer.connected or state.node == STOPPED or peer.calls >= calls:
                 continue
-            told = state.node == LEAVING and "skip-drain-notice" not in broken
-            back = (NOTICE,) if told else ()
+            is_notified = state.node == LEAVING and "skip-drain-notice" not in bugs
+            back = (NOTICE,) if is_notified else ()
             yield _with_peer(state, index, peer._replace(connected=True, back=back))
 
     def stop(state: State) -> Iterator[State]:
-        idle = not state.running or "stop-with-work" in broken
-        told = all(p.acknowledged for p in state.peers if p.connected)
-        if state.node == LEAVING and idle and (told or "skip-drain-notice" in broken):
+        idle = not state.running or "stop-with-work" in bugs
+        all_acknowledged = all(p.acknowledged for p in state.peers if p.connected)
+        if (
+            state.node == LEAVING
+            and idle
+            and (all_acknowledged or "skip-drain-notice" in bugs)
+        ):
             cut = bool(state.running) or any(CALL in p.to for p in state.peers)
             yield state._replace(node=STOPPED, cut=cut, running=0)
 
@@ -138,15 +173,15 @@
         name="drain",
         initial=State(UP, 0, (Peer(),) * peers, False, False),
         actions=(
-            Action("peer sends a call", carriers.DISPATCH, call),
-            Action("node reads a frame", carriers.GATE_ENTER, receive),
-            Action("a call ends", carriers.SERVE, finish),
-            Action("node begins to leave", carriers.DRAIN, leave),
-            Action("peer hears the notice", carriers.DRAIN_HEAR, hear),
-            Action("peer hears it from another", carriers.GOSSIP_APPLY, gossip),
+            Action("peer sends a call", implementations.DISPATCH, call),
+            Action("node reads a frame", implementations.GATE_ENTER, receive),
+            Action("a call ends", implementations.SERVE, finish),
+            Action("node begins to leave", implementations.DRAIN, leave),
+            Action("peer hears the notice", implementations.DRAIN_HEAR, receive_notice),
+            Action("peer hears it from another", implementations.GOSSIP_APPLY, gossip),
             Action("a link breaks", ENVIRONMENT, break_link),
-            Action("peer dials again", carriers.LINK_ASK, dial),
-            Action("node stops", carriers.DRAIN, stop),
+            Action("peer dials again", implementations.LINK_ASK, dial),
+            Action("node stops", implementations.DRAIN, stop),
         ),
         invariants={
             "no_call_cut": lambda s: not s.cut,
@@ -156,8 +191,8 @@
     )
 
 
-def _takes_work(state: State, broken: frozenset[str]) -> bool:
-    return state.node == UP or "work-while-leaving" in broken
+def _accepts_work(state: State, bugs: frozenset[str]) -> bool:
+    return state.node == UP or "work-while-leaving" in bugs
 
 
 def _with_peer(state: State, index: int, peer: Peer) -> State:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/calling.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/request_senders.py
@@ -1,4 +1,4 @@
-"""How the caller stand-in sends a request to nodes over HTTP."""
+"""Ways in which the caller stand-in sends requests to nodes and takes tickets."""
 
 from __future__ import annotations
 
@@ -23,12 +23,17 @@
     from fuchsiagap_standins.answers import CallMark
     from fuchsiagap_standins.graphs.model import Graph, GraphRoute
 
+# Number of tickets asked for at once.
 TICKET_BATCH = 64
-_NOT_SENT = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
+# Errors that occur before the request is sent, so that it cannot have run.
+_NOT_SENT_ERRORS = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
 
 
-class Ending(Enum):
-    """What a caller holds in the end."""
+class RequestOutcome(Enum):
+    """Outcome of a request as seen by its caller.
+
+    `WRONG` is an answer that is incomplete or belongs to another request.
+    """
 
     ANSWERED = "answered"
     REFUSED = "refused"
@@ -38,18 +43,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """One request of a client; an attempt more is the same request.
+    """One request of a client; its retries send the same request again.
 
     Parameters
     ----------
     route : GraphRoute
-        What is asked for.
+        Requested route.
     mark : CallMark
-        Its mark; the nonce is its own.
+        Mark of the request, with a nonce of its own.
     target : str
         Path within the service.
     ticket : str
-        Its ticket; empty if none could be had.
+        Ticket of the request; empty if there is none.
     """
 
     route: GraphRoute
@@ -60,17 +65,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """What one attempt brought.
+    """Result of one attempt.
 
     Parameters
     ----------
-    ending : Ending
-        What the caller holds.
+    outcome : RequestOutcome
+        Outcome of the attempt.
     reason : str
-        The node's reason, or what went wrong on the way.
+        Reason given by the node, or name of the transport error.
     """
 
-    ending: Ending
+    outcome: RequestOutcome
     reason: str = ""
 
 
@@ -85,20 +90,20 @@
     timeout: Milliseconds,
     rng: random.Random,
 ) -> SendAttempt:
-    """Return how to send an attempt to one of some nodes, drawn anew each time.
+    """Return a function that sends an attempt to a node drawn at random.
 
     Parameters
     ----------
     client : httpx.AsyncClient
-        Connections to the nodes.
+        HTTP client for the connections to the nodes.
     graph : Graph
-        Gives the team.
+        Call graph, which names the team of the services.
     nodes : sequence of str
         ``IP:PORT`` where nodes listen for callers.
     timeout : float
-        Milliseconds the caller waits for one attempt.
+        Milliseconds that the caller waits for one attempt; also sent as deadline.
     rng : random.Random
-        Draws the node.
+        Draws the node of each attempt.
     """
     timeout_s = timeout / MS_PER_S
 
@@ -116,27 +121,27 @@
                 headers=headers,
                 timeout=timeout_s,
             )
-        except _NOT_SENT as exc:
-            return Attempt(Ending.REFUSED, type(exc).__name__)
+        except _NOT_SENT_ERRORS as exc:
+            return Attempt(RequestOutcome.REFUSED, type(exc).__name__)
         except httpx.HTTPError as exc:
-            return Attempt(Ending.UNKNOWN, type(exc).__name__)
+            return Attempt(RequestOutcome.UNKNOWN, type(exc).__name__)
         return read_response(request, response)
 
     return send
 
 
 def client_sender(client: Client, graph: Graph) -> SendAttempt:
-    """Return how to send a request through the callers' library.
+    """Return a function that sends a request through the client library.
 
-    The library takes the tickets and repeats what it may; what it returns is the
-    outcome of the whole request.
+    The library takes the ticket and retries where that is safe; the result is the
+    final outcome of the request.
 
     Parameters
     ----------
     client : Client
-        The library's client.
+        Client of the library.
     graph : Graph
-        Gives the team.
+        Call graph, which names the team of the services.
     """
 
     async def send(request: ClientRequest) -> Attempt:
@@ -147,54 +152,59 @@
         if isinstance(outcome, Answered):
             return read_answer(request, outcome.status, outcome.body)
         if isinstance(outcome, Refused):
-            return Attempt(Ending.REFUSED, outcome.reason.value)
-        return Attempt(Ending.UNKNOWN, outcome.reason.value)
+            return Attempt(RequestOutcome.REFUSED, outcome.reason.value)
+        return Attempt(RequestOutcome.UNKNOWN, outcome.reason.value)
 
     return send
 
 
 async def no_ticket() -> str:
-    """Take no ticket: the library does."""
+    """Return no ticket, for requests whose ticket is taken by the client library."""
     return ""
 
 
 def read_response(request: ClientRequest, response: httpx.Response) -> Attempt:
-    """Return what a response means for the request it should belong to."""
+    """Return the result of an attempt from the HTTP response to it."""
     outcome = response.headers.get(call_headers.OUTCOME, "")
     reason = response.headers.get(call_headers.REASON, "")
     if outcome == call_headers.OUTCOME_REFUSED:
-        return Attempt(Ending.REFUSED, reason)
+        return Attempt(RequestOutcome.REFUSED, reason)
     if outcome != call_headers.OUTCOME_ANSWERED:
-        return Attempt(Ending.UNKNOWN, reason or f"status {response.status_code}")
+        return Attempt(
+            RequestOutcome.UNKNOWN, reason or f"status {response.status_code}"
+        )
     return read_answer(request, response.status_code, response.content)
 
 
 def read_answer(request: ClientRequest, status: int, body: bytes) -> Attempt:
-    """Return what a backend server's answer means for the request."""
+    """Return the result of an attempt from the answer of the backend server."""
     if status != httpx.codes.OK:
-        return Attempt(Ending.UNKNOWN, f"backend status {status}")
+        return Attempt(RequestOutcome.UNKNOWN, f"backend status {status}")
     if is_own_answer(body, request.mark, request.route.name):
-        return Attempt(Ending.ANSWERED)
-    return Attempt(Ending.WRONG, "not the own answer, or not whole")
+        return Attempt(RequestOutcome.ANSWERED)
+    return Attempt(RequestOutcome.WRONG, "answer incomplete or for another request")
 
 
 def http_tickets(
     client: httpx.AsyncClient, nodes: Sequence[str], rng: random.Random
 ) -> TakeTicket:
-    """Return how to take tickets, which come in batches from nodes in turn."""
-    held: list[str] = []
+    """Return a function that takes tickets, which it fetches in batches.
+
+    The nodes are asked in random order until one issues tickets.
+    """
+    available: list[str] = []
 
     async def take() -> str:
         for node in rng.sample(nodes, len(nodes)):
-            if held:
+            if available:
                 break
-            held.extend(await _ask_tickets(client, node))
-        return held.pop() if held else ""
+            available.extend(await _request_tickets(client, node))
+        return available.pop() if available else ""
 
     return take
 
 
-async def _ask_tickets(client: httpx.AsyncClient, node: str) -> list[str]:
+async def _request_tickets(client: httpx.AsyncClient, node: str) -> list[str]:
     content = json.dumps({"count": TICKET_BATCH})
     try:
         response = await client.post(f"http://{node}/tickets", content=content)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bad_input.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bad_input.py
@@ -1,4 +1,4 @@
-"""Kinds of bad input, by the port they are sent to."""
+"""Malformed HTTP requests and link frames, for tests of a node's ports."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
     return _get(path, length, *headers, method=b"POST") + body
 
 
-def _own_headers():
-    """Return malformed values of the headers that steer a call."""
+def _control_headers():
+    """Yield requests with malformed call headers and tickets."""
     numbers = (b"x", b"-1", b"1.5", b"1e3", b"9" * 40, b"\xd9\xa3", b"0x10", b"1 2")
     for name in (b"deadline-ms", b"allowance", b"priority"):
         for value in numbers:
@@ -35,7 +35,7 @@
     yield _get(TEAM_PATH, b"fuchsiagap-call: " + b"c" * 4000)
 
 
-def _tickets():
+def _ticket_requests():
     bodies = (
         *(b"{", b"[]", b"null", b"7", b'"x"', b'{"count": 0}', b'{"count": -1}'),
         *(b'{"count": "3"}', b'{"count": 1.5}', b'{"count": true}', b"\xff\xfe"),
@@ -47,7 +47,7 @@
     yield _get(b"/tickets", method=b"DELETE")
 
 
-def _http():
+def _http_requests():
     chunked = b"transfer-encoding: chunked"
     bookings = b"/salt-fog/bookings/bookings"
     yield from (
@@ -93,8 +93,8 @@
     )
 
 
-def _cut_short():
-    """Return requests whose sender leaves before they are whole."""
+def _truncated_requests():
+    """Yield incomplete requests; their sender closes the connection after them."""
     bookings = b"/salt-fog/bookings/bookings"
     yield from (
         b"GET /salt-fog/boo",
@@ -106,7 +106,7 @@
 
 
 def _frames():
-    """Return frames that no node sends to another."""
+    """Yield frames that no node sends to another."""
     rng = random.Random(1)
     values = (
         *(None, True, 1, -1, 1.5, "text", b"bytes", [], {}, [[]], {"a": 1}),
@@ -119,18 +119,18 @@
     yield from (
         b"",
         b"\xff",
-        b"\x9f" * 1000,  # arrays in arrays that never end
-        b"\x81" * 5000,  # arrays of one element, very deep
-        b"\x9b\xff\xff\xff\xff\xff\xff\xff\xff",  # an array of 2**64 elements
-        b"\x5b\x7f\xff\xff\xff\xff\xff\xff\xff",  # bytes of 2**63 length
+        b"\x9f" * 1000,  # 1,000 nested arrays of indefinite length
+        b"\x81" * 5000,  # 5,000 nested arrays of one element
+        b"\x9b\xff\xff\xff\xff\xff\xff\xff\xff",  # an array of 2**64 - 1 elements
+        b"\x5b\x7f\xff\xff\xff\xff\xff\xff\xff",  # a byte string of 2**63 - 1 bytes
         b"\xc2\x58\xff" + bytes(255),  # a very large integer
         b"\xd9\xff\xff\x01",  # an unknown CBOR tag
         b"\xd8\x1c\x81\xd8\x1d\x00",  # a value that contains itself
     )
 
 
-HTTP = (*_http(), *_own_headers(), *_tickets())
-CUT_SHORT = tuple(_cut_short())
+HTTP_REQUESTS = (*_http_requests(), *_control_headers(), *_ticket_requests())
+TRUNCATED_REQUESTS = tuple(_truncated_requests())
 FRAMES = tuple(_frames())
-# Beyond the largest frame there may be.
-LARGE_FRAME = bytes(300_000)
+# Larger than the largest frame that a node accepts.
+OVERSIZED_FRAME = bytes(300_000)
--- a/tools/check_findings.py
+++ b/tools/check_findings.py
@@ -1,7 +1,7 @@
-"""Fail where a day of the journal broke something and the findings are silent on it.
+"""Check that ``docs/findings.md`` names the journal entry of each day that failed.
 
-A day counts if it broke a rule, ended with a fault, or missed its gate. The page must
-name the journal entry (its identifier) of each.
+A day of a journal entry has failed if it broke a rule, ended with a fault or missed a
+required minimum. The page must contain the identifier of the entry.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 JOURNAL = ROOT / "journal"
 
 
-def broken(day: dict[str, Any]) -> str:
-    """Return what a day broke; empty if nothing."""
+def list_failures(day: dict[str, Any]) -> str:
+    """Return the failures of a day as text; empty if there are none."""
     found = [f"{rule} {times}" for rule, times in day["rules"].items()]
     found += [str(text) for text in day["short"]]
     if day["fault"] and not any("fault" in text for text in found):
@@ -25,14 +25,14 @@
     return "; ".join(found)
 
 
-def missing(page: str, entries: list[dict[str, Any]]) -> list[str]:
-    """Return a line for each day that broke something and whose entry is not named."""
+def find_unreported(page: str, entries: list[dict[str, Any]]) -> list[str]:
+    """Return a line for each failed day whose entry the page does not name."""
     lines = []
     for entry in entries:
         if entry["id"] in page:
             continue
         for day in entry.get("days") or []:
-            what = broken(day)
+            what = list_failures(day)
             if what:
                 name = f"{entry['id']} {entry['site']} {day['name']}"
                 lines.append(f"{name}: {what.splitlines()[0][:200]}")
@@ -41,7 +41,7 @@
 
 def main() -> int:
     entries = [json.loads(path.read_text()) for path in sorted(JOURNAL.glob("*.json"))]
-    lines = missing(PAGE.read_text(), entries)
+    lines = find_unreported(PAGE.read_text(), entries)
     for line in lines:
         print(f"not in docs/findings.md: {line}")
     print(f"{len(entries)} entries, {len(lines)} days without a finding")
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,9 +1,9 @@
-"""Run every test of the workspace and close with a line ``N passed, N failed``.
+"""Run all tests of the repository and print ``N passed, N failed`` at the end.
 
-Tests run side by side in a few processes. Those that `KNOWN-RED.txt` names, one a line
-with its identifier first, may fail: they are printed and not counted as failed. One
-that passes is printed too: those that fail on some machines or now and then stay on the
-list until their cause is mended.
+Tests run in parallel processes. ``KNOWN-RED.txt`` lists tests that may fail, one per
+line with its identifier first. Such a test is printed and not counted as failed. If it
+passes it is printed too, because a test that fails only on some machines or at times
+stays on the list until its cause is fixed.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
-# Lines that the list may have.
-MOST_KNOWN_RED = 3
-# Processes that run tests: half of the cores, and two for tests that start processes of
+# Maximum number of lines in the list.
+MAX_KNOWN_RED = 3
+# Number of test processes: half of the cores, and two for tests that start processes of
 # their own and mostly wait (see `conftest.py`).
-WORKERS = (os.cpu_count() or 2) // 2 + 2
-# Tests that took longest are named.
-SLOWEST = 5
+N_WORKERS = (os.cpu_count() or 2) // 2 + 2
+# Number of slowest tests listed.
+N_SLOWEST_SHOWN = 5
 
 
-class _Counts:
-    """Which tests passed and which failed, in whichever process they ran."""
+class _ResultRecorder:
+    """Collects the names of passed and failed tests from all test processes."""
 
     def __init__(self) -> None:
         self.passed: set[str] = set()
@@ -45,48 +45,50 @@
 
 
 def test_name(node_id: str) -> str:
-    """Return the dotted name of a test from the one that pytest gives it."""
+    """Return the dotted name of a test from its pytest node identifier."""
     path, _, rest = node_id.partition("@")[0].partition("::")
     module = path.rpartition("src/")[2].removesuffix(".py").replace("/", ".")
     return ".".join(part for part in (module, *rest.split("::")) if part)
 
 
-def known_red() -> dict[str, str]:
-    """Return the lines of the list by the test that each names."""
+def read_known_red() -> dict[str, str]:
+    """Return the lines of the list by test name."""
     if not KNOWN_RED.exists():
         return {}
     lines = [line for line in KNOWN_RED.read_text().splitlines() if line.strip()]
-    if len(lines) > MOST_KNOWN_RED:
-        raise SystemExit(f"{KNOWN_RED.name}: {len(lines)} lines, 3 are allowed")
+    if len(lines) > MAX_KNOWN_RED:
+        raise SystemExit(
+            f"{KNOWN_RED.name}: got {len(lines)} lines, expected at most 3"
+        )
     return {line.split()[0].rstrip(":"): line for line in lines}
 
 
-def check_known_red(passed: set[str], failed: set[str]) -> int:
-    """Print what is known to fail; return how many tests failed beside it."""
-    red = known_red()
-    for name, line in red.items():
+def count_unexpected_failures(passed: set[str], failed: set[str]) -> int:
+    """Print the listed tests that ran; return the number of other failed tests."""
+    expected_failures = read_known_red()
+    for name, line in expected_failures.items():
         if name in failed:
             print(f"known red: {line}")
         elif name in passed:
             print(f"known red, passed this time: {line}")
-    return len(failed - red.keys())
+    return len(failed - expected_failures.keys())
 
 
 def main(patterns: list[str]) -> int:
     os.chdir(ROOT)
-    counts = _Counts()
+    recorder = _ResultRecorder()
     arguments = [
         *("packages", "platform", "tools"),
-        *("-q", "--disable-warnings", f"--durations={SLOWEST}"),
-        *("-n", str(WORKERS), "--dist", "loadgroup"),
+        *("-q", "--disable-warnings", f"--durations={N_SLOWEST_SHOWN}"),
+        *("-n", str(N_WORKERS), "--dist", "loadgroup"),
     ]
     if patterns:
         arguments += ["-k", " or ".join(patterns)]
-    code = pytest.main(arguments, plugins=[counts])
-    passed = counts.passed - counts.failed
-    failed = check_known_red(passed, counts.failed)
+    code = pytest.main(arguments, plugins=[recorder])
+    passed = recorder.passed - recorder.failed
+    failed = count_unexpected_failures(passed, recorder.failed)
     if code not in (pytest.ExitCode.OK, pytest.ExitCode.TESTS_FAILED):
-        print(f"the test runner ended with {code!r}")
+        print(f"pytest exited with {code!r}")
         failed = max(failed, 1)
     print(f"{len(passed)} passed, {failed} failed", flush=True)
     return 1 if failed or not passed else 0
