--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/drain/test_stopping.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/drain/test_stopping.py
@@ -9,7 +9,7 @@
 from fuchsiagap_node.core.callpath.entry import enter
 from fuchsiagap_node.core.callpath.home_tickets import issue_batch
 from fuchsiagap_standins.graphs import load_graph
-from fuchsiagap_standins.graphs.sizes import draw_root
+from fuchsiagap_standins.graphs.analysis import draw_root
 from fuchsiagap_standins.node_fleet import open_node_fleet
 from fuchsiagap_standins.platform import PlatformFaults
 from fuchsiagap_standins.run_log import double_runs
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/backend.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/backend.py
@@ -26,7 +26,7 @@
     ChildResult,
     LoadWord,
 )
-from fuchsiagap_standins.graphs.sizes import draw_own_time, may_have_effect
+from fuchsiagap_standins.graphs.analysis import draw_own_time, has_side_effects
 from fuchsiagap_standins.run_log import Run, RunState
 
 if TYPE_CHECKING:
@@ -199,7 +199,7 @@
         if result.outcome is ChildOutcome.REFUSED:
             progress.refused = True
             return
-        if may_have_effect(self.cfg.graph, child.route):
+        if has_side_effects(self.cfg.graph, child.route):
             progress.had_effect = True
         if result.outcome is ChildOutcome.UNKNOWN or result.status != 200:
             progress.failed = True
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/backend_app.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/backend_app.py
@@ -32,7 +32,7 @@
     ChildResult,
     LoadWord,
 )
-from fuchsiagap_standins.graphs import load_any_graph
+from fuchsiagap_standins.graphs import load_graph_or_file
 from fuchsiagap_standins.programs import new_flags, parse_flags
 from fuchsiagap_standins.serving import announce, serve_app, until_stopped
 
@@ -280,7 +280,7 @@
 def main(argv: Sequence[str]) -> None:
     """Run the program."""
     parse_flags(_FLAGS, argv, __doc__ or "")
-    graph = load_any_graph(_GRAPH.value).with_time_scale(_SCALE.value)
+    graph = load_graph_or_file(_GRAPH.value).with_time_scale(_SCALE.value)
     services = [service.name for service in graph.services]
     if _SERVICE.value not in services:
         sys.exit(f"--service={_SERVICE.value}: expected one of {', '.join(services)}")
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/control.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/control.py
@@ -36,10 +36,10 @@
 
 _TEAM = "bench"
 _DATA_CENTRES = ("hall-a", "hall-b", "hall-c")
-_STARTS_AT_ONCE = 6
-_SETTLE_LIMIT_S = 90.0
-_N_FIRST_PEERS = 6
-_UNITS_PER_MS = 65_536.0
+_MAX_CONCURRENT_STARTS = 6
+_SETTLE_TIMEOUT_S = 90.0
+_N_SEED_PEERS = 6
+_STAMP_UNITS_PER_MS = 65_536.0
 _MB = 1e6
 _KB = 1e3
 
@@ -80,7 +80,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Reading:
+class _Totals:
     """Totals at one moment."""
 
     at: Milliseconds
@@ -106,14 +106,14 @@
             team=_TEAM,
             backend=self.backend,
             platform=self.platform,
-            first=[h.peers for h in self.hosts[:_N_FIRST_PEERS]],
+            first=[h.peers for h in self.hosts[:_N_SEED_PEERS]],
         )
 
     async def start(self, host: Place) -> None:
         await self.group.start_node(host.node, self.ini(host), host.callers)
 
     async def start_all(self) -> None:
-        limiter = trio.CapacityLimiter(_STARTS_AT_ONCE)
+        limiter = trio.CapacityLimiter(_MAX_CONCURRENT_STARTS)
 
         async def start(host: Place) -> None:
             async with limiter:
@@ -123,9 +123,9 @@
             for host in self.hosts:
                 nursery.start_soon(start, host)
 
-    async def settled(self) -> None:
+    async def wait_until_settled(self) -> None:
         """Wait until each node knows all of them."""
-        with trio.fail_after(_SETTLE_LIMIT_S):
+        with trio.fail_after(_SETTLE_TIMEOUT_S):
             for host in self.hosts:
                 while await self._n_alive(host) < len(self.hosts):
                     await trio.sleep(0.5)
@@ -147,21 +147,21 @@
         )
         url = f"http://{self.platform}/objects/settings/{_TEAM}"
         response = (await self.client.put(url, content=text)).raise_for_status()
-        return int(response.headers["etag"].strip('"')), _wall_ms()
+        return int(response.headers["etag"].strip('"')), _wall_clock_ms()
 
     async def adopted_at(self, host: Place, version: int) -> Milliseconds | None:
         """Return the time of day when a node adopted a version or a higher one."""
         url = f"http://{host.admin}/v1/events?limit=10000"
         events = (await self.client.get(url)).json()["events"]
         times = [
-            event["stamp"] / _UNITS_PER_MS
+            event["stamp"] / _STAMP_UNITS_PER_MS
             for event in events
             if event["kind"] == "settings-adopted"
             and event["detail"].get("version", 0) >= version
         ]
         return min(times, default=None)
 
-    async def read(self) -> _Reading:
+    async def read_totals(self) -> _Totals:
         pids = [p.pid for n, p in self.group.running.items() if n.startswith("node")]
         control = (await self.client.get(f"http://{self.platform}/control")).json()
         counts = control["counts"]
@@ -172,7 +172,7 @@
         n_read = len(self.hosts[:: max(len(self.hosts) // 10, 1)])
         cpu = sum(map(cpu_ms, pids)) / len(pids)
         now = trio.current_time() * MS_PER_S
-        return _Reading(now, cpu, sent / n_read, calls)
+        return _Totals(now, cpu, sent / n_read, calls)
 
     async def _sent_bytes(self, host: Place) -> float:
         text = (await self.client.get(f"http://{host.admin}/v1/metrics")).text
@@ -181,63 +181,65 @@
                 return float(line.rpartition(" ")[2])
         return 0.0
 
-    def memory(self) -> float:
+    def mean_memory_mb(self) -> float:
         running = self.group.running
         pids = [p.pid for n, p in running.items() if n.startswith("node")]
         return fmean(map(memory_bytes, pids)) / _MB
 
 
-def _wall_ms() -> Milliseconds:
+def _wall_clock_ms() -> Milliseconds:
     return time.time() * MS_PER_S
 
 
 async def _measure_idle(fleet: _Fleet, seconds: float) -> ControlFigures:
-    before = await fleet.read()
+    before = await fleet.read_totals()
     await trio.sleep(seconds)
-    return _figures(fleet, "idle", before, await fleet.read(), 0.0, 0)
+    return _make_figures(fleet, "idle", before, await fleet.read_totals(), 0.0, 0)
 
 
 async def _measure_settings(fleet: _Fleet, seconds: float) -> ControlFigures:
-    before = await fleet.read()
+    before = await fleet.read_totals()
     changes = []
     end = trio.current_time() + seconds
     while trio.current_time() < end:
         changes.append(await fleet.put_settings())
         await trio.sleep(1.0)
-    after = await fleet.read()
+    after = await fleet.read_totals()
     await trio.sleep(3.0)
     worst = 0.0
     for host in fleet.hosts:
         for version, at in changes:
             adopted = await fleet.adopted_at(host, version)
             worst = max(worst, 1e9 if adopted is None else adopted - at)
-    return _figures(fleet, "settings", before, after, worst, len(changes))
+    return _make_figures(fleet, "settings", before, after, worst, len(changes))
 
 
 async def _measure_membership(fleet: _Fleet, seconds: float) -> ControlFigures:
     """Kill a node every three seconds and start it again; victims are not measured."""
     n_changes = 0
-    victims = fleet.hosts[-1:]
-    for host in victims:
+    restarted_hosts = fleet.hosts[-1:]
+    for host in restarted_hosts:
         fleet.group.kill(host.node)
         await fleet.start(host)
-    before = await fleet.read()
+    before = await fleet.read_totals()
     end = trio.current_time() + seconds
     while trio.current_time() < end:
-        for host in victims:
+        for host in restarted_hosts:
             fleet.group.kill(host.node)
             await trio.sleep(2.0)
             await fleet.start(host)
             await trio.sleep(1.0)
             n_changes += 2
-    return _figures(fleet, "membership", before, await fleet.read(), 0.0, n_changes)
+    return _make_figures(
+        fleet, "membership", before, await fleet.read_totals(), 0.0, n_changes
+    )
 
 
-def _figures(
+def _make_figures(
     fleet: _Fleet,
     phase: str,
-    before: _Reading,
-    after: _Reading,
+    before: _Totals,
+    after: _Totals,
     in_force: Milliseconds,
     changes: int,
 ) -> ControlFigures:
@@ -246,7 +248,7 @@
         nodes=len(fleet.hosts),
         phase=phase,
         cpu_percent=100.0 * (after.cpu - before.cpu) / MS_PER_S / seconds,
-        memory_mb=fleet.memory(),
+        memory_mb=fleet.mean_memory_mb(),
         sent_kb_per_s=(after.sent - before.sent) / seconds / _KB,
         platform_calls_per_s=(after.platform_calls - before.platform_calls) / seconds,
         in_force_ms=in_force,
@@ -263,27 +265,27 @@
         ):
             backend = await group.start_standin("backend", "echo_server")
             platform = await group.start_standin("platform", "platform_app")
-            held = [reserve_addresses("127.0.0.1", 3) for _ in range(n_nodes)]
+            reservations = [reserve_addresses("127.0.0.1", 3) for _ in range(n_nodes)]
             hosts = tuple(
                 Place(
                     f"node-{i}",
                     "echo",
                     _DATA_CENTRES[i % len(_DATA_CENTRES)],
-                    *held[i].addresses,
+                    *reservations[i].addresses,
                 )
                 for i in range(n_nodes)
             )
             fleet = _Fleet(group, client, hosts, platform, backend)
             await fleet.put_settings()
             await fleet.start_all()
-            await fleet.settled()
+            await fleet.wait_until_settled()
             await trio.sleep(3.0)
             figures = [
                 await _measure_idle(fleet, seconds),
                 await _measure_settings(fleet, seconds),
                 await _measure_membership(fleet, seconds),
             ]
-            for reservation in held:
+            for reservation in reservations:
                 reservation.close()
     return figures
 
@@ -299,17 +301,19 @@
     return slope, mean_y - slope * mean_x
 
 
-_FITTED = ("cpu_percent", "memory_mb", "sent_kb_per_s", "platform_calls_per_s")
+_FITTED_FIELDS = ("cpu_percent", "memory_mb", "sent_kb_per_s", "platform_calls_per_s")
 
 
-def _slopes(figures: Sequence[ControlFigures]) -> dict[str, dict[str, float]]:
+def _fit_by_phase(figures: Sequence[ControlFigures]) -> dict[str, dict[str, float]]:
     slopes: dict[str, dict[str, float]] = {}
     for phase in ("idle", "settings", "membership"):
-        chosen = [f for f in figures if f.phase == phase]
-        xs = [float(f.nodes) for f in chosen]
-        for name in _FITTED:
-            slope, start = fit_slope(xs, [float(getattr(f, name)) for f in chosen])
-            slopes[f"{phase}.{name}"] = {"per_node": slope, "at_zero": start}
+        phase_figures = [f for f in figures if f.phase == phase]
+        xs = [float(f.nodes) for f in phase_figures]
+        for name in _FITTED_FIELDS:
+            slope, intercept = fit_slope(
+                xs, [float(getattr(f, name)) for f in phase_figures]
+            )
+            slopes[f"{phase}.{name}"] = {"per_node": slope, "at_zero": intercept}
     return slopes
 
 
@@ -318,12 +322,12 @@
     for size in sizes:
         measured = await run_size(size, seconds)
         for f in measured:
-            print(_line(f), file=sys.stderr, flush=True)
+            print(_format_line(f), file=sys.stderr, flush=True)
         figures += measured
     return figures
 
 
-def _line(f: ControlFigures) -> str:
+def _format_line(f: ControlFigures) -> str:
     return (
         f"{f.nodes:4} nodes {f.phase:10} {f.cpu_percent:6.2f} % CPU"
         f" {f.memory_mb:6.1f} MB {f.sent_kb_per_s:7.2f} KB/s sent"
@@ -334,21 +338,23 @@
 
 def main(argv: Sequence[str]) -> int:
     """Run the bench; ``--json`` prints one line of JSON."""
-    own = new_flags()
-    flags.DEFINE_bool("json", False, "print one line of JSON", flag_values=own)
-    flags.DEFINE_list("nodes", ["10", "20", "40"], "sizes to run", flag_values=own)
-    flags.DEFINE_float("seconds", 10.0, "length of each phase", flag_values=own)
-    parse_flags(own, ["control", *argv], __doc__ or "")
-    given = own.flag_values_dict()
-    sizes = [int(size) for size in given["nodes"]]
-    figures = trio.run(_run, sizes, given["seconds"])
-    shown = {
+    flag_values = new_flags()
+    flags.DEFINE_bool("json", False, "print one line of JSON", flag_values=flag_values)
+    flags.DEFINE_list(
+        "nodes", ["10", "20", "40"], "sizes to run", flag_values=flag_values
+    )
+    flags.DEFINE_float("seconds", 10.0, "length of each phase", flag_values=flag_values)
+    parse_flags(flag_values, ["control", *argv], __doc__ or "")
+    values = flag_values.flag_values_dict()
+    sizes = [int(size) for size in values["nodes"]]
+    figures = trio.run(_run, sizes, values["seconds"])
+    output = {
         "figures": [asdict(f) for f in figures],
-        "slopes": _slopes(figures),
+        "slopes": _fit_by_phase(figures),
     }
-    if given["json"]:
-        print(json.dumps(shown))
+    if values["json"]:
+        print(json.dumps(output))
         return 0
-    for name, line in _slopes(figures).items():
+    for name, line in _fit_by_phase(figures).items():
         print(f"{name:36} {line['at_zero']:10.4f} + {line['per_node']:10.6f} a node")
     return 0
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/operators.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/operators.py
@@ -84,10 +84,12 @@
     async with process_group(folder) as group:
         sizes = (f"--nodes={n_nodes}", f"--events={n_events}")
         address = await group.start_standin("admin", "admin_app", *sizes)
-        return [await _cost(c, address, n_nodes, n_events) for c in _COMMANDS]
+        return [
+            await _measure_command(c, address, n_nodes, n_events) for c in _COMMANDS
+        ]
 
 
-async def _cost(
+async def _measure_command(
     command: tuple[str, ...], address: str, n_nodes: int, n_events: int
 ) -> CommandCost:
     argv = ["fuchsiagap", *command, f"--node={address}", "--timeout=60s"]
@@ -95,14 +97,14 @@
     started_s, cpu_started_s = time.perf_counter(), time.process_time()
     code = await run_line(argv, output)
     cpu_s = time.process_time() - cpu_started_s
-    taken_s = time.perf_counter() - started_s
+    elapsed_s = time.perf_counter() - started_s
     if code is not ExitCode.DONE:
         raise RuntimeError(f"{' '.join(command)} ended with {code!r}")
     return CommandCost(
         command=command[0],
         nodes=n_nodes,
         events=n_events if command[0] == "timeline" else 0,
-        seconds=round(taken_s, 3),
+        seconds=round(elapsed_s, 3),
         cpu_seconds=round(cpu_s, 3),
         cpu_ms_per_node=round(cpu_s * MS_PER_S / n_nodes, 3),
         peak_mb=round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / _KB, 1),
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/backends.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/backends.py
@@ -22,15 +22,15 @@
     from fuchsiagap_standins.bench.overload.policies import BenchPolicy
     from fuchsiagap_standins.bench.overload.records import Records
     from fuchsiagap_standins.bench.overload.scenario import Scenario
-    from fuchsiagap_standins.bench.overload.ticks import Ticks
+    from fuchsiagap_standins.bench.overload.tick_scheduler import TickScheduler
     from fuchsiagap_standins.graphs import Graph, GraphRoute, GraphService
 
 _BAD_GATEWAY = 502
-_REPORT_FACTORS = {"honest": 1.0, "high": 10.0, "low": 0.1}
-_BEFORE_CALLS = 0.5
+_REPORTED_SLOTS_FACTORS = {"honest": 1.0, "high": 10.0, "low": 0.1}
+_WORK_SHARE_BEFORE_CALLS = 0.5
 
 
-class FakeBackend:
+class SimulatedBackend:
     """One backend server.
 
     It works on `slots` calls at a time and queues the rest inside, up to its
@@ -48,7 +48,7 @@
         Whether it retries, and whether it stops what is given up.
     records : Records
         Where its work is counted.
-    ticks : Ticks
+    tick_scheduler : TickScheduler
         By which it works.
     rng : random.Random
         Source of service times.
@@ -63,7 +63,7 @@
         scenario: Scenario,
         policy: BenchPolicy,
         records: Records,
-        ticks: Ticks,
+        tick_scheduler: TickScheduler,
         rng: random.Random,
         nursery: trio.Nursery,
     ) -> None:
@@ -72,17 +72,19 @@
         self._scenario = scenario
         self._policy = policy
         self._records = records
-        self._ticks = ticks
+        self._ticks = tick_scheduler
         self._rng = rng
         self._nursery = nursery
         self._slots = trio.Semaphore(service.slots)
         self._routes = {route.name: route for route in graph.routes}
-        self._n_taken = 0
+        self._n_connections = 0
         self.node: NodeState | None = None
 
     async def load(self) -> BackendLoad:
         """Report slots and calls, as the scenario has it."""
-        slots = int(self._service.slots * _REPORT_FACTORS[self._scenario.reports])
+        slots = int(
+            self._service.slots * _REPORTED_SLOTS_FACTORS[self._scenario.reports]
+        )
         return BackendLoad(
             healthy=True,
             slots=max(slots, 1),
@@ -94,7 +96,7 @@
         self, head: CallHead, body: bytes, remaining: Milliseconds
     ) -> Outcome:
         """Run one call."""
-        if self._n_taken >= self._service.connections:
+        if self._n_connections >= self._service.connections:
             return Refused(Reason.BACKEND_REFUSED, detail="all connections are taken")
         if self._policy.cancels:
             return await self._run(head)
@@ -114,12 +116,12 @@
         return outcomes[0]
 
     async def _run(self, head: CallHead) -> Outcome:
-        self._n_taken += 1
+        self._n_connections += 1
         try:
             async with self._slots:
                 return await self._serve(head)
         finally:
-            self._n_taken -= 1
+            self._n_connections -= 1
 
     async def _serve(self, head: CallHead) -> Outcome:
         outcome = await self._serve_route(head, self._routes[head.route])
@@ -131,14 +133,14 @@
         work = draw_own_time(self._graph, route, self._rng)
         if not route.calls:
             await self._work(head, work)
-            return self._answer(head)
-        await self._work(head, work * _BEFORE_CALLS)
+            return self._make_answer(head)
+        await self._work(head, work * _WORK_SHARE_BEFORE_CALLS)
         for stage in route.calls:
-            failed = await self._call_all(head, stage)
+            failed = await self._call_stage(head, stage)
             if failed is not None:
                 return failed
-        await self._work(head, work * (1.0 - _BEFORE_CALLS))
-        return self._answer(head)
+        await self._work(head, work * (1.0 - _WORK_SHARE_BEFORE_CALLS))
+        return self._make_answer(head)
 
     def _count_run(self, head: CallHead) -> None:
         """Count a run that had an effect; a refused one had none."""
@@ -149,7 +151,7 @@
         if self._records.runs[key] > 1:
             self._records.violations["double_run"] += 1
 
-    def _answer(self, head: CallHead) -> Answered:
+    def _make_answer(self, head: CallHead) -> Answered:
         return Answered(200, (), head.root_id.encode())
 
     async def _work(self, head: CallHead, work: Milliseconds) -> None:
@@ -165,21 +167,23 @@
                 attempt = int(head.headers[0][1])
                 record.work[attempt] += self._ticks.now() - started
 
-    async def _call_all(self, head: CallHead, stage: tuple[str, ...]) -> Outcome | None:
+    async def _call_stage(
+        self, head: CallHead, stage: tuple[str, ...]
+    ) -> Outcome | None:
         """Make the calls of one stage; return how the first that failed ended."""
         if len(stage) == 1:
-            return _failure(await self._call(head, stage[0]))
+            return _failed_response(await self._call(head, stage[0]))
         failures: list[Outcome] = []
 
-        async def one(name: str) -> None:
-            failed = _failure(await self._call(head, name))
+        async def call_one(name: str) -> None:
+            failed = _failed_response(await self._call(head, name))
             if failed is not None:
                 failures.append(failed)
                 nursery.cancel_scope.cancel()
 
         async with trio.open_nursery() as nursery:
             for name in stage:
-                nursery.start_soon(one, name)
+                nursery.start_soon(call_one, name)
         return failures[0] if failures else None
 
     async def _call(self, head: CallHead, name: str) -> Outcome:
@@ -196,13 +200,13 @@
         )
         outcome = await enter(self.node, req)
         for _ in range(self._policy.server_retries):
-            if _failure(outcome) is None:
+            if _failed_response(outcome) is None:
                 break
             outcome = await enter(self.node, req)
         return outcome
 
 
-def _failure(outcome: Outcome) -> Outcome | None:
+def _failed_response(outcome: Outcome) -> Outcome | None:
     """Return what a server answers if a call of its own ended so; None if well."""
     if isinstance(outcome, Answered):
         return None if outcome.status < _BAD_GATEWAY else outcome
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/callers.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/callers.py
@@ -13,9 +13,12 @@
 from fuchsiagap.core.retries.allowance import Allowance
 from fuchsiagap_node.core.callpath.entry import CallRequest, enter
 from fuchsiagap_standins.bench.overload.records import ATTEMPT_HEADER, RequestRecord
-from fuchsiagap_standins.bench.overload.scenario import caller_timeout, patience
+from fuchsiagap_standins.bench.overload.scenario import (
+    caller_timeout,
+    max_response_time,
+)
 from fuchsiagap_standins.graphs import capacity_per_s, chain_time
-from fuchsiagap_standins.graphs.sizes import draw_root
+from fuchsiagap_standins.graphs.analysis import draw_root
 
 if TYPE_CHECKING:
     from fuchsiagap.core.clock import Clock, Milliseconds
@@ -27,12 +30,12 @@
     from fuchsiagap_standins.graphs import Graph, GraphRoute
 
 _OK = 200
-_PAUSE_MIN = 20.0
-_PAUSE_MAX = 80.0
+_MIN_RETRY_PAUSE_MS = 20.0
+_MAX_RETRY_PAUSE_MS = 80.0
 
 
 @dataclass(frozen=True, slots=True, eq=False)
-class Callers:
+class CallerContext:
     """All that the callers of a run share.
 
     Parameters
@@ -65,7 +68,7 @@
     timeouts: dict[str, Milliseconds]
 
 
-def make_callers(
+def make_caller_context(
     graph: Graph,
     scenario: Scenario,
     policy: BenchPolicy,
@@ -73,76 +76,76 @@
     records: Records,
     clock: Clock,
     seed: int,
-) -> Callers:
+) -> CallerContext:
     """Return the callers of a run, whose timeouts fit the graph at rest."""
     timeouts = {
         route.name: caller_timeout(route, chain_time(graph, route))
         for route in graph.roots
     }
     rng = random.Random(f"{seed}/callers")
-    return Callers(graph, scenario, policy, fleet, records, clock, rng, timeouts)
+    return CallerContext(graph, scenario, policy, fleet, records, clock, rng, timeouts)
 
 
-async def call_until_end(callers: Callers) -> None:
+async def run_callers(context: CallerContext) -> None:
     """Send requests at the scenario's rate, until the last has ended."""
-    capacity = capacity_per_s(callers.graph)
-    scenario = callers.scenario
-    following = 0.0
+    capacity = capacity_per_s(context.graph)
+    scenario = context.scenario
+    next_arrival = 0.0
     async with trio.open_nursery() as nursery:
-        while following < scenario.end:
-            wait = following - callers.clock.now()
-            if wait > 0.0:
-                await callers.fleet.ticks.sleep(wait)
-            rate = scenario.demand(capacity, following)
-            following += callers.rng.expovariate(rate)
-            route = draw_root(callers.graph, callers.rng)
-            nursery.start_soon(_request, callers, route)
+        while next_arrival < scenario.end:
+            delay = next_arrival - context.clock.now()
+            if delay > 0.0:
+                await context.fleet.tick_scheduler.sleep(delay)
+            rate = scenario.demand(capacity, next_arrival)
+            next_arrival += context.rng.expovariate(rate)
+            route = draw_root(context.graph, context.rng)
+            nursery.start_soon(_send_request, context, route)
 
 
-async def _request(callers: Callers, route: GraphRoute) -> None:
+async def _send_request(context: CallerContext, route: GraphRoute) -> None:
     """Make one client request with all its attempts."""
-    record = RequestRecord(route, callers.clock.now())
-    callers.records.requests.append(record)
-    own_headers, root_id = _identity(callers, route)
-    callers.records.by_root[root_id] = record
-    ledger = Allowance(route.attempts + callers.scenario.caller_retries)
-    wait = callers.graph.to_clients
-    for number in range(callers.scenario.caller_retries + 1):
+    record = RequestRecord(route, context.clock.now())
+    context.records.requests.append(record)
+    own_headers, root_id = _make_identity(context, route)
+    context.records.by_root[root_id] = record
+    allowance = Allowance(route.attempts + context.scenario.caller_retries)
+    delay = context.graph.to_clients
+    for number in range(context.scenario.caller_retries + 1):
         record.work.append(0.0)
-        record.attempt_starts.append(callers.clock.now())
-        await callers.fleet.ticks.sleep(wait)
-        outcome = await _attempt(callers, route, own_headers, number, ledger)
+        record.attempt_starts.append(context.clock.now())
+        await context.fleet.tick_scheduler.sleep(delay)
+        outcome = await _send_attempt(context, route, own_headers, number, allowance)
         if isinstance(outcome, Answered) and outcome.status == _OK:
-            await callers.fleet.ticks.sleep(callers.graph.to_clients)
-            _note_answer(callers, record, root_id, number, outcome)
+            await context.fleet.tick_scheduler.sleep(context.graph.to_clients)
+            _record_answer(context, record, root_id, number, outcome)
             return
-        record.last_reason = _reason(outcome)
+        record.last_reason = _failure_reason(outcome)
         if not isinstance(outcome, Refused):
             # From now on a copy may have run, and the nodes have to be told.
             own_headers = {**own_headers, call_headers.REPEAT: "1"}
-        if not ledger.take():
+        if not allowance.take():
             return
         # The way back, a short pause, and the way to another node.
-        pause = callers.rng.uniform(_PAUSE_MIN, _PAUSE_MAX)
-        wait = 2.0 * callers.graph.to_clients + pause
+        pause = context.rng.uniform(_MIN_RETRY_PAUSE_MS, _MAX_RETRY_PAUSE_MS)
+        delay = 2.0 * context.graph.to_clients + pause
 
 
-async def _attempt(
-    callers: Callers,
+async def _send_attempt(
+    context: CallerContext,
     route: GraphRoute,
     own_headers: dict[str, str],
     number: int,
-    ledger: Allowance,
+    allowance: Allowance,
 ) -> Outcome:
     """Ask a random node once.
 
     The node gives up when the caller does, since the deadline is the caller's.
     """
-    timeout = callers.timeouts[route.name] - 2.0 * callers.graph.to_clients
+    timeout = context.timeouts[route.name] - 2.0 * context.graph.to_clients
     # Each retry of the caller's own is paid for beforehand.
-    share = ledger.lend_up_to(min(route.attempts, ledger.remaining))
+    share = allowance.lend_up_to(min(route.attempts, allowance.remaining))
     req = CallRequest(
-        service=callers.graph.service_name(route),
+        service=context.graph.service_name(route),
         method=route.method,
         target=route.target(1),
         own_headers={
@@ -153,43 +156,45 @@
         headers=((ATTEMPT_HEADER, str(number)),),
         body=b"",
     )
-    node: NodeState = callers.rng.choice(callers.fleet.nodes)
+    node: NodeState = context.rng.choice(context.fleet.nodes)
     outcome = await enter(node, req)
-    ledger.settle(share, outcome.allowance)
+    allowance.settle(share, outcome.allowance)
     return outcome
 
 
-def _identity(callers: Callers, route: GraphRoute) -> tuple[dict[str, str], str]:
+def _make_identity(
+    context: CallerContext, route: GraphRoute
+) -> tuple[dict[str, str], str]:
     """Return the headers that name the request, and its root id."""
-    if route.idempotent or not callers.policy.at_most_once:
-        root_id = f"{callers.rng.getrandbits(64):016x}"
+    if route.idempotent or not context.policy.at_most_once:
+        root_id = f"{context.rng.getrandbits(64):016x}"
         return {call_headers.ROOT: root_id, call_headers.REPEAT: "0"}, root_id
-    node = callers.rng.choice(callers.fleet.nodes)
+    node = context.rng.choice(context.fleet.nodes)
     issued = node.tickets.own.issue(1)
     assert isinstance(issued, tuple), issued
     ticket = str(issued[0])
     return {call_headers.TICKET: ticket, call_headers.REPEAT: "0"}, ticket
 
 
-def _note_answer(
-    callers: Callers,
+def _record_answer(
+    context: CallerContext,
     record: RequestRecord,
     root_id: str,
     number: int,
     outcome: Answered,
 ) -> None:
     if outcome.body != root_id.encode():
-        callers.records.violations["wrong_answer"] += 1
-    now = callers.clock.now()
-    if now - record.sent_at > patience(callers.timeouts[record.route.name]):
+        context.records.violations["wrong_answer"] += 1
+    now = context.clock.now()
+    if now - record.sent_at > max_response_time(context.timeouts[record.route.name]):
         record.last_reason = "late"
         return
     record.answered_at = now
     record.answered_by = number
-    record.shares_work = outcome.repeated
+    record.is_from_earlier_run = outcome.repeated
 
 
-def _reason(outcome: Outcome) -> str:
+def _failure_reason(outcome: Outcome) -> str:
     if isinstance(outcome, Answered):
         return f"status-{outcome.status}"
     return f"{type(outcome).__name__.lower()}-{outcome.reason.value}"
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/cli.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/cli.py
@@ -15,7 +15,7 @@
 from fuchsiagap_standins.bench.overload.scenario import Scenario
 from fuchsiagap_standins.graphs import GRAPHS, load_graph
 
-_TRACE_MS = 500.0
+_TRACE_INTERVAL_MS = 500.0
 
 
 def main(argv: list[str]) -> int:
@@ -31,7 +31,7 @@
     int
         Exit status: 0 for a run without violations, 1 otherwise, 2 for bad flags.
     """
-    values = _flags()
+    values = _define_flags()
     try:
         rest = values(["overload", *argv])
     except flags.Error as exc:
@@ -51,15 +51,15 @@
         base_load=values.base_load,
         reports=values.reports,
     )
-    began = time.monotonic()
-    trace_ms = _TRACE_MS if values.trace else 0.0
+    started = time.monotonic()
+    trace_ms = _TRACE_INTERVAL_MS if values.trace else 0.0
     result = run_once(graph, scenario, POLICIES[values.policy], values.seed, trace_ms)
-    taken = time.monotonic() - began
-    _print(values, result, taken)
+    elapsed_s = time.monotonic() - started
+    _print_result(values, result, elapsed_s)
     return 1 if result.figures["violations"] else 0
 
 
-def _flags() -> Any:
+def _define_flags() -> Any:
     values = flags.FlagValues()  # type: ignore[no-untyped-call]
     for name, default, choices, doc in (
         ("graph", "queensland", list(GRAPHS), "The call graph."),
@@ -86,20 +86,20 @@
     return values
 
 
-def _print(values: Any, result: RunResult, taken: float) -> None:
+def _print_result(values: Any, result: RunResult, elapsed_s: float) -> None:
     for line in result.trace:
         print(line, file=sys.stderr)
-    found = {
+    output = {
         "graph": values.graph,
         "policy": values.policy,
         "seed": values.seed,
         **result.figures,
     }
     if values.series:
-        found["goodput_per_s"] = result.goodput
+        output["goodput_per_s"] = result.goodput
     if values.json:
-        print(json.dumps(found))
+        print(json.dumps(output))
     else:
-        for key, value in found.items():
+        for key, value in output.items():
             print(f"{key:28} {value}")
-    print(f"{taken:.1f} s", file=sys.stderr)
+    print(f"{elapsed_s:.1f} s", file=sys.stderr)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/fleet.py
@@ -21,9 +21,9 @@
     PlatformConfig,
 )
 from fuchsiagap_node.core.node import NodePorts, make_state
-from fuchsiagap_standins.bench.overload.backends import FakeBackend
-from fuchsiagap_standins.bench.overload.gates import MeteredGate
-from fuchsiagap_standins.bench.overload.ticks import Ticks
+from fuchsiagap_standins.bench.overload.backends import SimulatedBackend
+from fuchsiagap_standins.bench.overload.metered_gate import MeteredGate
+from fuchsiagap_standins.bench.overload.tick_scheduler import TickScheduler
 from fuchsiagap_standins.graphs import settings_text
 
 if TYPE_CHECKING:
@@ -37,7 +37,7 @@
     from fuchsiagap_standins.bench.overload.scenario import Scenario
     from fuchsiagap_standins.graphs import Graph, GraphService
 
-_REPORT_MS = 500.0
+_REPORT_INTERVAL_MS = 500.0
 _INCARNATION = 1
 _RING_SIZE = 256
 
@@ -48,7 +48,7 @@
 
     Parameters
     ----------
-    ticks : Ticks
+    tick_scheduler : TickScheduler
         By which the run sleeps.
     nodes : list of NodeState
         In the order of the graph's services.
@@ -56,12 +56,12 @@
         The same, by the address other nodes know.
     """
 
-    ticks: Ticks
+    tick_scheduler: TickScheduler
     nodes: list[NodeState] = field(default_factory=list)
     by_address: dict[str, NodeState] = field(default_factory=dict)
 
 
-class FakePeers:
+class SimulatedPeers:
     """Passes messages to other nodes as they are, after the graph's delay."""
 
     def __init__(self, fleet: Fleet, cfg: NodeConfig, delay: Milliseconds) -> None:
@@ -84,10 +84,10 @@
         node = self._fleet.by_address[address]
         is_far = node.cfg.data_centre != self._cfg.data_centre
         if is_far:
-            await self._fleet.ticks.sleep(self._delay)
+            await self._fleet.tick_scheduler.sleep(self._delay)
         reply = await node.handlers.asks[type(message)](self._cfg.name, message)
         if is_far:
-            await self._fleet.ticks.sleep(self._delay)
+            await self._fleet.tick_scheduler.sleep(self._delay)
         return reply
 
     async def notify(self, address: str, message: object) -> None:
@@ -127,18 +127,25 @@
     Fleet
         Nodes that know each other and the team's settings.
     """
-    fleet = Fleet(Ticks(clock))
-    nursery.start_soon(fleet.ticks.run)
+    fleet = Fleet(TickScheduler(clock))
+    nursery.start_soon(fleet.tick_scheduler.run)
     for service in graph.services:
         for index, data_centre in enumerate(graph.placement(service)):
             number = len(fleet.nodes)
-            cfg = _config(graph, service, index, data_centre, number, policy)
+            cfg = _make_config(graph, service, index, data_centre, number, policy)
             rng = random.Random(f"{seed}/{cfg.name}")
-            backend = FakeBackend(
-                graph, service, scenario, policy, records, fleet.ticks, rng, nursery
+            backend = SimulatedBackend(
+                graph,
+                service,
+                scenario,
+                policy,
+                records,
+                fleet.tick_scheduler,
+                rng,
+                nursery,
             )
-            node = _node(cfg, backend, policy, records, clock, rng, nursery)
-            node.peers = FakePeers(fleet, cfg, graph.between_data_centres)
+            node = _make_node(cfg, backend, policy, records, clock, rng, nursery)
+            node.peers = SimulatedPeers(fleet, cfg, graph.between_data_centres)
             backend.node = node
             fleet.nodes.append(node)
             fleet.by_address[cfg.peer_address] = node
@@ -152,17 +159,17 @@
         node.gate.set_weight(team.weight)
         for other in fleet.nodes:
             if other is not node:
-                node.membership.apply(_member(other.cfg))
+                node.membership.apply(_make_member(other.cfg))
         node.router.update(node.membership.instances())
         nursery.start_soon(home.run, node)
-        nursery.start_soon(_steps, node, fleet.ticks)
-        nursery.start_soon(_reports, node, fleet.ticks)
+        nursery.start_soon(_run_gate_steps, node, fleet.tick_scheduler)
+        nursery.start_soon(_run_load_reports, node, fleet.tick_scheduler)
     return fleet
 
 
-def _node(
+def _make_node(
     cfg: NodeConfig,
-    backend: FakeBackend,
+    backend: SimulatedBackend,
     policy: BenchPolicy,
     records: Records,
     clock: Clock,
@@ -195,24 +202,24 @@
     """Listen to nobody."""
 
 
-async def _steps(node: NodeState, ticks: Ticks) -> None:
+async def _run_gate_steps(node: NodeState, tick_scheduler: TickScheduler) -> None:
     """Let the gate adjust itself, each node at a moment of its own."""
     step = node.cfg.gate.step_ms
-    await ticks.sleep(node.rng.random() * step)
+    await tick_scheduler.sleep(node.rng.random() * step)
     while True:
         node.gate.step()
-        await ticks.sleep(step)
+        await tick_scheduler.sleep(step)
 
 
-async def _reports(node: NodeState, ticks: Ticks) -> None:
+async def _run_load_reports(node: NodeState, tick_scheduler: TickScheduler) -> None:
     while True:
         load = await node.backend.load()
         if load is not None:
             node.gate.apply_report(load.slots, load.in_flight)
-        await ticks.sleep(_REPORT_MS)
+        await tick_scheduler.sleep(_REPORT_INTERVAL_MS)
 
 
-def _member(cfg: NodeConfig) -> Member:
+def _make_member(cfg: NodeConfig) -> Member:
     return Member(
         node=cfg.name,
         incarnation=_INCARNATION,
@@ -222,7 +229,7 @@
     )
 
 
-def _config(
+def _make_config(
     graph: Graph,
     service: GraphService,
     index: int,
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/measure.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/measure.py
@@ -6,13 +6,13 @@
 from typing import TYPE_CHECKING, Any
 
 from fuchsiagap.core.clock import MS_PER_S
-from fuchsiagap_standins.bench.overload.possible import (
-    important_rate,
-    most_in_any_order,
-    possible_rates,
+from fuchsiagap_standins.bench.overload.throughput_bounds import (
+    prioritized_rates,
+    sum_important_rates,
+    unprioritized_throughput,
 )
 from fuchsiagap_standins.graphs import capacity_per_s
-from fuchsiagap_standins.graphs.sizes import n_calls
+from fuchsiagap_standins.graphs.analysis import count_calls
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -22,43 +22,45 @@
     from fuchsiagap_standins.bench.overload.scenario import Scenario
     from fuchsiagap_standins.graphs import Graph
 
-RECOVERED_SHARE = 0.95
-_STAYS = 5_000.0
-_WINDOW = 1_000.0
-_STRIDE = 100.0
-_BEFORE = 4_000.0
+RECOVERY_THRESHOLD = 0.95
+_STABLE_MS = 5_000.0
+_WINDOW_MS = 1_000.0
+_STRIDE_MS = 100.0
+_BASELINE_MS = 4_000.0
 
 
 def figures(graph: Graph, scenario: Scenario, records: Records) -> dict[str, Any]:
     """Return the figures of a run by the names of the JSON keys."""
     surge = [r for r in records.requests if scenario.is_surge(r.sent_at)]
-    good = [r for r in surge if _is_good_in(r, scenario)]
-    offered = _rates(graph, surge, scenario.surge)
-    answered = _rates(graph, good, scenario.surge)
-    slow = {scenario.slow_service: scenario.slowness}
-    possible = possible_rates(graph, offered, slow)
-    any_order = most_in_any_order(graph, offered, slow, scenario.slow_service)
-    important = important_rate(graph.roots, possible)
+    answered_requests = [r for r in surge if _is_answered_in_surge(r, scenario)]
+    offered = _rates_by_route(graph, surge, scenario.surge)
+    answered = _rates_by_route(graph, answered_requests, scenario.surge)
+    slowdowns = {scenario.slow_service: scenario.slowness}
+    prioritized = prioritized_rates(graph, offered, slowdowns)
+    unprioritized = unprioritized_throughput(
+        graph, offered, slowdowns, scenario.slow_service
+    )
+    important = sum_important_rates(graph.roots, prioritized)
     bounds = {r.name: attempts_bound(graph, scenario, r.name) for r in graph.roots}
-    over = sum(r.calls > bounds[r.route.name] for r in records.requests)
-    most = max(records.requests, key=lambda r: r.calls / bounds[r.route.name])
-    violations = records.violations + Counter({"attempts_over_bound": over})
+    n_over_bound = sum(r.calls > bounds[r.route.name] for r in records.requests)
+    worst = max(records.requests, key=lambda r: r.calls / bounds[r.route.name])
+    violations = records.violations + Counter({"attempts_over_bound": n_over_bound})
     return {
         "capacity_per_s": round(capacity_per_s(graph), 2),
-        "possible_per_s": round(sum(possible.values()), 2),
+        "possible_per_s": round(sum(prioritized.values()), 2),
         "possible_important_per_s": round(important, 2),
-        "possible_any_order_per_s": round(any_order, 2),
+        "possible_any_order_per_s": round(unprioritized, 2),
         "offered_per_s": round(sum(offered.values()), 2),
         "answered_per_s": round(sum(answered.values()), 2),
-        "goodput_ratio": _ratio(important_rate(graph.roots, answered), important),
-        "goodput_all_ratio": _ratio(sum(answered.values()), sum(possible.values())),
-        "recovery_ms": recovery(scenario, records.requests),
-        "attempts_per_request_max": most.calls,
-        "attempts_bound": bounds[most.route.name],
-        "refused_by_priority": _refused(surge),
-        "failed_by_reason": dict(sorted(_reasons(surge).items())),
+        "goodput_ratio": _ratio(sum_important_rates(graph.roots, answered), important),
+        "goodput_all_ratio": _ratio(sum(answered.values()), sum(prioritized.values())),
+        "recovery_ms": recovery_time(scenario, records.requests),
+        "attempts_per_request_max": worst.calls,
+        "attempts_bound": bounds[worst.route.name],
+        "refused_by_priority": _failed_share_by_priority(surge),
+        "failed_by_reason": dict(sorted(_count_failure_reasons(surge).items())),
         "answered_by_route_per_s": {k: round(v, 2) for k, v in answered.items()},
-        "possible_by_route_per_s": {k: round(v, 2) for k, v in possible.items()},
+        "possible_by_route_per_s": {k: round(v, 2) for k, v in prioritized.items()},
         "priority_inversions": records.inversions,
         "wasted_work_ratio": wasted_work(surge),
         "violations": sum(violations.values()),
@@ -70,10 +72,12 @@
     """Return the most calls that one client request may cause over its chain."""
     route = graph.route(route_name)
     attempts = scenario.caller_retries + 1
-    return attempts * n_calls(graph, route) + route.attempts
+    return attempts * count_calls(graph, route) + route.attempts
 
 
-def recovery(scenario: Scenario, requests: Sequence[RequestRecord]) -> float | None:
+def recovery_time(
+    scenario: Scenario, requests: Sequence[RequestRecord]
+) -> float | None:
     """Return the milliseconds from the end of the surge until goodput is back.
 
     Goodput is the share of the requests sent in a window of 1 s that were answered
@@ -84,19 +88,19 @@
     float or None
         None if it did not come back within the run.
     """
-    before = _share_good(
-        requests, scenario.surge_start - _BEFORE, scenario.surge_start - _WINDOW
+    before = _answered_share(
+        requests, scenario.surge_start - _BASELINE_MS, scenario.surge_start - _WINDOW_MS
     )
-    needed = RECOVERED_SHARE * before
-    later = [r for r in requests if r.sent_at >= scenario.surge_end]
+    threshold = RECOVERY_THRESHOLD * before
+    requests_after = [r for r in requests if r.sent_at >= scenario.surge_end]
     begin = scenario.surge_end
     at = begin
-    while at + _WINDOW <= scenario.end:
-        if _share_good(later, at, at + _WINDOW) < needed:
-            begin = at + _STRIDE
-        elif at + _WINDOW - begin >= _STAYS:
+    while at + _WINDOW_MS <= scenario.end:
+        if _answered_share(requests_after, at, at + _WINDOW_MS) < threshold:
+            begin = at + _STRIDE_MS
+        elif at + _WINDOW_MS - begin >= _STABLE_MS:
             return round(begin - scenario.surge_end, 1)
-        at += _STRIDE
+        at += _STRIDE_MS
     return None
 
 
@@ -119,21 +123,21 @@
     return round(1.0 - useful / total, 4) if total else 0.0
 
 
-def _is_good_in(record: RequestRecord, scenario: Scenario) -> bool:
+def _is_answered_in_surge(record: RequestRecord, scenario: Scenario) -> bool:
     """Whether a request was answered in time by an attempt begun in the surge."""
     if record.answered_at is None:
         return False
     return scenario.is_surge(record.attempt_starts[record.answered_by])
 
 
-def _rates(
-    graph: Graph, requests: Sequence[RequestRecord], spell: Milliseconds
+def _rates_by_route(
+    graph: Graph, requests: Sequence[RequestRecord], duration: Milliseconds
 ) -> dict[str, float]:
     counts = Counter(record.route.name for record in requests)
-    return {r.name: counts[r.name] * MS_PER_S / spell for r in graph.roots}
+    return {r.name: counts[r.name] * MS_PER_S / duration for r in graph.roots}
 
 
-def _share_good(
+def _answered_share(
     requests: Sequence[RequestRecord], begin: Milliseconds, end: Milliseconds
 ) -> float:
     sent = [r for r in requests if begin <= r.sent_at < end]
@@ -142,7 +146,7 @@
     return sum(r.answered_at is not None for r in sent) / len(sent)
 
 
-def _refused(requests: Sequence[RequestRecord]) -> dict[str, float]:
+def _failed_share_by_priority(requests: Sequence[RequestRecord]) -> dict[str, float]:
     """Return the share of unanswered requests by priority."""
     sent: Counter[int] = Counter()
     failed: Counter[int] = Counter()
@@ -152,7 +156,7 @@
     return {str(p): round(failed[p] / sent[p], 4) for p in sorted(sent)}
 
 
-def _reasons(requests: Sequence[RequestRecord]) -> Counter[str]:
+def _count_failure_reasons(requests: Sequence[RequestRecord]) -> Counter[str]:
     return Counter(r.last_reason for r in requests if r.answered_at is None)
 
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/gates.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/metered_gate.py
@@ -15,7 +15,7 @@
     from fuchsiagap.core.clock import Clock, Milliseconds
     from fuchsiagap_standins.bench.overload.records import Records
 
-_OWN = ""
+_LOCAL_SCOPE = ""
 
 
 class MeteredGate(Gate):
@@ -42,8 +42,8 @@
     ) -> None:
         super().__init__(cfg, clock, rng)
         self._records = records
-        self._time = clock
-        self._step = cfg.step_ms
+        self._bench_clock = clock
+        self._step_ms = cfg.step_ms
         # When a call of a priority was last refused for overload, by what shut it out.
         self._refused_at: dict[str, dict[int, Milliseconds]] = {}
 
@@ -53,11 +53,11 @@
         if record is not None:
             record.calls += 1
         outcome = await super().enter(head)
-        now = self._time.now()
+        now = self._bench_clock.now()
         if isinstance(outcome, Refused):
             if outcome.reason is Reason.OVERLOAD:
-                is_below = outcome.detail == DOWNSTREAM_LEVEL
-                scope = head.route if is_below else _OWN
+                is_downstream = outcome.detail == DOWNSTREAM_LEVEL
+                scope = head.route if is_downstream else _LOCAL_SCOPE
                 self._refused_at.setdefault(scope, {})[head.priority] = now
         elif self._is_inversion(head, now):
             self._records.inversions += 1
@@ -65,7 +65,7 @@
 
     def _is_inversion(self, head: CallHead, now: Milliseconds) -> bool:
         return any(
-            priority < head.priority and now - at < self._step
-            for scope in (_OWN, head.route)
+            priority < head.priority and now - at < self._step_ms
+            for scope in (_LOCAL_SCOPE, head.route)
             for priority, at in self._refused_at.get(scope, {}).items()
         )
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/plots.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/plots.py
@@ -23,7 +23,7 @@
 _SIZE = (7.0, 3.2)
 
 
-def plot(found: list[dict[str, Any]], graph: str, path: Path) -> None:
+def plot(results: list[dict[str, Any]], graph: str, path: Path) -> None:
     """Draw one graph's goodput over time: the median over seeds, one line a policy.
 
     Parameters
@@ -36,7 +36,7 @@
         SVG file to write.
     """
     fig, axes = plt.subplots(figsize=_SIZE)
-    rows = [row for row in found if row["graph"] == graph]
+    rows = [row for row in results if row["graph"] == graph]
     scenario = Scenario(surge=rows[0].get("surge", Scenario().surge))
     for policy in dict.fromkeys(row["policy"] for row in rows):
         series = [row["goodput_per_s"] for row in rows if row["policy"] == policy]
@@ -62,11 +62,11 @@
 
 def main(argv: list[str]) -> int:
     """Plot each graph of a file of rounds."""
-    found = json.loads(Path(argv[0]).read_text())
+    results = json.loads(Path(argv[0]).read_text())
     folder = Path(argv[1])
     plt.rcParams["svg.hashsalt"] = "fuchsiagap"
-    for graph in dict.fromkeys(row["graph"] for row in found):
-        plot(found, graph, folder / f"overload-{graph}.svg")
+    for graph in dict.fromkeys(row["graph"] for row in results):
+        plot(results, graph, folder / f"overload-{graph}.svg")
     return 0
 
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/records.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/records.py
@@ -33,7 +33,7 @@
         When its whole answer came.
     answered_by : int
         The attempt that was answered.
-    shares_work : bool
+    is_from_earlier_run : bool
         Whether the answer is that of an earlier attempt's run.
     last_reason : str
         Why the last attempt failed.
@@ -46,7 +46,7 @@
     attempt_starts: list[Milliseconds] = field(default_factory=list)
     answered_at: Milliseconds | None = None
     answered_by: int = -1
-    shares_work: bool = False
+    is_from_earlier_run: bool = False
     last_reason: str = ""
 
     @property
@@ -54,7 +54,7 @@
         """Milliseconds of work that the answer came from."""
         if self.answered_at is None:
             return 0.0
-        if self.shares_work:
+        if self.is_from_earlier_run:
             return sum(self.work)
         return self.work[self.answered_by]
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/rounds.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/rounds.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Job:
+class RunSpec:
     """One run of a table.
 
     Parameters
@@ -55,64 +55,68 @@
     slow_service: str = ""
 
 
-def run_job(job: Job) -> dict[str, Any]:
+def execute_run(run: RunSpec) -> dict[str, Any]:
     """Run one job, and return its figures with goodput over time."""
-    graph = load_graph(job.graph)
-    changes: dict[str, Any] = dict(job.changes)
-    slow_service = job.slow_service or graph.deep_service
+    graph = load_graph(run.graph)
+    changes: dict[str, Any] = dict(run.changes)
+    slow_service = run.slow_service or graph.deep_service
     scenario = Scenario(slow_service=slow_service, **changes)
-    result = run_once(graph, scenario, POLICIES[job.policy], job.seed)
+    result = run_once(graph, scenario, POLICIES[run.policy], run.seed)
     return {
-        "graph": job.graph,
-        "policy": job.policy,
-        "seed": job.seed,
+        "graph": run.graph,
+        "policy": run.policy,
+        "seed": run.seed,
         "slow_service": scenario.slow_service,
-        **dict(job.changes),
+        **dict(run.changes),
         **result.figures,
         "goodput_per_s": result.goodput,
     }
 
 
-def run_jobs(jobs: list[Job], n_processes: int, out: str = "") -> list[dict[str, Any]]:
+def execute_runs(
+    runs: list[RunSpec], n_processes: int, out: str = ""
+) -> list[dict[str, Any]]:
     """Run jobs in a few processes; write what there is after each to `out`."""
     context = multiprocessing.get_context("spawn")
     with context.Pool(n_processes, maxtasksperchild=1) as pool:
-        found = []
-        for figures in pool.imap(run_job, jobs):
-            print(_line(figures), file=sys.stderr, flush=True)
-            found.append(figures)
+        results = []
+        for figures in pool.imap(execute_run, runs):
+            print(_format_line(figures), file=sys.stderr, flush=True)
+            results.append(figures)
             if out:
-                Path(out).write_text(json.dumps(found))
-        return found
+                Path(out).write_text(json.dumps(results))
+        return results
 
 
-def table(found: list[dict[str, Any]]) -> str:
+def format_table(results: list[dict[str, Any]]) -> str:
     """Return the median and the worst of each figure, by graph and policy."""
     lines = ["| graph | policy | seeds | " + " | ".join(_COLUMNS) + " |"]
     lines.append("|" + "---|" * (3 + len(_COLUMNS)))
     groups: dict[tuple[str, str], list[dict[str, Any]]] = {}
-    for figures in found:
+    for figures in results:
         key = (figures["graph"], figures["policy"])
         groups.setdefault(key, []).append(figures)
     for (graph, policy), rows in groups.items():
-        cells = [_cell([row[column] for row in rows], column) for column in _COLUMNS]
+        cells = [
+            _format_cell([row[column] for row in rows], column) for column in _COLUMNS
+        ]
         lines.append(
             f"| {graph} | {policy} | {len(rows)} | " + " | ".join(cells) + " |"
         )
     return "\n".join(lines)
 
 
-def _cell(values: list[float | None], column: str) -> str:
+def _format_cell(values: list[float | None], column: str) -> str:
     """Return the median and, in brackets, the worst."""
     known = [value for value in values if value is not None]
     worst = min if column.startswith("goodput") else max
     if not known:
         return "never"
-    end = "never" if len(known) < len(values) else f"{worst(known):g}"
-    return f"{statistics.median(known):g} ({end})"
+    worst_text = "never" if len(known) < len(values) else f"{worst(known):g}"
+    return f"{statistics.median(known):g} ({worst_text})"
 
 
-def _line(figures: dict[str, Any]) -> str:
+def _format_line(figures: dict[str, Any]) -> str:
     names = ("graph", "policy", "seed", *_COLUMNS)
     return " ".join(str(figures[name]) for name in names)
 
@@ -142,13 +146,13 @@
         value: Any = values[name].value
         if value is not None:
             changes.append((name, value * scale))
-    jobs = [
-        Job(graph, policy, seed, tuple(changes), values.slow_service)
+    runs = [
+        RunSpec(graph, policy, seed, tuple(changes), values.slow_service)
         for graph in values.graphs.split(",")
         for policy in values.policies.split(",")
         for seed in range(1, values.seeds + 1)
     ]
-    print(table(run_jobs(jobs, values.processes, values.out)))
+    print(format_table(execute_runs(runs, values.processes, values.out)))
     return 0
 
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/run.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/run.py
@@ -9,7 +9,7 @@
 import trio
 
 from fuchsiagap.core.clock import MS_PER_S, Clock
-from fuchsiagap_standins.bench.overload.callers import call_until_end, make_callers
+from fuchsiagap_standins.bench.overload.callers import make_caller_context, run_callers
 from fuchsiagap_standins.bench.overload.fleet import open_fleet
 from fuchsiagap_standins.bench.overload.measure import figures, goodput_over_time
 from fuchsiagap_standins.bench.overload.records import Records
@@ -21,8 +21,8 @@
     from fuchsiagap_standins.graphs import Graph
 
 _REAL_LIMIT_S = 900.0
-_BIN_MS = 500.0
-_GRAIN = 1024
+_GOODPUT_BIN_MS = 500.0
+_CLOCK_STEPS_PER_MS = 1024
 # Fewer collections: almost nothing in a run is garbage in cycles.
 _GC_THRESHOLD = 200_000
 
@@ -82,19 +82,21 @@
             fleet = await open_fleet(
                 graph, scenario, policy, records, clock, seed, nursery
             )
-            callers = make_callers(graph, scenario, policy, fleet, records, clock, seed)
+            caller_context = make_caller_context(
+                graph, scenario, policy, fleet, records, clock, seed
+            )
             if trace_ms > 0.0:
-                nursery.start_soon(_trace, fleet, clock, trace_ms, trace)
-            await call_until_end(callers)
+                nursery.start_soon(_record_trace, fleet, clock, trace_ms, trace)
+            await run_callers(caller_context)
             nursery.cancel_scope.cancel()
         for node in fleet.nodes:
-            _take_violations(node, records)
+            _collect_violations(node, records)
 
     gc.set_threshold(_GC_THRESHOLD)
     run_virtual(main, seed=seed, real_limit_s=_REAL_LIMIT_S)
     return RunResult(
         figures(graph, scenario, records),
-        goodput_over_time(records.requests, scenario.end, _BIN_MS),
+        goodput_over_time(records.requests, scenario.end, _GOODPUT_BIN_MS),
         trace,
     )
 
@@ -106,16 +108,19 @@
     """
 
     def now() -> float:
-        return round(trio.current_time() * MS_PER_S * _GRAIN) / _GRAIN
+        return (
+            round(trio.current_time() * MS_PER_S * _CLOCK_STEPS_PER_MS)
+            / _CLOCK_STEPS_PER_MS
+        )
 
     return Clock(now=now, wall=now)
 
 
-def _take_violations(node: Any, records: Records) -> None:
+def _collect_violations(node: Any, records: Records) -> None:
     """Add the violations that a node has counted itself."""
 
 
-async def _trace(
+async def _record_trace(
     fleet: Any, clock: Any, interval: float, trace: list[dict[str, Any]]
 ) -> None:
     """Note the state of every gate at an interval."""
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/scenario.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/scenario.py
@@ -12,8 +12,8 @@
     from fuchsiagap_standins.graphs import GraphRoute
 
 _CALLER_TIMEOUT_FACTOR = 4.0
-_CALLER_TIMEOUT_FLOOR = 500.0
-_PATIENCE_FACTOR = 2.0
+_MIN_CALLER_TIMEOUT_MS = 500.0
+_MAX_RESPONSE_TIME_FACTOR = 2.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,14 +82,19 @@
         """
         if service != self.slow_service or now >= self.surge_end:
             return work
-        before = max(self.surge_start - now, 0.0)
-        if work <= before:
+        until_surge = max(self.surge_start - now, 0.0)
+        if work <= until_surge:
             return work
-        left = work - before
-        in_spell = self.surge_end - now - before
-        if left * self.slowness <= in_spell:
-            return before + left * self.slowness
-        return before + in_spell + left - in_spell / self.slowness
+        remaining_work = work - until_surge
+        surge_remaining = self.surge_end - now - until_surge
+        if remaining_work * self.slowness <= surge_remaining:
+            return until_surge + remaining_work * self.slowness
+        return (
+            until_surge
+            + surge_remaining
+            + remaining_work
+            - surge_remaining / self.slowness
+        )
 
 
 def caller_timeout(route: GraphRoute, chain_time: Milliseconds) -> Milliseconds:
@@ -102,10 +107,10 @@
     chain_time : float
         Mean time of the whole chain without any slowness.
     """
-    timeout = _CALLER_TIMEOUT_FLOOR + _CALLER_TIMEOUT_FACTOR * chain_time
+    timeout = _MIN_CALLER_TIMEOUT_MS + _CALLER_TIMEOUT_FACTOR * chain_time
     return min(timeout, route.timeout)
 
 
-def patience(timeout: Milliseconds) -> Milliseconds:
+def max_response_time(timeout: Milliseconds) -> Milliseconds:
     """Return within what time of its first attempt an answer is in time."""
-    return _PATIENCE_FACTOR * timeout
+    return _MAX_RESPONSE_TIME_FACTOR * timeout
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/possible.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/throughput_bounds.py
@@ -22,11 +22,11 @@
 
     from fuchsiagap_standins.graphs import Graph, GraphRoute
 
-_EMPTY = 1e-9
+_MIN_FREE_SLOTS = 1e-9
 
 
-def possible_rates(
-    graph: Graph, offered: Mapping[str, float], slow: Mapping[str, float]
+def prioritized_rates(
+    graph: Graph, offered: Mapping[str, float], slowdowns: Mapping[str, float]
 ) -> dict[str, float]:
     """Return the rate at which each root route can be answered in order.
 
@@ -44,84 +44,104 @@
     dict of str to float
         Requests a second by root route.
     """
-    left = {service.name: float(service.total_slots) for service in graph.services}
+    free_slots = {
+        service.name: float(service.total_slots) for service in graph.services
+    }
     rates: dict[str, float] = {}
     roots = sorted(graph.roots, key=lambda route: route.priority)
     for _, group in itertools.groupby(roots, key=lambda route: route.priority):
-        held = {route.name: slot_time(graph, route, slow) for route in group}
-        rates.update(_fill(held, offered, left))
+        slot_times = {route.name: slot_time(graph, route, slowdowns) for route in group}
+        rates.update(_allocate_slots(slot_times, offered, free_slots))
     return rates
 
 
-def _fill(
-    held: Mapping[str, Mapping[str, float]],
+def _allocate_slots(
+    slot_times: Mapping[str, Mapping[str, float]],
     offered: Mapping[str, float],
-    left: dict[str, float],
+    free_slots: dict[str, float],
 ) -> dict[str, float]:
     """Raise the rates of one priority together, each until a service it uses is full.
 
     `left` is reduced by what they take.
     """
-    rates = dict.fromkeys(held, 0.0)
-    share_left = 1.0
-    open_routes = [name for name in held if offered[name] > 0.0]
-    while open_routes and share_left > _EMPTY:
-        needs = {
-            service: sum(_need(held, offered, name, service) for name in open_routes)
-            for service in left
+    rates = dict.fromkeys(slot_times, 0.0)
+    remaining_share = 1.0
+    unsaturated_routes = [name for name in slot_times if offered[name] > 0.0]
+    while unsaturated_routes and remaining_share > _MIN_FREE_SLOTS:
+        required_slots = {
+            service: sum(
+                _required_slots(slot_times, offered, name, service)
+                for name in unsaturated_routes
+            )
+            for service in free_slots
         }
         share = min(
-            [share_left, *(left[s] / need for s, need in needs.items() if need > 0.0)]
+            [
+                remaining_share,
+                *(
+                    free_slots[s] / required
+                    for s, required in required_slots.items()
+                    if required > 0.0
+                ),
+            ]
         )
-        for name in open_routes:
+        for name in unsaturated_routes:
             rates[name] += share * offered[name]
-        for service, need in needs.items():
-            left[service] = max(left[service] - share * need, 0.0)
-        share_left -= share
-        open_routes = [
+        for service, required in required_slots.items():
+            free_slots[service] = max(free_slots[service] - share * required, 0.0)
+        remaining_share -= share
+        unsaturated_routes = [
             name
-            for name in open_routes
-            if all(left[s] > _EMPTY or time == 0.0 for s, time in held[name].items())
+            for name in unsaturated_routes
+            if all(
+                free_slots[s] > _MIN_FREE_SLOTS or time == 0.0
+                for s, time in slot_times[name].items()
+            )
         ]
     return rates
 
 
-def _need(
-    held: Mapping[str, Mapping[str, float]],
+def _required_slots(
+    slot_times: Mapping[str, Mapping[str, float]],
     offered: Mapping[str, float],
     name: str,
     service: str,
 ) -> float:
     """Return the slots of a service that all requests of a route would hold."""
-    return offered[name] * held[name].get(service, 0.0) / MS_PER_S
+    return offered[name] * slot_times[name].get(service, 0.0) / MS_PER_S
 
 
-def most_in_any_order(
-    graph: Graph, offered: Mapping[str, float], slow: Mapping[str, float], service: str
+def unprioritized_throughput(
+    graph: Graph,
+    offered: Mapping[str, float],
+    slowdowns: Mapping[str, float],
+    service: str,
 ) -> float:
     """Return a bound on requests a second if only their number counted.
 
     Parameters
     ----------
     graph, offered, slow
-        As for `possible_rates`.
+        As for `prioritized_rates`.
     service : str
         The service whose slots are shared out, cheapest requests first.
     """
-    left = float(graph.service(service).total_slots)
+    free_slots = float(graph.service(service).total_slots)
     total = 0.0
     costs = [
-        (slot_time(graph, route, slow).get(service, 0.0) / MS_PER_S, route)
+        (slot_time(graph, route, slowdowns).get(service, 0.0) / MS_PER_S, route)
         for route in graph.roots
     ]
     for cost, route in sorted(costs, key=lambda item: item[0]):
-        rate = offered[route.name] if cost == 0.0 else left / cost
+        rate = offered[route.name] if cost == 0.0 else free_slots / cost
         rate = min(rate, offered[route.name])
         total += rate
-        left -= rate * cost
+        free_slots -= rate * cost
     return total
 
 
-def important_rate(routes: Sequence[GraphRoute], rates: Mapping[str, float]) -> float:
+def sum_important_rates(
+    routes: Sequence[GraphRoute], rates: Mapping[str, float]
+) -> float:
     """Return the sum of the rates of important routes."""
     return sum(rates[route.name] for route in routes if route.important)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/ticks.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/tick_scheduler.py
@@ -19,7 +19,7 @@
 TICK_MS = 0.5
 
 
-class Ticks:
+class TickScheduler:
     """Wakes tasks at ticks of the virtual clock.
 
     Parameters
@@ -30,9 +30,9 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._due: dict[int, dict[trio.lowlevel.Task, None]] = {}
-        self._order: list[int] = []
-        self._scope = trio.CancelScope()
+        self._tasks_by_tick: dict[int, dict[trio.lowlevel.Task, None]] = {}
+        self._tick_heap: list[int] = []
+        self._wait_scope = trio.CancelScope()
 
     def now(self) -> Milliseconds:
         """Return the time of the run."""
@@ -42,12 +42,12 @@
         """Sleep until the tick nearest to the end of a duration, at least one."""
         now = self._clock.now()
         tick = max(round((now + duration) / TICK_MS), int(now / TICK_MS) + 1)
-        tasks = self._due.get(tick)
+        tasks = self._tasks_by_tick.get(tick)
         if tasks is None:
-            tasks = self._due[tick] = {}
-            heapq.heappush(self._order, tick)
-            if self._order[0] == tick:
-                self._scope.deadline = tick * TICK_MS / MS_PER_S
+            tasks = self._tasks_by_tick[tick] = {}
+            heapq.heappush(self._tick_heap, tick)
+            if self._tick_heap[0] == tick:
+                self._wait_scope.deadline = tick * TICK_MS / MS_PER_S
         task = trio.lowlevel.current_task()
         tasks[task] = None
 
@@ -60,14 +60,14 @@
     async def run(self) -> None:
         """Wake sleepers, until cancelled."""
         while True:
-            with trio.CancelScope() as self._scope:
-                if self._order:
-                    self._scope.deadline = self._order[0] * TICK_MS / MS_PER_S
+            with trio.CancelScope() as self._wait_scope:
+                if self._tick_heap:
+                    self._wait_scope.deadline = self._tick_heap[0] * TICK_MS / MS_PER_S
                 await trio.sleep_forever()
-            self._wake()
+            self._wake_due_tasks()
 
-    def _wake(self) -> None:
+    def _wake_due_tasks(self) -> None:
         now = self._clock.now() + TICK_MS / 2
-        while self._order and self._order[0] * TICK_MS <= now:
-            for task in self._due.pop(heapq.heappop(self._order)):
+        while self._tick_heap and self._tick_heap[0] * TICK_MS <= now:
+            for task in self._tasks_by_tick.pop(heapq.heappop(self._tick_heap)):
                 trio.lowlevel.reschedule(task)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/path.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/path.py
@@ -100,7 +100,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Way:
+class _PathUnderTest:
     """One way to the backend server."""
 
     pool: HttpPool
@@ -121,53 +121,55 @@
     relay_pids: tuple[int, ...]
 
 
-async def _start(group: ProcessGroup) -> _Fleet:
+async def _start_fleet(group: ProcessGroup) -> _Fleet:
     backend = await group.start_standin("backend", "echo_server")
     platform = await group.start_standin("platform", "platform_app")
     async with httpx.AsyncClient(trust_env=False) as client:
         url = f"http://{platform}/objects/settings/{_TEAM}"
         (await client.put(url, content=_SETTINGS)).raise_for_status()
-    inner = await group.start_standin("relay-1", "byte_relay", f"--to={backend}")
-    relays = await group.start_standin("relay-2", "byte_relay", f"--to={inner}")
-    held = reserve_addresses(_IP, 6)
-    near, far = held.addresses[:3], held.addresses[3:]
+    inner_relay = await group.start_standin("relay-1", "byte_relay", f"--to={backend}")
+    relays = await group.start_standin("relay-2", "byte_relay", f"--to={inner_relay}")
+    reservation = reserve_addresses(_IP, 6)
+    near, far = reservation.addresses[:3], reservation.addresses[3:]
     pids = []
-    for name, service, mine in (("near", "echo", near), ("far", "other", far)):
+    for name, service, addresses in (("near", "echo", near), ("far", "other", far)):
         ini = node_ini(
-            Place(name, service, "hall-a", *mine),
+            Place(name, service, "hall-a", *addresses),
             team=_TEAM,
             backend=backend,
             platform=platform,
             first=[near[1]],
             slots=256,
         )
-        pids.append((await group.start_node(name, ini, mine[0])).pid)
-    held.close()
+        pids.append((await group.start_node(name, ini, addresses[0])).pid)
+    reservation.close()
     await trio.sleep(_SETTLE_S)
     relay_pids = tuple(group.running[name].pid for name in ("relay-1", "relay-2"))
     return _Fleet(backend, near[0], far[0], relays, tuple(pids), relay_pids)
 
 
-async def _call(way: _Way) -> Milliseconds:
-    headers = [(b"host", way.pool.address.encode())]
+async def _time_call(path: _PathUnderTest) -> Milliseconds:
+    headers = [(b"host", path.pool.address.encode())]
     started = time.perf_counter()
-    got = await way.pool.exchange("GET", way.target, headers, b"", 5_000.0)
-    taken = (time.perf_counter() - started) * MS_PER_S
-    if not isinstance(got, ClientResponse) or got.status != _OK:
-        way.failed.append(str(got))
-    return taken
+    response = await path.pool.exchange("GET", path.target, headers, b"", 5_000.0)
+    elapsed = (time.perf_counter() - started) * MS_PER_S
+    if not isinstance(response, ClientResponse) or response.status != _OK:
+        path.failed.append(str(response))
+    return elapsed
 
 
-async def _measure_times(ways: Sequence[_Way], rounds: int, per_round: int) -> None:
+async def _measure_times(
+    paths: Sequence[_PathUnderTest], rounds: int, calls_per_round: int
+) -> None:
     for number in range(rounds + 1):
-        for way in ways:
-            times = [await _call(way) for _ in range(per_round)]
+        for path in paths:
+            times = [await _time_call(path) for _ in range(calls_per_round)]
             if number > 0:
-                way.times.extend(times)
+                path.times.extend(times)
 
 
 async def _measure_cpu(
-    way: _Way, pids: Sequence[int], rate: float, seconds: float
+    path: _PathUnderTest, pids: Sequence[int], rate: float, seconds: float
 ) -> Milliseconds:
     """Return CPU milliseconds of the processes per call at a rate."""
     idle_before = sum(map(cpu_ms, pids))
@@ -179,7 +181,7 @@
     async with trio.open_nursery() as nursery:
         for number in range(n_calls):
             await trio.sleep_until(start + number / rate)
-            nursery.start_soon(_call, way)
+            nursery.start_soon(_time_call, path)
     return (sum(map(cpu_ms, pids)) - before - idle) / n_calls
 
 
@@ -187,33 +189,45 @@
     return sorted(times)[min(int(len(times) * share), len(times) - 1)]
 
 
-async def run_path(rounds: int, per_round: int, rate: float) -> PathFigures:
+async def run_path(rounds: int, calls_per_round: int, rate: float) -> PathFigures:
     """Measure on real processes; see `PathFigures`."""
     with tempfile.TemporaryDirectory() as folder:
         async with process_group(Path(folder)) as group:
-            fleet = await _start(group)
-            via = f"/{_TEAM}/echo/hello"
-            direct = _Way(HttpPool(fleet.backend, 64, _BODY_BYTES), "/hello", [], [])
-            one = _Way(HttpPool(fleet.near, 64, _BODY_BYTES), via, [], [])
-            two = _Way(HttpPool(fleet.far, 64, _BODY_BYTES), via, [], [])
-            bare = _Way(HttpPool(fleet.relays, 64, _BODY_BYTES), "/hello", [], [])
-            await _measure_times((direct, one, two, bare), rounds, per_round)
-            cpu = await _measure_cpu(two, fleet.pids, rate, _CPU_SECONDS)
-            floor = await _measure_cpu(bare, fleet.relay_pids, rate, _CPU_SECONDS)
-    return _figures((direct, one, two, bare), cpu, floor, rate)
+            fleet = await _start_fleet(group)
+            node_target = f"/{_TEAM}/echo/hello"
+            direct = _PathUnderTest(
+                HttpPool(fleet.backend, 64, _BODY_BYTES), "/hello", [], []
+            )
+            via_one = _PathUnderTest(
+                HttpPool(fleet.near, 64, _BODY_BYTES), node_target, [], []
+            )
+            via_two = _PathUnderTest(
+                HttpPool(fleet.far, 64, _BODY_BYTES), node_target, [], []
+            )
+            relayed = _PathUnderTest(
+                HttpPool(fleet.relays, 64, _BODY_BYTES), "/hello", [], []
+            )
+            await _measure_times(
+                (direct, via_one, via_two, relayed), rounds, calls_per_round
+            )
+            cpu = await _measure_cpu(via_two, fleet.pids, rate, _CPU_SECONDS)
+            floor_cpu = await _measure_cpu(
+                relayed, fleet.relay_pids, rate, _CPU_SECONDS
+            )
+    return _figures((direct, via_one, via_two, relayed), cpu, floor_cpu, rate)
 
 
 def _figures(
-    ways: tuple[_Way, _Way, _Way, _Way],
+    paths: tuple[_PathUnderTest, _PathUnderTest, _PathUnderTest, _PathUnderTest],
     cpu: Milliseconds,
     floor_cpu: Milliseconds,
     rate: float,
 ) -> PathFigures:
-    direct, one, two, bare = ways
+    direct, via_one, via_two, relayed = paths
     d50, d99 = _quantile(direct.times, 0.5), _quantile(direct.times, 0.99)
-    o50, o99 = _quantile(one.times, 0.5), _quantile(one.times, 0.99)
-    b50, b99 = _quantile(bare.times, 0.5), _quantile(bare.times, 0.99)
-    t50, t99 = _quantile(two.times, 0.5), _quantile(two.times, 0.99)
+    o50, o99 = _quantile(via_one.times, 0.5), _quantile(via_one.times, 0.99)
+    b50, b99 = _quantile(relayed.times, 0.5), _quantile(relayed.times, 0.99)
+    t50, t99 = _quantile(via_two.times, 0.5), _quantile(via_two.times, 0.99)
     return PathFigures(
         direct_p50_ms=d50,
         direct_p99_ms=d99,
@@ -232,25 +246,27 @@
         ratio_p50=t50 / d50,
         calls_per_s_per_core=MS_PER_S / cpu,
         calls=len(direct.times),
-        failed=len(direct.failed) + len(one.failed) + len(two.failed),
+        failed=len(direct.failed) + len(via_one.failed) + len(via_two.failed),
         rate_per_s=rate,
     )
 
 
 def main(argv: Sequence[str]) -> int:
     """Run the bench; ``--json`` prints one line of JSON."""
-    own = new_flags()
-    flags.DEFINE_bool("json", False, "print one line of JSON", flag_values=own)
-    flags.DEFINE_integer("rounds", 20, "rounds of the three ways", flag_values=own)
-    flags.DEFINE_integer("calls", 100, "calls in a round", flag_values=own)
-    flags.DEFINE_float("rate", 266.0, "calls a second for CPU", flag_values=own)
-    parse_flags(own, ["path", *argv], __doc__ or "")
-    given = own.flag_values_dict()
-    figures = trio.run(run_path, given["rounds"], given["calls"], given["rate"])
-    shown = {name: round(value, 3) for name, value in asdict(figures).items()}
-    if own["json"].value:
-        print(json.dumps(shown))
+    flag_values = new_flags()
+    flags.DEFINE_bool("json", False, "print one line of JSON", flag_values=flag_values)
+    flags.DEFINE_integer(
+        "rounds", 20, "rounds of the three ways", flag_values=flag_values
+    )
+    flags.DEFINE_integer("calls", 100, "calls in a round", flag_values=flag_values)
+    flags.DEFINE_float("rate", 266.0, "calls a second for CPU", flag_values=flag_values)
+    parse_flags(flag_values, ["path", *argv], __doc__ or "")
+    values = flag_values.flag_values_dict()
+    figures = trio.run(run_path, values["rounds"], values["calls"], values["rate"])
+    output = {name: round(value, 3) for name, value in asdict(figures).items()}
+    if flag_values["json"].value:
+        print(json.dumps(output))
         return 0
-    for name, value in shown.items():
+    for name, value in output.items():
         print(f"{name:24} {value}")
     return 0
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/routing.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/routing.py
@@ -17,7 +17,7 @@
 from fuchsiagap.core.routing.router import Instance, Router, RoutingSettings
 from fuchsiagap_standins.bench.routing_load import (
     DATA_CENTRES,
-    SERVICE,
+    SERVICE_NAME,
     LoadRun,
     LoadSettings,
 )
@@ -31,23 +31,23 @@
 
 N_NODES = 3_200
 N_INSTANCES_OF_SERVICE = 400
-N_TIMED = 20_000
+N_TIMED_CALLS = 20_000
 MEAN_MS = 20.0
 _USAGE_STATUS = 2
 
 
-def exponential(rng: random.Random, _now: Milliseconds) -> Milliseconds:
+def draw_exponential(rng: random.Random, _now: Milliseconds) -> Milliseconds:
     """Draw a service time with a mean of 20 ms."""
     return rng.expovariate(1.0 / MEAN_MS)
 
 
-def long_tailed(rng: random.Random, _now: Milliseconds) -> Milliseconds:
+def draw_long_tailed(rng: random.Random, _now: Milliseconds) -> Milliseconds:
     """Draw 10 to 30 ms, and ten times as much once in fifty."""
-    usual = rng.uniform(10.0, 30.0)
-    return usual * 10.0 if rng.random() < 0.02 else usual
+    base_ms = rng.uniform(10.0, 30.0)
+    return base_ms * 10.0 if rng.random() < 0.02 else base_ms
 
 
-def constant(rate_per_s: float) -> Callable[[Milliseconds], float]:
+def constant_rate(rate_per_s: float) -> Callable[[Milliseconds], float]:
     """Return a rate that does not change."""
     return lambda _now: rate_per_s
 
@@ -56,12 +56,12 @@
     n_callers=12,
     n_servers=9,
     n_slots=10,
-    service_ms=exponential,
-    rate_per_s=constant(2_250.0),
+    service_ms=draw_exponential,
+    rate_per_s=constant_rate(2_250.0),
 )
 N_SLOTS = BASE.n_servers * BASE.n_slots
 # When a second attempt is sent: never, or where one in twenty is not answered yet.
-HEDGES = (("none", None, 0.0), ("p95", 40.0, 1.0), ("p95_budget", 40.0, 0.05))
+HEDGING_VARIANTS = (("none", None, 0.0), ("p95", 40.0, 1.0), ("p95_budget", 40.0, 0.05))
 # Calls a second that the nine servers of `BASE` can run.
 CAPACITY_PER_S = N_SLOTS * 1000.0 / MEAN_MS
 
@@ -71,41 +71,41 @@
     clock = Clock(now=lambda: time.perf_counter() * 1000.0, wall=lambda: 0.0)
     router = Router(RoutingSettings(), "hall-a", clock, random.Random(seed), "certs-1")
     members = tuple(LoadRun.instance(n) for n in range(N_NODES))
-    first_ms = _timed_ms(lambda: _update(router, members))
+    first_ms = _time_ms(lambda: _apply_update(router, members))
     time.sleep(router.cfg.update_pause / 1000.0)
     changed = (*members[1:], LoadRun.instance(0, incarnation=2))
-    again_ms = _timed_ms(lambda: _update(router, changed))
+    again_ms = _time_ms(lambda: _apply_update(router, changed))
     answer = Answered(200, (), b"")
 
-    def one_call() -> None:
-        instance = router.choose(SERVICE)
+    def run_call() -> None:
+        instance = router.choose(SERVICE_NAME)
         assert instance is not None
         router.begin(instance)
         router.end(instance, answer, MEAN_MS)
 
-    choose_ms = _timed_ms(lambda: _repeat(lambda: router.choose(SERVICE)))
-    call_ms = _timed_ms(lambda: _repeat(one_call))
+    choose_ms = _time_ms(lambda: _repeat(lambda: router.choose(SERVICE_NAME)))
+    call_ms = _time_ms(lambda: _repeat(run_call))
     return {
-        "choose_us": round(choose_ms * 1000.0 / N_TIMED, 2),
-        "choose_begin_end_us": round(call_ms * 1000.0 / N_TIMED, 2),
+        "choose_us": round(choose_ms * 1000.0 / N_TIMED_CALLS, 2),
+        "choose_begin_end_us": round(call_ms * 1000.0 / N_TIMED_CALLS, 2),
         "first_update_ms": round(first_ms, 1),
         "update_ms": round(again_ms, 1),
     }
 
 
-def _update(router: Router, members: tuple[Instance, ...]) -> None:
+def _apply_update(router: Router, members: tuple[Instance, ...]) -> None:
     router.update(members)
-    router.choose(SERVICE)
+    router.choose(SERVICE_NAME)
 
 
-def _repeat(act: Callable[[], object]) -> None:
-    for _ in range(N_TIMED):
-        act()
+def _repeat(action: Callable[[], object]) -> None:
+    for _ in range(N_TIMED_CALLS):
+        action()
 
 
-def _timed_ms(act: Callable[[], object]) -> float:
+def _time_ms(action: Callable[[], object]) -> float:
     started = time.perf_counter()
-    act()
+    action()
     return (time.perf_counter() - started) * 1000.0
 
 
@@ -120,7 +120,7 @@
         name, rng = f"certs-{n}", random.Random(seed + n)
         router = Router(RoutingSettings(), data_centre, clock, rng, name)
         router.update(members)
-        linked = router.linked(SERVICE)
+        linked = router.linked(SERVICE_NAME)
         most_out = max(most_out, len(linked))
         for node in linked:
             links_in[node] += 4
@@ -135,17 +135,17 @@
     """Compare the router's choice with a random one at several loads."""
     figures: Figures = {}
     for utilisation in (0.5, 0.8, 0.9):
-        rate = constant(CAPACITY_PER_S * utilisation)
+        rate = constant_rate(CAPACITY_PER_S * utilisation)
         for choose in ("random", "router"):
             cfg = replace(BASE, rate_per_s=rate, choose=choose)
             run = LoadRun(cfg, seed)
             run.run(20_000.0)
-            figures[f"{choose}_{utilisation}"] = _latencies(run, 2_000.0)
+            figures[f"{choose}_{utilisation}"] = _summarize_latencies(run, 2_000.0)
     return figures
 
 
-def _latencies(run: LoadRun, after: Milliseconds) -> Figures:
-    values = sorted(late for at, late in run.latencies if at >= after)
+def _summarize_latencies(run: LoadRun, after: Milliseconds) -> Figures:
+    values = sorted(latency for at, latency in run.latencies if at >= after)
     return {
         "p50_ms": round(values[len(values) // 2], 1),
         "p99_ms": round(values[int(len(values) * 0.99)], 1),
@@ -168,42 +168,44 @@
     ):
         run = LoadRun(replace(base, routing=routing), seed)
         run.run(30_000.0)
-        during = [late for at, late in run.latencies if 10_000 <= at < 20_000]
+        latencies = [latency for at, latency in run.latencies if 10_000 <= at < 20_000]
         n_failed = sum(1 for at in run.failures if 10_000 <= at < 20_000)
         figures[name] = {
-            "elsewhere_before": _elsewhere(run, 5_000, 10_000),
-            "elsewhere_during": _elsewhere(run, 11_000, 20_000),
-            "elsewhere_after": _elsewhere(run, 21_000, 30_000),
-            "answered_during": round(len(during) / (len(during) + n_failed), 3),
-            "p99_during_ms": round(sorted(during)[int(len(during) * 0.99)], 1),
+            "elsewhere_before": _remote_share(run, 5_000, 10_000),
+            "elsewhere_during": _remote_share(run, 11_000, 20_000),
+            "elsewhere_after": _remote_share(run, 21_000, 30_000),
+            "answered_during": round(len(latencies) / (len(latencies) + n_failed), 3),
+            "p99_during_ms": round(sorted(latencies)[int(len(latencies) * 0.99)], 1),
         }
     return figures
 
 
-def _elsewhere(run: LoadRun, start: Milliseconds, end: Milliseconds) -> float:
+def _remote_share(run: LoadRun, start: Milliseconds, end: Milliseconds) -> float:
     sent = [centre for at, _, centre in run.sent if start <= at < end]
     return round(sum(1 for centre in sent if centre != "hall-a") / len(sent), 3)
 
 
 def measure_slow_start(seed: int) -> Figures:
     """Restart one of three backend servers, and follow its share of the calls."""
-    cfg = replace(BASE, caller_data_centres=("hall-a",), rate_per_s=constant(800.0))
+    cfg = replace(
+        BASE, caller_data_centres=("hall-a",), rate_per_s=constant_rate(800.0)
+    )
     run = LoadRun(cfg, seed)
 
     def restart() -> None:
         run.servers["results-0"].instance = run.instance(0, incarnation=2)
         run.announce()
 
-    run.at(10_000.0, restart)
+    run.schedule(10_000.0, restart)
     run.run(26_000.0)
     shares = {
-        f"share_at_{start - 10}_s": _share(run, "results-0", start)
+        f"share_at_{start - 10}_s": _call_share(run, "results-0", start)
         for start in (8, 10, 12, 14, 16, 18, 20, 24)
     }
     return dict(shares)
 
 
-def _share(run: LoadRun, node: str, start_s: int) -> float:
+def _call_share(run: LoadRun, node: str, start_s: int) -> float:
     start, end = start_s * 1000.0, start_s * 1000.0 + 1000.0
     sent = [name for at, name, _ in run.sent if start <= at < end]
     return round(sent.count(node) / len(sent), 3)
@@ -212,9 +214,12 @@
 def measure_ejection(seed: int) -> Figures:
     """Break one backend server, or all, and count failed calls."""
     figures: Figures = {}
-    never = replace(BASE.routing, failures_to_eject=10**9)
+    no_ejection = replace(BASE.routing, failures_to_eject=10**9)
     for fault in ("dead", "silent"):
-        for name, routing in (("ejecting", BASE.routing), ("not_ejecting", never)):
+        for name, routing in (
+            ("ejecting", BASE.routing),
+            ("not_ejecting", no_ejection),
+        ):
             cfg = replace(BASE, routing=routing, timeout_ms=200.0)
             run = LoadRun(cfg, seed)
             setattr(run.servers["results-0"], f"is_{fault}", True)
@@ -224,7 +229,7 @@
     for server in run.servers.values():
         server.is_dead = True
     run.run(5_000.0)
-    n_ejected = max(len(c.router.ejected(SERVICE)) for c in run.callers)
+    n_ejected = max(len(c.router.ejected(SERVICE_NAME)) for c in run.callers)
     figures["all_dead_ejected_share_max"] = round(n_ejected / BASE.n_servers, 3)
     for server in run.servers.values():
         server.is_dead = False
@@ -244,31 +249,31 @@
     figures: Figures = {}
     mean_ms = MEAN_MS * (0.98 + 0.02 * 10.0)
     for utilisation in (0.3, 0.6, 0.8, 0.95):
-        rate = constant(utilisation * N_SLOTS * 1000.0 / mean_ms)
-        base = replace(BASE, service_ms=long_tailed, rate_per_s=rate)
-        for name, after, budget in HEDGES:
+        rate = constant_rate(utilisation * N_SLOTS * 1000.0 / mean_ms)
+        base = replace(BASE, service_ms=draw_long_tailed, rate_per_s=rate)
+        for name, after, budget in HEDGING_VARIANTS:
             cfg = replace(base, hedge_after_ms=after, hedge_budget=budget)
             run = LoadRun(cfg, seed)
             run.run(20_000.0)
             figures[f"{name}_{utilisation}"] = {
-                **_latencies(run, 2_000.0),
+                **_summarize_latencies(run, 2_000.0),
                 "attempts_per_call": _attempts_per_call(run),
             }
-    for name, after, budget in HEDGES:
-        figures[f"{name}_slow_spell"] = _slow_spell(seed, after, budget)
+    for name, after, budget in HEDGING_VARIANTS:
+        figures[f"{name}_slow_spell"] = _measure_slowdown(seed, after, budget)
     return figures
 
 
-def _slow_spell(
+def _measure_slowdown(
     seed: int, hedge_after: Milliseconds | None, hedge_budget: float
 ) -> Figures:
     """Make all backend servers three times slower for 5 s at a load of 0.3."""
 
     def service_ms(rng: random.Random, now: Milliseconds) -> Milliseconds:
-        slowness = 3.0 if 5_000 <= now < 10_000 else 1.0
-        return rng.uniform(10.0, 30.0) * slowness
+        factor = 3.0 if 5_000 <= now < 10_000 else 1.0
+        return rng.uniform(10.0, 30.0) * factor
 
-    rate = constant(0.3 * CAPACITY_PER_S)
+    rate = constant_rate(0.3 * CAPACITY_PER_S)
     cfg = replace(
         BASE,
         service_ms=service_ms,
@@ -278,12 +283,12 @@
     )
     run = LoadRun(cfg, seed)
     run.run(15_000.0)
-    during = sorted(late for at, late in run.latencies if 5_000 <= at < 10_000)
+    latencies = sorted(latency for at, latency in run.latencies if 5_000 <= at < 10_000)
     n_failed = sum(1 for at in run.failures if 5_000 <= at < 10_000)
     return {
-        "p50_ms": round(during[len(during) // 2], 1),
-        "p99_ms": round(during[int(len(during) * 0.99)], 1),
-        "answered": round(len(during) / (len(during) + n_failed), 3),
+        "p50_ms": round(latencies[len(latencies) // 2], 1),
+        "p99_ms": round(latencies[int(len(latencies) * 0.99)], 1),
+        "answered": round(len(latencies) / (len(latencies) + n_failed), 3),
         "attempts_per_call": _attempts_per_call(run),
     }
 
@@ -316,7 +321,7 @@
     int
         Exit status.
     """
-    values = _flags()
+    values = _define_flags()
     try:
         rest = values(["routing", *argv])
     except flags.Error as exc:
@@ -332,14 +337,14 @@
     if values.json:
         print(json.dumps({"seed": values.seed, **figures}))
         return 0
-    for name, found in figures.items():
+    for name, result in figures.items():
         print(name)
-        for key, value in found.items():
+        for key, value in result.items():
             print(f"  {key}: {value}")
     return 0
 
 
-def _flags() -> flags.FlagValues:
+def _define_flags() -> flags.FlagValues:
     values = flags.FlagValues()  # type: ignore[no-untyped-call]
     flags.DEFINE_integer("seed", 1, "Seed of all draws.", flag_values=values)
     flags.DEFINE_bool("json", False, "Print one line of JSON.", flag_values=values)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/routing_load.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/routing_load.py
@@ -27,19 +27,19 @@
 
     from fuchsiagap.core.clock import Milliseconds
 
-SERVICE = ServiceName("salt-fog", "results")
-HOP_MS = 0.5
+SERVICE_NAME = ServiceName("salt-fog", "results")
+NETWORK_DELAY_MS = 0.5
 DATA_CENTRES = ("hall-a", "hall-b", "hall-c")
 
 
 @dataclass(slots=True, eq=False)
-class Attempt:
+class SimAttempt:
     """One attempt on its way through a backend server."""
 
     call: SimCall
     instance: Instance
     sent: Milliseconds
-    is_over: bool = False
+    is_finished: bool = False
     is_running: bool = False
 
 
@@ -47,14 +47,14 @@
 class SimCall:
     """One call and its attempts."""
 
-    caller: Caller
+    caller: SimCaller
     started: Milliseconds
-    attempts: list[Attempt] = field(default_factory=list)
-    is_over: bool = False
+    attempts: list[SimAttempt] = field(default_factory=list)
+    is_finished: bool = False
 
 
 @dataclass(slots=True, eq=False)
-class Caller:
+class SimCaller:
     """A node that calls, with its router."""
 
     data_centre: str
@@ -62,13 +62,13 @@
 
 
 @dataclass(slots=True, eq=False)
-class Server:
+class SimServer:
     """A backend server: slots, a queue in order of arrival, and its faults."""
 
     instance: Instance
     n_slots: int
     running: int = 0
-    waiting: deque[Attempt] = field(default_factory=deque)
+    waiting: deque[SimAttempt] = field(default_factory=deque)
     is_dead: bool = False
     is_silent: bool = False
     n_served: int = 0
@@ -137,13 +137,13 @@
         self.sent: list[tuple[Milliseconds, str, str]] = []
         self.busy_ms = 0.0
         self._events: list[tuple[Milliseconds, int, Callable[[], None]]] = []
-        self._numbers = itertools.count()
+        self._event_numbers = itertools.count()
         self.servers = {
-            f"results-{n}": Server(self.instance(n), cfg.n_slots)
+            f"results-{n}": SimServer(self.instance(n), cfg.n_slots)
             for n in range(cfg.n_servers)
         }
         clock = Clock(now=lambda: self.now, wall=lambda: 0.0)
-        self._hedges = RetryBudget(RetrySettings(ratio=cfg.hedge_budget), clock)
+        self._hedge_budget = RetryBudget(RetrySettings(ratio=cfg.hedge_budget), clock)
         self.callers = [self._caller(n, clock) for n in range(cfg.n_callers)]
         self.announce()
 
@@ -152,15 +152,17 @@
         """Return the instance with a number, in the data centre of its turn."""
         data_centre = DATA_CENTRES[number % len(DATA_CENTRES)]
         name = f"results-{number}"
-        return Instance(name, incarnation, f"127.0.0.1:{number}", data_centre, SERVICE)
+        return Instance(
+            name, incarnation, f"127.0.0.1:{number}", data_centre, SERVICE_NAME
+        )
 
-    def _caller(self, number: int, clock: Clock) -> Caller:
+    def _caller(self, number: int, clock: Clock) -> SimCaller:
         data_centres = self.cfg.caller_data_centres
         data_centre = data_centres[number % len(data_centres)]
         rng = random.Random(self.rng.random())
         name = f"certs-{number}"
         router = Router(self.cfg.routing, data_centre, clock, rng, name)
-        return Caller(data_centre, router)
+        return SimCaller(data_centre, router)
 
     def announce(self) -> None:
         """Tell all routers the instances as they are."""
@@ -168,30 +170,30 @@
         for caller in self.callers:
             caller.router.update(members)
 
-    def at(self, time: Milliseconds, act: Callable[[], None]) -> None:
+    def schedule(self, time: Milliseconds, action: Callable[[], None]) -> None:
         """Do something at a time."""
-        heapq.heappush(self._events, (time, next(self._numbers), act))
+        heapq.heappush(self._events, (time, next(self._event_numbers), action))
 
     def run(self, until: Milliseconds) -> None:
         """Run until a time."""
-        self.at(self.now, self._arrive)
+        self.schedule(self.now, self._arrive)
         while self._events and self._events[0][0] <= until:
-            self.now, _, act = heapq.heappop(self._events)
-            act()
+            self.now, _, action = heapq.heappop(self._events)
+            action()
 
     def _arrive(self) -> None:
         call = SimCall(self.rng.choice(self.callers), self.now)
         self._send(call)
         hedge_after = self.cfg.hedge_after_ms
         if hedge_after is not None:
-            self._hedges.record_call(SERVICE)
-            self.at(self.now + hedge_after, lambda: self._hedge(call))
-        self.at(self.now + self.cfg.timeout_ms, lambda: self._give_up(call))
+            self._hedge_budget.record_call(SERVICE_NAME)
+            self.schedule(self.now + hedge_after, lambda: self._hedge(call))
+        self.schedule(self.now + self.cfg.timeout_ms, lambda: self._time_out(call))
         gap = self.rng.expovariate(self.cfg.rate_per_s(self.now)) * 1000.0
-        self.at(self.now + gap, self._arrive)
+        self.schedule(self.now + gap, self._arrive)
 
     def _hedge(self, call: SimCall) -> None:
-        if not call.is_over and self._hedges.try_spend(SERVICE):
+        if not call.is_finished and self._hedge_budget.try_spend(SERVICE_NAME):
             self._send(call)
 
     def _send(self, call: SimCall) -> None:
@@ -199,43 +201,47 @@
         instance = self._choose(call.caller, tried)
         if instance is None:
             return
-        attempt = Attempt(call, instance, self.now)
+        attempt = SimAttempt(call, instance, self.now)
         call.attempts.append(attempt)
         call.caller.router.begin(instance)
         self.sent.append((self.now, instance.node, instance.data_centre))
-        self.at(self.now + self._hop(attempt), lambda: self._receive(attempt))
+        self.schedule(
+            self.now + self._network_delay(attempt), lambda: self._deliver(attempt)
+        )
 
-    def _choose(self, caller: Caller, tried: frozenset[str]) -> Instance | None:
+    def _choose(self, caller: SimCaller, tried: frozenset[str]) -> Instance | None:
         if self.cfg.choose == "router":
-            return caller.router.choose(SERVICE, tried)
-        left = [s.instance for n, s in self.servers.items() if n not in tried]
-        return self.rng.choice(left) if left else None
+            return caller.router.choose(SERVICE_NAME, tried)
+        candidates = [s.instance for n, s in self.servers.items() if n not in tried]
+        return self.rng.choice(candidates) if candidates else None
 
-    def _hop(self, attempt: Attempt) -> Milliseconds:
+    def _network_delay(self, attempt: SimAttempt) -> Milliseconds:
         caller = attempt.call.caller
-        is_near = caller.data_centre == attempt.instance.data_centre
-        return HOP_MS / 5 if is_near else HOP_MS
+        is_local = caller.data_centre == attempt.instance.data_centre
+        return NETWORK_DELAY_MS / 5 if is_local else NETWORK_DELAY_MS
 
-    def _receive(self, attempt: Attempt) -> None:
+    def _deliver(self, attempt: SimAttempt) -> None:
         server = self.servers[attempt.instance.node]
         if server.is_dead:
-            self._end(attempt, Unknown(Reason.CONNECTION_LOST))
-        elif not attempt.is_over and not server.is_silent:
+            self._finish_attempt(attempt, Unknown(Reason.CONNECTION_LOST))
+        elif not attempt.is_finished and not server.is_silent:
             server.waiting.append(attempt)
             self._start_next(server)
 
-    def _start_next(self, server: Server) -> None:
+    def _start_next(self, server: SimServer) -> None:
         while server.waiting and server.running < server.n_slots:
             attempt = server.waiting.popleft()
-            if attempt.is_over:
+            if attempt.is_finished:
                 continue
             server.running += 1
             attempt.is_running = True
             started = self.now
-            ends = self.now + self.cfg.service_ms(self.rng, self.now)
-            self.at(ends, partial(self._finish, server, attempt, started))
+            ends_at = self.now + self.cfg.service_ms(self.rng, self.now)
+            self.schedule(ends_at, partial(self._finish_run, server, attempt, started))
 
-    def _finish(self, server: Server, attempt: Attempt, started: float) -> None:
+    def _finish_run(
+        self, server: SimServer, attempt: SimAttempt, started: float
+    ) -> None:
         if not attempt.is_running:
             return
         attempt.is_running = False
@@ -244,32 +250,35 @@
         self.busy_ms += self.now - started
         load = LoadReport(9, 127, server.running, server.n_slots, len(server.waiting))
         answer = Answered(200, (), b"", load=load)
-        self.at(self.now + self._hop(attempt), lambda: self._end(attempt, answer))
+        self.schedule(
+            self.now + self._network_delay(attempt),
+            lambda: self._finish_attempt(attempt, answer),
+        )
         self._start_next(server)
 
-    def _end(self, attempt: Attempt, outcome: Outcome | None) -> None:
-        if attempt.is_over:
+    def _finish_attempt(self, attempt: SimAttempt, outcome: Outcome | None) -> None:
+        if attempt.is_finished:
             return
-        attempt.is_over = True
+        attempt.is_finished = True
         call = attempt.call
         latency = self.now - attempt.sent
         call.caller.router.end(attempt.instance, outcome, latency)
-        if outcome is None or call.is_over:
+        if outcome is None or call.is_finished:
             return
         if not isinstance(outcome, Answered):
-            call.is_over = all(a.is_over for a in call.attempts)
-            if call.is_over:
+            call.is_finished = all(a.is_finished for a in call.attempts)
+            if call.is_finished:
                 self.failures.append(call.started)
             return
-        call.is_over = True
+        call.is_finished = True
         self.latencies.append((call.started, self.now - call.started))
         for other in call.attempts:
             self._cancel(other)
 
-    def _cancel(self, attempt: Attempt) -> None:
-        if attempt.is_over:
+    def _cancel(self, attempt: SimAttempt) -> None:
+        if attempt.is_finished:
             return
-        self._end(attempt, None)
+        self._finish_attempt(attempt, None)
         server = self.servers[attempt.instance.node]
         if attempt.is_running:
             attempt.is_running = False
@@ -277,16 +286,16 @@
             self.busy_ms += self.now - attempt.sent
             self._start_next(server)
 
-    def _give_up(self, call: SimCall) -> None:
-        if call.is_over:
+    def _time_out(self, call: SimCall) -> None:
+        if call.is_finished:
             return
-        call.is_over = True
+        call.is_finished = True
         self.failures.append(call.started)
         for attempt in call.attempts:
             is_silent = self.servers[attempt.instance.node].is_silent
-            if is_silent and not attempt.is_over:
-                attempt.is_over = True
+            if is_silent and not attempt.is_finished:
+                attempt.is_finished = True
                 router = call.caller.router
-                late = Unknown(Reason.DEADLINE)
-                router.end(attempt.instance, late, self.now - attempt.sent)
+                outcome = Unknown(Reason.DEADLINE)
+                router.end(attempt.instance, outcome, self.now - attempt.sent)
             self._cancel(attempt)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/settings.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/settings.py
@@ -40,19 +40,19 @@
     from fuchsiagap_node.core.state import NodeState
 
 TEAM = "salt-fog"
-HALLS = ("hall-a", "hall-b", "hall-c")
+DATA_CENTRES = ("hall-a", "hall-b", "hall-c")
 _CALLS = 20_000
 _ROUNDS = 7
 _CHANGES = 5
 _SETTLE_S = 8.0
-_STEP_S = 0.001
+_POLL_INTERVAL_S = 0.001
 _ROUTES_PER_SERVICE = 10
 _US_PER_S = 1e6
 _MS_PER_S = 1e3
 
 
 @dataclass(frozen=True, slots=True)
-class MatchCosts:
+class MatchingCosts:
     """Costs of one team's text with some number of routes.
 
     Parameters
@@ -82,7 +82,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SpreadCosts:
+class PropagationCosts:
     """What a change costs in a fleet, and how long it takes.
 
     Parameters
@@ -123,7 +123,7 @@
     idle_platform_calls_per_s: float
 
 
-def a_text(n_routes: int, priority: int = 5) -> str:
+def make_settings_text(n_routes: int, priority: int = 5) -> str:
     """Return a text with `n_routes` routes, ten in each service."""
     lines = ["[team]", "weight = goodput", f"priority = {priority}"]
     for i in range(n_routes):
@@ -131,22 +131,22 @@
         if not route:
             lines += [f"[service-{service}]", "timeout = 2s"]
         lines += [f"[service-{service}/route-{route}]", "priority = 3"]
-        is_wild = route == _ROUTES_PER_SERVICE - 1
-        path = "/things/*/panels" if is_wild else f"/things/{route}/detail"
+        is_wildcard = route == _ROUTES_PER_SERVICE - 1
+        path = "/things/*/panels" if is_wildcard else f"/things/{route}/detail"
         lines.append(f"match = POST {path}")
     return "\n".join(lines) + "\n"
 
 
-def match_costs(n_routes: int) -> MatchCosts:
+def measure_matching(n_routes: int) -> MatchingCosts:
     """Measure one size of text."""
-    text = a_text(n_routes)
+    text = make_settings_text(n_routes)
     book = SettingsBook()
     tracemalloc.start()
     book.adopt(TeamText(TEAM, 1, text))
     memory, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     service = ServiceName(TEAM, "service-0")
-    elsewhere = ServiceName(TEAM, "elsewhere")
+    unknown_service = ServiceName(TEAM, "elsewhere")
 
     def route_us(name: ServiceName, target: str) -> float:
         return _median_us(lambda: book.route_for(name, "POST", target), _CALLS)
@@ -154,61 +154,71 @@
     def adopt() -> None:
         SettingsBook().adopt(TeamText(TEAM, 1, text))
 
-    few = max(3, 2_000 // n_routes)
-    return MatchCosts(
+    n_calls = max(3, 2_000 // n_routes)
+    return MatchingCosts(
         n_routes=n_routes,
         text_bytes=len(text),
         literal_us=route_us(service, "/things/3/detail?page=1"),
         wildcard_us=route_us(service, "/things/3/panels"),
         default_us=route_us(service, "/other/path"),
-        unknown_us=route_us(elsewhere, "/things/3/detail"),
-        parse_ms=round(_median_us(lambda: parse_team(TEAM, text), few) / _MS_PER_S, 3),
-        adopt_ms=round(_median_us(adopt, few) / _MS_PER_S, 3),
+        unknown_us=route_us(unknown_service, "/things/3/detail"),
+        parse_ms=round(
+            _median_us(lambda: parse_team(TEAM, text), n_calls) / _MS_PER_S, 3
+        ),
+        adopt_ms=round(_median_us(adopt, n_calls) / _MS_PER_S, 3),
         memory_bytes=memory,
     )
 
 
-def spread_costs(n_nodes: int, n_routes: int = 40, seed: int = 1) -> SpreadCosts:
+def measure_propagation(
+    n_nodes: int, n_routes: int = 40, seed: int = 1
+) -> PropagationCosts:
     """Measure one size of fleet, under the virtual clock."""
-    return run_virtual(_spread, n_nodes, n_routes, seed, seed=seed, real_limit_s=900.0)
+    return run_virtual(
+        _measure_propagation, n_nodes, n_routes, seed, seed=seed, real_limit_s=900.0
+    )
 
 
-async def _spread(n_nodes: int, n_routes: int, seed: int) -> SpreadCosts:
+async def _measure_propagation(
+    n_nodes: int, n_routes: int, seed: int
+) -> PropagationCosts:
     async with open_settings_fleet(seed) as fleet:
-        states = _start(fleet, n_nodes)
+        states = _start_nodes(fleet, n_nodes)
         await fleet.until(
             lambda: all(state.book.sync_status.complete for state in states)
         )
         await trio.sleep(_SETTLE_S)
-        idle = _usage(fleet)
+        idle = _read_usage(fleet)
         await trio.sleep(_SETTLE_S)
-        rate = _usage(fleet).minus(idle).times(1 / _SETTLE_S)
-        begin, begun_s = _usage(fleet), trio.current_time()
+        rate = _read_usage(fleet).minus(idle).times(1 / _SETTLE_S)
+        before, started_s = _read_usage(fleet), trio.current_time()
         accepted = [
-            await _timed(fleet, _accept(states[7 * i % n_nodes], n_routes, i))
+            await _time_until_in_force(
+                fleet, _put_through_node(states[7 * i % n_nodes], n_routes, i)
+            )
             for i in range(_CHANGES)
         ]
-        taken_s = trio.current_time() - begun_s
-        used = _usage(fleet).minus(begin).minus(rate.times(taken_s))
+        elapsed_s = trio.current_time() - started_s
+        used = _read_usage(fleet).minus(before).minus(rate.times(elapsed_s))
         used = used.times(1 / _CHANGES / n_nodes)
         watched = [
-            await _timed(fleet, _write_past(fleet, n_routes, i))
+            await _time_until_in_force(fleet, _put_to_platform(fleet, n_routes, i))
             for i in range(_CHANGES)
         ]
         fleet.lose_news = 1.0
         fleet.store.set_cut_off({state.node for state in states[1:]})
-        alone = [
-            await _timed(fleet, _accept(states[0], n_routes, i))
+        by_comparison = [
+            await _time_until_in_force(fleet, _put_through_node(states[0], n_routes, i))
             for i in range(_CHANGES)
         ]
-        return SpreadCosts(
+        return PropagationCosts(
             n_nodes=n_nodes,
-            text_bytes=len(a_text(n_routes)),
+            text_bytes=len(make_settings_text(n_routes)),
             accepted_ms_p50=round(statistics.median(accepted), 1),
             accepted_ms_max=round(max(accepted), 1),
             watched_ms_p50=round(statistics.median(watched), 1),
             watched_ms_max=round(max(watched), 1),
-            without_news_ms_max=round(max(alone), 1),
+            without_news_ms_max=round(max(by_comparison), 1),
             bytes_per_change_and_node=round(used.n_bytes, 1),
             messages_per_change_and_node=round(used.messages, 2),
             cpu_ms_per_change_and_node=round(used.cpu_s * _MS_PER_S, 2),
@@ -217,9 +227,9 @@
         )
 
 
-def _start(fleet: SettingsFleet, n_nodes: int) -> list[NodeState]:
+def _start_nodes(fleet: SettingsFleet, n_nodes: int) -> list[NodeState]:
     states = [
-        fleet.add(f"certs-{i}", HALLS[i % len(HALLS)], ["certs-0:7000"])
+        fleet.add(f"certs-{i}", DATA_CENTRES[i % len(DATA_CENTRES)], ["certs-0:7000"])
         for i in range(n_nodes)
     ]
     members = [state.membership.self_member for state in states]
@@ -228,28 +238,28 @@
     return states
 
 
-async def _accept(state: NodeState, n_routes: int, i: int) -> int:
-    text = a_text(n_routes, i)
+async def _put_through_node(state: NodeState, n_routes: int, i: int) -> int:
+    text = make_settings_text(n_routes, i)
     result = await put_settings(state, TEAM, text, None, f"c{i}", OPERATORS_TOKEN)
     assert isinstance(result, Accepted), result
     return result.version
 
 
-async def _write_past(fleet: SettingsFleet, n_routes: int, i: int) -> int:
-    value = a_text(n_routes, i).encode()
+async def _put_to_platform(fleet: SettingsFleet, n_routes: int, i: int) -> int:
+    value = make_settings_text(n_routes, i).encode()
     result = await fleet.store.put(SETTINGS_PREFIX + TEAM, value, None)
     assert isinstance(result, StoredObject), result
     return result.version
 
 
-async def _timed(fleet: SettingsFleet, change: object) -> float:
+async def _time_until_in_force(fleet: SettingsFleet, change: object) -> float:
     version = await change  # type: ignore[misc]
     started = trio.current_time()
     while not fleet.in_force(TEAM, version):
-        await trio.sleep(_STEP_S)
-    taken = trio.current_time() - started
+        await trio.sleep(_POLL_INTERVAL_S)
+    elapsed = trio.current_time() - started
     await trio.sleep(1.0)
-    return taken * _MS_PER_S
+    return elapsed * _MS_PER_S
 
 
 @dataclass(frozen=True, slots=True)
@@ -278,7 +288,7 @@
         )
 
 
-def _usage(fleet: SettingsFleet) -> _Usage:
+def _read_usage(fleet: SettingsFleet) -> _Usage:
     counts = fleet.store.counts
     calls = counts.reads + counts.writes + counts.watches
     traffic = fleet.traffic
@@ -286,13 +296,13 @@
 
 
 def _median_us(function: Callable[[], object], n_calls: int) -> float:
-    taken = []
+    elapsed = []
     for _ in range(_ROUNDS):
         started = time.perf_counter()
         for _ in range(n_calls):
             function()
-        taken.append((time.perf_counter() - started) / n_calls)
-    return round(statistics.median(taken) * _US_PER_S, 3)
+        elapsed.append((time.perf_counter() - started) / n_calls)
+    return round(statistics.median(elapsed) * _US_PER_S, 3)
 
 
 def main(argv: list[str]) -> int:
@@ -313,11 +323,11 @@
     flags.DEFINE_list("routes", ["10", "100", "1000"], "Sizes of text.", values)
     flags.DEFINE_list("nodes", ["12", "48"], "Sizes of fleet.", values)
     values(["settings", *argv])
-    found = {
-        "match": [asdict(match_costs(int(n))) for n in values.routes],
-        "spread": [asdict(spread_costs(int(n))) for n in values.nodes],
+    results = {
+        "match": [asdict(measure_matching(int(n))) for n in values.routes],
+        "spread": [asdict(measure_propagation(int(n))) for n in values.nodes],
     }
-    print(json.dumps(found, indent=None if values.json else 2))
+    print(json.dumps(results, indent=None if values.json else 2))
     return 0
 
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/telemetry.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/telemetry.py
@@ -89,11 +89,11 @@
 
 
 async def _measure() -> TelemetryCosts:
-    ring_bytes = _allocated(_full_ring)
-    histogram_bytes = _allocated(_one_histogram)
-    telemetry = _full_ring()
-    costs = _path_costs(telemetry)
-    flush_us = _flush_cost(telemetry)
+    ring_bytes = _allocated_bytes(_telemetry_with_full_ring)
+    histogram_bytes = _allocated_bytes(_telemetry_with_histogram)
+    telemetry = _telemetry_with_full_ring()
+    costs = _measure_call_path(telemetry)
+    flush_us = _measure_flush(telemetry)
     _fill_histograms(telemetry)
     started_s = time.perf_counter()
     await metrics_text(telemetry)
@@ -116,7 +116,7 @@
     return make_telemetry(TelemetrySettings(), "bench", trio_clock())
 
 
-def _full_ring() -> Telemetry:
+def _telemetry_with_full_ring() -> Telemetry:
     telemetry = _new_telemetry()
     for number in range(DEFAULT_RING_SIZE):
         # Four events for each call, as on the path of a call.
@@ -127,7 +127,7 @@
     return telemetry
 
 
-def _one_histogram() -> Telemetry:
+def _telemetry_with_histogram() -> Telemetry:
     telemetry = _new_telemetry()
     rng = random.Random(1)
     for _ in range(_CALLS):
@@ -136,7 +136,7 @@
     return telemetry
 
 
-def _allocated(make: Callable[[], Telemetry]) -> float:
+def _allocated_bytes(make: Callable[[], Telemetry]) -> float:
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
     kept = make()
@@ -146,7 +146,7 @@
     return float(after - before)
 
 
-def _path_costs(telemetry: Telemetry) -> dict[str, float]:
+def _measure_call_path(telemetry: Telemetry) -> dict[str, float]:
     ring, metrics = telemetry.ring, telemetry.metrics
     rng = random.Random(2)
     values = [rng.lognormvariate(2.0, 1.0) for _ in range(_CALLS)]
@@ -181,7 +181,7 @@
     return statistics.median(rounds)
 
 
-def _flush_cost(telemetry: Telemetry) -> float:
+def _measure_flush(telemetry: Telemetry) -> float:
     started_s = time.perf_counter()
     moved = telemetry.metrics.flush(_CALLS)
     return round((time.perf_counter() - started_s) / moved * _US_PER_S, 3)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/tickets.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/tickets.py
@@ -43,13 +43,13 @@
 N_CALLS = 100_000
 N_KEPT = 10_000
 N_ROUNDS = 5
-N_AT_HOME = 5_000
+N_HOME_CALLS = 5_000
 BODY_BYTES = 300
 KEY_BITS = 128
 _US_PER_S = 1e6
 _USAGE_STATUS = 2
 _CFG = TicketSettings(kept_answers=N_KEPT, min_age=0.0)
-_PRINT = bytes(8)
+_FINGERPRINT = bytes(8)
 
 
 @dataclass(slots=True)
@@ -118,9 +118,9 @@
     """Return all figures for a number of calls."""
     figures: Figures = {"calls": n_calls, "kept": N_KEPT, "body_bytes": BODY_BYTES}
     for name, fill in (("window", _fill_window), ("key_cache", _fill_cache)):
-        kept = _bytes_of(fill, N_KEPT, BODY_BYTES) / N_KEPT
+        kept = _allocated_bytes(fill, N_KEPT, BODY_BYTES) / N_KEPT
         half = n_calls // 2
-        growth = _bytes_of(fill, n_calls, 0) - _bytes_of(fill, half, 0)
+        growth = _allocated_bytes(fill, n_calls, 0) - _allocated_bytes(fill, half, 0)
         figures[f"{name}_bytes_per_kept_answer"] = round(kept, 1)
         figures[f"{name}_bytes_per_forgotten_call"] = round(growth / half, 3)
         figures[f"{name}_us_per_call"] = _us_per_call(fill, n_calls)
@@ -131,22 +131,22 @@
     return figures
 
 
-def _window() -> TicketWindow:
+def _make_window() -> TicketWindow:
     clock = Clock(now=time.monotonic, wall=time.time)
     return TicketWindow(_CFG, "certs-1", 1, clock)
 
 
 def _fill_window(n_calls: int, body_bytes: int) -> object:
-    window = _window()
+    window = _make_window()
     for sequence in range(n_calls):
         if sequence == window.next:
             window.issue(_CFG.max_batch)
-        _run_in(window, sequence, body_bytes)
+        _run_call(window, sequence, body_bytes)
     return window
 
 
-def _run_in(window: TicketWindow, sequence: int, body_bytes: int) -> None:
-    claim = window.claim(sequence, "", _PRINT)
+def _run_call(window: TicketWindow, sequence: int, body_bytes: int) -> None:
+    claim = window.claim(sequence, "", _FINGERPRINT)
     assert isinstance(claim, Start)
     window.finish(claim.record, Answered(200, (), bytes(body_bytes)))
 
@@ -162,7 +162,7 @@
 
 
 def _issue(n_calls: int, _body_bytes: int) -> object:
-    window = _window()
+    window = _make_window()
     for _ in range(n_calls // _CFG.max_batch):
         window.issue(_CFG.max_batch)
     return window
@@ -176,7 +176,7 @@
     return None
 
 
-def _bytes_of(fill: Fill, n_calls: int, body_bytes: int) -> int:
+def _allocated_bytes(fill: Fill, n_calls: int, body_bytes: int) -> int:
     gc.collect()
     tracemalloc.start()
     filled = fill(n_calls, body_bytes)
@@ -190,9 +190,9 @@
 def _us_per_call(fill: Fill, n_calls: int) -> float:
     times = []
     for _ in range(N_ROUNDS):
-        started = time.process_time()
+        cpu_started = time.process_time()
         fill(n_calls, 0)
-        times.append(time.process_time() - started)
+        times.append(time.process_time() - cpu_started)
     return round(statistics.median(times) / n_calls * _US_PER_S, 2)
 
 
@@ -200,24 +200,24 @@
     async with trio.open_nursery() as nursery:
         net = TicketNet(Backends(_answer), nursery)
         state = await net.start("a")
-        plain = await _time_calls(lambda head: _answer(head, b""), state)
-        home = await _time_calls(
+        plain = await _cpu_us_per_call(lambda head: _answer(head, b""), state)
+        through_home = await _cpu_us_per_call(
             lambda head: at_home(state, head, b"", net.run_of(head, b"")), state
         )
         nursery.cancel_scope.cancel()
-    return plain, home
+    return plain, through_home
 
 
-async def _time_calls(call: Any, state: Any) -> float:
+async def _cpu_us_per_call(call: Any, state: Any) -> float:
     deadline = (trio.current_time() + 60.0) * MS_PER_S
     heads: list[CallHead] = []
-    while len(heads) < N_AT_HOME:
+    while len(heads) < N_HOME_CALLS:
         issued = state.tickets.own.issue(_CFG.max_batch)
         heads += [an_issue_head(ticket=t, deadline=deadline) for t in issued]
-    started = time.process_time()
+    cpu_started = time.process_time()
     for head in heads:
         await call(head)
-    return round((time.process_time() - started) / len(heads) * _US_PER_S, 1)
+    return round((time.process_time() - cpu_started) / len(heads) * _US_PER_S, 1)
 
 
 async def _answer(_head: object, _body: bytes) -> Outcome:
@@ -234,13 +234,13 @@
         while window.next < N_CALLS:
             window.issue(_CFG.max_batch)
         for sequence in range(N_KEPT):
-            _run_in(window, sequence, BODY_BYTES)
-        started = time.process_time()
+            _run_call(window, sequence, BODY_BYTES)
+        cpu_started = time.process_time()
         result = await hand_over(old, new.cfg.peer_address)
-        taken = time.process_time() - started
+        elapsed = time.process_time() - cpu_started
         assert isinstance(result, HandedOver), result
         nursery.cancel_scope.cancel()
-    return {"hand_over_ms": round(taken * MS_PER_S, 1)}
+    return {"hand_over_ms": round(elapsed * MS_PER_S, 1)}
 
 
 if __name__ == "__main__":
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/caller.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/caller.py
@@ -15,7 +15,7 @@
 from fuchsiagap.core.clock import MS_PER_S, Clock, Milliseconds, trio_clock
 from fuchsiagap_standins.answers import CallMark
 from fuchsiagap_standins.calling import Attempt, ClientRequest, Ending
-from fuchsiagap_standins.graphs.sizes import draw_root
+from fuchsiagap_standins.graphs.analysis import draw_root
 
 if TYPE_CHECKING:
     import random
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/demo.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/demo.py
@@ -38,7 +38,7 @@
     read_runs,
     run_deployment,
 )
-from fuchsiagap_standins.graphs import load_any_graph
+from fuchsiagap_standins.graphs import load_graph_or_file
 from fuchsiagap_standins.processes import ProcessFailed, process_group
 from fuchsiagap_standins.programs import EXIT_USAGE, new_flags, parse_flags
 from fuchsiagap_standins.violations import Violations, find_violations
@@ -87,7 +87,7 @@
 
 async def _demo(folder: Path) -> int:
     graph_file = _GRAPH.value
-    graph = load_any_graph(graph_file)
+    graph = load_graph_or_file(graph_file)
     cfg = DeploymentSettings(
         graph, graph_file, _INSTANCES.value, _SCALE.value, _SEED.value
     )
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/graphs/__init__.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/graphs/__init__.py
@@ -7,15 +7,7 @@
 ('salt-fog', 4)
 """
 
-from fuchsiagap_standins.graphs.loader import (
-    GRAPHS,
-    GraphFaults,
-    load_any_graph,
-    load_graph,
-    read_graph,
-)
-from fuchsiagap_standins.graphs.model import Graph, GraphRoute, GraphService
-from fuchsiagap_standins.graphs.sizes import (
+from fuchsiagap_standins.graphs.analysis import (
     capacity_per_s,
     chain_time,
     depth,
@@ -23,19 +15,27 @@
     settings_text,
     slot_time,
 )
+from fuchsiagap_standins.graphs.loader import (
+    GRAPHS,
+    InvalidGraphError,
+    load_graph,
+    load_graph_or_file,
+    read_graph,
+)
+from fuchsiagap_standins.graphs.model import Graph, GraphRoute, GraphService
 
 __all__ = [
     "GRAPHS",
     "Graph",
-    "GraphFaults",
     "GraphRoute",
     "GraphService",
+    "InvalidGraphError",
     "capacity_per_s",
     "chain_time",
     "depth",
     "draw_own_time",
-    "load_any_graph",
     "load_graph",
+    "load_graph_or_file",
     "read_graph",
     "settings_text",
     "slot_time",
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/graphs/sizes.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/graphs/analysis.py
@@ -15,7 +15,7 @@
     from fuchsiagap.core.clock import Milliseconds
     from fuchsiagap_standins.graphs.model import Graph, GraphRoute
 
-NOTHING_SLOW: Mapping[str, float] = {}
+NO_SLOWDOWN: Mapping[str, float] = {}
 
 
 def call_names(route: GraphRoute) -> list[str]:
@@ -30,26 +30,26 @@
     """
     if level > MAX_DEPTH:
         return level
-    below = (
+    depths = (
         depth(graph, graph.route(name), level + 1) for name in set(call_names(route))
     )
-    return max(below, default=level)
+    return max(depths, default=level)
 
 
-def n_calls(graph: Graph, route: GraphRoute) -> int:
+def count_calls(graph: Graph, route: GraphRoute) -> int:
     """Return how many calls one call of a route makes in all, itself included."""
-    return 1 + sum(n_calls(graph, graph.route(name)) for name in call_names(route))
+    return 1 + sum(count_calls(graph, graph.route(name)) for name in call_names(route))
 
 
-def may_have_effect(graph: Graph, route: GraphRoute) -> bool:
+def has_side_effects(graph: Graph, route: GraphRoute) -> bool:
     """Whether a route, or one it calls at any depth, is not idempotent."""
     if not route.idempotent:
         return True
-    return any(may_have_effect(graph, graph.route(name)) for name in call_names(route))
+    return any(has_side_effects(graph, graph.route(name)) for name in call_names(route))
 
 
 def chain_time(
-    graph: Graph, route: GraphRoute, slow: Mapping[str, float] = NOTHING_SLOW
+    graph: Graph, route: GraphRoute, slowdowns: Mapping[str, float] = NO_SLOWDOWN
 ) -> Milliseconds:
     """Return the mean time of a call, with its own calls and without waiting.
 
@@ -68,29 +68,29 @@
         Milliseconds; delays of the network and the spread of calls made at once
         are left out.
     """
-    own = route.own_time * slow.get(route.service, 1.0)
+    own = route.own_time * slowdowns.get(route.service, 1.0)
     stages = (
-        max(chain_time(graph, graph.route(name), slow) for name in stage)
+        max(chain_time(graph, graph.route(name), slowdowns) for name in stage)
         for stage in route.calls
     )
     return own + sum(stages)
 
 
 def slot_time(
-    graph: Graph, route: GraphRoute, slow: Mapping[str, float] = NOTHING_SLOW
+    graph: Graph, route: GraphRoute, slowdowns: Mapping[str, float] = NO_SLOWDOWN
 ) -> dict[str, Milliseconds]:
     """Return how long one call holds slots, by service, over its whole chain.
 
     A slot is held while its call waits for calls of its own.
     """
-    held = {route.service: chain_time(graph, route, slow)}
+    slot_times = {route.service: chain_time(graph, route, slowdowns)}
     for name in call_names(route):
-        for service, time in slot_time(graph, graph.route(name), slow).items():
-            held[service] = held.get(service, 0.0) + time
-    return held
+        for service, time in slot_time(graph, graph.route(name), slowdowns).items():
+            slot_times[service] = slot_times.get(service, 0.0) + time
+    return slot_times
 
 
-def capacity_per_s(graph: Graph, slow: Mapping[str, float] = NOTHING_SLOW) -> float:
+def capacity_per_s(graph: Graph, slowdowns: Mapping[str, float] = NO_SLOWDOWN) -> float:
     """Return the most whole requests a second, at the graph's shares of routes.
 
     Parameters
@@ -105,13 +105,13 @@
     float
         The least, over services, of slots by the mean slot time of a request.
     """
-    held: dict[str, float] = {}
+    slot_times: dict[str, float] = {}
     for root in graph.roots:
-        for service, time in slot_time(graph, root, slow).items():
-            held[service] = held.get(service, 0.0) + root.share * time
+        for service, time in slot_time(graph, root, slowdowns).items():
+            slot_times[service] = slot_times.get(service, 0.0) + root.share * time
     rates = (
         MS_PER_S * graph.service(service).total_slots / time
-        for service, time in held.items()
+        for service, time in slot_times.items()
         if time > 0
     )
     return min(rates)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/graphs/loader.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/graphs/loader.py
@@ -19,8 +19,8 @@
     with_defaults,
 )
 from fuchsiagap.core.settings.values import BAD_VALUE, BadValue, ValueType
+from fuchsiagap_standins.graphs.analysis import call_names, depth
 from fuchsiagap_standins.graphs.model import Graph, GraphRoute, GraphService
-from fuchsiagap_standins.graphs.sizes import call_names, depth
 
 GRAPHS = ("queensland", "dakar")
 GRAPH_SECTION = "graph"
@@ -28,7 +28,7 @@
 _SHARE_TOLERANCE = 1e-6
 
 
-class GraphFaults(ValueError):
+class InvalidGraphError(ValueError):
     """A graph file that is not valid.
 
     Parameters
@@ -65,8 +65,8 @@
     return BAD_VALUE if isinstance(weight, BadValue) else text
 
 
-_NAMES = ValueType("names separated by commas, none twice", _read_names)
-_CALLS = ValueType(
+_NAME_LIST = ValueType("names separated by commas, none twice", _read_names)
+_CALL_STAGES = ValueType(
     "SERVICE/ROUTE, & between calls at once, commas between", _read_calls
 )
 _WEIGHT = ValueType("goodput, recovery or a number from 0 to 1", _read_weight)
@@ -74,13 +74,13 @@
 _TIME = values.duration(0, 600_000)
 _SIZE = values.integer(1, 100_000)
 
-_GRAPH_TABLE = SectionSchema(
+_GRAPH_SCHEMA = SectionSchema(
     "[graph]",
     "What holds for the whole graph.",
     (
         Key("team", values.PLAIN_NAME, None, "The team."),
         Key("weight", _WEIGHT, "goodput", "What overload control weighs."),
-        Key("data centres", _NAMES, None, "Where instances stand, in turn."),
+        Key("data centres", _NAME_LIST, None, "Where instances stand, in turn."),
         Key("between data centres", _DELAY, "0.5ms", "One way."),
         Key("to clients", _DELAY, "1ms", "One way."),
         Key("new connection", _DELAY, "1ms", "To open a connection."),
@@ -88,7 +88,7 @@
         Key("deep service", values.PLAIN_NAME, None, "The one to slow down."),
     ),
 )
-_SERVICE_TABLE = SectionSchema(
+_SERVICE_SCHEMA = SectionSchema(
     "[SERVICE]",
     "One service and its size.",
     (
@@ -97,7 +97,7 @@
         Key("connections", _SIZE, None, "Connections of one backend server."),
     ),
 )
-_ROUTE_TABLE = SectionSchema(
+_ROUTE_SCHEMA = SectionSchema(
     "[SERVICE/ROUTE]",
     "One kind of call.",
     (
@@ -108,7 +108,7 @@
         Key("attempts", values.integer(0, 16), "3", "Extra ones in the chain."),
         Key("own time", _TIME, None, "Mean of its own work."),
         Key("share", values.number(0, 1), "0", "Of the clients' requests."),
-        Key("calls", _CALLS, "", "What it calls."),
+        Key("calls", _CALL_STAGES, "", "What it calls."),
     ),
 )
 
@@ -128,24 +128,24 @@
 
     Raises
     ------
-    GraphFaults
+    InvalidGraphError
         If the file is not valid.
     """
     folder = importlib.resources.files("fuchsiagap_standins.graphs")
     text = folder.joinpath(f"{name}.ini").read_text()
-    return _checked(read_graph(f"{name}.ini", text))
+    return _require_valid(read_graph(f"{name}.ini", text))
 
 
-def load_any_graph(name: str) -> Graph:
+def load_graph_or_file(name: str) -> Graph:
     """Load a committed graph by its name, or one from a path that ends in .ini."""
     if not name.endswith(".ini"):
         return load_graph(name)
-    return _checked(read_graph(name, Path(name).read_text()))
+    return _require_valid(read_graph(name, Path(name).read_text()))
 
 
-def _checked(graph: Graph | SettingsFaults) -> Graph:
+def _require_valid(graph: Graph | SettingsFaults) -> Graph:
     if isinstance(graph, SettingsFaults):
-        raise GraphFaults(graph)
+        raise InvalidGraphError(graph)
     return graph
 
 
@@ -166,42 +166,44 @@
     """
     ini = read_ini(path, text)
     faults = list(ini.faults)
-    top: dict[str, Any] = {}
+    graph_values: dict[str, Any] = {}
     services: list[GraphService] = []
     routes: list[GraphRoute] = []
     for section in ini.sections:
         if section.name == GRAPH_SECTION:
-            top = _values(path, _GRAPH_TABLE, section, faults)
+            graph_values = _read_section(path, _GRAPH_SCHEMA, section, faults)
         elif _ROUTE_NAME.fullmatch(section.name):
             routes += _read_route(path, section, faults)
         else:
-            found = _values(path, _SERVICE_TABLE, section, faults)
-            if len(found) == len(_SERVICE_TABLE.keys):
-                services.append(GraphService(name=section.name, **found))
-    if not top:
+            section_values = _read_section(path, _SERVICE_SCHEMA, section, faults)
+            if len(section_values) == len(_SERVICE_SCHEMA.keys):
+                services.append(GraphService(name=section.name, **section_values))
+    if not graph_values:
         expected = "a section [graph] with data centres and team"
         faults.append(Fault(path, GRAPH_SECTION, "", "", expected))
     if faults:
         return SettingsFaults(path, tuple(faults))
     name = path.rpartition("/")[2].removesuffix(".ini")
-    graph = Graph(name=name, services=tuple(services), routes=tuple(routes), **top)
-    faults += _check(path, graph)
+    graph = Graph(
+        name=name, services=tuple(services), routes=tuple(routes), **graph_values
+    )
+    faults += _validate_graph(path, graph)
     return SettingsFaults(path, tuple(faults)) if faults else graph
 
 
-def _values(
-    path: str, table: SectionSchema, section: Section, faults: list[Fault]
+def _read_section(
+    path: str, schema: SectionSchema, section: Section, faults: list[Fault]
 ) -> dict[str, Any]:
-    given = read_entries(path, table, section, faults)
-    return with_defaults(path, table, section, given, faults)
+    given = read_entries(path, schema, section, faults)
+    return with_defaults(path, schema, section, given, faults)
 
 
 def _read_route(path: str, section: Section, faults: list[Fault]) -> list[GraphRoute]:
     before = len(faults)
-    found = _values(path, _ROUTE_TABLE, section, faults)
+    section_values = _read_section(path, _ROUTE_SCHEMA, section, faults)
     if len(faults) > before:
         return []
-    match = found.pop("match")
+    match = section_values.pop("match")
     if len(match.methods) > 1 or match.pattern.count("*") > 1:
         expected = "one method and a path with at most one *"
         value = " ".join((*match.methods, match.pattern))
@@ -214,12 +216,12 @@
         service=service,
         method=method,
         pattern=match.pattern,
-        **found,
+        **section_values,
     )
     return [route]
 
 
-def _check(path: str, graph: Graph) -> list[Fault]:
+def _validate_graph(path: str, graph: Graph) -> list[Fault]:
     """Return the faults that only the whole graph shows."""
     faults = []
     services = {service.name for service in graph.services}
@@ -240,11 +242,11 @@
         expected = "shares that add up to 1"
         faults.append(Fault(path, "", "share", f"{total:g}", expected))
     if not faults:
-        faults += _check_depth(path, graph)
+        faults += _validate_depth(path, graph)
     return faults
 
 
-def _check_depth(path: str, graph: Graph) -> list[Fault]:
+def _validate_depth(path: str, graph: Graph) -> list[Fault]:
     expected = f"a chain of calls that ends after at most {MAX_DEPTH}"
     return [
         Fault(path, route.name, "calls", ", ".join(call_names(route)), expected)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bench/overload/test_overload.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bench/overload/test_overload.py
@@ -6,22 +6,22 @@
 
 from testtools import TestCase
 
-from fuchsiagap_standins.bench.overload.measure import recovery, wasted_work
+from fuchsiagap_standins.bench.overload.measure import recovery_time, wasted_work
 from fuchsiagap_standins.bench.overload.policies import POLICIES
-from fuchsiagap_standins.bench.overload.possible import (
-    most_in_any_order,
-    possible_rates,
-)
 from fuchsiagap_standins.bench.overload.records import RequestRecord
 from fuchsiagap_standins.bench.overload.run import run_once
 from fuchsiagap_standins.bench.overload.scenario import Scenario
+from fuchsiagap_standins.bench.overload.throughput_bounds import (
+    prioritized_rates,
+    unprioritized_throughput,
+)
 from fuchsiagap_standins.graphs import load_graph, slot_time
 
-_SLOW = {"bookings": 5.0}
+_SLOWDOWNS = {"bookings": 5.0}
 _ROUTE = load_graph("queensland").route("bookings/show")
 
 
-def a_request(sent_at: float, answered: bool = True) -> RequestRecord:
+def make_request(sent_at: float, answered: bool = True) -> RequestRecord:
     record = RequestRecord(_ROUTE, sent_at, work=[80.0], attempt_starts=[sent_at])
     if answered:
         record.answered_at = sent_at + 80.0
@@ -29,67 +29,69 @@
     return record
 
 
-class TestPossible(TestCase):
+class TestThroughputBounds(TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.graph = load_graph("queensland")
         self.offered = {r.name: 1_000.0 * r.share for r in self.graph.roots}
 
-    def test_more_important_routes_leave_what_they_do_not_need(self) -> None:
-        rates = possible_rates(self.graph, self.offered, _SLOW)
-        cost = slot_time(self.graph, self.graph.route("certs/issue"), _SLOW)
+    def test_less_important_routes_get_remaining_slots(self) -> None:
+        rates = prioritized_rates(self.graph, self.offered, _SLOWDOWNS)
+        slot_times = slot_time(self.graph, self.graph.route("certs/issue"), _SLOWDOWNS)
         slots = self.graph.service("bookings").total_slots
         self.assertAlmostEqual(
-            slots / (cost["bookings"] / 1_000.0), rates["certs/issue"]
+            slots / (slot_times["bookings"] / 1_000.0), rates["certs/issue"]
         )
         self.assertEqual(0.0, rates["results/lookup"])
 
-    def test_what_fits_is_possible_whole(self) -> None:
+    def test_load_within_capacity_is_answered_in_full(self) -> None:
         offered = {name: rate / 10.0 for name, rate in self.offered.items()}
-        self.assertEqual(offered, possible_rates(self.graph, offered, {}))
+        self.assertEqual(offered, prioritized_rates(self.graph, offered, {}))
 
-    def test_one_priority_shares_alike(self) -> None:
+    def test_routes_of_one_priority_get_equal_shares(self) -> None:
         graph = load_graph("dakar")
         offered = {r.name: 1_000.0 * r.share for r in graph.roots}
-        rates = possible_rates(graph, offered, {"device-registry": 5.0})
+        rates = prioritized_rates(graph, offered, {"device-registry": 5.0})
         shares = {
             round(rates[name] / offered[name], 9)
             for name in ("restore-desk/order", "billing-office/subscribe")
         }
         self.assertEqual(1, len(shares))
 
-    def test_any_order_bounds_the_declared_one(self) -> None:
-        total = sum(possible_rates(self.graph, self.offered, _SLOW).values())
-        bound = most_in_any_order(self.graph, self.offered, _SLOW, "bookings")
+    def test_unprioritized_throughput_exceeds_prioritized(self) -> None:
+        total = sum(prioritized_rates(self.graph, self.offered, _SLOWDOWNS).values())
+        bound = unprioritized_throughput(
+            self.graph, self.offered, _SLOWDOWNS, "bookings"
+        )
         self.assertGreater(bound, total)
 
 
 class TestMeasure(TestCase):
     scenario = Scenario(warm_up=6_000.0, surge=1_000.0, after=10_000.0)
 
-    def test_recovery_ends_where_goodput_stays(self) -> None:
+    def test_recovery_ends_when_goodput_is_stable(self) -> None:
         requests = [
-            a_request(float(at), answered=not 7_000 <= at < 8_500)
+            make_request(float(at), answered=not 7_000 <= at < 8_500)
             for at in range(0, 17_000, 10)
         ]
-        found = recovery(self.scenario, requests)
-        self.assertTrue(1_300.0 <= found <= 1_500.0, found)
+        elapsed = recovery_time(self.scenario, requests)
+        self.assertTrue(1_300.0 <= elapsed <= 1_500.0, elapsed)
 
-    def test_a_relapse_counts(self) -> None:
+    def test_relapse_extends_recovery(self) -> None:
         requests = [
-            a_request(float(at), answered=not 10_000 <= at < 10_500)
+            make_request(float(at), answered=not 10_000 <= at < 10_500)
             for at in range(0, 17_000, 10)
         ]
-        self.assertGreater(recovery(self.scenario, requests), 3_000.0)
+        self.assertGreater(recovery_time(self.scenario, requests), 3_000.0)
 
-    def test_service_that_never_returns_has_no_recovery(self) -> None:
+    def test_goodput_that_never_returns_gives_no_recovery_time(self) -> None:
         requests = [
-            a_request(float(at), answered=at < 7_000) for at in range(0, 17_000, 10)
+            make_request(float(at), answered=at < 7_000) for at in range(0, 17_000, 10)
         ]
-        self.assertIsNone(recovery(self.scenario, requests))
+        self.assertIsNone(recovery_time(self.scenario, requests))
 
-    def test_work_of_attempts_that_were_not_answered_is_wasted(self) -> None:
-        record = a_request(0.0)
+    def test_work_of_unanswered_attempts_is_wasted(self) -> None:
+        record = make_request(0.0)
         record.work = [60.0, 40.0]
         record.answered_by = 1
         self.assertEqual(0.6, wasted_work([record]))
@@ -110,7 +112,7 @@
 
 
 class TestRun(TestCase):
-    def test_the_same_seed_gives_the_same_figures(self) -> None:
+    def test_same_seed_gives_same_figures(self) -> None:
         graph = load_graph("dakar")
         scenario = Scenario(
             warm_up=600.0,
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_bad_input.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_bad_input.py
@@ -16,7 +16,7 @@
 from fuchsiagap_standins.answers import CallMark
 from fuchsiagap_standins.calling import ClientRequest, Ending, http_sender
 from fuchsiagap_standins.deployment import DeploymentSettings, run_deployment
-from fuchsiagap_standins.graphs import load_any_graph
+from fuchsiagap_standins.graphs import load_graph_or_file
 from fuchsiagap_standins.processes import process_group
 from fuchsiagap_standins.tests.bad_input import CUT_SHORT, FRAMES, HTTP, LARGE_FRAME
 
@@ -51,7 +51,7 @@
     with tempfile.TemporaryDirectory() as name:
         path = Path(name) / "small.ini"
         path.write_text(GRAPH)
-        cfg = DeploymentSettings(load_any_graph(str(path)), str(path))
+        cfg = DeploymentSettings(load_graph_or_file(str(path)), str(path))
         with trio.fail_after(60):
             async with (
                 process_group(Path(name)) as group,
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_processes.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_processes.py
@@ -31,7 +31,7 @@
     read_runs,
     run_deployment,
 )
-from fuchsiagap_standins.graphs import depth, load_any_graph
+from fuchsiagap_standins.graphs import depth, load_graph_or_file
 from fuchsiagap_standins.processes import (
     ProcessFailed,
     process_group,
@@ -147,7 +147,7 @@
             folder = Path(name)
             path = folder / "deep.ini"
             path.write_text(deep_graph())
-            graph = load_any_graph(str(path))
+            graph = load_graph_or_file(str(path))
             cfg = DeploymentSettings(graph, str(path), instances=3)
             with trio.fail_after(60):
                 async with (
