--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/__init__.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/__init__.py
@@ -1,9 +1,9 @@
-"""Benches: experiments that measure decisions, each a module or package of its own.
+"""Benchmarks and simulations, each in its own module or package.
 
 Each bench is ``fuchsiagap_standins.bench.NAME`` with a function
-``main(argv: list[str]) -> int``, where `argv` is what follows its name on the command
-line and the result is the exit status. The benches are imported by name, so that one
-that is being worked on doesn't break the others.
+``main(argv: list[str]) -> int``, where `argv` holds the arguments that follow the name
+on the command line and the result is the exit status. A bench is imported only when it
+runs, so that an error in one does not break the others.
 
 Examples
 --------
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/__main__.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Run a bench by its name: ``python -m fuchsiagap_standins.bench NAME [FLAGS]``."""
+"""Run a bench by name: ``python -m fuchsiagap_standins.bench NAME [FLAGS]``."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 
 
 def main(argv: list[str]) -> int:
-    """Run the bench that the first argument names.
+    """Run the bench named by the first argument.
 
     Parameters
     ----------
     argv : list of str
-        Name of the bench and its flags.
+        Name of the bench, followed by its flags.
 
     Returns
     -------
     int
-        Exit status of the bench; 2 if there is no such bench.
+        Exit status of the bench; 2 if the name is unknown.
     """
     name = argv[0] if argv else ""
     module_name = f"{__package__}.{name}"
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/control.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/control.py
@@ -1,7 +1,7 @@
-"""The cost of control on real node processes, against the number of nodes.
+"""Measure the cost of the control plane of node processes by number of nodes.
 
-Each size runs three phases: nothing changes; the team's settings change; nodes are
-killed and started again. Slopes over the sizes are fitted by least squares.
+Each size runs three phases: no changes, changes of the team's settings, and restarts
+of a killed node. Lines over the sizes are fitted by least squares.
 """
 
 from __future__ import annotations
@@ -40,33 +40,34 @@
 _SETTLE_TIMEOUT_S = 90.0
 _N_SEED_PEERS = 6
 _STAMP_UNITS_PER_MS = 65_536.0
-_MB = 1e6
-_KB = 1e3
+_BYTES_PER_MB = 1e6
+_BYTES_PER_KB = 1e3
 
 
 @dataclass(frozen=True, slots=True)
 class ControlFigures:
-    """What control costs at one size; means over the nodes.
+    """Cost of the control plane in one phase; averages over the nodes.
 
     Parameters
     ----------
     nodes : int
-        Node processes.
+        Number of node processes.
     phase : str
         ``idle``, ``settings`` or ``membership``.
     cpu_percent : float
-        Of one core, a node.
+        CPU time of a node, in per cent of one core.
     memory_mb : float
-        Resident memory of a node, interpreter and libraries included.
+        Resident memory of a node in MB, including interpreter and libraries.
     sent_kb_per_s : float
-        Bytes a node sends to other nodes.
+        Data that a node sends to other nodes, in kB per second.
     platform_calls_per_s : float
-        Calls to the platform, of all nodes together.
+        Calls to the platform per second, summed over the nodes.
     in_force_ms : float
-        From the platform's answer until a change is in force on the last node; the
-        worst of the changes; 0 in other phases.
+        Longest time in milliseconds from the platform's response to a settings change
+        until the last node has adopted it; 1e9 if a node has not adopted it. 0 in
+        the other phases.
     changes : int
-        Changes made in the phase.
+        Number of changes made in the phase.
     """
 
     nodes: int
@@ -81,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Totals:
-    """Totals at one moment."""
+    """Cumulative counters at one point in time; `cpu` and `sent` are node averages."""
 
     at: Milliseconds
     cpu: Milliseconds
@@ -91,7 +92,7 @@
 
 @dataclass(slots=True)
 class _Fleet:
-    """Nodes that run."""
+    """Running nodes and the addresses of their platform and backend server."""
 
     group: ProcessGroup
     client: httpx.AsyncClient
@@ -124,7 +125,7 @@
                 nursery.start_soon(start, host)
 
     async def wait_until_settled(self) -> None:
-        """Wait until each node knows all of them."""
+        """Wait until each node sees all nodes as alive."""
         with trio.fail_after(_SETTLE_TIMEOUT_S):
             for host in self.hosts:
                 while await self._n_alive(host) < len(self.hosts):
@@ -139,7 +140,7 @@
         return int(status["member_counts"].get("alive", 0))
 
     async def put_settings(self) -> tuple[int, Milliseconds]:
-        """Write new settings; return their version and when the platform answered."""
+        """Write new settings; return their version and the time of the response."""
         self.version += 1
         text = (
             f"[team]\n[echo]\n[echo/read]\nmatch = GET /*\npriority = 5\n"
@@ -150,7 +151,10 @@
         return int(response.headers["etag"].strip('"')), _wall_clock_ms()
 
     async def adopted_at(self, host: Place, version: int) -> Milliseconds | None:
-        """Return the time of day when a node adopted a version or a higher one."""
+        """Return the wall-clock time at which a node adopted `version` or later.
+
+        None if the node has not adopted it.
+        """
         url = f"http://{host.admin}/v1/events?limit=10000"
         events = (await self.client.get(url)).json()["events"]
         times = [
@@ -184,7 +188,7 @@
     def mean_memory_mb(self) -> float:
         running = self.group.running
         pids = [p.pid for n, p in running.items() if n.startswith("node")]
-        return fmean(map(memory_bytes, pids)) / _MB
+        return fmean(map(memory_bytes, pids)) / _BYTES_PER_MB
 
 
 def _wall_clock_ms() -> Milliseconds:
@@ -215,7 +219,10 @@
 
 
 async def _measure_membership(fleet: _Fleet, seconds: float) -> ControlFigures:
-    """Kill a node every three seconds and start it again; victims are not measured."""
+    """Kill and restart a node every three seconds.
+
+    Its first restart happens before the measurement starts.
+    """
     n_changes = 0
     restarted_hosts = fleet.hosts[-1:]
     for host in restarted_hosts:
@@ -249,7 +256,7 @@
         phase=phase,
         cpu_percent=100.0 * (after.cpu - before.cpu) / MS_PER_S / seconds,
         memory_mb=fleet.mean_memory_mb(),
-        sent_kb_per_s=(after.sent - before.sent) / seconds / _KB,
+        sent_kb_per_s=(after.sent - before.sent) / seconds / _BYTES_PER_KB,
         platform_calls_per_s=(after.platform_calls - before.platform_calls) / seconds,
         in_force_ms=in_force,
         changes=changes,
@@ -257,7 +264,7 @@
 
 
 async def run_size(n_nodes: int, seconds: float) -> list[ControlFigures]:
-    """Run one size; see `ControlFigures`."""
+    """Measure all three phases with `n_nodes` nodes, each for `seconds` seconds."""
     with tempfile.TemporaryDirectory() as folder:
         async with (
             process_group(Path(folder), stop_limit=20_000.0) as group,
@@ -291,7 +298,7 @@
 
 
 def fit_slope(xs: Sequence[float], ys: Sequence[float]) -> tuple[float, float]:
-    """Return slope and intercept of the least-squares line."""
+    """Return slope and intercept of the least-squares line through the points."""
     mean_x, mean_y = fmean(xs), fmean(ys)
     spread = sum((x - mean_x) ** 2 for x in xs)
     if spread == 0.0:
@@ -337,13 +344,16 @@
 
 
 def main(argv: Sequence[str]) -> int:
-    """Run the bench; ``--json`` prints one line of JSON."""
+    """Run the bench and print the fitted lines, or all figures with ``--json``."""
     flag_values = new_flags()
     flags.DEFINE_bool("json", False, "print one line of JSON", flag_values=flag_values)
     flags.DEFINE_list(
-        "nodes", ["10", "20", "40"], "sizes to run", flag_values=flag_values
+        "nodes",
+        ["10", "20", "40"],
+        "numbers of nodes to run with",
+        flag_values=flag_values,
     )
-    flags.DEFINE_float("seconds", 10.0, "length of each phase", flag_values=flag_values)
+    flags.DEFINE_float("seconds", 10.0, "seconds per phase", flag_values=flag_values)
     parse_flags(flag_values, ["control", *argv], __doc__ or "")
     values = flag_values.flag_values_dict()
     sizes = [int(size) for size in values["nodes"]]
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/operators.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/operators.py
@@ -1,4 +1,4 @@
-"""What the operators' program costs against many nodes.
+"""Measure the cost of the operator commands against many nodes.
 
 Examples
 --------
@@ -31,12 +31,16 @@
     from collections.abc import Sequence
 
 _COMMANDS = (("status",), ("timeline", "--call=0000000000000001", "--json"))
-_KB = 1024
+_KIB_PER_MIB = 1024
 
 _FLAGS = new_flags()
-_NODES = flags.DEFINE_list("nodes", ["100", "400"], "How many.", flag_values=_FLAGS)
-_EVENTS = flags.DEFINE_integer("events", 200, "Events of each.", flag_values=_FLAGS)
-_JSON = flags.DEFINE_bool("json", False, "One JSON object a line.", flag_values=_FLAGS)
+_NODES = flags.DEFINE_list(
+    "nodes", ["100", "400"], "Numbers of nodes.", flag_values=_FLAGS
+)
+_EVENTS = flags.DEFINE_integer("events", 200, "Events per node.", flag_values=_FLAGS)
+_JSON = flags.DEFINE_bool(
+    "json", False, "Print one JSON object per line.", flag_values=_FLAGS
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,15 +50,15 @@
     Parameters
     ----------
     command : str
-        Its first word.
+        First word of the command.
     nodes, events : int
-        How many nodes it asked, and how many events each of them sent.
+        Number of nodes queried, and of events that each returned.
     seconds, cpu_seconds : float
-        Time it took, and CPU of the program itself.
+        Elapsed time and CPU time of the command, in seconds.
     cpu_ms_per_node : float
-        CPU by node.
+        CPU time per node, in milliseconds.
     peak_mb : float
-        Resident memory of the bench at its highest until then.
+        Peak resident memory of the bench process so far, in MiB.
     """
 
     command: str
@@ -67,19 +71,19 @@
 
 
 async def measure(n_nodes: int, n_events: int, folder: Path) -> list[CommandCost]:
-    """Run each command once against so many nodes.
+    """Run each command once against simulated admin endpoints.
 
     Parameters
     ----------
     n_nodes, n_events : int
-        Nodes, and events of each.
+        Number of nodes, and of events per node.
     folder : Path
-        For the stand-in's output.
+        Directory for the output of the simulated nodes.
 
     Returns
     -------
     list of CommandCost
-        One for each command.
+        Costs in the order of the commands.
     """
     async with process_group(folder) as group:
         sizes = (f"--nodes={n_nodes}", f"--events={n_events}")
@@ -99,7 +103,7 @@
     cpu_s = time.process_time() - cpu_started_s
     elapsed_s = time.perf_counter() - started_s
     if code is not ExitCode.DONE:
-        raise RuntimeError(f"{' '.join(command)} ended with {code!r}")
+        raise RuntimeError(f"{' '.join(command)} exited with {code!r}")
     return CommandCost(
         command=command[0],
         nodes=n_nodes,
@@ -107,13 +111,15 @@
         seconds=round(elapsed_s, 3),
         cpu_seconds=round(cpu_s, 3),
         cpu_ms_per_node=round(cpu_s * MS_PER_S / n_nodes, 3),
-        peak_mb=round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / _KB, 1),
+        peak_mb=round(
+            resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / _KIB_PER_MIB, 1
+        ),
     )
 
 
 def main(argv: Sequence[str]) -> int:
-    """Measure and print; with ``--json`` one object a line."""
-    parse_flags(_FLAGS, ["operators", *argv], "Cost of the operators' program.")
+    """Measure and print the costs; ``--json`` prints one JSON object per line."""
+    parse_flags(_FLAGS, ["operators", *argv], "Cost of the operator commands.")
     with tempfile.TemporaryDirectory(prefix="fuchsiagap-bench-") as name:
         for n_nodes in map(int, _NODES.value):
             run = partial(measure, n_nodes, _EVENTS.value, Path(name))
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/__init__.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/__init__.py
@@ -1,12 +1,12 @@
-"""The overload experiment: the nodes' real decisions under a virtual clock.
+"""Simulate overload of a service graph on a virtual clock.
 
-Real are the entry, dispatch, routing, retry, ticket and admission code; fake are the
-links between nodes, the backend servers and the callers.
+The nodes run the real entry, dispatch, routing, retry, ticket and admission code. The
+links between nodes, the backend servers and the callers are simulated.
 
 See Also
 --------
-fuchsiagap_standins.bench.overload.scenario : What happens in a run.
-fuchsiagap_standins.bench.overload.policies : What is weighed.
+fuchsiagap_standins.bench.overload.scenario : Demand and slowdown over time.
+fuchsiagap_standins.bench.overload.policies : Node settings that are compared.
 """
 
 from fuchsiagap_standins.bench.overload.cli import main
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/backends.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/backends.py
@@ -1,4 +1,4 @@
-"""A backend server in memory: slots, a queue of its own, calls of its own."""
+"""Simulated backend server with slots, a queue and calls to other services."""
 
 from __future__ import annotations
 
@@ -31,29 +31,34 @@
 
 
 class SimulatedBackend:
-    """One backend server.
+    """Simulated backend server of a service.
 
-    It works on `slots` calls at a time and queues the rest inside, up to its
-    connections, so that a call that is over its slots looks like a slow one.
+    It runs `slots` calls concurrently and queues further calls up to its number of
+    connections. To a node, a queued call is indistinguishable from a slow one.
 
     Parameters
     ----------
     graph : Graph
-        The call graph.
+        Service graph.
     service : GraphService
-        What it is an instance of.
+        Service that it is an instance of.
     scenario : Scenario
-        When it is slow.
+        Gives the slowdown over time and the kind of load reports.
     policy : BenchPolicy
-        Whether it retries, and whether it stops what is given up.
+        Gives its retries, and whether it cancels abandoned calls.
     records : Records
-        Where its work is counted.
+        Records of the run, to which its work is added.
     tick_scheduler : TickScheduler
-        By which it works.
+        Time source of its work.
     rng : random.Random
-        Source of service times.
+        Generator for service times.
     nursery : trio.Nursery
-        Where calls run on that were given up but don't stop.
+        Runs abandoned calls if the policy does not cancel them.
+
+    Attributes
+    ----------
+    node : NodeState or None
+        Node of its host, through which it calls other services. Set after creation.
     """
 
     def __init__(
@@ -81,7 +86,7 @@
         self.node: NodeState | None = None
 
     async def load(self) -> BackendLoad:
-        """Report slots and calls, as the scenario has it."""
+        """Return the load report; the scenario may scale the reported slots."""
         slots = int(
             self._service.slots * _REPORTED_SLOTS_FACTORS[self._scenario.reports]
         )
@@ -95,15 +100,15 @@
     async def send(
         self, head: CallHead, body: bytes, remaining: Milliseconds
     ) -> Outcome:
-        """Run one call."""
+        """Run one call, or refuse it if all connections are in use."""
         if self._n_connections >= self._service.connections:
-            return Refused(Reason.BACKEND_REFUSED, detail="all connections are taken")
+            return Refused(Reason.BACKEND_REFUSED, detail="all connections are in use")
         if self._policy.cancels:
             return await self._run(head)
         return await self._run_detached(head)
 
     async def _run_detached(self, head: CallHead) -> Outcome:
-        """Run a call that goes on when nobody waits for it any more."""
+        """Run a call that continues after the caller has cancelled it."""
         done = trio.Event()
         outcomes: list[Outcome] = []
 
@@ -143,7 +148,7 @@
         return self._make_answer(head)
 
     def _count_run(self, head: CallHead) -> None:
-        """Count a run that had an effect; a refused one had none."""
+        """Count a non-idempotent run; a second one of a call is a violation."""
         if head.idempotent:
             return
         key = (head.root_id, head.child_key)
@@ -155,7 +160,7 @@
         return Answered(200, (), head.root_id.encode())
 
     async def _work(self, head: CallHead, work: Milliseconds) -> None:
-        """Work on a call, and count what was done even if it is cut short."""
+        """Work on a call and record the time spent, also if it is cancelled."""
         started = self._ticks.now()
         try:
             await self._ticks.sleep(
@@ -170,7 +175,7 @@
     async def _call_stage(
         self, head: CallHead, stage: tuple[str, ...]
     ) -> Outcome | None:
-        """Make the calls of one stage; return how the first that failed ended."""
+        """Make the calls of a stage concurrently; return the first failure, if any."""
         if len(stage) == 1:
             return _failed_response(await self._call(head, stage[0]))
         failures: list[Outcome] = []
@@ -187,7 +192,7 @@
         return failures[0] if failures else None
 
     async def _call(self, head: CallHead, name: str) -> Outcome:
-        """Call another service through the node of this host."""
+        """Call another service through the local node, with the policy's retries."""
         assert self.node is not None
         route = self._routes[name]
         req = CallRequest(
@@ -207,11 +212,13 @@
 
 
 def _failed_response(outcome: Outcome) -> Outcome | None:
-    """Return what a server answers if a call of its own ended so; None if well."""
+    """Return the response of a server to a failed call of its own; None on success."""
     if isinstance(outcome, Answered):
         return None if outcome.status < _BAD_GATEWAY else outcome
     if isinstance(outcome, Refused):
-        return Refused(Reason.BACKEND_REFUSED, detail="a call of its own was refused")
+        return Refused(
+            Reason.BACKEND_REFUSED, detail="a call to another service was refused"
+        )
     if isinstance(outcome, Unknown):
-        return Answered(_BAD_GATEWAY, (), b"a call of its own failed")
+        return Answered(_BAD_GATEWAY, (), b"a call to another service failed")
     raise AssertionError(outcome)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/callers.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/callers.py
@@ -1,4 +1,4 @@
-"""Callers: open loop, short timeouts, hard retries."""
+"""Open-loop load generation with short timeouts and many retries."""
 
 from __future__ import annotations
 
@@ -36,26 +36,26 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class CallerContext:
-    """All that the callers of a run share.
+    """Shared state of all callers of a run.
 
     Parameters
     ----------
     graph : Graph
-        What they ask for, and their distance.
+        Service graph with the requested routes and the network delays.
     scenario : Scenario
-        When they ask how much.
+        Demand over time and number of retries.
     policy : BenchPolicy
-        Whether there are tickets.
+        Policy that tells whether non-idempotent requests need tickets.
     fleet : Fleet
-        The nodes they ask.
+        Nodes that receive the requests.
     records : Records
-        Where each request is recorded.
+        Records of the run.
     clock : Clock
         Clock of the run.
     rng : random.Random
-        Source of arrivals, routes and entry nodes.
+        Generator for arrivals, routes, entry nodes and pauses.
     timeouts : dict
-        How long they wait for one attempt, by route.
+        Timeout of one attempt in ms, by route name.
     """
 
     graph: Graph
@@ -77,7 +77,7 @@
     clock: Clock,
     seed: int,
 ) -> CallerContext:
-    """Return the callers of a run, whose timeouts fit the graph at rest."""
+    """Create the callers of a run, with timeouts from the chain times without load."""
     timeouts = {
         route.name: caller_timeout(route, chain_time(graph, route))
         for route in graph.roots
@@ -87,7 +87,7 @@
 
 
 async def run_callers(context: CallerContext) -> None:
-    """Send requests at the scenario's rate, until the last has ended."""
+    """Send requests at the scenario's rate and wait until the last has ended."""
     capacity = capacity_per_s(context.graph)
     scenario = context.scenario
     next_arrival = 0.0
@@ -103,7 +103,7 @@
 
 
 async def _send_request(context: CallerContext, route: GraphRoute) -> None:
-    """Make one client request with all its attempts."""
+    """Send one client request and retry it until it succeeds or may not be retried."""
     record = RequestRecord(route, context.clock.now())
     context.records.requests.append(record)
     own_headers, root_id = _make_identity(context, route)
@@ -121,11 +121,11 @@
             return
         record.last_reason = _failure_reason(outcome)
         if not isinstance(outcome, Refused):
-            # From now on a copy may have run, and the nodes have to be told.
+            # This attempt may have run, so later ones are marked as repeats.
             own_headers = {**own_headers, call_headers.REPEAT: "1"}
         if not allowance.take():
             return
-        # The way back, a short pause, and the way to another node.
+        # Network delay of the response, a pause, and network delay to another node.
         pause = context.rng.uniform(_MIN_RETRY_PAUSE_MS, _MAX_RETRY_PAUSE_MS)
         delay = 2.0 * context.graph.to_clients + pause
 
@@ -137,12 +137,13 @@
     number: int,
     allowance: Allowance,
 ) -> Outcome:
-    """Ask a random node once.
+    """Send one attempt to a random node.
 
-    The node gives up when the caller does, since the deadline is the caller's.
+    The deadline of the call is the caller's timeout, so the node stops when the caller
+    does.
     """
     timeout = context.timeouts[route.name] - 2.0 * context.graph.to_clients
-    # Each retry of the caller's own is paid for beforehand.
+    # The caller's own retries have already been taken from the allowance.
     share = allowance.lend_up_to(min(route.attempts, allowance.remaining))
     req = CallRequest(
         service=context.graph.service_name(route),
@@ -165,7 +166,11 @@
 def _make_identity(
     context: CallerContext, route: GraphRoute
 ) -> tuple[dict[str, str], str]:
-    """Return the headers that name the request, and its root id."""
+    """Return the headers that identify the request, and its root id.
+
+    A non-idempotent request gets a ticket, which is also its root id, if the policy has
+    tickets.
+    """
     if route.idempotent or not context.policy.at_most_once:
         root_id = f"{context.rng.getrandbits(64):016x}"
         return {call_headers.ROOT: root_id, call_headers.REPEAT: "0"}, root_id
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/cli.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/cli.py
@@ -1,4 +1,4 @@
-"""Command line of the overload experiment."""
+"""Command line of the overload bench."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 
 def main(argv: list[str]) -> int:
-    """Run the overload experiment once.
+    """Run the overload bench once and print its results.
 
     Parameters
     ----------
     argv : list of str
-        Flags, without the name of the program.
+        Flags without the program name.
 
     Returns
     -------
     int
-        Exit status: 0 for a run without violations, 1 otherwise, 2 for bad flags.
+        0 for a run without violations, 1 with violations, 2 for invalid flags.
     """
     values = _define_flags()
     try:
@@ -62,27 +62,40 @@
 def _define_flags() -> Any:
     values = flags.FlagValues()  # type: ignore[no-untyped-call]
     for name, default, choices, doc in (
-        ("graph", "queensland", list(GRAPHS), "The call graph."),
-        ("policy", "full", sorted(POLICIES), "How the nodes decide."),
-        ("reports", "honest", ["honest", "high", "low"], "Slots that are reported."),
+        ("graph", "queensland", list(GRAPHS), "Service graph."),
+        ("policy", "full", sorted(POLICIES), "Policy of the nodes."),
+        (
+            "reports",
+            "honest",
+            ["honest", "high", "low"],
+            "Slots that backend servers report.",
+        ),
     ):
         flags.DEFINE_enum(name, default, choices, doc, flag_values=values)
     for name, number, doc in (
-        ("surge", 30.0, "Seconds of the surge."),
-        ("after", 10.0, "Seconds after the surge."),
+        ("surge", 30.0, "Duration of the surge in seconds."),
+        ("after", 10.0, "Seconds to run after the surge."),
         ("factor", 3.0, "Demand in the surge, as a multiple of the capacity."),
-        ("slowness", 5.0, "Factor on the times of the slow service."),
-        ("base_load", 0.7, "Demand before and after, as a share of the capacity."),
+        ("slowness", 5.0, "Slowdown factor of the slow service."),
+        ("base_load", 0.7, "Demand outside the surge, as a share of the capacity."),
     ):
         flags.DEFINE_float(name, number, doc, flag_values=values)
-    flags.DEFINE_integer("seed", 1, "Seed of the run.", flag_values=values)
-    flags.DEFINE_integer("retries", 4, "Retries of each caller.", flag_values=values)
+    flags.DEFINE_integer("seed", 1, "Random seed.", flag_values=values)
+    flags.DEFINE_integer("retries", 4, "Retries per request.", flag_values=values)
     flags.DEFINE_string(
-        "slow_service", "", "Default: the deep one.", flag_values=values
+        "slow_service",
+        "",
+        "Slow service; by default the deep service of the graph.",
+        flag_values=values,
     )
     flags.DEFINE_bool("json", False, "Print one line of JSON.", flag_values=values)
-    flags.DEFINE_bool("trace", False, "Print each gate over time.", flag_values=values)
-    flags.DEFINE_bool("series", False, "Add goodput over time.", flag_values=values)
+    flags.DEFINE_bool(
+        "trace",
+        False,
+        "Print the state of each admission gate over time.",
+        flag_values=values,
+    )
+    flags.DEFINE_bool("series", False, "Print goodput over time.", flag_values=values)
     return values
 
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/fleet.py
@@ -1,4 +1,4 @@
-"""The nodes of a graph at the brief's sizes, with fakes in place of the network."""
+"""Create the nodes of a service graph with simulated links and backend servers."""
 
 from __future__ import annotations
 
@@ -44,16 +44,16 @@
 
 @dataclass(slots=True, eq=False)
 class Fleet:
-    """All nodes of a run.
+    """Nodes of a run.
 
     Parameters
     ----------
     tick_scheduler : TickScheduler
-        By which the run sleeps.
+        Scheduler for all sleeps of the run.
     nodes : list of NodeState
-        In the order of the graph's services.
+        Nodes in the order of the graph's services.
     by_address : dict
-        The same, by the address other nodes know.
+        Nodes by peer address.
     """
 
     tick_scheduler: TickScheduler
@@ -62,7 +62,10 @@
 
 
 class SimulatedPeers:
-    """Passes messages to other nodes as they are, after the graph's delay."""
+    """Delivers messages directly to other nodes.
+
+    Messages between data centres take `delay` ms, messages within one take no time.
+    """
 
     def __init__(self, fleet: Fleet, cfg: NodeConfig, delay: Milliseconds) -> None:
         self._fleet = fleet
@@ -70,17 +73,17 @@
         self._delay = delay
 
     def drop(self, address: str) -> None:
-        """Close no link: there are none."""
+        """Do nothing; there are no links."""
 
     def linked(self) -> tuple[str, ...]:
-        """Return no links."""
+        """Return an empty tuple; there are no links."""
         return ()
 
     async def notify_linked(self, message: object) -> None:
-        """Drop a message: the bench has no use for notices."""
+        """Discard a notification; the bench does not use notifications."""
 
     async def ask(self, address: str, message: object) -> object:
-        """Have another node handle a message, and return its reply."""
+        """Let another node handle a message and return its reply."""
         node = self._fleet.by_address[address]
         is_far = node.cfg.data_centre != self._cfg.data_centre
         if is_far:
@@ -91,7 +94,7 @@
         return reply
 
     async def notify(self, address: str, message: object) -> None:
-        """Drop a message: the bench has no use for notices."""
+        """Discard a notification; the bench does not use notifications."""
 
 
 async def open_fleet(
@@ -103,29 +106,29 @@
     seed: int,
     nursery: trio.Nursery,
 ) -> Fleet:
-    """Put the nodes together and start their tasks.
+    """Create the nodes and start their tasks.
 
     Parameters
     ----------
     graph : Graph
-        Services, instances and where they run.
+        Services, their instances and data centres.
     scenario : Scenario
-        When which backend server is slow.
+        Slowdown of the backend servers over time.
     policy : BenchPolicy
-        How the nodes decide.
+        Settings of the nodes.
     records : Records
-        Where is counted.
+        Records of the run.
     clock : Clock
         Clock of the run.
     seed : int
-        Seed of all random choices.
+        Random seed.
     nursery : trio.Nursery
-        Where the tasks run.
+        Runs the tasks of the nodes.
 
     Returns
     -------
     Fleet
-        Nodes that know each other and the team's settings.
+        Nodes that know all members and have adopted the team's settings.
     """
     fleet = Fleet(TickScheduler(clock))
     nursery.start_soon(fleet.tick_scheduler.run)
@@ -194,16 +197,16 @@
 
 
 def _no_dial(nursery: trio.Nursery) -> Dial:
-    """Return what nobody dials with: the fake peers need no links."""
+    """Return a placeholder; the simulated peers open no links."""
     return cast("Dial", None)
 
 
 async def _no_listen(take: object) -> None:
-    """Listen to nobody."""
+    """Do nothing; the nodes accept no links."""
 
 
 async def _run_gate_steps(node: NodeState, tick_scheduler: TickScheduler) -> None:
-    """Let the gate adjust itself, each node at a moment of its own."""
+    """Run the gate's periodic step, with a random phase per node."""
     step = node.cfg.gate.step_ms
     await tick_scheduler.sleep(node.rng.random() * step)
     while True:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/measure.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/measure.py
@@ -1,4 +1,4 @@
-"""Figures of one run."""
+"""Results of one run, computed from its records."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def figures(graph: Graph, scenario: Scenario, records: Records) -> dict[str, Any]:
-    """Return the figures of a run by the names of the JSON keys."""
+    """Return the results of a run by JSON key."""
     surge = [r for r in records.requests if scenario.is_surge(r.sent_at)]
     answered_requests = [r for r in surge if _is_answered_in_surge(r, scenario)]
     offered = _rates_by_route(graph, surge, scenario.surge)
@@ -69,7 +69,7 @@
 
 
 def attempts_bound(graph: Graph, scenario: Scenario, route_name: str) -> int:
-    """Return the most calls that one client request may cause over its chain."""
+    """Return the maximum number of calls that one client request may cause."""
     route = graph.route(route_name)
     attempts = scenario.caller_retries + 1
     return attempts * count_calls(graph, route) + route.attempts
@@ -78,15 +78,16 @@
 def recovery_time(
     scenario: Scenario, requests: Sequence[RequestRecord]
 ) -> float | None:
-    """Return the milliseconds from the end of the surge until goodput is back.
+    """Return the time from the end of the surge until goodput has recovered.
 
     Goodput is the share of the requests sent in a window of 1 s that were answered
-    in time. It is back when it stays at 0.95 of that before the surge for 5 s.
+    in time. It has recovered when it stays at or above 0.95 of its value before the
+    surge for 5 s.
 
     Returns
     -------
     float or None
-        None if it did not come back within the run.
+        Milliseconds; None if goodput did not recover within the run.
     """
     before = _answered_share(
         requests, scenario.surge_start - _BASELINE_MS, scenario.surge_start - _WINDOW_MS
@@ -107,7 +108,7 @@
 def goodput_over_time(
     requests: Sequence[RequestRecord], end: Milliseconds, bin_ms: Milliseconds
 ) -> list[float]:
-    """Return whole requests answered in time a second, by when they were sent."""
+    """Return the requests answered in time per second, binned by time of sending."""
     bins = [0] * int(end / bin_ms)
     for record in requests:
         index = int(record.sent_at / bin_ms)
@@ -117,14 +118,14 @@
 
 
 def wasted_work(requests: Sequence[RequestRecord]) -> float:
-    """Return the share of the work that no answer came from."""
+    """Return the share of backend work that did not contribute to an answer in time."""
     total = sum(sum(r.work) for r in requests)
     useful = sum(r.useful_work for r in requests)
     return round(1.0 - useful / total, 4) if total else 0.0
 
 
 def _is_answered_in_surge(record: RequestRecord, scenario: Scenario) -> bool:
-    """Whether a request was answered in time by an attempt begun in the surge."""
+    """Whether a request was answered in time by an attempt sent during the surge."""
     if record.answered_at is None:
         return False
     return scenario.is_surge(record.attempt_starts[record.answered_by])
@@ -147,7 +148,7 @@
 
 
 def _failed_share_by_priority(requests: Sequence[RequestRecord]) -> dict[str, float]:
-    """Return the share of unanswered requests by priority."""
+    """Return the share of requests without an answer in time, by priority."""
     sent: Counter[int] = Counter()
     failed: Counter[int] = Counter()
     for record in requests:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/metered_gate.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/metered_gate.py
@@ -1,4 +1,4 @@
-"""The gate as the bench sees it: the real one, with what passes it counted."""
+"""Admission gate that also counts calls and priority inversions."""
 
 from __future__ import annotations
 
@@ -19,18 +19,19 @@
 
 
 class MeteredGate(Gate):
-    """A gate that counts calls by request, and priority inversions.
+    """Admission gate that counts calls per request and priority inversions.
 
-    An inversion is a call that passes here while, at most one step earlier, a more
-    important call was refused here for want of places: by the gate's own level or by
-    its queue, whatever the routes; or by a level below, for calls of the same route.
+    An inversion is the admission of a call less than one gate step after a more
+    important call was refused for overload. A refusal by the gate's own level or queue
+    counts for calls of all routes, a refusal by the reported level of a downstream
+    service only for calls of the same route.
 
     Parameters
     ----------
     cfg, clock, rng
         As for `Gate`.
     records : Records
-        Where is counted.
+        Records of the run.
     """
 
     def __init__(
@@ -44,11 +45,12 @@
         self._records = records
         self._bench_clock = clock
         self._step_ms = cfg.step_ms
-        # When a call of a priority was last refused for overload, by what shut it out.
+        # Time of the last refusal for overload by priority; the outer key is the route
+        # for refusals by a downstream level, otherwise _LOCAL_SCOPE.
         self._refused_at: dict[str, dict[int, Milliseconds]] = {}
 
     async def enter(self, head: CallHead) -> Admitted | Refused:
-        """Count a call, and let it through the real gate."""
+        """Count a call and pass it to the real gate."""
         record = self._records.by_root.get(head.root_id)
         if record is not None:
             record.calls += 1
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/plots.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/plots.py
@@ -1,4 +1,4 @@
-"""Plot goodput over time by policy from the file that `rounds` has written.
+"""Plot goodput over time by policy from a file written by `rounds`.
 
 ``python -m fuchsiagap_standins.bench.overload.plots ROUNDS.json FOLDER``
 """
@@ -20,22 +20,22 @@
 from matplotlib import pyplot as plt
 
 _BIN_S = 0.5
-_SIZE = (7.0, 3.2)
+_FIGURE_SIZE_INCHES = (7.0, 3.2)
 
 
 def plot(results: list[dict[str, Any]], graph: str, path: Path) -> None:
-    """Draw one graph's goodput over time: the median over seeds, one line a policy.
+    """Plot goodput over time for one service graph, as median over seeds per policy.
 
     Parameters
     ----------
-    found : list of dict
-        What `rounds` wrote.
+    results : list of dict
+        Results written by `rounds`.
     graph : str
-        Whose runs are drawn.
+        Name of the service graph.
     path : Path
         SVG file to write.
     """
-    fig, axes = plt.subplots(figsize=_SIZE)
+    fig, axes = plt.subplots(figsize=_FIGURE_SIZE_INCHES)
     rows = [row for row in results if row["graph"] == graph]
     scenario = Scenario(surge=rows[0].get("surge", Scenario().surge))
     for policy in dict.fromkeys(row["policy"] for row in rows):
@@ -50,9 +50,9 @@
         label="surge",
     )
     possible = statistics.median(row["possible_per_s"] for row in rows)
-    axes.axhline(possible, color="0.4", linestyle=":", label="possible in the surge")
-    axes.set_xlabel("seconds, by when a request was first sent")
-    axes.set_ylabel("answered in time a second")
+    axes.axhline(possible, color="0.4", linestyle=":", label="maximum in the surge")
+    axes.set_xlabel("time of the first attempt (s)")
+    axes.set_ylabel("requests answered in time per second")
     axes.set_title(graph)
     axes.legend(fontsize=7, ncol=2)
     fig.tight_layout()
@@ -61,7 +61,18 @@
 
 
 def main(argv: list[str]) -> int:
-    """Plot each graph of a file of rounds."""
+    """Write one SVG file per service graph.
+
+    Parameters
+    ----------
+    argv : list of str
+        JSON file written by `rounds`, and output directory.
+
+    Returns
+    -------
+    int
+        Exit status.
+    """
     results = json.loads(Path(argv[0]).read_text())
     folder = Path(argv[1])
     plt.rcParams["svg.hashsalt"] = "fuchsiagap"
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/policies.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/policies.py
@@ -1,4 +1,4 @@
-"""The policies that are weighed: settings of the same code."""
+"""Policies that the overload bench compares: settings of the same code."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 
 @dataclass(frozen=True, slots=True)
 class BenchPolicy:
-    """A policy of the nodes, and what it means for the servers around them.
+    """Settings of the nodes, and behaviour of the backend servers that goes with them.
 
     Parameters
     ----------
     gate, levels, routing, retries
         Settings of the nodes.
     at_most_once : bool
-        Whether the graph's non-idempotent routes are declared as such; plain
+        Whether non-idempotent routes are declared as such and use tickets. Plain
         forwarding has no tickets.
     server_retries : int
-        Times a backend server repeats a failed call of its own. Where the nodes
-        retry, servers don't.
+        Number of times that a backend server retries a failed call of its own. 0 if
+        the nodes retry.
     cancels : bool
-        Whether a call that was given up stops at the backend server.
+        Whether the backend server cancels calls that the caller has abandoned.
     """
 
     gate: GateSettings = field(default_factory=GateSettings)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/records.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/records.py
@@ -1,4 +1,4 @@
-"""What a run records: requests, their attempts and the work done for them."""
+"""Records of a run: requests, their attempts and the work done for them."""
 
 from __future__ import annotations
 
@@ -15,28 +15,28 @@
 
 @dataclass(slots=True, eq=False)
 class RequestRecord:
-    """One client request.
+    """Record of one client request; times are in milliseconds.
 
     Parameters
     ----------
     route : GraphRoute
-        What it asks for.
+        Requested route.
     sent_at : float
-        When the caller sent it first.
+        Time of the first attempt.
     calls : int
-        Calls that reached a gate for it, over its whole chain.
+        Number of calls that reached an admission gate, over the whole call chain.
     work : list of float
-        Milliseconds backend servers worked for it, by attempt of the caller.
+        Work that backend servers did for it, by attempt of the caller.
     attempt_starts : list of float
-        When the caller began each attempt.
+        Start time of each attempt.
     answered_at : float or None
-        When its whole answer came.
+        Time of a successful answer that was in time; None without one.
     answered_by : int
-        The attempt that was answered.
+        Index of the answered attempt, or -1.
     is_from_earlier_run : bool
-        Whether the answer is that of an earlier attempt's run.
+        Whether the answer comes from the run of an earlier attempt.
     last_reason : str
-        Why the last attempt failed.
+        Reason of the last failure; ``late`` for an answer that was not in time.
     """
 
     route: GraphRoute
@@ -51,7 +51,7 @@
 
     @property
     def useful_work(self) -> Milliseconds:
-        """Milliseconds of work that the answer came from."""
+        """Work that contributed to the answer; 0 without an answer in time."""
         if self.answered_at is None:
             return 0.0
         if self.is_from_earlier_run:
@@ -61,20 +61,20 @@
 
 @dataclass(slots=True, eq=False)
 class Records:
-    """All that one run records.
+    """All records of one run.
 
     Parameters
     ----------
     requests : list of RequestRecord
-        In the order they were sent.
+        Requests in the order of sending.
     by_root : dict
-        Requests in progress by the root id their calls bear.
+        Requests by the root id of their calls.
     inversions : int
-        See `MeteredGate`.
+        Number of priority inversions, as `MeteredGate` defines them.
     violations : Counter
-        What must never happen, by kind.
+        Number of violated guarantees by kind.
     runs : Counter
-        Runs of non-idempotent calls, by root and child key.
+        Number of runs of non-idempotent calls by root id and child key.
     """
 
     requests: list[RequestRecord] = field(default_factory=list)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/rounds.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/rounds.py
@@ -1,4 +1,4 @@
-"""Run many seeds, graphs and policies, and print a table of the figures.
+"""Run the overload bench over seeds, graphs and policies and print a table.
 
 ``python -m fuchsiagap_standins.bench.overload.rounds --policies none,full --seeds 5``
 """
@@ -34,18 +34,18 @@
 
 @dataclass(frozen=True, slots=True)
 class RunSpec:
-    """One run of a table.
+    """Parameters of one run.
 
     Parameters
     ----------
     graph, policy : str
-        Their names.
+        Names of the service graph and of the policy.
     seed : int
-        Seed of the run.
+        Random seed.
     changes : tuple of (str, float)
-        Fields of the scenario that differ from its defaults.
+        Names and values of scenario fields that differ from the defaults.
     slow_service : str
-        Empty for the graph's deep service.
+        Slow service; empty for the deep service of the graph.
     """
 
     graph: str
@@ -56,7 +56,7 @@
 
 
 def execute_run(run: RunSpec) -> dict[str, Any]:
-    """Run one job, and return its figures with goodput over time."""
+    """Execute one run and return its results with goodput over time."""
     graph = load_graph(run.graph)
     changes: dict[str, Any] = dict(run.changes)
     slow_service = run.slow_service or graph.deep_service
@@ -76,7 +76,10 @@
 def execute_runs(
     runs: list[RunSpec], n_processes: int, out: str = ""
 ) -> list[dict[str, Any]]:
-    """Run jobs in a few processes; write what there is after each to `out`."""
+    """Execute runs in `n_processes` processes and return their results.
+
+    After each run, the results so far are written to the file `out`, if given.
+    """
     context = multiprocessing.get_context("spawn")
     with context.Pool(n_processes, maxtasksperchild=1) as pool:
         results = []
@@ -89,7 +92,7 @@
 
 
 def format_table(results: list[dict[str, Any]]) -> str:
-    """Return the median and the worst of each figure, by graph and policy."""
+    """Return a Markdown table of median and worst values by graph and policy."""
     lines = ["| graph | policy | seeds | " + " | ".join(_COLUMNS) + " |"]
     lines.append("|" + "---|" * (3 + len(_COLUMNS)))
     groups: dict[tuple[str, str], list[dict[str, Any]]] = {}
@@ -107,7 +110,7 @@
 
 
 def _format_cell(values: list[float | None], column: str) -> str:
-    """Return the median and, in brackets, the worst."""
+    """Return the median and, in parentheses, the worst value; None means never."""
     known = [value for value in values if value is not None]
     worst = min if column.startswith("goodput") else max
     if not known:
@@ -122,7 +125,18 @@
 
 
 def main(argv: list[str]) -> int:
-    """Run the rounds of the command line."""
+    """Execute the selected runs and print their table.
+
+    Parameters
+    ----------
+    argv : list of str
+        Flags.
+
+    Returns
+    -------
+    int
+        Exit status.
+    """
     values = flags.FlagValues()  # type: ignore[no-untyped-call]
     for name, text in (
         ("graphs", "queensland,dakar"),
@@ -131,8 +145,10 @@
         ("out", ""),
     ):
         flags.DEFINE_string(name, text, name, flag_values=values)
-    flags.DEFINE_integer("seeds", 5, "Seeds, from 1.", flag_values=values)
-    flags.DEFINE_integer("processes", 3, "At a time.", flag_values=values)
+    flags.DEFINE_integer("seeds", 5, "Number of seeds, from 1.", flag_values=values)
+    flags.DEFINE_integer(
+        "processes", 3, "Number of parallel processes.", flag_values=values
+    )
     for name in ("surge", "factor", "slowness", "base_load"):
         flags.DEFINE_float(name, None, name, flag_values=values)
     values(["rounds", *argv])
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/run.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/run.py
@@ -1,4 +1,4 @@
-"""One run: a fleet, its callers, a virtual clock."""
+"""Run a fleet and its callers once on a virtual clock."""
 
 from __future__ import annotations
 
@@ -20,25 +20,25 @@
     from fuchsiagap_standins.bench.overload.scenario import Scenario
     from fuchsiagap_standins.graphs import Graph
 
-_REAL_LIMIT_S = 900.0
+_WALL_CLOCK_TIMEOUT_S = 900.0
 _GOODPUT_BIN_MS = 500.0
 _CLOCK_STEPS_PER_MS = 1024
-# Fewer collections: almost nothing in a run is garbage in cycles.
+# High threshold for fewer collections, since a run creates hardly any reference cycles.
 _GC_THRESHOLD = 200_000
 
 
 @dataclass(frozen=True, slots=True)
 class RunResult:
-    """What one run gave.
+    """Result of one run.
 
     Parameters
     ----------
     figures : dict
-        Figures by the names of the JSON keys.
+        Results by JSON key.
     goodput : list of float
-        Goodput a second in bins of 500 ms.
+        Goodput per second in bins of 500 ms.
     trace : list of dict
-        State of each gate over time, if it was asked for.
+        State of each admission gate over time; empty without a trace interval.
     """
 
     figures: dict[str, Any]
@@ -53,25 +53,25 @@
     seed: int,
     trace_ms: float = 0.0,
 ) -> RunResult:
-    """Run the scenario once under a virtual clock.
+    """Run a scenario once on a virtual clock.
 
     Parameters
     ----------
     graph : Graph
-        Services and calls.
+        Service graph.
     scenario : Scenario
-        Demand and slowness.
+        Demand and slowdown over time.
     policy : BenchPolicy
-        How nodes decide.
+        Policy of the nodes and servers.
     seed : int
-        The same seed gives the same figures.
+        Random seed; the same seed gives the same results.
     trace_ms : float
-        If positive, the interval of the trace.
+        Interval of the trace in ms; 0 disables the trace.
 
     Returns
     -------
     RunResult
-        Figures, and goodput over time.
+        Results of the run.
     """
     records = Records()
     trace: list[dict[str, Any]] = []
@@ -93,7 +93,7 @@
             _collect_violations(node, records)
 
     gc.set_threshold(_GC_THRESHOLD)
-    run_virtual(main, seed=seed, real_limit_s=_REAL_LIMIT_S)
+    run_virtual(main, seed=seed, real_limit_s=_WALL_CLOCK_TIMEOUT_S)
     return RunResult(
         figures(graph, scenario, records),
         goodput_over_time(records.requests, scenario.end, _GOODPUT_BIN_MS),
@@ -102,9 +102,10 @@
 
 
 def _exact_clock() -> Clock:
-    """Return a clock whose readings are exact in binary.
+    """Return a clock whose readings are multiples of a power of two.
 
-    So a time that has been waited for has come, whatever was added and taken away.
+    Sums and differences of such readings are exact, so that after waiting until a time
+    the clock never reads less because of rounding.
     """
 
     def now() -> float:
@@ -117,13 +118,13 @@
 
 
 def _collect_violations(node: Any, records: Records) -> None:
-    """Add the violations that a node has counted itself."""
+    """Do nothing; nodes count no violations of their own."""
 
 
 async def _record_trace(
     fleet: Any, clock: Any, interval: float, trace: list[dict[str, Any]]
 ) -> None:
-    """Note the state of every gate at an interval."""
+    """Append the state of every admission gate to `trace` at an interval in ms."""
     while True:
         await trio.sleep(interval / 1000.0)
         for node in fleet.nodes:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/scenario.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/scenario.py
@@ -1,4 +1,4 @@
-"""What happens in one run: demand, surge and slowness over time."""
+"""Scenario of a run: demand, surge and slowdown over time."""
 
 from __future__ import annotations
 
@@ -12,30 +12,31 @@
     from fuchsiagap_standins.graphs import GraphRoute
 
 _CALLER_TIMEOUT_FACTOR = 4.0
-_MIN_CALLER_TIMEOUT_MS = 500.0
+_CALLER_TIMEOUT_BASE_MS = 500.0
 _MAX_RESPONSE_TIME_FACTOR = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """One run, in milliseconds from its start.
+    """Demand and slowdown over time, in milliseconds from the start of the run.
 
     Parameters
     ----------
     warm_up, surge, after : float
-        Lengths of the three spells.
+        Durations of the three phases.
     base_load : float
-        Demand before and after the surge, as a share of the capacity.
+        Demand outside the surge, as a share of the capacity.
     factor : float
         Demand in the surge, as a multiple of the capacity.
     slow_service : str
-        The service that becomes slow in the surge.
+        Service that is slow during the surge.
     slowness : float
-        Factor on its own time.
+        Factor on the own time of the slow service.
     caller_retries : int
-        Times a caller tries again.
+        Maximum number of retries per request.
     reports : str
-        What backend servers report: ``honest``, ``high`` or ``low`` slots.
+        Number of slots that backend servers report: the actual one (``honest``), ten
+        times as many (``high``) or a tenth (``low``).
     """
 
     warm_up: Milliseconds = 6_000.0
@@ -50,35 +51,35 @@
 
     @property
     def surge_start(self) -> Milliseconds:
-        """When the surge begins."""
+        """Start of the surge."""
         return self.warm_up
 
     @property
     def surge_end(self) -> Milliseconds:
-        """When the surge ends."""
+        """End of the surge."""
         return self.warm_up + self.surge
 
     @property
     def end(self) -> Milliseconds:
-        """When callers stop."""
+        """Time at which callers send their last requests."""
         return self.surge_end + self.after
 
     def is_surge(self, now: Milliseconds) -> bool:
-        """Whether `now` is in the surge."""
+        """Whether `now` is within the surge."""
         return self.surge_start <= now < self.surge_end
 
     def demand(self, capacity: float, now: Milliseconds) -> float:
-        """Return the requests per millisecond that callers send."""
+        """Return the requests per millisecond at `now`; `capacity` is per second."""
         share = self.factor if self.is_surge(now) else self.base_load
         return share * capacity / MS_PER_S
 
     def work_time(
         self, service: str, work: Milliseconds, now: Milliseconds
     ) -> Milliseconds:
-        """Return how long work takes that starts now.
+        """Return how long work that starts at `now` takes.
 
-        A slow server works at a fraction of its speed while the spell lasts, so
-        calls in progress slow down and speed up with it.
+        The slow service works at a fraction of its speed during the surge, which also
+        affects calls that are in progress when the surge starts or ends.
         """
         if service != self.slow_service or now >= self.surge_end:
             return work
@@ -98,19 +99,19 @@
 
 
 def caller_timeout(route: GraphRoute, chain_time: Milliseconds) -> Milliseconds:
-    """Return how long a caller waits for one attempt: short, as callers are.
+    """Return the timeout of one attempt in milliseconds.
 
     Parameters
     ----------
     route : GraphRoute
-        The called route; a caller never waits longer than its settings say.
+        Called route; its timeout is the upper limit.
     chain_time : float
-        Mean time of the whole chain without any slowness.
+        Mean time of the whole call chain without slowdown, in milliseconds.
     """
-    timeout = _MIN_CALLER_TIMEOUT_MS + _CALLER_TIMEOUT_FACTOR * chain_time
+    timeout = _CALLER_TIMEOUT_BASE_MS + _CALLER_TIMEOUT_FACTOR * chain_time
     return min(timeout, route.timeout)
 
 
 def max_response_time(timeout: Milliseconds) -> Milliseconds:
-    """Return within what time of its first attempt an answer is in time."""
+    """Return the time after the first attempt within which an answer is in time."""
     return _MAX_RESPONSE_TIME_FACTOR * timeout
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/throughput_bounds.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/throughput_bounds.py
@@ -1,12 +1,14 @@
-"""The most that a policy could answer, from the graph alone.
+"""Upper bounds on the throughput of any policy, computed from the service graph.
 
-Each service has its slots, each request holds them for its slot time, and each kind
-of request is offered at some rate. Two bounds are reckoned:
+Each service has a number of slots, a request holds slots for its slot time, and each
+route is offered at some rate. There are two bounds:
 
-- in the declared order: a request is answered only with what the more important ones
-  leave, and requests of one priority have the same chance, whatever they cost;
-- in any order: what the slow service could answer if only the number counted, cheap
-  requests first. A policy that went for it would refuse certificates for lookups.
+- prioritized: routes get only the capacity that more important routes leave free, and
+  routes of one priority that use the same saturated service have the same share
+  answered, whatever their cost;
+- unprioritized: the most requests that the slow service could answer in any order,
+  cheapest first. A policy that maximizes this number would refuse requests to issue
+  certificates in favour of lookups.
 """
 
 from __future__ import annotations
@@ -22,27 +24,27 @@
 
     from fuchsiagap_standins.graphs import Graph, GraphRoute
 
-_MIN_FREE_SLOTS = 1e-9
+_TOLERANCE = 1e-9
 
 
 def prioritized_rates(
     graph: Graph, offered: Mapping[str, float], slowdowns: Mapping[str, float]
 ) -> dict[str, float]:
-    """Return the rate at which each root route can be answered in order.
+    """Return the highest rate of each root route with strict priorities.
 
     Parameters
     ----------
     graph : Graph
-        Slots and slot times.
+        Service graph.
     offered : mapping of str to float
-        Requests a second by root route.
-    slow : mapping of str to float
-        Factor on the own time of a service.
+        Offered requests per second by root route.
+    slowdowns : mapping of str to float
+        Factor on the own time of a service, 1 by default.
 
     Returns
     -------
     dict of str to float
-        Requests a second by root route.
+        Answered requests per second by root route.
     """
     free_slots = {
         service.name: float(service.total_slots) for service in graph.services
@@ -60,14 +62,15 @@
     offered: Mapping[str, float],
     free_slots: dict[str, float],
 ) -> dict[str, float]:
-    """Raise the rates of one priority together, each until a service it uses is full.
+    """Return the rates of routes of one priority, and take their slots.
 
-    `left` is reduced by what they take.
+    The rates rise in proportion to the offered ones, each until it reaches that or a
+    service that the route uses is saturated. `free_slots` is reduced accordingly.
     """
     rates = dict.fromkeys(slot_times, 0.0)
     remaining_share = 1.0
     unsaturated_routes = [name for name in slot_times if offered[name] > 0.0]
-    while unsaturated_routes and remaining_share > _MIN_FREE_SLOTS:
+    while unsaturated_routes and remaining_share > _TOLERANCE:
         required_slots = {
             service: sum(
                 _required_slots(slot_times, offered, name, service)
@@ -94,7 +97,7 @@
             name
             for name in unsaturated_routes
             if all(
-                free_slots[s] > _MIN_FREE_SLOTS or time == 0.0
+                free_slots[s] > _TOLERANCE or time == 0.0
                 for s, time in slot_times[name].items()
             )
         ]
@@ -107,7 +110,7 @@
     name: str,
     service: str,
 ) -> float:
-    """Return the slots of a service that all requests of a route would hold."""
+    """Return the slots of a service that the offered rate of a route requires."""
     return offered[name] * slot_times[name].get(service, 0.0) / MS_PER_S
 
 
@@ -117,14 +120,15 @@
     slowdowns: Mapping[str, float],
     service: str,
 ) -> float:
-    """Return a bound on requests a second if only their number counted.
+    """Return an upper bound on answered requests per second without priorities.
 
     Parameters
     ----------
-    graph, offered, slow
+    graph, offered, slowdowns
         As for `prioritized_rates`.
     service : str
-        The service whose slots are shared out, cheapest requests first.
+        Service whose slots are allocated, cheapest requests first. Other services are
+        not considered.
     """
     free_slots = float(graph.service(service).total_slots)
     total = 0.0
@@ -143,5 +147,5 @@
 def sum_important_rates(
     routes: Sequence[GraphRoute], rates: Mapping[str, float]
 ) -> float:
-    """Return the sum of the rates of important routes."""
-    return sum(rates[route.name] for route in routes if route.important)
+    """Return the sum of the rates over important routes."""
+    return sum(rates[route.name] for route in routes if route.is_important)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/tick_scheduler.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/tick_scheduler.py
@@ -1,7 +1,7 @@
-"""Sleeping in ticks, so that a run of many tasks stays cheap.
+"""Coarse sleeping that keeps runs with many tasks cheap.
 
-A `trio.sleep` costs a cancel scope and two turns of the loop. Here all that end in
-the same half millisecond wake in one turn.
+Each `trio.sleep` costs a cancel scope and two iterations of the event loop. Here all
+sleeps that end within the same half millisecond wake in one iteration.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class TickScheduler:
-    """Wakes tasks at ticks of the virtual clock.
+    """Wakes sleeping tasks at ticks of the virtual clock.
 
     Parameters
     ----------
@@ -35,11 +35,14 @@
         self._wait_scope = trio.CancelScope()
 
     def now(self) -> Milliseconds:
-        """Return the time of the run."""
+        """Return the time of the run in milliseconds."""
         return self._clock.now()
 
     async def sleep(self, duration: Milliseconds) -> None:
-        """Sleep until the tick nearest to the end of a duration, at least one."""
+        """Sleep until the tick nearest to the end of a duration, but at least one tick.
+
+        The duration is in milliseconds.
+        """
         now = self._clock.now()
         tick = max(round((now + duration) / TICK_MS), int(now / TICK_MS) + 1)
         tasks = self._tasks_by_tick.get(tick)
@@ -58,7 +61,7 @@
         await trio.lowlevel.wait_task_rescheduled(abort)
 
     async def run(self) -> None:
-        """Wake sleepers, until cancelled."""
+        """Wake sleeping tasks until cancelled."""
         while True:
             with trio.CancelScope() as self._wait_scope:
                 if self._tick_heap:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/path.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/path.py
@@ -1,7 +1,7 @@
-"""The cost of the path: direct calls, and calls through one and two nodes.
+"""Measure the overhead of nodes: direct calls, and calls through one and two nodes.
 
-Over real sockets, with the same client, in one run: rounds of the three ways take
-turns, so that what else the machine does meets all of them alike.
+All calls use real sockets and the same client. Rounds of calls alternate between the
+paths, so that other load on the machine affects all of them equally.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PathFigures:
-    """What the bench prints; milliseconds unless the name says otherwise.
+    """Results of the bench; times in milliseconds.
 
     Parameters
     ----------
@@ -56,26 +56,28 @@
     one_node_p50_ms, one_node_p99_ms, two_nodes_p50_ms, two_nodes_p99_ms : float
         Round trip through one and two nodes.
     added_p50_ms, added_p99_ms : float
-        Two nodes less direct, at the same quantile.
+        Difference between two nodes and direct, at the same quantile.
     added_one_p50_ms, added_one_p99_ms : float
-        One node less direct.
+        Difference between one node and direct, at the same quantile.
     floor_added_p50_ms, floor_added_p99_ms : float
-        Two bare relays of bytes less direct: what sockets and scheduling take of it.
+        Difference between two byte relays and direct: the part of the overhead that
+        sockets and scheduling cause.
     node_cpu_ms_per_call : float
-        CPU of both nodes per call through two nodes at the set rate, less what they
-        use without calls.
+        CPU time of both nodes per call at `rate_per_s`, without the CPU time they use
+        when idle.
     floor_cpu_ms_per_call : float
-        CPU of both bare relays per call.
+        CPU time of both byte relays per call, measured in the same way.
     ratio_p50 : float
-        Two nodes over direct.
+        Ratio of the medians of two nodes and direct.
     calls_per_s_per_core : float
-        1000 over `node_cpu_ms_per_call`.
+        1000 divided by `node_cpu_ms_per_call`.
     calls : int
-        Calls measured for each way.
+        Number of timed calls per path.
     failed : int
-        Calls of all ways that were not answered; their times count all the same.
+        Calls without a status of 200, direct and through nodes, including warm-up and
+        CPU measurement. Their times are included above.
     rate_per_s : float
-        Rate at which CPU was measured.
+        Calls per second during the CPU measurement.
     """
 
     direct_p50_ms: float
@@ -101,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _PathUnderTest:
-    """One way to the backend server."""
+    """One path to the backend server, with the times and failures of its calls."""
 
     pool: HttpPool
     target: str
@@ -111,7 +113,10 @@
 
 @dataclass(frozen=True, slots=True)
 class _Fleet:
-    """The processes of the bench."""
+    """Addresses and process ids of the processes under test.
+
+    `near` is the node of the backend server, `far` a node that reaches it over `near`.
+    """
 
     backend: str
     near: str
@@ -171,7 +176,10 @@
 async def _measure_cpu(
     path: _PathUnderTest, pids: Sequence[int], rate: float, seconds: float
 ) -> Milliseconds:
-    """Return CPU milliseconds of the processes per call at a rate."""
+    """Return the CPU time of the processes per call at a rate, in milliseconds.
+
+    Their CPU time without calls is measured first and subtracted.
+    """
     idle_before = sum(map(cpu_ms, pids))
     await trio.sleep(seconds / 2)
     idle = (sum(map(cpu_ms, pids)) - idle_before) * 2
@@ -190,7 +198,7 @@
 
 
 async def run_path(rounds: int, calls_per_round: int, rate: float) -> PathFigures:
-    """Measure on real processes; see `PathFigures`."""
+    """Start the processes and measure; `rate` is in calls per second."""
     with tempfile.TemporaryDirectory() as folder:
         async with process_group(Path(folder)) as group:
             fleet = await _start_fleet(group)
@@ -255,11 +263,16 @@
     """Run the bench; ``--json`` prints one line of JSON."""
     flag_values = new_flags()
     flags.DEFINE_bool("json", False, "print one line of JSON", flag_values=flag_values)
+    flags.DEFINE_integer("rounds", 20, "rounds over all paths", flag_values=flag_values)
     flags.DEFINE_integer(
-        "rounds", 20, "rounds of the three ways", flag_values=flag_values
+        "calls", 100, "calls per path and round", flag_values=flag_values
+    )
+    flags.DEFINE_float(
+        "rate",
+        266.0,
+        "calls per second of the CPU measurement",
+        flag_values=flag_values,
     )
-    flags.DEFINE_integer("calls", 100, "calls in a round", flag_values=flag_values)
-    flags.DEFINE_float("rate", 266.0, "calls a second for CPU", flag_values=flag_values)
     parse_flags(flag_values, ["path", *argv], __doc__ or "")
     values = flag_values.flag_values_dict()
     figures = trio.run(run_path, values["rounds"], values["calls"], values["rate"])
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/routing.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/routing.py
@@ -1,4 +1,9 @@
-"""Figures of routing: ``python -m fuchsiagap_standins.bench routing --json``."""
+"""Measure and simulate load balancing of the router.
+
+Examples
+--------
+``python -m fuchsiagap_standins.bench routing --json --only balance,hedging``
+"""
 
 from __future__ import annotations
 
@@ -32,23 +37,23 @@
 N_NODES = 3_200
 N_INSTANCES_OF_SERVICE = 400
 N_TIMED_CALLS = 20_000
-MEAN_MS = 20.0
+MEAN_SERVICE_MS = 20.0
 _USAGE_STATUS = 2
 
 
 def draw_exponential(rng: random.Random, _now: Milliseconds) -> Milliseconds:
-    """Draw a service time with a mean of 20 ms."""
-    return rng.expovariate(1.0 / MEAN_MS)
+    """Draw an exponentially distributed service time with a mean of 20 ms."""
+    return rng.expovariate(1.0 / MEAN_SERVICE_MS)
 
 
 def draw_long_tailed(rng: random.Random, _now: Milliseconds) -> Milliseconds:
-    """Draw 10 to 30 ms, and ten times as much once in fifty."""
+    """Draw a service time of 10 to 30 ms that is ten times longer in 2 % of cases."""
     base_ms = rng.uniform(10.0, 30.0)
     return base_ms * 10.0 if rng.random() < 0.02 else base_ms
 
 
 def constant_rate(rate_per_s: float) -> Callable[[Milliseconds], float]:
-    """Return a rate that does not change."""
+    """Return a function of time that gives a constant rate per second."""
     return lambda _now: rate_per_s
 
 
@@ -60,14 +65,15 @@
     rate_per_s=constant_rate(2_250.0),
 )
 N_SLOTS = BASE.n_servers * BASE.n_slots
-# When a second attempt is sent: never, or where one in twenty is not answered yet.
+# Name, delay of the hedge in ms (the 95th percentile of the latency), and hedges per
+# call.
 HEDGING_VARIANTS = (("none", None, 0.0), ("p95", 40.0, 1.0), ("p95_budget", 40.0, 0.05))
-# Calls a second that the nine servers of `BASE` can run.
-CAPACITY_PER_S = N_SLOTS * 1000.0 / MEAN_MS
+# Calls per second that the nine servers of `BASE` can run.
+CAPACITY_PER_S = N_SLOTS * 1000.0 / MEAN_SERVICE_MS
 
 
 def measure_choose(seed: int) -> Figures:
-    """Time the router at the size of 3,200 nodes."""
+    """Measure the CPU cost of a router that knows 3,200 nodes."""
     clock = Clock(now=lambda: time.perf_counter() * 1000.0, wall=lambda: 0.0)
     router = Router(RoutingSettings(), "hall-a", clock, random.Random(seed), "certs-1")
     members = tuple(LoadRun.instance(n) for n in range(N_NODES))
@@ -81,7 +87,7 @@
         instance = router.choose(SERVICE_NAME)
         assert instance is not None
         router.begin(instance)
-        router.end(instance, answer, MEAN_MS)
+        router.end(instance, answer, MEAN_SERVICE_MS)
 
     choose_ms = _time_ms(lambda: _repeat(lambda: router.choose(SERVICE_NAME)))
     call_ms = _time_ms(lambda: _repeat(run_call))
@@ -110,7 +116,10 @@
 
 
 def measure_links(seed: int) -> Figures:
-    """Count the links of a service with 400 instances that 3,200 nodes call."""
+    """Count the links between 3,200 nodes and the 400 instances of a service.
+
+    Every fourth node is evaluated and counted four times.
+    """
     members = tuple(LoadRun.instance(n) for n in range(N_INSTANCES_OF_SERVICE))
     clock = Clock(now=lambda: 0.0, wall=lambda: 0.0)
     links_in = dict.fromkeys((m.node for m in members), 0)
@@ -132,7 +141,7 @@
 
 
 def measure_balance(seed: int) -> Figures:
-    """Compare the router's choice with a random one at several loads."""
+    """Compare the router with random choice at several utilisations."""
     figures: Figures = {}
     for utilisation in (0.5, 0.8, 0.9):
         rate = constant_rate(CAPACITY_PER_S * utilisation)
@@ -154,7 +163,7 @@
 
 
 def measure_spill(seed: int) -> Figures:
-    """Overload one data centre for 10 s, with room in the others."""
+    """Overload one data centre for 10 s while the others have free capacity."""
     local_capacity = CAPACITY_PER_S / 3
 
     def rate(now: Milliseconds) -> float:
@@ -186,7 +195,7 @@
 
 
 def measure_slow_start(seed: int) -> Figures:
-    """Restart one of three backend servers, and follow its share of the calls."""
+    """Restart one of three backend servers and record its share of calls over time."""
     cfg = replace(
         BASE, caller_data_centres=("hall-a",), rate_per_s=constant_rate(800.0)
     )
@@ -212,7 +221,7 @@
 
 
 def measure_ejection(seed: int) -> Figures:
-    """Break one backend server, or all, and count failed calls."""
+    """Make one backend server fail, then all, and measure the share of failed calls."""
     figures: Figures = {}
     no_ejection = replace(BASE.routing, failures_to_eject=10**9)
     for fault in ("dead", "silent"):
@@ -245,9 +254,9 @@
 
 
 def measure_hedging(seed: int) -> Figures:
-    """Weigh a second attempt to the slowest calls, at several loads."""
+    """Measure latency and extra attempts with and without hedging at several loads."""
     figures: Figures = {}
-    mean_ms = MEAN_MS * (0.98 + 0.02 * 10.0)
+    mean_ms = MEAN_SERVICE_MS * (0.98 + 0.02 * 10.0)
     for utilisation in (0.3, 0.6, 0.8, 0.95):
         rate = constant_rate(utilisation * N_SLOTS * 1000.0 / mean_ms)
         base = replace(BASE, service_ms=draw_long_tailed, rate_per_s=rate)
@@ -267,7 +276,7 @@
 def _measure_slowdown(
     seed: int, hedge_after: Milliseconds | None, hedge_budget: float
 ) -> Figures:
-    """Make all backend servers three times slower for 5 s at a load of 0.3."""
+    """Slow all backend servers by a factor of 3 for 5 s at a utilisation of 0.3."""
 
     def service_ms(rng: random.Random, now: Milliseconds) -> Milliseconds:
         factor = 3.0 if 5_000 <= now < 10_000 else 1.0
@@ -309,17 +318,17 @@
 
 
 def main(argv: Sequence[str]) -> int:
-    """Run the measurements and print their figures.
+    """Run the selected measurements and print their results.
 
     Parameters
     ----------
     argv : sequence of str
-        Flags: ``--json``, ``--seed N``, ``--only NAME,NAME``.
+        Flags ``--json``, ``--seed N`` and ``--only NAME,NAME``.
 
     Returns
     -------
     int
-        Exit status.
+        Exit status; 2 for invalid arguments.
     """
     values = _define_flags()
     try:
@@ -329,8 +338,11 @@
         return _USAGE_STATUS
     unknown = [*rest[1:], *(set(values.only) - set(MEASUREMENTS))]
     if unknown:
-        expected = f"expected --only with some of {', '.join(MEASUREMENTS)}"
-        print(f"unknown {', '.join(unknown)}: {expected}", file=sys.stderr)
+        expected = f"expected --only with names from {', '.join(MEASUREMENTS)}"
+        print(
+            f"unknown argument or measurement {', '.join(unknown)}: {expected}",
+            file=sys.stderr,
+        )
         return _USAGE_STATUS
     names = values.only or list(MEASUREMENTS)
     figures = {name: MEASUREMENTS[name](values.seed) for name in names}
@@ -346,9 +358,11 @@
 
 def _define_flags() -> flags.FlagValues:
     values = flags.FlagValues()  # type: ignore[no-untyped-call]
-    flags.DEFINE_integer("seed", 1, "Seed of all draws.", flag_values=values)
+    flags.DEFINE_integer("seed", 1, "Random seed.", flag_values=values)
     flags.DEFINE_bool("json", False, "Print one line of JSON.", flag_values=values)
-    flags.DEFINE_list("only", [], "Only these measurements.", flag_values=values)
+    flags.DEFINE_list(
+        "only", [], "Measurements to run; all by default.", flag_values=values
+    )
     return values
 
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/routing_load.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/routing_load.py
@@ -1,4 +1,4 @@
-"""Callers with real routers before backend servers made of slots and a queue."""
+"""Discrete-event simulation of callers with real routers and of backend servers."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, eq=False)
 class SimAttempt:
-    """One attempt on its way through a backend server."""
+    """One attempt of a call at a backend server; `sent` is in milliseconds."""
 
     call: SimCall
     instance: Instance
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True, eq=False)
 class SimCall:
-    """One call and its attempts."""
+    """One call with its attempts; `started` is in milliseconds."""
 
     caller: SimCaller
     started: Milliseconds
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True, eq=False)
 class SimCaller:
-    """A node that calls, with its router."""
+    """A calling node with its router."""
 
     data_centre: str
     router: Router
@@ -63,7 +63,25 @@
 
 @dataclass(slots=True, eq=False)
 class SimServer:
-    """A backend server: slots, a queue in order of arrival, and its faults."""
+    """A backend server with slots, a FIFO queue and injected faults.
+
+    Parameters
+    ----------
+    instance : Instance
+        Instance that the routers know.
+    n_slots : int
+        Number of calls that run at the same time.
+    running : int
+        Number of running calls.
+    waiting : deque of SimAttempt
+        Queue in order of arrival.
+    is_dead : bool
+        Whether connections to it fail.
+    is_silent : bool
+        Whether it receives calls and never responds.
+    n_served : int
+        Number of completed runs.
+    """
 
     instance: Instance
     n_slots: int
@@ -76,32 +94,32 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadSettings:
-    """Settings of one run.
+    """Parameters of one simulation run.
 
     Parameters
     ----------
     n_callers : int
-        Nodes that call, spread over the data centres.
+        Number of calling nodes, assigned to `caller_data_centres` round-robin.
     n_servers : int
-        Backend servers, spread likewise.
+        Number of backend servers, assigned to `DATA_CENTRES` round-robin.
     n_slots : int
-        Calls each of them runs at one time.
+        Calls that each backend server runs concurrently.
     service_ms : callable
-        Draws the time of one run that starts at a time in ms.
+        Draws the service time in ms from a generator and the start time in ms.
     rate_per_s : callable
-        Calls a second at a time in ms.
+        Gives the arrival rate in calls per second at a time in ms.
     timeout_ms : float
-        When a caller gives up.
+        Call timeout in ms.
     hedge_after_ms : float or None
-        When a second attempt is sent; None for never.
+        Delay in ms before a second attempt is sent; None disables hedging.
     hedge_budget : float
-        Second attempts as a share of the calls.
+        Second attempts per call.
     choose : str
-        ``"router"`` or ``"random"``.
+        Load balancing policy, ``"router"`` or ``"random"``.
     routing : RoutingSettings
         Settings of the routers.
     caller_data_centres : tuple of str
-        Where the callers are, in turn.
+        Data centres of the callers.
     """
 
     n_callers: int
@@ -118,14 +136,27 @@
 
 
 class LoadRun:
-    """One run in virtual time.
+    """One simulation run in virtual time.
 
     Parameters
     ----------
     cfg : LoadSettings
-        Settings.
+        Parameters of the run.
     seed : int
-        Seed of all draws.
+        Random seed.
+
+    Attributes
+    ----------
+    now : float
+        Virtual time in ms.
+    latencies : list of tuple of float
+        Start time and latency of each answered call, in ms.
+    failures : list of float
+        Start time of each failed call, in ms.
+    sent : list of tuple
+        Time in ms, node and data centre of each attempt.
+    busy_ms : float
+        Time for which slots were held.
     """
 
     def __init__(self, cfg: LoadSettings, seed: int) -> None:
@@ -149,7 +180,7 @@
 
     @staticmethod
     def instance(number: int, incarnation: int = 1) -> Instance:
-        """Return the instance with a number, in the data centre of its turn."""
+        """Return instance `number`; data centres are assigned round-robin."""
         data_centre = DATA_CENTRES[number % len(DATA_CENTRES)]
         name = f"results-{number}"
         return Instance(
@@ -165,17 +196,17 @@
         return SimCaller(data_centre, router)
 
     def announce(self) -> None:
-        """Tell all routers the instances as they are."""
+        """Pass the current instances to all routers."""
         members = tuple(server.instance for server in self.servers.values())
         for caller in self.callers:
             caller.router.update(members)
 
     def schedule(self, time: Milliseconds, action: Callable[[], None]) -> None:
-        """Do something at a time."""
+        """Call `action` at a virtual time in ms."""
         heapq.heappush(self._events, (time, next(self._event_numbers), action))
 
     def run(self, until: Milliseconds) -> None:
-        """Run until a time."""
+        """Generate calls and process events until a virtual time in ms."""
         self.schedule(self.now, self._arrive)
         while self._events and self._events[0][0] <= until:
             self.now, _, action = heapq.heappop(self._events)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/settings.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/settings.py
@@ -1,7 +1,8 @@
-"""What settings cost: on each call, when a text is read, and when it changes.
+"""Measure the cost of settings: route matching, parsing and propagation of changes.
 
-Times to read and to match are of this machine. The time until a change is in force
-everywhere is of the virtual clock: links and intervals count, CPU does not.
+Parsing and matching are timed on this machine. Propagation of a change to all nodes is
+measured on a virtual clock, which includes link delays and polling intervals but no CPU
+time.
 
 Examples
 --------
@@ -41,9 +42,9 @@
 
 TEAM = "salt-fog"
 DATA_CENTRES = ("hall-a", "hall-b", "hall-c")
-_CALLS = 20_000
-_ROUNDS = 7
-_CHANGES = 5
+_N_CALLS = 20_000
+_N_ROUNDS = 7
+_N_CHANGES = 5
 _SETTLE_S = 8.0
 _POLL_INTERVAL_S = 0.001
 _ROUTES_PER_SERVICE = 10
@@ -53,21 +54,22 @@
 
 @dataclass(frozen=True, slots=True)
 class MatchingCosts:
-    """Costs of one team's text with some number of routes.
+    """Costs of one team's settings with a given number of routes.
 
     Parameters
     ----------
     n_routes, text_bytes : int
-        Size of the text.
+        Number of routes, and size of the settings in bytes.
     literal_us, wildcard_us, default_us, unknown_us : float
-        One `route_for`: a literal path, one that tries a literal branch and goes back
-        to a wildcard, a path that no route matches, a service without section.
+        Time of one `route_for` for a literal path, a path that backtracks from a
+        literal branch to a wildcard, a path that no route matches, and a service
+        without a section.
     parse_ms : float
-        Reading and validating the text.
+        Time to parse and validate the settings.
     adopt_ms : float
-        The same, and compiling it.
+        Time to parse, validate and compile the settings.
     memory_bytes : int
-        Held by the book for the team.
+        Memory that the settings book allocates for the team.
     """
 
     n_routes: int
@@ -83,30 +85,31 @@
 
 @dataclass(frozen=True, slots=True)
 class PropagationCosts:
-    """What a change costs in a fleet, and how long it takes.
+    """Cost and duration of propagating a settings change to all nodes.
 
     Parameters
     ----------
     n_nodes, text_bytes : int
-        Sizes.
+        Number of nodes, and size of the settings in bytes.
     accepted_ms_p50, accepted_ms_max : float
-        From the acceptance by a node until in force on all.
+        Time from acceptance of a change by a node until it is in force on all nodes.
     watched_ms_p50, watched_ms_max : float
-        From a write past the nodes until in force on all.
+        Time from a write directly to the platform until it is in force on all nodes.
     without_news_ms_max : float
-        From an acceptance, with all news and all watches lost: what comparing with
-        random nodes alone takes.
+        Time from acceptance with all notifications lost and all other nodes cut off
+        from the platform, so that only periodic comparison with random peers
+        propagates the change.
     bytes_per_change_and_node : float
-        Of messages about settings, beyond those of an idle fleet.
+        Bytes of settings messages in excess of those of an idle fleet.
     messages_per_change_and_node : float
-        As many messages.
+        Settings messages in excess of those of an idle fleet.
     cpu_ms_per_change_and_node : float
-        CPU beyond that of an idle fleet, reading the text included, with both ends of
-        each link in this process and without sockets.
+        CPU time in excess of that of an idle fleet. It includes parsing and both ends
+        of each link, but no sockets.
     idle_bytes_per_s_and_node : float
-        Of messages about settings without any change.
+        Bytes of settings messages per second without changes.
     idle_platform_calls_per_s : float
-        Of the whole fleet.
+        Platform calls per second of all nodes together without changes.
     """
 
     n_nodes: int
@@ -124,7 +127,7 @@
 
 
 def make_settings_text(n_routes: int, priority: int = 5) -> str:
-    """Return a text with `n_routes` routes, ten in each service."""
+    """Return settings with `n_routes` routes, ten per service."""
     lines = ["[team]", "weight = goodput", f"priority = {priority}"]
     for i in range(n_routes):
         service, route = divmod(i, _ROUTES_PER_SERVICE)
@@ -138,7 +141,7 @@
 
 
 def measure_matching(n_routes: int) -> MatchingCosts:
-    """Measure one size of text."""
+    """Measure parsing and matching with `n_routes` routes."""
     text = make_settings_text(n_routes)
     book = SettingsBook()
     tracemalloc.start()
@@ -149,7 +152,7 @@
     unknown_service = ServiceName(TEAM, "elsewhere")
 
     def route_us(name: ServiceName, target: str) -> float:
-        return _median_us(lambda: book.route_for(name, "POST", target), _CALLS)
+        return _median_us(lambda: book.route_for(name, "POST", target), _N_CALLS)
 
     def adopt() -> None:
         SettingsBook().adopt(TeamText(TEAM, 1, text))
@@ -173,7 +176,7 @@
 def measure_propagation(
     n_nodes: int, n_routes: int = 40, seed: int = 1
 ) -> PropagationCosts:
-    """Measure one size of fleet, under the virtual clock."""
+    """Measure propagation in a fleet of `n_nodes` nodes on the virtual clock."""
     return run_virtual(
         _measure_propagation, n_nodes, n_routes, seed, seed=seed, real_limit_s=900.0
     )
@@ -196,20 +199,20 @@
             await _time_until_in_force(
                 fleet, _put_through_node(states[7 * i % n_nodes], n_routes, i)
             )
-            for i in range(_CHANGES)
+            for i in range(_N_CHANGES)
         ]
         elapsed_s = trio.current_time() - started_s
         used = _read_usage(fleet).minus(before).minus(rate.times(elapsed_s))
-        used = used.times(1 / _CHANGES / n_nodes)
+        used = used.times(1 / _N_CHANGES / n_nodes)
         watched = [
             await _time_until_in_force(fleet, _put_to_platform(fleet, n_routes, i))
-            for i in range(_CHANGES)
+            for i in range(_N_CHANGES)
         ]
         fleet.lose_news = 1.0
         fleet.store.set_cut_off({state.node for state in states[1:]})
         by_comparison = [
             await _time_until_in_force(fleet, _put_through_node(states[0], n_routes, i))
-            for i in range(_CHANGES)
+            for i in range(_N_CHANGES)
         ]
         return PropagationCosts(
             n_nodes=n_nodes,
@@ -264,7 +267,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Usage:
-    """What a fleet has used so far, or within some time."""
+    """Resources that a fleet has used in total or within an interval."""
 
     n_bytes: float
     messages: float
@@ -297,7 +300,7 @@
 
 def _median_us(function: Callable[[], object], n_calls: int) -> float:
     elapsed = []
-    for _ in range(_ROUNDS):
+    for _ in range(_N_ROUNDS):
         started = time.perf_counter()
         for _ in range(n_calls):
             function()
@@ -306,12 +309,12 @@
 
 
 def main(argv: list[str]) -> int:
-    """Run the bench.
+    """Run the bench and print the results as JSON.
 
     Parameters
     ----------
     argv : list of str
-        Flags: ``--json``, ``--routes 10,100``, ``--nodes 12,48``.
+        Flags ``--json``, ``--routes 10,100`` and ``--nodes 12,48``.
 
     Returns
     -------
@@ -319,9 +322,9 @@
         Exit status.
     """
     values = flags.FlagValues()  # type: ignore[no-untyped-call]
-    flags.DEFINE_bool("json", False, "Print JSON only.", values)
-    flags.DEFINE_list("routes", ["10", "100", "1000"], "Sizes of text.", values)
-    flags.DEFINE_list("nodes", ["12", "48"], "Sizes of fleet.", values)
+    flags.DEFINE_bool("json", False, "Print one line of JSON.", values)
+    flags.DEFINE_list("routes", ["10", "100", "1000"], "Numbers of routes.", values)
+    flags.DEFINE_list("nodes", ["12", "48"], "Numbers of nodes.", values)
     values(["settings", *argv])
     results = {
         "match": [asdict(measure_matching(int(n))) for n in values.routes],
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/telemetry.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/telemetry.py
@@ -1,4 +1,4 @@
-"""What telemetry costs when nobody looks, and what a look costs.
+"""Measure the cost of recording telemetry and of reading it.
 
 Examples
 --------
@@ -31,9 +31,9 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-_ROUNDS = 9
-_CALLS = 20_000
-_ROUTES = 20
+_N_ROUNDS = 9
+_N_CALLS = 20_000
+_N_ROUTES = 20
 _OUTCOMES = ("answered", "refused", "unknown")
 _US_PER_S = 1e6
 _MS_PER_S = 1e3
@@ -41,26 +41,27 @@
 
 @dataclass(frozen=True, slots=True)
 class TelemetryCosts:
-    """Medians over the rounds of one run.
+    """Costs of recording and reading telemetry.
 
     Parameters
     ----------
     tick_us, record_us, count_us, observe_us : float
-        One stamp, one event with two details, one count, one histogram value.
+        Median time of a clock tick, an event with two details, a counter increment
+        and a histogram value, without the cost of the loop.
     flush_us : float
-        One step of moving waiting values to a histogram.
+        Time per value to move buffered values to a histogram.
     ring_size : int
-        Events of a full ring.
+        Number of events in a full ring buffer.
     ring_bytes, ring_bytes_per_event : float
-        Memory of a full ring.
+        Memory of a full ring buffer, in total and per event.
     histogram_bytes : float
-        Memory of one histogram with its waiting values.
+        Memory of one histogram with its buffered values.
     page_ms : float
-        Reading a page of 1,000 events.
+        Median time to read a page of 1,000 events.
     select_ms : float
-        Finding the events of one call in a full ring.
+        Median time to find the events of one call in a full ring buffer.
     text_ms : float
-        The text of all metrics with `_ROUTES` routes and all outcomes.
+        Time to render all metrics as text, with `_N_ROUTES` routes and all outcomes.
     """
 
     tick_us: float
@@ -78,13 +79,7 @@
 
 
 def measure() -> TelemetryCosts:
-    """Measure everything once, within a trio run as in a node.
-
-    Returns
-    -------
-    TelemetryCosts
-        The medians.
-    """
+    """Measure all costs within a trio run, as in a node."""
     return trio.run(_measure)
 
 
@@ -119,7 +114,7 @@
 def _telemetry_with_full_ring() -> Telemetry:
     telemetry = _new_telemetry()
     for number in range(DEFAULT_RING_SIZE):
-        # Four events for each call, as on the path of a call.
+        # A call records four events.
         call_id, root_id = f"call-{number // 4}", f"root-{number // 8}"
         telemetry.ring.record(
             EventKind.CALL_RECEIVED, call_id, root_id, route="certs/issue", priority=1
@@ -130,7 +125,7 @@
 def _telemetry_with_histogram() -> Telemetry:
     telemetry = _new_telemetry()
     rng = random.Random(1)
-    for _ in range(_CALLS):
+    for _ in range(_N_CALLS):
         value = rng.lognormvariate(2.0, 1.0)
         telemetry.metrics.observe(Measure.LATENCY, "certs/issue", "answered", value)
     return telemetry
@@ -149,7 +144,7 @@
 def _measure_call_path(telemetry: Telemetry) -> dict[str, float]:
     ring, metrics = telemetry.ring, telemetry.metrics
     rng = random.Random(2)
-    values = [rng.lognormvariate(2.0, 1.0) for _ in range(_CALLS)]
+    values = [rng.lognormvariate(2.0, 1.0) for _ in range(_N_CALLS)]
 
     def tick(_: int) -> None:
         telemetry.hlc.tick()
@@ -173,23 +168,23 @@
 
 def _per_call_us(step: Callable[[int], None]) -> float:
     rounds = []
-    for _ in range(_ROUNDS):
+    for _ in range(_N_ROUNDS):
         started_s = time.perf_counter()
-        for index in range(_CALLS):
+        for index in range(_N_CALLS):
             step(index)
-        rounds.append((time.perf_counter() - started_s) / _CALLS * _US_PER_S)
+        rounds.append((time.perf_counter() - started_s) / _N_CALLS * _US_PER_S)
     return statistics.median(rounds)
 
 
 def _measure_flush(telemetry: Telemetry) -> float:
     started_s = time.perf_counter()
-    moved = telemetry.metrics.flush(_CALLS)
+    moved = telemetry.metrics.flush(_N_CALLS)
     return round((time.perf_counter() - started_s) / moved * _US_PER_S, 3)
 
 
 def _fill_histograms(telemetry: Telemetry) -> None:
     rng = random.Random(3)
-    for number in range(_ROUTES):
+    for number in range(_N_ROUTES):
         for outcome in _OUTCOMES:
             for kind in Measure:
                 for _ in range(100):
@@ -199,7 +194,7 @@
 
 def _median_ms(step: Callable[[], object]) -> float:
     rounds = []
-    for _ in range(_ROUNDS):
+    for _ in range(_N_ROUNDS):
         started_s = time.perf_counter()
         step()
         rounds.append((time.perf_counter() - started_s) * _MS_PER_S)
@@ -207,17 +202,17 @@
 
 
 def main(argv: list[str]) -> int:
-    """Print the costs; with ``--json`` as one object.
+    """Measure and print the costs; ``--json`` prints one JSON object.
 
     Parameters
     ----------
     argv : list of str
-        Flags.
+        Flag ``--json``, or none.
 
     Returns
     -------
     int
-        Exit status.
+        Exit status; 2 for unknown flags.
     """
     unknown = [flag for flag in argv if flag != "--json"]
     if unknown:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/tickets.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/tickets.py
@@ -1,8 +1,12 @@
-"""Cost of tickets: ``python -m fuchsiagap_standins.bench tickets --json``.
+"""Measure CPU time and memory of tickets.
 
-Times are CPU times of this process. The window is measured against a plain cache of
-keys that gives the same promise: a key that was used once is never taken for a new
-one, for as many calls as the window spans.
+The ticket window is compared with a cache of random idempotency keys that gives the
+same guarantee: a used key is never accepted as a new one, over as many calls as the
+window covers. Times are CPU times of this process.
+
+Examples
+--------
+``python -m fuchsiagap_standins.bench tickets --json``
 """
 
 from __future__ import annotations
@@ -54,28 +58,28 @@
 
 @dataclass(slots=True)
 class KeyCache:
-    """The plain way: keys that callers draw, and the latest answers.
+    """Cache of random idempotency keys with the most recent outcomes.
 
     Parameters
     ----------
     kept : OrderedDict
-        Answers of the latest keys; None while a call runs.
+        Outcomes by key, oldest first; None while the call runs.
     seen : set of bytes
-        Keys whose answers were dropped; without them a late repeat would run.
+        Keys whose outcomes were evicted; without them a late repeat would run again.
     """
 
     kept: OrderedDict[bytes, Outcome | None] = field(default_factory=OrderedDict)
     seen: set[bytes] = field(default_factory=set)
 
     def claim(self, key: bytes) -> bool:
-        """Return whether the call may start."""
+        """Register a key and return whether its call may start."""
         if key in self.kept or key in self.seen:
             return False
         self.kept[key] = None
         return True
 
     def finish(self, key: bytes, outcome: Outcome) -> None:
-        """Keep an outcome, and drop the oldest above the bound."""
+        """Store an outcome; evict the oldest one if there are more than `N_KEPT`."""
         self.kept[key] = outcome
         if len(self.kept) > N_KEPT:
             oldest, _ = self.kept.popitem(last=False)
@@ -83,27 +87,29 @@
 
 
 def main(argv: list[str]) -> int:
-    """Measure, and print the figures.
+    """Measure and print the results.
 
     Parameters
     ----------
     argv : list of str
-        Flags.
+        Flags ``--json`` and ``--calls N``.
 
     Returns
     -------
     int
-        Exit status.
+        Exit status; 2 for invalid arguments.
     """
     values = new_flags()
-    flags.DEFINE_bool("json", False, "print JSON", flag_values=values)
-    flags.DEFINE_integer("calls", N_CALLS, "calls", flag_values=values)
+    flags.DEFINE_bool("json", False, "print indented JSON", flag_values=values)
+    flags.DEFINE_integer("calls", N_CALLS, "number of calls", flag_values=values)
     try:
         rest = values(["tickets", *argv])[1:]
     except flags.Error as exc:
         rest = [str(exc)]
     if rest:
-        print(f"flags: unexpected {rest}", file=sys.stderr)
+        print(
+            f"invalid arguments {rest}: expected --json or --calls N", file=sys.stderr
+        )
         return _USAGE_STATUS
     figures = measure(values.calls)
     if values.json:
@@ -115,7 +121,7 @@
 
 
 def measure(n_calls: int) -> Figures:
-    """Return all figures for a number of calls."""
+    """Return all results by name, measured over `n_calls` calls."""
     figures: Figures = {"calls": n_calls, "kept": N_KEPT, "body_bytes": BODY_BYTES}
     for name, fill in (("window", _fill_window), ("key_cache", _fill_cache)):
         kept = _allocated_bytes(fill, N_KEPT, BODY_BYTES) / N_KEPT
@@ -226,7 +232,7 @@
 
 
 async def _hand_over() -> Figures:
-    """Hand a window with `N_KEPT` answers over, through the codec."""
+    """Measure the hand-over of a window with `N_KEPT` answers, codec included."""
     async with trio.open_nursery() as nursery:
         net = TicketNet(Backends(_answer), nursery, TicketSettings())
         old, new = await net.start("a"), await net.start("b")
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/graphs/__init__.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/graphs/__init__.py
@@ -1,4 +1,4 @@
-"""Call graphs of the deployments, as committed INI files, and their loader.
+"""Service graphs of the deployments as INI files, and their loader.
 
 Examples
 --------
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/graphs/analysis.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/graphs/analysis.py
@@ -1,4 +1,4 @@
-"""What follows from a call graph: depth, slot time, capacity, service times."""
+"""Depth, durations, capacity, random draws and settings of a service graph."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 def call_names(route: GraphRoute) -> list[str]:
-    """Return the routes a route calls, as often as it calls them."""
+    """Return the names of the called routes, repeated for repeated calls."""
     return [name for stage in route.calls for name in stage]
 
 
 def depth(graph: Graph, route: GraphRoute, level: int = 1) -> int:
-    """Return the length of the longest chain below a route, itself included.
+    """Return the length of the longest call chain that starts at a route.
 
-    A loop of calls comes out deeper than `MAX_DEPTH`.
+    The recursion stops above `MAX_DEPTH`, so a cycle gives a larger value than that.
     """
     if level > MAX_DEPTH:
         return level
@@ -37,12 +37,12 @@
 
 
 def count_calls(graph: Graph, route: GraphRoute) -> int:
-    """Return how many calls one call of a route makes in all, itself included."""
+    """Return the total number of calls in the tree of one call, itself included."""
     return 1 + sum(count_calls(graph, graph.route(name)) for name in call_names(route))
 
 
 def has_side_effects(graph: Graph, route: GraphRoute) -> bool:
-    """Whether a route, or one it calls at any depth, is not idempotent."""
+    """Whether a route or any route in its call tree is not idempotent."""
     if not route.idempotent:
         return True
     return any(has_side_effects(graph, graph.route(name)) for name in call_names(route))
@@ -51,22 +51,22 @@
 def chain_time(
     graph: Graph, route: GraphRoute, slowdowns: Mapping[str, float] = NO_SLOWDOWN
 ) -> Milliseconds:
-    """Return the mean time of a call, with its own calls and without waiting.
+    """Return the mean duration of a call and its nested calls, without queueing.
 
     Parameters
     ----------
     graph : Graph
-        The graph.
+        Service graph.
     route : GraphRoute
-        The called route.
-    slow : mapping of str to float
-        Factor on the own time of a service.
+        Called route.
+    slowdowns : mapping of str to float
+        Factor on the own time of a service, 1 by default.
 
     Returns
     -------
     float
-        Milliseconds; delays of the network and the spread of calls made at once
-        are left out.
+        Milliseconds, without network delays. For concurrent calls, the maximum of
+        their means is used instead of the mean of their maximum.
     """
     own = route.own_time * slowdowns.get(route.service, 1.0)
     stages = (
@@ -79,9 +79,9 @@
 def slot_time(
     graph: Graph, route: GraphRoute, slowdowns: Mapping[str, float] = NO_SLOWDOWN
 ) -> dict[str, Milliseconds]:
-    """Return how long one call holds slots, by service, over its whole chain.
+    """Return the slot time of one call by service, over its whole call tree.
 
-    A slot is held while its call waits for calls of its own.
+    The slot time is in milliseconds and includes waiting for nested calls.
     """
     slot_times = {route.service: chain_time(graph, route, slowdowns)}
     for name in call_names(route):
@@ -91,19 +91,20 @@
 
 
 def capacity_per_s(graph: Graph, slowdowns: Mapping[str, float] = NO_SLOWDOWN) -> float:
-    """Return the most whole requests a second, at the graph's shares of routes.
+    """Return the maximum client requests per second at the graph's route shares.
 
     Parameters
     ----------
     graph : Graph
-        The graph.
-    slow : mapping of str to float
-        Factor on the own time of a service.
+        Service graph.
+    slowdowns : mapping of str to float
+        Factor on the own time of a service, 1 by default.
 
     Returns
     -------
     float
-        The least, over services, of slots by the mean slot time of a request.
+        Minimum over services of the number of slots divided by the mean slot time of a
+        request.
     """
     slot_times: dict[str, float] = {}
     for root in graph.roots:
@@ -120,16 +121,16 @@
 def draw_own_time(
     graph: Graph, route: GraphRoute, rng: random.Random, factor: float = 1.0
 ) -> Milliseconds:
-    """Draw the time of one call's own work from a log-normal distribution.
+    """Draw the duration of a call's own work from a log-normal distribution.
 
     Parameters
     ----------
     graph : Graph
-        Gives the spread.
+        Service graph, which sets the relative standard deviation.
     route : GraphRoute
-        Gives the mean.
+        Called route, which sets the mean.
     rng : random.Random
-        Source of randomness.
+        Random generator.
     factor : float
         Factor on the mean.
 
@@ -147,14 +148,14 @@
 
 
 def draw_root(graph: Graph, rng: random.Random) -> GraphRoute:
-    """Draw the route of a client's request by the graph's shares."""
+    """Draw the route of a client request according to the route shares."""
     roots = graph.roots
     (root,) = rng.choices(roots, [route.share for route in roots])
     return root
 
 
 def settings_text(graph: Graph) -> str:
-    """Return the team's settings that go with a graph, as INI text."""
+    """Return the team's settings for the routes of a graph as INI text."""
     lines = ["[team]", f"weight = {graph.weight}"]
     for route in graph.routes:
         lines += (
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/graphs/loader.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/graphs/loader.py
@@ -1,4 +1,4 @@
-"""Load a call graph from INI; every fault is reported at once."""
+"""Load a service graph from INI text and report all of its faults."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 
 
 class InvalidGraphError(ValueError):
-    """A graph file that is not valid.
+    """A service graph file is invalid.
 
     Parameters
     ----------
     faults : SettingsFaults
-        Every fault.
+        All faults with their locations.
     """
 
     def __init__(self, faults: SettingsFaults) -> None:
@@ -65,9 +65,10 @@
     return BAD_VALUE if isinstance(weight, BadValue) else text
 
 
-_NAME_LIST = ValueType("names separated by commas, none twice", _read_names)
+_NAME_LIST = ValueType("distinct names separated by commas", _read_names)
 _CALL_STAGES = ValueType(
-    "SERVICE/ROUTE, & between calls at once, commas between", _read_calls
+    "SERVICE/ROUTE names, joined by & if concurrent and by commas if sequential",
+    _read_calls,
 )
 _WEIGHT = ValueType("goodput, recovery or a number from 0 to 1", _read_weight)
 _DELAY = values.duration(0, 10_000)
@@ -76,45 +77,62 @@
 
 _GRAPH_SCHEMA = SectionSchema(
     "[graph]",
-    "What holds for the whole graph.",
+    "Properties of the whole graph.",
     (
         Key("team", values.PLAIN_NAME, None, "The team."),
-        Key("weight", _WEIGHT, "goodput", "What overload control weighs."),
-        Key("data centres", _NAME_LIST, None, "Where instances stand, in turn."),
-        Key("between data centres", _DELAY, "0.5ms", "One way."),
-        Key("to clients", _DELAY, "1ms", "One way."),
-        Key("new connection", _DELAY, "1ms", "To open a connection."),
-        Key("spread", values.number(0, 3), "0.4", "Of service times."),
-        Key("deep service", values.PLAIN_NAME, None, "The one to slow down."),
+        Key("weight", _WEIGHT, "goodput", "Goal of overload control."),
+        Key(
+            "data centres",
+            _NAME_LIST,
+            None,
+            "Data centres of the instances, round-robin.",
+        ),
+        Key("between data centres", _DELAY, "0.5ms", "One-way network delay."),
+        Key("to clients", _DELAY, "1ms", "One-way network delay."),
+        Key("new connection", _DELAY, "1ms", "Time to open a connection."),
+        Key(
+            "spread",
+            values.number(0, 3),
+            "0.4",
+            "Relative standard deviation of service times.",
+        ),
+        Key(
+            "deep service", values.PLAIN_NAME, None, "Service that a surge slows down."
+        ),
     ),
 )
 _SERVICE_SCHEMA = SectionSchema(
     "[SERVICE]",
-    "One service and its size.",
+    "Size of a service.",
     (
-        Key("instances", _SIZE, None, "Backend servers."),
-        Key("slots", _SIZE, None, "Calls at once of one backend server."),
-        Key("connections", _SIZE, None, "Connections of one backend server."),
+        Key("instances", _SIZE, None, "Number of backend servers."),
+        Key("slots", _SIZE, None, "Concurrent calls per backend server."),
+        Key("connections", _SIZE, None, "Connections per backend server."),
     ),
 )
 _ROUTE_SCHEMA = SectionSchema(
     "[SERVICE/ROUTE]",
-    "One kind of call.",
+    "Route of a service.",
     (
         Key("match", MATCH, None, "One method and a path with at most one *."),
         Key("priority", values.integer(MOST_PRIORITY, LEAST_PRIORITY), None, ""),
         Key("idempotent", values.FLAG, None, ""),
-        Key("timeout", _TIME, "10s", "How long a caller waits."),
-        Key("attempts", values.integer(0, 16), "3", "Extra ones in the chain."),
-        Key("own time", _TIME, None, "Mean of its own work."),
-        Key("share", values.number(0, 1), "0", "Of the clients' requests."),
-        Key("calls", _CALL_STAGES, "", "What it calls."),
+        Key("timeout", _TIME, "10s", "Timeout of the caller."),
+        Key(
+            "attempts",
+            values.integer(0, 16),
+            "3",
+            "Extra attempts over the call chain.",
+        ),
+        Key("own time", _TIME, None, "Mean duration without nested calls."),
+        Key("share", values.number(0, 1), "0", "Share of client requests."),
+        Key("calls", _CALL_STAGES, "", "Called routes."),
     ),
 )
 
 
 def load_graph(name: str) -> Graph:
-    """Load one of the committed graphs.
+    """Load one of the graphs in this package.
 
     Parameters
     ----------
@@ -124,12 +142,12 @@
     Returns
     -------
     Graph
-        The graph.
+        Loaded graph.
 
     Raises
     ------
     InvalidGraphError
-        If the file is not valid.
+        If the file is invalid.
     """
     folder = importlib.resources.files("fuchsiagap_standins.graphs")
     text = folder.joinpath(f"{name}.ini").read_text()
@@ -137,7 +155,7 @@
 
 
 def load_graph_or_file(name: str) -> Graph:
-    """Load a committed graph by its name, or one from a path that ends in .ini."""
+    """Load a graph of this package by name, or a file whose path ends in ``.ini``."""
     if not name.endswith(".ini"):
         return load_graph(name)
     return _require_valid(read_graph(name, Path(name).read_text()))
@@ -155,14 +173,14 @@
     Parameters
     ----------
     path : str
-        Name of the file; the graph is called after it.
+        Path of the file, for faults and for the name of the graph.
     text : str
-        The INI text.
+        INI text.
 
     Returns
     -------
     Graph or SettingsFaults
-        The graph, or every fault with its place.
+        The graph, or all faults with their locations.
     """
     ini = read_ini(path, text)
     faults = list(ini.faults)
@@ -222,7 +240,7 @@
 
 
 def _validate_graph(path: str, graph: Graph) -> list[Fault]:
-    """Return the faults that only the whole graph shows."""
+    """Return the faults in references between sections and in the sum of shares."""
     faults = []
     services = {service.name for service in graph.services}
     routes = {route.name for route in graph.routes}
@@ -247,7 +265,7 @@
 
 
 def _validate_depth(path: str, graph: Graph) -> list[Fault]:
-    expected = f"a chain of calls that ends after at most {MAX_DEPTH}"
+    expected = f"a call chain of at most {MAX_DEPTH} calls"
     return [
         Fault(path, route.name, "calls", ", ".join(call_names(route)), expected)
         for route in graph.routes
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/graphs/model.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/graphs/model.py
@@ -1,4 +1,4 @@
-"""A call graph as data: services with their sizes, routes with their calls."""
+"""Service graph: services with their sizes, and routes with their calls."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from fuchsiagap.core.clock import Milliseconds
 
-# Routes with at most this priority are the ones that must not be lost.
+# Largest priority number of routes whose requests must not be lost.
 IMPORTANT_PRIORITY = 4
 
 
@@ -21,13 +21,13 @@
     Parameters
     ----------
     name : str
-        Its name within the team.
+        Name within the team.
     instances : int
-        Backend servers.
+        Number of backend servers.
     slots : int
-        Calls that one backend server works on at once.
+        Concurrent calls per backend server.
     connections : int
-        Connections that one backend server takes.
+        Maximum number of connections per backend server.
     """
 
     name: str
@@ -37,36 +37,36 @@
 
     @property
     def total_slots(self) -> int:
-        """Slots over all instances."""
+        """Number of slots of all instances."""
         return self.instances * self.slots
 
 
 @dataclass(frozen=True, slots=True)
 class GraphRoute:
-    """One kind of call of a service.
+    """Route of a service.
 
     Parameters
     ----------
     name : str
-        ``SERVICE/ROUTE``, the section of the team's settings.
+        ``SERVICE/ROUTE``, as in the team's settings.
     service : str
-        The service's name.
+        Name of the service.
     method, pattern : str
-        HTTP method, and path with at most one ``*``.
+        HTTP method, and path pattern with at most one ``*``.
     priority : int
-        0 is the most important.
+        Priority; 0 is the most important.
     idempotent : bool
         Whether a call may run more than once.
     timeout : float
-        Milliseconds a caller waits.
+        Timeout of the caller in milliseconds.
     attempts : int
-        Extra attempts over the whole chain.
+        Extra attempts over the whole call chain.
     own_time : float
-        Mean milliseconds of work, without the calls it makes.
+        Mean duration in milliseconds without nested calls.
     share : float
-        Share of the clients' requests; 0 if only services call it.
+        Share of client requests; 0 if only services call the route.
     calls : tuple of tuple of str
-        Routes it calls: stages one after the other, the calls of one stage at once.
+        Called routes by stage. Stages run in sequence, calls of one stage concurrently.
     """
 
     name: str
@@ -82,41 +82,42 @@
     calls: tuple[tuple[str, ...], ...]
 
     @property
-    def important(self) -> bool:
-        """Whether its requests are to be refused after all lookups and browses."""
+    def is_important(self) -> bool:
+        """Whether its requests are refused only after all lookups and browses."""
         return self.priority <= IMPORTANT_PRIORITY
 
     def target(self, number: int) -> str:
-        """Return the path of one call, for example ``/panels/17``."""
+        """Return the path of a call, for example ``/panels/17``."""
         return self.pattern.replace("*", str(number))
 
 
 @dataclass(frozen=True, slots=True)
 class Graph:
-    """The services of one team and the calls between them.
+    """Services of one team and the calls between them.
 
     Parameters
     ----------
     name : str
-        Name of the file without its ending.
+        File name without extension.
     team : str
-        The team.
+        Team that owns the services.
     weight : str
-        ``goodput`` or ``recovery``, or a number between 0 and 1 in text.
+        Goal of overload control: ``goodput``, ``recovery`` or a number from 0 to 1 as
+        text.
     data_centres : tuple of str
-        Their names; the instances of a service are spread over them in turn.
+        Names of the data centres; instances are assigned round-robin.
     between_data_centres, to_clients : float
-        Milliseconds one way.
+        One-way network delays in milliseconds.
     new_connection : float
-        Milliseconds to open a connection.
+        Time to open a connection in milliseconds.
     spread : float
         Standard deviation of service times as a share of their mean.
     deep_service : str
-        The service to slow down in a surge, unless another is named.
+        Service that a surge slows down by default.
     services : tuple of GraphService
-        In the order of the file.
+        Services in the order of the file.
     routes : tuple of GraphRoute
-        In the order of the file.
+        Routes in the order of the file.
     """
 
     name: str
@@ -137,27 +138,27 @@
         return tuple(route for route in self.routes if route.share > 0)
 
     def service(self, name: str) -> GraphService:
-        """Return a service by its name."""
+        """Return the service with this name."""
         return next(service for service in self.services if service.name == name)
 
     def route(self, name: str) -> GraphRoute:
-        """Return a route by its name."""
+        """Return the route with this name."""
         return next(route for route in self.routes if route.name == name)
 
     def service_name(self, route: GraphRoute) -> ServiceName:
-        """Return the name of a route's service with its team."""
+        """Return the full service name of a route, with the team."""
         return ServiceName(self.team, route.service)
 
     def with_time_scale(self, factor: float) -> Graph:
-        """Return the graph with all service times multiplied."""
+        """Return a copy of the graph with all own times multiplied by `factor`."""
         routes = tuple(
             replace(route, own_time=route.own_time * factor) for route in self.routes
         )
         return replace(self, routes=routes)
 
     def placement(self, service: GraphService) -> tuple[str, ...]:
-        """Return the data centre of each instance."""
-        # Each service starts in another data centre, so that the loads are alike.
+        """Return the data centre of each instance of a service."""
+        # Services start in different data centres, which balances the load.
         first = self.services.index(service)
         n_centres = len(self.data_centres)
         return tuple(
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bench/overload/test_overload.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bench/overload/test_overload.py
@@ -1,4 +1,4 @@
-"""The overload experiment: its reckoning, and that a run can be repeated."""
+"""Tests of the overload bench: its calculations, and that runs are reproducible."""
 
 from __future__ import annotations
 
@@ -121,7 +121,7 @@
             base_load=0.3,
             slow_service=graph.deep_service,
         )
-        # With its rules on, whatever the run: no violation, and attempts in bound.
+        # The full policy has no violations, which include attempts above the bound.
         runs = [run_once(graph, scenario, POLICIES["full"], 3) for _ in range(2)]
         self.assertEqual(runs[0], runs[1])
         figures = runs[0].figures
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bench/test_routing.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bench/test_routing.py
@@ -1,4 +1,4 @@
-"""The bench of routing: same seed, same figures; faults show in them."""
+"""Tests of the routing bench."""
 
 from __future__ import annotations
 
