--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/backend_app.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/backend_app.py
@@ -33,7 +33,7 @@
     LoadReportMode,
 )
 from fuchsiagap_standins.command_line import new_flags, parse_flags
-from fuchsiagap_standins.graphs import load_any_graph
+from fuchsiagap_standins.graphs import load_graph_or_file
 from fuchsiagap_standins.serving import announce, serve_app, wait_for_stop_signal
 
 if TYPE_CHECKING:
@@ -290,7 +290,7 @@
 def main(argv: Sequence[str]) -> None:
     """Run the server with the flags in `argv`."""
     parse_flags(_FLAGS, argv, __doc__ or "")
-    graph = load_any_graph(_GRAPH.value).with_time_scale(_TIME_SCALE.value)
+    graph = load_graph_or_file(_GRAPH.value).with_time_scale(_TIME_SCALE.value)
     services = [service.name for service in graph.services]
     if _SERVICE.value not in services:
         sys.exit(f"--service={_SERVICE.value}: expected one of {', '.join(services)}")
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/backends.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/backends.py
@@ -1,4 +1,4 @@
-"""A backend server in memory: slots, a queue of its own, calls of its own."""
+"""Simulated backend server with slots, a queue and calls to other services."""
 
 from __future__ import annotations
 
@@ -22,38 +22,43 @@
     from fuchsiagap_standins.bench.overload.policies import BenchPolicy
     from fuchsiagap_standins.bench.overload.records import Records
     from fuchsiagap_standins.bench.overload.scenario import Scenario
-    from fuchsiagap_standins.bench.overload.ticks import Ticks
+    from fuchsiagap_standins.bench.overload.tick_scheduler import TickScheduler
     from fuchsiagap_standins.graphs import Graph, GraphRoute, GraphService
 
 _BAD_GATEWAY = 502
-_REPORT_FACTORS = {"honest": 1.0, "high": 10.0, "low": 0.1}
-_BEFORE_CALLS = 0.5
+_REPORTED_SLOTS_FACTORS = {"honest": 1.0, "high": 10.0, "low": 0.1}
+_WORK_SHARE_BEFORE_CALLS = 0.5
 
 
-class FakeBackend:
-    """One backend server.
+class SimulatedBackend:
+    """Simulated backend server of a service.
 
-    It works on `slots` calls at a time and queues the rest inside, up to its
-    connections, so that a call that is over its slots looks like a slow one.
+    It runs `slots` calls concurrently and queues further calls up to its number of
+    connections. To a node, a queued call is indistinguishable from a slow one.
 
     Parameters
     ----------
     graph : Graph
-        The call graph.
+        Service graph.
     service : GraphService
-        What it is an instance of.
+        Service that it is an instance of.
     scenario : Scenario
-        When it is slow.
+        Gives the slowdown over time and the kind of load reports.
     policy : BenchPolicy
-        Whether it retries, and whether it stops what is given up.
+        Gives its retries, and whether it cancels abandoned calls.
     records : Records
-        Where its work is counted.
-    ticks : Ticks
-        By which it works.
+        Records of the run, to which its work is added.
+    tick_scheduler : TickScheduler
+        Time source of its work.
     rng : random.Random
-        Source of service times.
+        Generator for service times.
     nursery : trio.Nursery
-        Where calls run on that were given up but don't stop.
+        Runs abandoned calls if the policy does not cancel them.
+
+    Attributes
+    ----------
+    node : NodeState or None
+        Node of its host, through which it calls other services. Set after creation.
     """
 
     def __init__(
@@ -63,7 +68,7 @@
         scenario: Scenario,
         policy: BenchPolicy,
         records: Records,
-        ticks: Ticks,
+        tick_scheduler: TickScheduler,
         rng: random.Random,
         nursery: trio.Nursery,
     ) -> None:
@@ -72,17 +77,19 @@
         self._scenario = scenario
         self._policy = policy
         self._records = records
-        self._ticks = ticks
+        self._ticks = tick_scheduler
         self._rng = rng
         self._nursery = nursery
         self._slots = trio.Semaphore(service.slots)
         self._routes = {route.name: route for route in graph.routes}
-        self._n_taken = 0
+        self._n_connections = 0
         self.node: NodeState | None = None
 
     async def load(self) -> BackendLoad:
-        """Report slots and calls, as the scenario has it."""
-        slots = int(self._service.slots * _REPORT_FACTORS[self._scenario.reports])
+        """Return the load report; the scenario may scale the reported slots."""
+        slots = int(
+            self._service.slots * _REPORTED_SLOTS_FACTORS[self._scenario.reports]
+        )
         return BackendLoad(
             healthy=True,
             slots=max(slots, 1),
@@ -93,15 +100,15 @@
     async def send(
         self, head: CallHead, body: bytes, remaining: Milliseconds
     ) -> Outcome:
-        """Run one call."""
-        if self._n_taken >= self._service.connections:
-            return Refused(Reason.BACKEND_REFUSED, detail="all connections are taken")
+        """Run one call, or refuse it if all connections are in use."""
+        if self._n_connections >= self._service.connections:
+            return Refused(Reason.BACKEND_REFUSED, detail="all connections are in use")
         if self._policy.cancels:
             return await self._run(head)
         return await self._run_detached(head)
 
     async def _run_detached(self, head: CallHead) -> Outcome:
-        """Run a call that goes on when nobody waits for it any more."""
+        """Run a call that continues after the caller has cancelled it."""
         done = trio.Event()
         outcomes: list[Outcome] = []
 
@@ -114,12 +121,12 @@
         return outcomes[0]
 
     async def _run(self, head: CallHead) -> Outcome:
-        self._n_taken += 1
+        self._n_connections += 1
         try:
             async with self._slots:
                 return await self._serve(head)
         finally:
-            self._n_taken -= 1
+            self._n_connections -= 1
 
     async def _serve(self, head: CallHead) -> Outcome:
         outcome = await self._serve_route(head, self._routes[head.route])
@@ -131,17 +138,17 @@
         work = draw_own_time(self._graph, route, self._rng)
         if not route.calls:
             await self._work(head, work)
-            return self._answer(head)
-        await self._work(head, work * _BEFORE_CALLS)
+            return self._make_answer(head)
+        await self._work(head, work * _WORK_SHARE_BEFORE_CALLS)
         for stage in route.calls:
-            failed = await self._call_all(head, stage)
+            failed = await self._call_stage(head, stage)
             if failed is not None:
                 return failed
-        await self._work(head, work * (1.0 - _BEFORE_CALLS))
-        return self._answer(head)
+        await self._work(head, work * (1.0 - _WORK_SHARE_BEFORE_CALLS))
+        return self._make_answer(head)
 
     def _count_run(self, head: CallHead) -> None:
-        """Count a run that had an effect; a refused one had none."""
+        """Count a non-idempotent run; a second one of a call is a violation."""
         if head.idempotent:
             return
         key = (head.root_id, head.child_key)
@@ -149,11 +156,11 @@
         if self._records.runs[key] > 1:
             self._records.violations["double_run"] += 1
 
-    def _answer(self, head: CallHead) -> Answered:
+    def _make_answer(self, head: CallHead) -> Answered:
         return Answered(200, (), head.root_id.encode())
 
     async def _work(self, head: CallHead, work: Milliseconds) -> None:
-        """Work on a call, and count what was done even if it is cut short."""
+        """Work on a call and record the time spent, also if it is cancelled."""
         started = self._ticks.now()
         try:
             await self._ticks.sleep(
@@ -165,25 +172,27 @@
                 attempt = int(head.headers[0][1])
                 record.work[attempt] += self._ticks.now() - started
 
-    async def _call_all(self, head: CallHead, stage: tuple[str, ...]) -> Outcome | None:
-        """Make the calls of one stage; return how the first that failed ended."""
+    async def _call_stage(
+        self, head: CallHead, stage: tuple[str, ...]
+    ) -> Outcome | None:
+        """Make the calls of a stage concurrently; return the first failure, if any."""
         if len(stage) == 1:
-            return _failure(await self._call(head, stage[0]))
+            return _failed_response(await self._call(head, stage[0]))
         failures: list[Outcome] = []
 
-        async def one(name: str) -> None:
-            failed = _failure(await self._call(head, name))
+        async def call_one(name: str) -> None:
+            failed = _failed_response(await self._call(head, name))
             if failed is not None:
                 failures.append(failed)
                 nursery.cancel_scope.cancel()
 
         async with trio.open_nursery() as nursery:
             for name in stage:
-                nursery.start_soon(one, name)
+                nursery.start_soon(call_one, name)
         return failures[0] if failures else None
 
     async def _call(self, head: CallHead, name: str) -> Outcome:
-        """Call another service through the node of this host."""
+        """Call another service through the local node, with the policy's retries."""
         assert self.node is not None
         route = self._routes[name]
         req = CallRequest(
@@ -196,18 +205,20 @@
         )
         outcome = await enter(self.node, req)
         for _ in range(self._policy.server_retries):
-            if _failure(outcome) is None:
+            if _failed_response(outcome) is None:
                 break
             outcome = await enter(self.node, req)
         return outcome
 
 
-def _failure(outcome: Outcome) -> Outcome | None:
-    """Return what a server answers if a call of its own ended so; None if well."""
+def _failed_response(outcome: Outcome) -> Outcome | None:
+    """Return the response of a server to a failed call of its own; None on success."""
     if isinstance(outcome, Answered):
         return None if outcome.status < _BAD_GATEWAY else outcome
     if isinstance(outcome, Refused):
-        return Refused(Reason.BACKEND_REFUSED, detail="a call of its own was refused")
+        return Refused(
+            Reason.BACKEND_REFUSED, detail="a call to another service was refused"
+        )
     if isinstance(outcome, Unknown):
-        return Answered(_BAD_GATEWAY, (), b"a call of its own failed")
+        return Answered(_BAD_GATEWAY, (), b"a call to another service failed")
     raise AssertionError(outcome)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/fleet.py
@@ -1,4 +1,4 @@
-"""The nodes of a graph at the brief's sizes, with fakes in place of the network."""
+"""Create the nodes of a service graph with simulated links and backend servers."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
     PlatformConfig,
 )
 from fuchsiagap_node.core.node import NodePorts, make_state
-from fuchsiagap_standins.bench.overload.backends import FakeBackend
-from fuchsiagap_standins.bench.overload.gates import MeteredGate
-from fuchsiagap_standins.bench.overload.ticks import Ticks
+from fuchsiagap_standins.bench.overload.backends import SimulatedBackend
+from fuchsiagap_standins.bench.overload.metered_gate import MeteredGate
+from fuchsiagap_standins.bench.overload.tick_scheduler import TickScheduler
 from fuchsiagap_standins.graphs import settings_text
 
 if TYPE_CHECKING:
@@ -37,32 +37,35 @@
     from fuchsiagap_standins.bench.overload.scenario import Scenario
     from fuchsiagap_standins.graphs import Graph, GraphService
 
-_REPORT_MS = 500.0
+_REPORT_INTERVAL_MS = 500.0
 _INCARNATION = 1
 _RING_SIZE = 256
 
 
 @dataclass(slots=True, eq=False)
 class Fleet:
-    """All nodes of a run.
+    """Nodes of a run.
 
     Parameters
     ----------
-    ticks : Ticks
-        By which the run sleeps.
+    tick_scheduler : TickScheduler
+        Scheduler for all sleeps of the run.
     nodes : list of NodeState
-        In the order of the graph's services.
+        Nodes in the order of the graph's services.
     by_address : dict
-        The same, by the address other nodes know.
+        Nodes by peer address.
     """
 
-    ticks: Ticks
+    tick_scheduler: TickScheduler
     nodes: list[NodeState] = field(default_factory=list)
     by_address: dict[str, NodeState] = field(default_factory=dict)
 
 
-class FakePeers:
-    """Passes messages to other nodes as they are, after the graph's delay."""
+class SimulatedPeers:
+    """Delivers messages directly to other nodes.
+
+    Messages between data centres take `delay` ms, messages within one take no time.
+    """
 
     def __init__(self, fleet: Fleet, cfg: NodeConfig, delay: Milliseconds) -> None:
         self._fleet = fleet
@@ -70,30 +73,30 @@
         self._delay = delay
 
     def drop(self, address: str) -> None:
-        """Close no link: there are none."""
+        """Do nothing; there are no links."""
 
     def linked(self) -> tuple[str, ...]:
-        """Return no links."""
+        """Return an empty tuple; there are no links."""
         return ()
 
     async def notify_linked(self, message: object) -> None:
-        """Drop a message: the bench has no use for notices."""
+        """Discard a notification; the bench does not use notifications."""
 
     async def ask(self, address: str, message: object) -> object:
-        """Have another node handle a message, and return its reply."""
+        """Let another node handle a message and return its reply."""
         node = self._fleet.by_address[address]
         is_far = node.cfg.data_centre != self._cfg.data_centre
         if is_far:
-            await self._fleet.ticks.sleep(self._delay)
+            await self._fleet.tick_scheduler.sleep(self._delay)
         reply = await node.handlers.request_handlers[type(message)](
             self._cfg.name, message
         )
         if is_far:
-            await self._fleet.ticks.sleep(self._delay)
+            await self._fleet.tick_scheduler.sleep(self._delay)
         return reply
 
     async def notify(self, address: str, message: object) -> None:
-        """Drop a message: the bench has no use for notices."""
+        """Discard a notification; the bench does not use notifications."""
 
 
 async def open_fleet(
@@ -105,42 +108,49 @@
     seed: int,
     nursery: trio.Nursery,
 ) -> Fleet:
-    """Put the nodes together and start their tasks.
+    """Create the nodes and start their tasks.
 
     Parameters
     ----------
     graph : Graph
-        Services, instances and where they run.
+        Services, their instances and data centres.
     scenario : Scenario
-        When which backend server is slow.
+        Slowdown of the backend servers over time.
     policy : BenchPolicy
-        How the nodes decide.
+        Settings of the nodes.
     records : Records
-        Where is counted.
+        Records of the run.
     clock : Clock
         Clock of the run.
     seed : int
-        Seed of all random choices.
+        Random seed.
     nursery : trio.Nursery
-        Where the tasks run.
+        Runs the tasks of the nodes.
 
     Returns
     -------
     Fleet
-        Nodes that know each other and the team's settings.
+        Nodes that know all members and have adopted the team's settings.
     """
-    fleet = Fleet(Ticks(clock))
-    nursery.start_soon(fleet.ticks.run)
+    fleet = Fleet(TickScheduler(clock))
+    nursery.start_soon(fleet.tick_scheduler.run)
     for service in graph.services:
         for index, data_centre in enumerate(graph.placement(service)):
             number = len(fleet.nodes)
-            cfg = _config(graph, service, index, data_centre, number, policy)
+            cfg = _make_config(graph, service, index, data_centre, number, policy)
             rng = random.Random(f"{seed}/{cfg.name}")
-            backend = FakeBackend(
-                graph, service, scenario, policy, records, fleet.ticks, rng, nursery
+            backend = SimulatedBackend(
+                graph,
+                service,
+                scenario,
+                policy,
+                records,
+                fleet.tick_scheduler,
+                rng,
+                nursery,
             )
-            node = _node(cfg, backend, policy, records, clock, rng, nursery)
-            node.peers = FakePeers(fleet, cfg, graph.between_data_centres)
+            node = _make_node(cfg, backend, policy, records, clock, rng, nursery)
+            node.peers = SimulatedPeers(fleet, cfg, graph.between_data_centres)
             backend.node = node
             fleet.nodes.append(node)
             fleet.by_address[cfg.peer_address] = node
@@ -154,17 +164,17 @@
         node.gate.set_weight(team.weight)
         for other in fleet.nodes:
             if other is not node:
-                node.membership.apply(_member(other.cfg))
+                node.membership.apply(_make_member(other.cfg))
         node.router.update(node.membership.instances())
         nursery.start_soon(home.run, node)
-        nursery.start_soon(_steps, node, fleet.ticks)
-        nursery.start_soon(_reports, node, fleet.ticks)
+        nursery.start_soon(_run_gate_steps, node, fleet.tick_scheduler)
+        nursery.start_soon(_run_load_reports, node, fleet.tick_scheduler)
     return fleet
 
 
-def _node(
+def _make_node(
     cfg: NodeConfig,
-    backend: FakeBackend,
+    backend: SimulatedBackend,
     policy: BenchPolicy,
     records: Records,
     clock: Clock,
@@ -189,32 +199,32 @@
 
 
 def _no_dial(nursery: trio.Nursery) -> Dial:
-    """Return what nobody dials with: the fake peers need no links."""
+    """Return a placeholder; the simulated peers open no links."""
     return cast("Dial", None)
 
 
 async def _no_listen(take: object) -> None:
-    """Listen to nobody."""
+    """Do nothing; the nodes accept no links."""
 
 
-async def _steps(node: NodeState, ticks: Ticks) -> None:
-    """Let the gate adjust itself, each node at a moment of its own."""
+async def _run_gate_steps(node: NodeState, tick_scheduler: TickScheduler) -> None:
+    """Run the gate's periodic step, with a random phase per node."""
     step = node.cfg.gate.step_ms
-    await ticks.sleep(node.rng.random() * step)
+    await tick_scheduler.sleep(node.rng.random() * step)
     while True:
         node.gate.step()
-        await ticks.sleep(step)
+        await tick_scheduler.sleep(step)
 
 
-async def _reports(node: NodeState, ticks: Ticks) -> None:
+async def _run_load_reports(node: NodeState, tick_scheduler: TickScheduler) -> None:
     while True:
         load = await node.backend.load()
         if load is not None:
             node.gate.apply_report(load.slots, load.in_flight)
-        await ticks.sleep(_REPORT_MS)
+        await tick_scheduler.sleep(_REPORT_INTERVAL_MS)
 
 
-def _member(cfg: NodeConfig) -> Member:
+def _make_member(cfg: NodeConfig) -> Member:
     return Member(
         node=cfg.name,
         incarnation=_INCARNATION,
@@ -224,7 +234,7 @@
     )
 
 
-def _config(
+def _make_config(
     graph: Graph,
     service: GraphService,
     index: int,
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/rounds.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/rounds.py
@@ -1,4 +1,4 @@
-"""Run many seeds, graphs and policies, and print a table of the figures.
+"""Run the overload bench over seeds, graphs and policies and print a table.
 
 ``python -m fuchsiagap_standins.bench.overload.rounds --policies none,full --seeds 5``
 """
@@ -33,19 +33,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Job:
-    """One run of a table.
+class RunSpec:
+    """Parameters of one run.
 
     Parameters
     ----------
     graph, policy : str
-        Their names.
+        Names of the service graph and of the policy.
     seed : int
-        Seed of the run.
+        Random seed.
     changes : tuple of (str, float)
-        Fields of the scenario that differ from its defaults.
+        Names and values of scenario fields that differ from the defaults.
     slow_service : str
-        Empty for the graph's deep service.
+        Slow service; empty for the deep service of the graph.
     """
 
     graph: str
@@ -55,70 +55,88 @@
     slow_service: str = ""
 
 
-def run_job(job: Job) -> dict[str, Any]:
-    """Run one job, and return its figures with goodput over time."""
-    graph = load_graph(job.graph)
-    changes: dict[str, Any] = dict(job.changes)
-    slow_service = job.slow_service or graph.deep_service
+def execute_run(run: RunSpec) -> dict[str, Any]:
+    """Execute one run and return its results with goodput over time."""
+    graph = load_graph(run.graph)
+    changes: dict[str, Any] = dict(run.changes)
+    slow_service = run.slow_service or graph.deep_service
     scenario = Scenario(slow_service=slow_service, **changes)
-    result = run_once(graph, scenario, POLICIES[job.policy], job.seed)
+    result = run_once(graph, scenario, POLICIES[run.policy], run.seed)
     return {
-        "graph": job.graph,
-        "policy": job.policy,
-        "seed": job.seed,
+        "graph": run.graph,
+        "policy": run.policy,
+        "seed": run.seed,
         "slow_service": scenario.slow_service,
-        **dict(job.changes),
+        **dict(run.changes),
         **result.figures,
         "goodput_per_s": result.goodput,
     }
 
 
-def run_jobs(jobs: list[Job], n_processes: int, out: str = "") -> list[dict[str, Any]]:
-    """Run jobs in a few processes; write what there is after each to `out`."""
+def execute_runs(
+    runs: list[RunSpec], n_processes: int, out: str = ""
+) -> list[dict[str, Any]]:
+    """Execute runs in `n_processes` processes and return their results.
+
+    After each run, the results so far are written to the file `out`, if given.
+    """
     context = multiprocessing.get_context("spawn")
     with context.Pool(n_processes, maxtasksperchild=1) as pool:
-        found = []
-        for figures in pool.imap(run_job, jobs):
-            print(_line(figures), file=sys.stderr, flush=True)
-            found.append(figures)
+        results = []
+        for figures in pool.imap(execute_run, runs):
+            print(_format_line(figures), file=sys.stderr, flush=True)
+            results.append(figures)
             if out:
-                Path(out).write_text(json.dumps(found))
-        return found
+                Path(out).write_text(json.dumps(results))
+        return results
 
 
-def table(found: list[dict[str, Any]]) -> str:
-    """Return the median and the worst of each figure, by graph and policy."""
+def format_table(results: list[dict[str, Any]]) -> str:
+    """Return a Markdown table of median and worst values by graph and policy."""
     lines = ["| graph | policy | seeds | " + " | ".join(_COLUMNS) + " |"]
     lines.append("|" + "---|" * (3 + len(_COLUMNS)))
     groups: dict[tuple[str, str], list[dict[str, Any]]] = {}
-    for figures in found:
+    for figures in results:
         key = (figures["graph"], figures["policy"])
         groups.setdefault(key, []).append(figures)
     for (graph, policy), rows in groups.items():
-        cells = [_cell([row[column] for row in rows], column) for column in _COLUMNS]
+        cells = [
+            _format_cell([row[column] for row in rows], column) for column in _COLUMNS
+        ]
         lines.append(
             f"| {graph} | {policy} | {len(rows)} | " + " | ".join(cells) + " |"
         )
     return "\n".join(lines)
 
 
-def _cell(values: list[float | None], column: str) -> str:
-    """Return the median and, in brackets, the worst."""
+def _format_cell(values: list[float | None], column: str) -> str:
+    """Return the median and, in parentheses, the worst value; None means never."""
     known = [value for value in values if value is not None]
     worst = min if column.startswith("goodput") else max
     if not known:
         return "never"
-    end = "never" if len(known) < len(values) else f"{worst(known):g}"
-    return f"{statistics.median(known):g} ({end})"
+    worst_text = "never" if len(known) < len(values) else f"{worst(known):g}"
+    return f"{statistics.median(known):g} ({worst_text})"
 
 
-def _line(figures: dict[str, Any]) -> str:
+def _format_line(figures: dict[str, Any]) -> str:
     names = ("graph", "policy", "seed", *_COLUMNS)
     return " ".join(str(figures[name]) for name in names)
 
 
 def main(argv: list[str]) -> int:
-    """Run the rounds of the command line."""
+    """Execute the selected runs and print their table.
+
+    Parameters
+    ----------
+    argv : list of str
+        Flags.
+
+    Returns
+    -------
+    int
+        Exit status.
+    """
     values = flags.FlagValues()  # type: ignore[no-untyped-call]
     for name, text in (
         ("graphs", "queensland,dakar"),
@@ -127,8 +145,10 @@
         ("out", ""),
     ):
         flags.DEFINE_string(name, text, name, flag_values=values)
-    flags.DEFINE_integer("seeds", 5, "Seeds, from 1.", flag_values=values)
-    flags.DEFINE_integer("processes", 3, "At a time.", flag_values=values)
+    flags.DEFINE_integer("seeds", 5, "Number of seeds, from 1.", flag_values=values)
+    flags.DEFINE_integer(
+        "processes", 3, "Number of parallel processes.", flag_values=values
+    )
     for name in ("surge", "factor", "slowness", "base_load"):
         flags.DEFINE_float(name, None, name, flag_values=values)
     values(["rounds", *argv])
@@ -142,13 +162,13 @@
         value: Any = values[name].value
         if value is not None:
             changes.append((name, value * scale))
-    jobs = [
-        Job(graph, policy, seed, tuple(changes), values.slow_service)
+    runs = [
+        RunSpec(graph, policy, seed, tuple(changes), values.slow_service)
         for graph in values.graphs.split(",")
         for policy in values.policies.split(",")
         for seed in range(1, values.seeds + 1)
     ]
-    print(table(run_jobs(jobs, values.processes, values.out)))
+    print(format_table(execute_runs(runs, values.processes, values.out)))
     return 0
 
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/settings.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/settings.py
@@ -1,7 +1,8 @@
-"""What settings cost: on each call, when a text is read, and when it changes.
+"""Measure the cost of settings: route matching, parsing and propagation of changes.
 
-Times to read and to match are of this machine. The time until a change is in force
-everywhere is of the virtual clock: links and intervals count, CPU does not.
+Parsing and matching are timed on this machine. Propagation of a change to all nodes is
+measured on a virtual clock, which includes link delays and polling intervals but no CPU
+time.
 
 Examples
 --------
@@ -40,34 +41,35 @@
     from fuchsiagap_node.core.state import NodeState
 
 TEAM = "salt-fog"
-HALLS = ("hall-a", "hall-b", "hall-c")
-_CALLS = 20_000
-_ROUNDS = 7
-_CHANGES = 5
+DATA_CENTRES = ("hall-a", "hall-b", "hall-c")
+_N_CALLS = 20_000
+_N_ROUNDS = 7
+_N_CHANGES = 5
 _SETTLE_S = 8.0
-_STEP_S = 0.001
+_POLL_INTERVAL_S = 0.001
 _ROUTES_PER_SERVICE = 10
 _US_PER_S = 1e6
 _MS_PER_S = 1e3
 
 
 @dataclass(frozen=True, slots=True)
-class MatchCosts:
-    """Costs of one team's text with some number of routes.
+class MatchingCosts:
+    """Costs of one team's settings with a given number of routes.
 
     Parameters
     ----------
     n_routes, text_bytes : int
-        Size of the text.
+        Number of routes, and size of the settings in bytes.
     literal_us, wildcard_us, default_us, unknown_us : float
-        One `route_for`: a literal path, one that tries a literal branch and goes back
-        to a wildcard, a path that no route matches, a service without section.
+        Time of one `route_for` for a literal path, a path that backtracks from a
+        literal branch to a wildcard, a path that no route matches, and a service
+        without a section.
     parse_ms : float
-        Reading and validating the text.
+        Time to parse and validate the settings.
     adopt_ms : float
-        The same, and compiling it.
+        Time to parse, validate and compile the settings.
     memory_bytes : int
-        Held by the book for the team.
+        Memory that the settings book allocates for the team.
     """
 
     n_routes: int
@@ -82,31 +84,32 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SpreadCosts:
-    """What a change costs in a fleet, and how long it takes.
+class PropagationCosts:
+    """Cost and duration of propagating a settings change to all nodes.
 
     Parameters
     ----------
     n_nodes, text_bytes : int
-        Sizes.
+        Number of nodes, and size of the settings in bytes.
     accepted_ms_p50, accepted_ms_max : float
-        From the acceptance by a node until in force on all.
+        Time from acceptance of a change by a node until it is in force on all nodes.
     watched_ms_p50, watched_ms_max : float
-        From a write past the nodes until in force on all.
+        Time from a write directly to the platform until it is in force on all nodes.
     without_news_ms_max : float
-        From an acceptance, with all news and all watches lost: what comparing with
-        random nodes alone takes.
+        Time from acceptance with all notifications lost and all other nodes cut off
+        from the platform, so that only periodic comparison with random peers
+        propagates the change.
     bytes_per_change_and_node : float
-        Of messages about settings, beyond those of an idle fleet.
+        Bytes of settings messages in excess of those of an idle fleet.
     messages_per_change_and_node : float
-        As many messages.
+        Settings messages in excess of those of an idle fleet.
     cpu_ms_per_change_and_node : float
-        CPU beyond that of an idle fleet, reading the text included, with both ends of
-        each link in this process and without sockets.
+        CPU time in excess of that of an idle fleet. It includes parsing and both ends
+        of each link, but no sockets.
     idle_bytes_per_s_and_node : float
-        Of messages about settings without any change.
+        Bytes of settings messages per second without changes.
     idle_platform_calls_per_s : float
-        Of the whole fleet.
+        Platform calls per second of all nodes together without changes.
     """
 
     n_nodes: int
@@ -123,92 +126,102 @@
     idle_platform_calls_per_s: float
 
 
-def a_text(n_routes: int, priority: int = 5) -> str:
-    """Return a text with `n_routes` routes, ten in each service."""
+def make_settings_text(n_routes: int, priority: int = 5) -> str:
+    """Return settings with `n_routes` routes, ten per service."""
     lines = ["[team]", "weight = goodput", f"priority = {priority}"]
     for i in range(n_routes):
         service, route = divmod(i, _ROUTES_PER_SERVICE)
         if not route:
             lines += [f"[service-{service}]", "timeout = 2s"]
         lines += [f"[service-{service}/route-{route}]", "priority = 3"]
-        is_wild = route == _ROUTES_PER_SERVICE - 1
-        path = "/things/*/panels" if is_wild else f"/things/{route}/detail"
+        is_wildcard = route == _ROUTES_PER_SERVICE - 1
+        path = "/things/*/panels" if is_wildcard else f"/things/{route}/detail"
         lines.append(f"match = POST {path}")
     return "\n".join(lines) + "\n"
 
 
-def match_costs(n_routes: int) -> MatchCosts:
-    """Measure one size of text."""
-    text = a_text(n_routes)
+def measure_matching(n_routes: int) -> MatchingCosts:
+    """Measure parsing and matching with `n_routes` routes."""
+    text = make_settings_text(n_routes)
     book = SettingsBook()
     tracemalloc.start()
     book.adopt(TeamText(TEAM, 1, text))
     memory, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     service = ServiceName(TEAM, "service-0")
-    elsewhere = ServiceName(TEAM, "elsewhere")
+    unknown_service = ServiceName(TEAM, "elsewhere")
 
     def route_us(name: ServiceName, target: str) -> float:
-        return _median_us(lambda: book.route_for(name, "POST", target), _CALLS)
+        return _median_us(lambda: book.route_for(name, "POST", target), _N_CALLS)
 
     def adopt() -> None:
         SettingsBook().adopt(TeamText(TEAM, 1, text))
 
-    few = max(3, 2_000 // n_routes)
-    return MatchCosts(
+    n_calls = max(3, 2_000 // n_routes)
+    return MatchingCosts(
         n_routes=n_routes,
         text_bytes=len(text),
         literal_us=route_us(service, "/things/3/detail?page=1"),
         wildcard_us=route_us(service, "/things/3/panels"),
         default_us=route_us(service, "/other/path"),
-        unknown_us=route_us(elsewhere, "/things/3/detail"),
-        parse_ms=round(_median_us(lambda: parse_team(TEAM, text), few) / _MS_PER_S, 3),
-        adopt_ms=round(_median_us(adopt, few) / _MS_PER_S, 3),
+        unknown_us=route_us(unknown_service, "/things/3/detail"),
+        parse_ms=round(
+            _median_us(lambda: parse_team(TEAM, text), n_calls) / _MS_PER_S, 3
+        ),
+        adopt_ms=round(_median_us(adopt, n_calls) / _MS_PER_S, 3),
         memory_bytes=memory,
     )
 
 
-def spread_costs(n_nodes: int, n_routes: int = 40, seed: int = 1) -> SpreadCosts:
-    """Measure one size of fleet, under the virtual clock."""
-    return run_virtual(_spread, n_nodes, n_routes, seed, seed=seed, real_limit_s=900.0)
+def measure_propagation(
+    n_nodes: int, n_routes: int = 40, seed: int = 1
+) -> PropagationCosts:
+    """Measure propagation in a fleet of `n_nodes` nodes on the virtual clock."""
+    return run_virtual(
+        _measure_propagation, n_nodes, n_routes, seed, seed=seed, real_limit_s=900.0
+    )
 
 
-async def _spread(n_nodes: int, n_routes: int, seed: int) -> SpreadCosts:
+async def _measure_propagation(
+    n_nodes: int, n_routes: int, seed: int
+) -> PropagationCosts:
     async with open_settings_fleet(seed) as fleet:
-        states = _start(fleet, n_nodes)
+        states = _start_nodes(fleet, n_nodes)
         await fleet.until(
             lambda: all(state.book.sync_status.complete for state in states)
         )
         await trio.sleep(_SETTLE_S)
-        idle = _usage(fleet)
+        idle = _read_usage(fleet)
         await trio.sleep(_SETTLE_S)
-        rate = _usage(fleet).minus(idle).times(1 / _SETTLE_S)
-        begin, begun_s = _usage(fleet), trio.current_time()
+        rate = _read_usage(fleet).minus(idle).times(1 / _SETTLE_S)
+        before, started_s = _read_usage(fleet), trio.current_time()
         accepted = [
-            await _timed(fleet, _accept(states[7 * i % n_nodes], n_routes, i))
-            for i in range(_CHANGES)
+            await _time_until_in_force(
+                fleet, _put_through_node(states[7 * i % n_nodes], n_routes, i)
+            )
+            for i in range(_N_CHANGES)
         ]
-        taken_s = trio.current_time() - begun_s
-        used = _usage(fleet).minus(begin).minus(rate.times(taken_s))
-        used = used.times(1 / _CHANGES / n_nodes)
+        elapsed_s = trio.current_time() - started_s
+        used = _read_usage(fleet).minus(before).minus(rate.times(elapsed_s))
+        used = used.times(1 / _N_CHANGES / n_nodes)
         watched = [
-            await _timed(fleet, _write_past(fleet, n_routes, i))
-            for i in range(_CHANGES)
+            await _time_until_in_force(fleet, _put_to_platform(fleet, n_routes, i))
+            for i in range(_N_CHANGES)
         ]
         fleet.news_loss = 1.0
         fleet.store.set_cut_off({state.node for state in states[1:]})
-        alone = [
-            await _timed(fleet, _accept(states[0], n_routes, i))
-            for i in range(_CHANGES)
+        by_comparison = [
+            await _time_until_in_force(fleet, _put_through_node(states[0], n_routes, i))
+            for i in range(_N_CHANGES)
         ]
-        return SpreadCosts(
+        return PropagationCosts(
             n_nodes=n_nodes,
-            text_bytes=len(a_text(n_routes)),
+            text_bytes=len(make_settings_text(n_routes)),
             accepted_ms_p50=round(statistics.median(accepted), 1),
             accepted_ms_max=round(max(accepted), 1),
             watched_ms_p50=round(statistics.median(watched), 1),
             watched_ms_max=round(max(watched), 1),
-            without_news_ms_max=round(max(alone), 1),
+            without_news_ms_max=round(max(by_comparison), 1),
             bytes_per_change_and_node=round(used.n_bytes, 1),
             messages_per_change_and_node=round(used.messages, 2),
             cpu_ms_per_change_and_node=round(used.cpu_s * _MS_PER_S, 2),
@@ -217,9 +230,9 @@
         )
 
 
-def _start(fleet: SettingsFleet, n_nodes: int) -> list[NodeState]:
+def _start_nodes(fleet: SettingsFleet, n_nodes: int) -> list[NodeState]:
     states = [
-        fleet.add(f"certs-{i}", HALLS[i % len(HALLS)], ["certs-0:7000"])
+        fleet.add(f"certs-{i}", DATA_CENTRES[i % len(DATA_CENTRES)], ["certs-0:7000"])
         for i in range(n_nodes)
     ]
     members = [state.membership.self_member for state in states]
@@ -228,33 +241,33 @@
     return states
 
 
-async def _accept(state: NodeState, n_routes: int, i: int) -> int:
-    text = a_text(n_routes, i)
+async def _put_through_node(state: NodeState, n_routes: int, i: int) -> int:
+    text = make_settings_text(n_routes, i)
     result = await put_settings(state, TEAM, text, None, f"c{i}", OPERATORS_TOKEN)
     assert isinstance(result, Accepted), result
     return result.version
 
 
-async def _write_past(fleet: SettingsFleet, n_routes: int, i: int) -> int:
-    value = a_text(n_routes, i).encode()
+async def _put_to_platform(fleet: SettingsFleet, n_routes: int, i: int) -> int:
+    value = make_settings_text(n_routes, i).encode()
     result = await fleet.store.put(SETTINGS_PREFIX + TEAM, value, None)
     assert isinstance(result, StoredObject), result
     return result.version
 
 
-async def _timed(fleet: SettingsFleet, change: object) -> float:
+async def _time_until_in_force(fleet: SettingsFleet, change: object) -> float:
     version = await change  # type: ignore[misc]
     started = trio.current_time()
     while not fleet.in_force(TEAM, version):
-        await trio.sleep(_STEP_S)
-    taken = trio.current_time() - started
+        await trio.sleep(_POLL_INTERVAL_S)
+    elapsed = trio.current_time() - started
     await trio.sleep(1.0)
-    return taken * _MS_PER_S
+    return elapsed * _MS_PER_S
 
 
 @dataclass(frozen=True, slots=True)
 class _Usage:
-    """What a fleet has used so far, or within some time."""
+    """Resources that a fleet has used in total or within an interval."""
 
     n_bytes: float
     messages: float
@@ -278,7 +291,7 @@
         )
 
 
-def _usage(fleet: SettingsFleet) -> _Usage:
+def _read_usage(fleet: SettingsFleet) -> _Usage:
     counts = fleet.store.counts
     calls = counts.reads + counts.writes + counts.watches
     traffic = fleet.traffic
@@ -286,22 +299,22 @@
 
 
 def _median_us(function: Callable[[], object], n_calls: int) -> float:
-    taken = []
-    for _ in range(_ROUNDS):
+    elapsed = []
+    for _ in range(_N_ROUNDS):
         started = time.perf_counter()
         for _ in range(n_calls):
             function()
-        taken.append((time.perf_counter() - started) / n_calls)
-    return round(statistics.median(taken) * _US_PER_S, 3)
+        elapsed.append((time.perf_counter() - started) / n_calls)
+    return round(statistics.median(elapsed) * _US_PER_S, 3)
 
 
 def main(argv: list[str]) -> int:
-    """Run the bench.
+    """Run the bench and print the results as JSON.
 
     Parameters
     ----------
     argv : list of str
-        Flags: ``--json``, ``--routes 10,100``, ``--nodes 12,48``.
+        Flags ``--json``, ``--routes 10,100`` and ``--nodes 12,48``.
 
     Returns
     -------
@@ -309,15 +322,15 @@
         Exit status.
     """
     values = flags.FlagValues()  # type: ignore[no-untyped-call]
-    flags.DEFINE_bool("json", False, "Print JSON only.", values)
-    flags.DEFINE_list("routes", ["10", "100", "1000"], "Sizes of text.", values)
-    flags.DEFINE_list("nodes", ["12", "48"], "Sizes of fleet.", values)
+    flags.DEFINE_bool("json", False, "Print one line of JSON.", values)
+    flags.DEFINE_list("routes", ["10", "100", "1000"], "Numbers of routes.", values)
+    flags.DEFINE_list("nodes", ["12", "48"], "Numbers of nodes.", values)
     values(["settings", *argv])
-    found = {
-        "match": [asdict(match_costs(int(n))) for n in values.routes],
-        "spread": [asdict(spread_costs(int(n))) for n in values.nodes],
+    results = {
+        "match": [asdict(measure_matching(int(n))) for n in values.routes],
+        "spread": [asdict(measure_propagation(int(n))) for n in values.nodes],
     }
-    print(json.dumps(found, indent=None if values.json else 2))
+    print(json.dumps(results, indent=None if values.json else 2))
     return 0
 
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/tickets.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/tickets.py
@@ -1,8 +1,12 @@
-"""Cost of tickets: ``python -m fuchsiagap_standins.bench tickets --json``.
+"""Measure CPU time and memory of tickets.
 
-Times are CPU times of this process. The window is measured against a plain cache of
-keys that gives the same promise: a key that was used once is never taken for a new
-one, for as many calls as the window spans.
+The ticket window is compared with a cache of random idempotency keys that gives the
+same guarantee: a used key is never accepted as a new one, over as many calls as the
+window covers. Times are CPU times of this process.
+
+Examples
+--------
+``python -m fuchsiagap_standins.bench tickets --json``
 """
 
 from __future__ import annotations
@@ -43,39 +47,39 @@
 N_CALLS = 100_000
 N_KEPT = 10_000
 N_ROUNDS = 5
-N_AT_HOME = 5_000
+N_HOME_CALLS = 5_000
 BODY_BYTES = 300
 KEY_BITS = 128
 _US_PER_S = 1e6
 _USAGE_STATUS = 2
 _CFG = TicketSettings(kept_answers=N_KEPT, min_age=0.0)
-_PRINT = bytes(8)
+_FINGERPRINT = bytes(8)
 
 
 @dataclass(slots=True)
 class KeyCache:
-    """The plain way: keys that callers draw, and the latest answers.
+    """Cache of random idempotency keys with the most recent outcomes.
 
     Parameters
     ----------
     kept : OrderedDict
-        Answers of the latest keys; None while a call runs.
+        Outcomes by key, oldest first; None while the call runs.
     seen : set of bytes
-        Keys whose answers were dropped; without them a late repeat would run.
+        Keys whose outcomes were evicted; without them a late repeat would run again.
     """
 
     kept: OrderedDict[bytes, Outcome | None] = field(default_factory=OrderedDict)
     seen: set[bytes] = field(default_factory=set)
 
     def claim(self, key: bytes) -> bool:
-        """Return whether the call may start."""
+        """Register a key and return whether its call may start."""
         if key in self.kept or key in self.seen:
             return False
         self.kept[key] = None
         return True
 
     def finish(self, key: bytes, outcome: Outcome) -> None:
-        """Keep an outcome, and drop the oldest above the bound."""
+        """Store an outcome; evict the oldest one if there are more than `N_KEPT`."""
         self.kept[key] = outcome
         if len(self.kept) > N_KEPT:
             oldest, _ = self.kept.popitem(last=False)
@@ -83,27 +87,29 @@
 
 
 def main(argv: list[str]) -> int:
-    """Measure, and print the figures.
+    """Measure and print the results.
 
     Parameters
     ----------
     argv : list of str
-        Flags.
+        Flags ``--json`` and ``--calls N``.
 
     Returns
     -------
     int
-        Exit status.
+        Exit status; 2 for invalid arguments.
     """
     values = new_flags()
-    flags.DEFINE_bool("json", False, "print JSON", flag_values=values)
-    flags.DEFINE_integer("calls", N_CALLS, "calls", flag_values=values)
+    flags.DEFINE_bool("json", False, "print indented JSON", flag_values=values)
+    flags.DEFINE_integer("calls", N_CALLS, "number of calls", flag_values=values)
     try:
         rest = values(["tickets", *argv])[1:]
     except flags.Error as exc:
         rest = [str(exc)]
     if rest:
-        print(f"flags: unexpected {rest}", file=sys.stderr)
+        print(
+            f"invalid arguments {rest}: expected --json or --calls N", file=sys.stderr
+        )
         return _USAGE_STATUS
     figures = measure(values.calls)
     if values.json:
@@ -115,12 +121,12 @@
 
 
 def measure(n_calls: int) -> Figures:
-    """Return all figures for a number of calls."""
+    """Return all results by name, measured over `n_calls` calls."""
     figures: Figures = {"calls": n_calls, "kept": N_KEPT, "body_bytes": BODY_BYTES}
     for name, fill in (("window", _fill_window), ("key_cache", _fill_cache)):
-        kept = _bytes_of(fill, N_KEPT, BODY_BYTES) / N_KEPT
+        kept = _allocated_bytes(fill, N_KEPT, BODY_BYTES) / N_KEPT
         half = n_calls // 2
-        growth = _bytes_of(fill, n_calls, 0) - _bytes_of(fill, half, 0)
+        growth = _allocated_bytes(fill, n_calls, 0) - _allocated_bytes(fill, half, 0)
         figures[f"{name}_bytes_per_kept_answer"] = round(kept, 1)
         figures[f"{name}_bytes_per_forgotten_call"] = round(growth / half, 3)
         figures[f"{name}_us_per_call"] = _us_per_call(fill, n_calls)
@@ -131,22 +137,22 @@
     return figures
 
 
-def _window() -> TicketWindow:
+def _make_window() -> TicketWindow:
     clock = Clock(now=time.monotonic, wall=time.time)
     return TicketWindow(_CFG, "certs-1", 1, clock)
 
 
 def _fill_window(n_calls: int, body_bytes: int) -> object:
-    window = _window()
+    window = _make_window()
     for sequence in range(n_calls):
         if sequence == window.next:
             window.issue(_CFG.max_batch)
-        _run_in(window, sequence, body_bytes)
+        _run_call(window, sequence, body_bytes)
     return window
 
 
-def _run_in(window: TicketWindow, sequence: int, body_bytes: int) -> None:
-    claim = window.claim(sequence, "", _PRINT)
+def _run_call(window: TicketWindow, sequence: int, body_bytes: int) -> None:
+    claim = window.claim(sequence, "", _FINGERPRINT)
     assert isinstance(claim, Start)
     window.finish(claim.record, Answered(200, (), bytes(body_bytes)))
 
@@ -162,7 +168,7 @@
 
 
 def _issue(n_calls: int, _body_bytes: int) -> object:
-    window = _window()
+    window = _make_window()
     for _ in range(n_calls // _CFG.max_batch):
         window.issue(_CFG.max_batch)
     return window
@@ -176,7 +182,7 @@
     return None
 
 
-def _bytes_of(fill: Fill, n_calls: int, body_bytes: int) -> int:
+def _allocated_bytes(fill: Fill, n_calls: int, body_bytes: int) -> int:
     gc.collect()
     tracemalloc.start()
     filled = fill(n_calls, body_bytes)
@@ -190,9 +196,9 @@
 def _us_per_call(fill: Fill, n_calls: int) -> float:
     times = []
     for _ in range(N_ROUNDS):
-        started = time.process_time()
+        cpu_started = time.process_time()
         fill(n_calls, 0)
-        times.append(time.process_time() - started)
+        times.append(time.process_time() - cpu_started)
     return round(statistics.median(times) / n_calls * _US_PER_S, 2)
 
 
@@ -200,24 +206,24 @@
     async with trio.open_nursery() as nursery:
         net = TicketNet(FakeBackends(_answer), nursery)
         state = await net.start("a")
-        plain = await _time_calls(lambda head: _answer(head, b""), state)
-        home = await _time_calls(
+        plain = await _cpu_us_per_call(lambda head: _answer(head, b""), state)
+        through_home = await _cpu_us_per_call(
             lambda head: at_home(state, head, b"", net.run_of(head, b"")), state
         )
         nursery.cancel_scope.cancel()
-    return plain, home
+    return plain, through_home
 
 
-async def _time_calls(call: Any, state: Any) -> float:
+async def _cpu_us_per_call(call: Any, state: Any) -> float:
     deadline = (trio.current_time() + 60.0) * MS_PER_S
     heads: list[CallHead] = []
-    while len(heads) < N_AT_HOME:
+    while len(heads) < N_HOME_CALLS:
         issued = state.tickets.own.issue(_CFG.max_batch)
         heads += [an_issue_head(ticket=t, deadline=deadline) for t in issued]
-    started = time.process_time()
+    cpu_started = time.process_time()
     for head in heads:
         await call(head)
-    return round((time.process_time() - started) / len(heads) * _US_PER_S, 1)
+    return round((time.process_time() - cpu_started) / len(heads) * _US_PER_S, 1)
 
 
 async def _answer(_head: object, _body: bytes) -> Outcome:
@@ -226,7 +232,7 @@
 
 
 async def _hand_over() -> Figures:
-    """Hand a window with `N_KEPT` answers over, through the codec."""
+    """Measure the hand-over of a window with `N_KEPT` answers, codec included."""
     async with trio.open_nursery() as nursery:
         net = TicketNet(FakeBackends(_answer), nursery, TicketSettings())
         old, new = await net.start("a"), await net.start("b")
@@ -234,13 +240,13 @@
         while window.next < N_CALLS:
             window.issue(_CFG.max_batch)
         for sequence in range(N_KEPT):
-            _run_in(window, sequence, BODY_BYTES)
-        started = time.process_time()
+            _run_call(window, sequence, BODY_BYTES)
+        cpu_started = time.process_time()
         result = await hand_over(old, new.cfg.peer_address)
-        taken = time.process_time() - started
+        elapsed = time.process_time() - cpu_started
         assert isinstance(result, HandOverCompleted), result
         nursery.cancel_scope.cancel()
-    return {"hand_over_ms": round(taken * MS_PER_S, 1)}
+    return {"hand_over_ms": round(elapsed * MS_PER_S, 1)}
 
 
 if __name__ == "__main__":
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/caller.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/caller.py
@@ -14,7 +14,7 @@
 
 from fuchsiagap.core.clock import MS_PER_S, Clock, Milliseconds, trio_clock
 from fuchsiagap_standins.answers import CallMark
-from fuchsiagap_standins.graphs.sizes import draw_root
+from fuchsiagap_standins.graphs.analysis import draw_root
 from fuchsiagap_standins.request_senders import Attempt, ClientRequest, RequestOutcome
 
 if TYPE_CHECKING:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/graphs/loader.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/graphs/loader.py
@@ -1,4 +1,4 @@
-"""Load a call graph from INI; every fault is reported at once."""
+"""Load a service graph from INI text and report all of its faults."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
     with_defaults,
 )
 from fuchsiagap.core.settings.values import BAD_VALUE, BadValue, ValueType
+from fuchsiagap_standins.graphs.analysis import call_names, depth
 from fuchsiagap_standins.graphs.model import Graph, GraphRoute, GraphService
-from fuchsiagap_standins.graphs.sizes import call_names, depth
 
 GRAPHS = ("queensland", "dakar")
 GRAPH_SECTION = "graph"
@@ -28,13 +28,13 @@
 _SHARE_TOLERANCE = 1e-6
 
 
-class GraphFaults(ValueError):
-    """A graph file that is not valid.
+class InvalidGraphError(ValueError):
+    """A service graph file is invalid.
 
     Parameters
     ----------
     faults : SettingsFaults
-        Every fault.
+        All faults with their locations.
     """
 
     def __init__(self, faults: SettingsFaults) -> None:
@@ -65,56 +65,74 @@
     return BAD_VALUE if isinstance(weight, BadValue) else text
 
 
-_NAMES = ValueType("names separated by commas, none twice", _read_names)
-_CALLS = ValueType(
-    "SERVICE/ROUTE, & between calls at once, commas between", _read_calls
+_NAME_LIST = ValueType("distinct names separated by commas", _read_names)
+_CALL_STAGES = ValueType(
+    "SERVICE/ROUTE names, joined by & if concurrent and by commas if sequential",
+    _read_calls,
 )
 _WEIGHT = ValueType("goodput, recovery or a number from 0 to 1", _read_weight)
 _DELAY = values.duration(0, 10_000)
 _TIME = values.duration(0, 600_000)
 _SIZE = values.integer(1, 100_000)
 
-_GRAPH_TABLE = SectionSchema(
+_GRAPH_SCHEMA = SectionSchema(
     "[graph]",
-    "What holds for the whole graph.",
+    "Properties of the whole graph.",
     (
         Key("team", values.PLAIN_NAME, None, "The team."),
-        Key("weight", _WEIGHT, "goodput", "What overload control weighs."),
-        Key("data centres", _NAMES, None, "Where instances stand, in turn."),
-        Key("between data centres", _DELAY, "0.5ms", "One way."),
-        Key("to clients", _DELAY, "1ms", "One way."),
-        Key("new connection", _DELAY, "1ms", "To open a connection."),
-        Key("spread", values.number(0, 3), "0.4", "Of service times."),
-        Key("deep service", values.PLAIN_NAME, None, "The one to slow down."),
+        Key("weight", _WEIGHT, "goodput", "Goal of overload control."),
+        Key(
+            "data centres",
+            _NAME_LIST,
+            None,
+            "Data centres of the instances, round-robin.",
+        ),
+        Key("between data centres", _DELAY, "0.5ms", "One-way network delay."),
+        Key("to clients", _DELAY, "1ms", "One-way network delay."),
+        Key("new connection", _DELAY, "1ms", "Time to open a connection."),
+        Key(
+            "spread",
+            values.number(0, 3),
+            "0.4",
+            "Relative standard deviation of service times.",
+        ),
+        Key(
+            "deep service", values.PLAIN_NAME, None, "Service that a surge slows down."
+        ),
     ),
 )
-_SERVICE_TABLE = SectionSchema(
+_SERVICE_SCHEMA = SectionSchema(
     "[SERVICE]",
-    "One service and its size.",
+    "Size of a service.",
     (
-        Key("instances", _SIZE, None, "Backend servers."),
-        Key("slots", _SIZE, None, "Calls at once of one backend server."),
-        Key("connections", _SIZE, None, "Connections of one backend server."),
+        Key("instances", _SIZE, None, "Number of backend servers."),
+        Key("slots", _SIZE, None, "Concurrent calls per backend server."),
+        Key("connections", _SIZE, None, "Connections per backend server."),
     ),
 )
-_ROUTE_TABLE = SectionSchema(
+_ROUTE_SCHEMA = SectionSchema(
     "[SERVICE/ROUTE]",
-    "One kind of call.",
+    "Route of a service.",
     (
         Key("match", MATCH, None, "One method and a path with at most one *."),
         Key("priority", values.integer(MOST_PRIORITY, LEAST_PRIORITY), None, ""),
         Key("idempotent", values.FLAG, None, ""),
-        Key("timeout", _TIME, "10s", "How long a caller waits."),
-        Key("attempts", values.integer(0, 16), "3", "Extra ones in the chain."),
-        Key("own time", _TIME, None, "Mean of its own work."),
-        Key("share", values.number(0, 1), "0", "Of the clients' requests."),
-        Key("calls", _CALLS, "", "What it calls."),
+        Key("timeout", _TIME, "10s", "Timeout of the caller."),
+        Key(
+            "attempts",
+            values.integer(0, 16),
+            "3",
+            "Extra attempts over the call chain.",
+        ),
+        Key("own time", _TIME, None, "Mean duration without nested calls."),
+        Key("share", values.number(0, 1), "0", "Share of client requests."),
+        Key("calls", _CALL_STAGES, "", "Called routes."),
     ),
 )
 
 
 def load_graph(name: str) -> Graph:
-    """Load one of the committed graphs.
+    """Load one of the graphs in this package.
 
     Parameters
     ----------
@@ -124,28 +142,28 @@
     Returns
     -------
     Graph
-        The graph.
+        Loaded graph.
 
     Raises
     ------
-    GraphFaults
-        If the file is not valid.
+    InvalidGraphError
+        If the file is invalid.
     """
     folder = importlib.resources.files("fuchsiagap_standins.graphs")
     text = folder.joinpath(f"{name}.ini").read_text()
-    return _checked(read_graph(f"{name}.ini", text))
+    return _require_valid(read_graph(f"{name}.ini", text))
 
 
-def load_any_graph(name: str) -> Graph:
-    """Load a committed graph by its name, or one from a path that ends in .ini."""
+def load_graph_or_file(name: str) -> Graph:
+    """Load a graph of this package by name, or a file whose path ends in ``.ini``."""
     if not name.endswith(".ini"):
         return load_graph(name)
-    return _checked(read_graph(name, Path(name).read_text()))
+    return _require_valid(read_graph(name, Path(name).read_text()))
 
 
-def _checked(graph: Graph | SettingsFaults) -> Graph:
+def _require_valid(graph: Graph | SettingsFaults) -> Graph:
     if isinstance(graph, SettingsFaults):
-        raise GraphFaults(graph)
+        raise InvalidGraphError(graph)
     return graph
 
 
@@ -155,53 +173,55 @@
     Parameters
     ----------
     path : str
-        Name of the file; the graph is called after it.
+        Path of the file, for faults and for the name of the graph.
     text : str
-        The INI text.
+        INI text.
 
     Returns
     -------
     Graph or SettingsFaults
-        The graph, or every fault with its place.
+        The graph, or all faults with their locations.
     """
     ini = read_ini(path, text)
     faults = list(ini.faults)
-    top: dict[str, Any] = {}
+    graph_values: dict[str, Any] = {}
     services: list[GraphService] = []
     routes: list[GraphRoute] = []
     for section in ini.sections:
         if section.name == GRAPH_SECTION:
-            top = _values(path, _GRAPH_TABLE, section, faults)
+            graph_values = _read_section(path, _GRAPH_SCHEMA, section, faults)
         elif _ROUTE_NAME.fullmatch(section.name):
             routes += _read_route(path, section, faults)
         else:
-            found = _values(path, _SERVICE_TABLE, section, faults)
-            if len(found) == len(_SERVICE_TABLE.keys):
-                services.append(GraphService(name=section.name, **found))
-    if not top:
+            section_values = _read_section(path, _SERVICE_SCHEMA, section, faults)
+            if len(section_values) == len(_SERVICE_SCHEMA.keys):
+                services.append(GraphService(name=section.name, **section_values))
+    if not graph_values:
         expected = "a section [graph] with data centres and team"
         faults.append(Fault(path, GRAPH_SECTION, "", "", expected))
     if faults:
         return SettingsFaults(path, tuple(faults))
     name = path.rpartition("/")[2].removesuffix(".ini")
-    graph = Graph(name=name, services=tuple(services), routes=tuple(routes), **top)
-    faults += _check(path, graph)
+    graph = Graph(
+        name=name, services=tuple(services), routes=tuple(routes), **graph_values
+    )
+    faults += _validate_graph(path, graph)
     return SettingsFaults(path, tuple(faults)) if faults else graph
 
 
-def _values(
-    path: str, table: SectionSchema, section: Section, faults: list[Fault]
+def _read_section(
+    path: str, schema: SectionSchema, section: Section, faults: list[Fault]
 ) -> dict[str, Any]:
-    given = read_entries(path, table, section, faults)
-    return with_defaults(path, table, section, given, faults)
+    given = read_entries(path, schema, section, faults)
+    return with_defaults(path, schema, section, given, faults)
 
 
 def _read_route(path: str, section: Section, faults: list[Fault]) -> list[GraphRoute]:
     before = len(faults)
-    found = _values(path, _ROUTE_TABLE, section, faults)
+    section_values = _read_section(path, _ROUTE_SCHEMA, section, faults)
     if len(faults) > before:
         return []
-    match = found.pop("match")
+    match = section_values.pop("match")
     if len(match.methods) > 1 or match.pattern.count("*") > 1:
         expected = "one method and a path with at most one *"
         value = " ".join((*match.methods, match.pattern))
@@ -214,13 +234,13 @@
         service=service,
         method=method,
         pattern=match.pattern,
-        **found,
+        **section_values,
     )
     return [route]
 
 
-def _check(path: str, graph: Graph) -> list[Fault]:
-    """Return the faults that only the whole graph shows."""
+def _validate_graph(path: str, graph: Graph) -> list[Fault]:
+    """Return the faults in references, in the sum of shares and in the chain depth."""
     faults = []
     services = {service.name for service in graph.services}
     routes = {route.name for route in graph.routes}
@@ -240,12 +260,12 @@
         expected = "shares that add up to 1"
         faults.append(Fault(path, "", "share", f"{total:g}", expected))
     if not faults:
-        faults += _check_depth(path, graph)
+        faults += _validate_depth(path, graph)
     return faults
 
 
-def _check_depth(path: str, graph: Graph) -> list[Fault]:
-    expected = f"a chain of calls that ends after at most {MAX_DEPTH}"
+def _validate_depth(path: str, graph: Graph) -> list[Fault]:
+    expected = f"a call chain of at most {MAX_DEPTH} calls"
     return [
         Fault(path, route.name, "calls", ", ".join(call_names(route)), expected)
         for route in graph.routes
