--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/backend_server.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/backend_server.py
@@ -77,7 +77,7 @@
     mode : ResponseMode, default=ANSWER
         How it responds.
     work : float, default=0.0
-        Milliseconds that the request runs before that.
+        Milliseconds that the request runs before the response.
     status : int, default=200
         Status of the response.
     body : bytes, default=b"whole"
@@ -168,7 +168,8 @@
 
     async def _serve(self, stream: Stream) -> None:
         self.connections += 1
-        # The reader interprets no header, so that tests see those that the node sent.
+        # These names match no header, so the reader passes all headers through as the
+        # node sent them and tests can check them.
         plain = HeaderNames(
             deadline=b"-", target=b"-", caller=b"-", key=b"-", workspace=b"-"
         )
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/bench_fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/bench_fleet.py
@@ -1,10 +1,12 @@
 """Measures the CPU time of a deployment of many nodes, on loopback in one process.
 
-Run as ``python -m fuchsiagap_standins.mesh.bench_fleet [NODES [REQUESTS_PER_S]]``. Each
-request makes two nested calls one after the other, and each of these four, so that one
-request causes eleven arrivals at backend servers. The result includes the test doubles
-of callers and backend servers, so it is only meaningful for comparing versions of the
-software or numbers of nodes.
+Run as
+``python -m fuchsiagap_standins.mesh.bench_fleet [NODES [REQUESTS_PER_S]] [profile]``;
+with ``profile``, it also prints a profile of the load phase. Each request makes two
+nested calls one after the other, and each of these four, so that one request causes
+eleven arrivals at backend servers. The result includes the test doubles of callers and
+backend servers, so it is only meaningful for comparing versions of the software or
+numbers of nodes.
 """
 
 from __future__ import annotations
@@ -34,6 +36,7 @@
 _IDLE_S = 4.0
 _US_PER_S = 1e6
 _MS_PER_S = 1e3
+# Number of functions in the printed profile.
 _MAX_PROFILE_ROWS = 45
 
 
@@ -73,6 +76,11 @@
         Requests per second of callers.
     profile : cProfile.Profile, optional
         Enabled while requests are sent.
+
+    Returns
+    -------
+    FleetFigures
+        Result of the measurement.
     """
     routes = [a_route(name, name, timeout=3_000.0) for name, _, _ in _SERVICES]
     async with a_deployment(*routes) as deployment:
@@ -145,7 +153,7 @@
 
 
 def main() -> None:
-    """Measure and print one line; with last argument ``profile``, also a profile."""
+    """Measure and print the result; with last argument ``profile``, also a profile."""
     args = sys.argv[1:]
     profile = cProfile.Profile() if args[-1:] == ["profile"] else None
     numbers = [float(arg) for arg in args if arg != "profile"]
@@ -154,8 +162,8 @@
     figures = trio.run(measure, nodes, request_rate, profile)
     sys.stdout.write(
         f"{figures.nodes} nodes: {figures.answered} of {figures.requests} answered,"
-        f" {figures.idle_ms:.2f} ms a second and node at rest,"
-        f" {figures.us_per_arrival:.0f} us of processor time an arrival\n"
+        f" {figures.idle_ms:.2f} ms of CPU time per second and idle node,"
+        f" {figures.us_per_arrival:.0f} us of CPU time per arrival\n"
     )
     if profile is not None:
         pstats.Stats(profile, stream=sys.stdout).sort_stats("tottime").print_stats(
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/bench_path.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/bench_path.py
@@ -84,7 +84,7 @@
     figures = trio.run(measure, requests)
     sys.stdout.write(
         f"{figures.answered} of {figures.requests} answered,"
-        f" {figures.us_per_request:.0f} us of processor time a request\n"
+        f" {figures.us_per_request:.0f} us of CPU time per request\n"
     )
 
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/crash_simulation.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/crash_simulation.py
@@ -35,6 +35,7 @@
     WITH_NODE = "its node is killed together with the server"
 
 
+# Last letters of the names of data centres.
 _DATA_CENTRES = "abc"
 # Maximum additional downtime in seconds, so that servers that crash at the same moment
 # don't restart together.
@@ -112,7 +113,8 @@
     n_other_crashes : int
         Number of crashes for other reasons.
     answers : list of tuple
-        Kind, start time and status of each other request; status 0 without a response.
+        Kind, start time and status of each request that is not a poison request;
+        status 0 without a response.
     poison_statuses : list of tuple
         Start time and status of each poison request.
     """
@@ -137,7 +139,10 @@
         return sum(at > since for at in self.arrived_at)
 
     def answered_shares(self, since: float) -> dict[str, float]:
-        """Return by kind the share answered with 200, of requests sent since a time."""
+        """Return the share of requests answered with 200, by kind.
+
+        Only requests sent at `since` or later count.
+        """
         shares = {}
         for kind in sorted({kind for kind, _, _ in self.answers}):
             found = [s for k, at, s in self.answers if k == kind and at >= since]
@@ -293,7 +298,7 @@
             await self._pause(self._scenario.poison_every_s)
 
     async def _send_others(self, number: int) -> None:
-        """Send requests of one kind: all equal, or each with its own body."""
+        """Send harmless requests of one kind: all equal, or each with its own body."""
         kind = ("plain", "other body", "own body", "write")[number % 4]
         path = "/write/1" if kind == "write" else "/read/1"
         await self._pause(self._scenario.every_s)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/deployment.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/deployment.py
@@ -374,7 +374,10 @@
 
 
 async def _report(host: Host) -> None:
-    """Send a report once a second while the server is up."""
+    """Send a report once a second while the server is up.
+
+    A server that its node no longer accepts sends none until its next incarnation.
+    """
     backend_queue = host.node.backend_queue
     while True:
         is_known = backend_queue.known_instance() == host.server.instance
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/memory_sockets.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/memory_sockets.py
@@ -214,12 +214,12 @@
             trio.lowlevel.reschedule(task)
 
     def _cancel_read(self, _: object) -> trio.lowlevel.Abort:
-        """Drop the waiting reader, which trio cancels."""
+        """Abort the wait of the reader; called by trio when that task is cancelled."""
         self._reader = None
         return trio.lowlevel.Abort.SUCCEEDED
 
     def _cancel_write(self, _: object) -> trio.lowlevel.Abort:
-        """Drop the waiting writer, which trio cancels."""
+        """Abort the wait of the writer; called by trio when that task is cancelled."""
         self._writer = None
         return trio.lowlevel.Abort.SUCCEEDED
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/memory_store.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/memory_store.py
@@ -137,8 +137,9 @@
         self.hangs_on_deregister = False
         self.watch_is_silent = False
 
-    def _call(self, price: float = 1.0) -> StoreFailed | None:
-        self._state.call_cost += price
+    def _call(self, cost: float = 1.0) -> StoreFailed | None:
+        """Count a call; return a failure if the store is down."""
+        self._state.call_cost += cost
         return StoreFailed("down") if self.down else None
 
     async def read_config(self, linearizable: bool) -> ConfigResult:
@@ -154,8 +155,19 @@
     async def watch_config(self, cursor: Cursor, wait: Milliseconds) -> ConfigResult:
         """Wait up to `wait` milliseconds for a configuration newer than a cursor.
 
-        Returns `HistoryCompacted` if the store no longer has the cursor's revision or
-        has another epoch, and an update without configuration after the wait.
+        Parameters
+        ----------
+        cursor : Cursor
+            Position after which changes are of interest.
+        wait : float
+            Maximum wait in milliseconds.
+
+        Returns
+        -------
+        ConfigUpdate, HistoryCompacted or StoreFailed
+            An update without configuration if there was no change within the wait;
+            `HistoryCompacted` if the store does not have the cursor's revision or has
+            another epoch; `StoreFailed` if the store is down.
         """
         revision = cursor.revision
         if (failed := self._call()) is not None:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/quarantine_simulation.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/quarantine_simulation.py
@@ -1,13 +1,12 @@
 """Simulates the quarantine of requests that crash servers, on random histories.
 
 The simulation knows which requests crash servers and checks the decisions of the nodes
-against that. Only these decisions and the messages between nodes are real; servers,
-callers and links are events in virtual time, so that a history takes a fraction of a
-second. Run as
+against that. Only the code that makes these decisions and exchanges messages about them
+is that of real nodes. Servers, callers and the delivery of messages are simulated as
+events in virtual time, so that a history takes a fraction of a second. Run as
 ``python -m fuchsiagap_standins.mesh.quarantine_simulation [HISTORIES] [FIRST_SEED]``.
 
-In the printed table, a "guilty" request is one that crashes the servers that run it,
-and all others are "innocent".
+A "crashing" request crashes the servers that run it; all others are "harmless".
 """
 
 from __future__ import annotations
@@ -170,7 +169,7 @@
     retries : int
         How often the caller may still send it again.
     tried : set of int
-        Numbers of the nodes on whose servers it was lost.
+        Numbers of the nodes whose servers ended while they ran it.
     """
 
     fingerprint: bytes
@@ -193,13 +192,14 @@
     reports : CrashReports
         The node's quarantine decisions, the code under test.
     generation : int
-        Incremented when the node is killed; messages to earlier ones are dropped.
+        Incremented when the node is killed; messages sent to an earlier generation
+        are dropped.
     instance : str
         Incarnation of the server.
     is_up, is_draining : bool
         Whether the server is up, and whether it will end as planned.
     running : dict of _Request to int
-        Requests that the server runs, with the number of the run.
+        Requests that the server runs, with a number that is unique to each run.
     """
 
     number: int
@@ -562,7 +562,7 @@
     Returns
     -------
     tables : dict of int to Totals
-        Totals by number of crashing requests.
+        Totals by number of crashing requests in a history.
     bad : list of int
         Seeds in which a crashing request arrived too often, or harmless requests were
         refused although no request crashes servers.
@@ -585,13 +585,13 @@
     first = int(argv[2]) if len(argv) > 2 else 0
     tables, bad = simulate_histories(range(first, first + n_histories))
     print(
-        "| guilty | histories | innocent | refused | guilty with three crashes"
-        " | bound broken | most crashes | known s, median | 99 in 100 |"
+        "| crashing | histories | harmless | refused | crashing with three crashes"
+        " | bound violated | max crashes | detection s, median | 99th percentile |"
     )
     print("|---|---|---|---|---|---|---|---|---|")
     for n_crashing, table in sorted(tables.items()):
         print(table.row(str(n_crashing)))
-    print(f"seeds to look at: {bad[:40]}")
+    print(f"seeds with violations: {bad[:40]}")
     return 1 if bad else 0
 
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/calls.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/calls.py
@@ -38,7 +38,9 @@
 
 
 def answers_spec(callers: int, calls: int, bugs: frozenset[str] = frozenset()) -> Spec:
-    """Return the specification of calls on a link: each gets its own response.
+    """Return the specification of concurrent calls on one link.
+
+    Its invariant is that each caller receives only the response to its own call.
 
     Parameters
     ----------
@@ -110,6 +112,7 @@
 
 
 def _lowest_free_id(waiting: tuple[int, ...]) -> int:
+    """Return the lowest call id that no caller waits for."""
     return next(n for n in range(1, len(waiting) + 2) if n not in waiting)
 
 
@@ -145,7 +148,7 @@
     returning: tuple[int, ...]
 
 
-# Phases of a nested call.
+# Phases of a nested call: not sent, attempted at least once, ended.
 NEW, TRIED, DONE = "new", "tried", "done"
 
 
@@ -215,13 +218,11 @@
         name="allowance",
         initial=AllowanceState(allowance, ((0, NEW),) * children, 0, ()),
         actions=(
-            Action(
-                "call goes out with a share", implementations.ALLOWANCE_SPLIT, start
-            ),
-            Action("refused, tried elsewhere", implementations.DISPATCH, retry),
+            Action("call is sent with a share", implementations.ALLOWANCE_SPLIT, start),
+            Action("refused call is retried", implementations.DISPATCH, retry),
             Action("call ends", implementations.SERVE, finish),
             Action(
-                "unused share comes back",
+                "unused share is returned",
                 implementations.ALLOWANCE_RETURN,
                 return_share,
             ),
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/children.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/children.py
@@ -18,9 +18,10 @@
 # Names of the bugs that can be planted.
 BREAKS = ("key-by-parent-call", "run-child-without-home")
 
-# States of a run of the parent.
+# States of a run of the parent; `GONE` means that its backend server ended.
 NONE, RUNNING, GONE = "none", "running", "gone"
-# Entries of the home for a child.
+# Entries of the home for a child; `UNKNOWN` means that the home cannot tell whether it
+# ran.
 OPEN, STARTED, ANSWERED, UNKNOWN = "open", "started", "answered", "unknown"
 
 
@@ -130,7 +131,9 @@
             Action("parent calls its child", implementations.CHILD_CALL, send_child),
             Action("home starts the child", implementations.HOME_START, start_child),
             Action("home keeps the answer", implementations.HOME_KEEP, keep_answer),
-            Action("parent hears of it", implementations.HOME_START, answer_parent),
+            Action(
+                "parent receives the outcome", implementations.HOME_START, answer_parent
+            ),
             Action("home ends and is replaced", ENVIRONMENT, end_home),
         ),
         invariants={
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/drain.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/drain.py
@@ -18,7 +18,7 @@
 # Names of the bugs that can be planted.
 BREAKS = ("skip-drain-notice", "stop-with-work", "work-while-leaving")
 
-# States of the draining node.
+# States of the draining node; `LEAVING` from the start of the drain to the stop.
 UP, LEAVING, STOPPED = "up", "leaving", "stopped"
 # Frames on a link.
 CALL, ACK, NOTICE = "call", "ack", "notice"
@@ -81,7 +81,7 @@
     peers : int
         Number of other nodes.
     calls : int
-        Maximum number of calls of each.
+        Maximum number of calls that each of them sends.
     bugs : frozenset of str
         Names of planted bugs, from `BREAKS`.
 
@@ -176,9 +176,13 @@
             Action("peer sends a call", implementations.DISPATCH, call),
             Action("node reads a frame", implementations.GATE_ENTER, receive),
             Action("a call ends", implementations.SERVE, finish),
-            Action("node begins to leave", implementations.DRAIN, leave),
-            Action("peer hears the notice", implementations.DRAIN_HEAR, receive_notice),
-            Action("peer hears it from another", implementations.GOSSIP_APPLY, gossip),
+            Action("node begins to drain", implementations.DRAIN, leave),
+            Action(
+                "peer receives the notice", implementations.DRAIN_HEAR, receive_notice
+            ),
+            Action(
+                "peer learns it from another peer", implementations.GOSSIP_APPLY, gossip
+            ),
             Action("a link breaks", ENVIRONMENT, break_link),
             Action("peer dials again", implementations.LINK_ASK, dial),
             Action("node stops", implementations.DRAIN, stop),
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/settings.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/settings.py
@@ -1,8 +1,8 @@
 """Specification of settings: conditional updates, and nodes that never revert.
 
-An operator whose update got no response looks up its change id in the history, which
-the platform keeps as audit trail. Every version of the settings may reach any node at
-any time, in any order.
+An operator whose update got no response looks up its change id in the history. The
+platform keeps, as audit trail, the change id of each version and the one that it
+replaced. Every version of the settings may reach any node at any time, in any order.
 """
 
 from __future__ import annotations
@@ -25,7 +25,8 @@
 
 # Phases of an operator; `LOST` is an update without a response.
 IDLE, READ, SENT, APPLIED, LOST = "idle", "read", "sent", "applied", "lost"
-# Final phases, which are also the answers that the operator gets.
+# Phases with an answer to the operator. `UNSETTLED` means that a change without a
+# response is not in the history but can still be applied.
 ACCEPTED, REJECTED, UNSETTLED = "accepted", "rejected", "unsettled"
 
 
@@ -189,12 +190,16 @@
         actions=(
             Action("operator reads", implementations.SETTINGS_PUT, read),
             Action("operator sends its change", implementations.SETTINGS_PUT, send),
-            Action("platform takes or rejects it", ENVIRONMENT, apply),
-            Action("operator hears it was taken", implementations.SETTINGS_PUT, answer),
+            Action("platform applies or rejects it", ENVIRONMENT, apply),
+            Action(
+                "operator is told it was applied", implementations.SETTINGS_PUT, answer
+            ),
             Action("the answer is lost", ENVIRONMENT, lose_answer),
-            Action("operator reads back", implementations.SETTINGS_PUT, settle),
+            Action(
+                "operator looks up its change id", implementations.SETTINGS_PUT, settle
+            ),
             Action("a lost change takes effect late", ENVIRONMENT, late_effect),
-            Action("node adopts a text", implementations.SETTINGS_ADOPT, adopt),
+            Action("node adopts a version", implementations.SETTINGS_ADOPT, adopt),
             Action("node is replaced", ENVIRONMENT, restart),
         ),
         invariants={
@@ -211,6 +216,7 @@
 def _may_downgrade(
     state: State, node: Node, version: int, bugs: frozenset[str]
 ) -> bool:
+    """Whether a planted bug makes a node replace its version by a lower one."""
     if "adopt-lower-version" in bugs:
         return True
     deleted = state.history[node.version - 1] < 0
@@ -220,6 +226,7 @@
 def _answers_match(
     state: State, answered: str, is_applied: bool, change_id: Callable[[int], int]
 ) -> bool:
+    """Whether each change with an answer is, or is not, in the history."""
     return all(
         (change_id(index) in state.history) is is_applied
         for index, operator in enumerate(state.operators)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/spec.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/spec.py
@@ -84,7 +84,7 @@
     steps: tuple[tuple[str, dict[str, Any]], ...]
 
     def __str__(self) -> str:
-        lines = [f"{self.invariant} is broken after {len(self.steps) - 1} steps"]
+        lines = [f"{self.invariant} is violated after {len(self.steps) - 1} steps"]
         for number, (name, changed) in enumerate(self.steps):
             fields = ", ".join(f"{key}={value!r}" for key, value in changed.items())
             lines.append(f"  {number:2d}. {name}: {fields}")
@@ -172,7 +172,8 @@
     Returns
     -------
     CheckResult
-        Result that is marked as not exhaustive; its counterexamples are valid.
+        Result; never exhaustive, as the search stops early, but its counterexample is
+        valid.
     """
     violated: list[str] = []
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/table.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/table.py
@@ -19,7 +19,15 @@
 
 
 class Bound(Enum):
-    """Size of the checked models."""
+    """Size of the checked models.
+
+    Attributes
+    ----------
+    SMALL
+        Checked by the tests; also used for planted bugs.
+    LARGE
+        More nodes, calls and copies, for a longer check.
+    """
 
     SMALL = "small"
     LARGE = "large"
@@ -42,6 +50,7 @@
 
 
 def _tickets(bound: Bound, bugs: frozenset[str]) -> Spec:
+    # The bug ``hand-over-twice`` shows only with two successors.
     n_successors = 2 if bugs or bound is Bound.LARGE else 1
     n = 2 if bound is Bound.SMALL else 3
     ticket_bound = TicketBound(
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/ticket_state.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/ticket_state.py
@@ -6,9 +6,11 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-# States of the home node's process.
+# States of the home node's process; `FROZEN` from the start of a handover on.
 UP, PAUSED, FROZEN = "up", "paused", "frozen"
-# Entry of a holder for a ticket. A holder without an entry answers ``Unknown``.
+# Entry of a holder for a ticket. `BURNT` means that the request must not run any more,
+# `FORGOTTEN` that the ticket has left the window of the holder. A holder without an
+# entry answers ``Unknown``.
 OPEN, STARTED, ANSWERED, UNKNOWN = "open", "started", "answered", "unknown"
 BURNT, FORGOTTEN, NO_ENTRY = "burnt", "out", ""
 # Entry of a successor for a request that the home has started and still waits for.
@@ -22,9 +24,10 @@
     "refused",
 )
 DROPPED = "dropped"
-# Views of the sender, in addition to places.
+# What the sender knows about a copy or an attempt: one of these or of the places above.
 WAITING, LOST = "waiting", "lost"
 
+# Index of the home among the holders.
 HOME = 0
 
 
@@ -99,7 +102,7 @@
     home : str
         State of that process.
     snapshot : tuple of str
-        Entries that the home handed over, by ticket.
+        Entries that the home handed over, by ticket; empty strings before that.
     ended : tuple of bool
         Whether the handover to each successor is complete.
     tickets : tuple of TicketPart
@@ -167,7 +170,7 @@
 
 
 def may_start(state: State, holder: int) -> bool:
-    """Whether a holder may start or burn an open ticket.
+    """Whether a holder may start an open ticket, or burn it so that it never runs.
 
     The home may do so only in its first process, while it is up.
     """
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/tickets.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/tickets.py
@@ -123,14 +123,20 @@
     return (
         Action("caller sends a copy", implementations.CLIENT_SEND, each_ticket(send)),
         Action(
-            "caller gives a copy up", implementations.CLIENT_SEND, each_ticket(give_up)
+            "caller stops waiting for a copy",
+            implementations.CLIENT_SEND,
+            each_ticket(give_up),
         ),
         Action(
-            "caller calls it not run",
+            "caller concludes that it was not run",
             implementations.CLIENT_SEND,
             each_ticket(conclude),
         ),
-        Action("caller asks about it", implementations.CLIENT_ASK, each_ticket(ask)),
+        Action(
+            "caller asks the holder for the outcome",
+            implementations.CLIENT_ASK,
+            each_ticket(ask),
+        ),
     )
 
 
@@ -218,10 +224,16 @@
         Action(
             "holder takes a copy", implementations.HOME_START, each_ticket(take_copy)
         ),
-        Action("holder burns it", implementations.HOME_BURN, each_ticket(settle)),
+        Action(
+            "holder answers not run and burns it",
+            implementations.HOME_BURN,
+            each_ticket(settle),
+        ),
         Action("holder keeps the answer", implementations.HOME_KEEP, each_ticket(keep)),
         Action(
-            "holder hears a refusal", implementations.DISPATCH, each_ticket(on_refusal)
+            "holder receives a refusal",
+            implementations.DISPATCH,
+            each_ticket(on_refusal),
         ),
         Action("holder loses the link", implementations.DISPATCH, each_ticket(on_loss)),
         Action("holder forgets it", implementations.WINDOW_SHRINK, each_ticket(forget)),
@@ -290,8 +302,8 @@
         if not all(state.snapshot):
             return
         for successor in range(bound.successors):
-            # The last message is sent to a second peer only if the first is known not
-            # to have received it.
+            # The last message of the handover is sent to a second peer only if the
+            # first is known not to have received it.
             if any(state.ended) and "hand-over-twice" not in bugs:
                 continue
             if state.ended[successor]:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/quotas/algorithms.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/quotas/algorithms.py
@@ -141,6 +141,7 @@
         return bucket.take(1) == 1
 
     def _share(self, node: int, workspace: int) -> float:
+        """Return the share of a node in the demand it knows; equal without demand."""
         visible_demand = [
             demand[workspace]
             for other, demand in enumerate(self._known_demand)
@@ -159,7 +160,7 @@
         self._known_demand = self._demand
         self._demand = [Counter() for _ in self._known_demand]
         for demand in self._known_demand:
-            # By gossip, the demand reaches all nodes with a few messages per node.
+            # Gossip spreads the demand to all nodes, so each sends to a few of them.
             self.messages += _GOSSIP_FANOUT
             self.n_bytes += _GOSSIP_FANOUT * _ROW_BYTES * len(demand)
 
@@ -200,6 +201,10 @@
     def _fetch(
         self, node: int, workspace: int, n_waiting: int, now: Milliseconds
     ) -> None:
+        """Request the tokens that a node wants from the owner that it knows.
+
+        `n_waiting` is the number of requests that wait for a token.
+        """
         quota = self._workspaces[workspace]
         wanted = self._token_caches[node].wanted(quota.name, n_waiting, now)
         owner = self._owner(node, workspace, now)
@@ -218,6 +223,8 @@
         self._token_caches[node].add(quota.name, Grant(grant.tokens, grant.wait), now)
 
     def _owner(self, node: int, workspace: int, now: Milliseconds) -> int | None:
+        """Return the owner of a quota in the view of a node; None if it knows none."""
+
         def is_up(name: str) -> bool:
             other = int(name)
             if self._fleet.reaches(node, other):
@@ -232,6 +239,11 @@
         return None if found is None else int(found)
 
     def _quota_part(self, owner: int, now: Milliseconds) -> float:
+        """Return the share of a quota that an owner may grant.
+
+        After a partition is detected, each side grants in proportion to the number of
+        its data centres, so that both together stay within the quota.
+        """
         if (
             not self._fleet.is_partitioned
             or now - self._fleet.partitioned_at < _DETECTION_MS
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/quotas/simulation.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/quotas/simulation.py
@@ -35,13 +35,23 @@
     Scenario("calm, 60 nodes", 60),
     Scenario("calm, 300 nodes", 300),
     Scenario("calm, 3,200 nodes", 3_200),
-    Scenario("one asks 7.5 times, 60 nodes", 60, hot_factor=7.5),
-    Scenario("one asks 7.5 times, 300 nodes", 300, hot_factor=7.5),
+    Scenario("one workspace at 7.5 times its rate, 60 nodes", 60, hot_factor=7.5),
+    Scenario("one workspace at 7.5 times its rate, 300 nodes", 300, hot_factor=7.5),
     Scenario("half of the callers move, 60 nodes", 60, moves=True),
     Scenario("a node a second is killed, 60 nodes", 60, kills=True),
-    Scenario("killed, and 7.5 times", 60, kills=True, hot_factor=7.5),
-    Scenario("a place is cut off, 60 nodes", 60, partitions=True),
-    Scenario("cut off, and 7.5 times", 60, partitions=True, hot_factor=7.5),
+    Scenario(
+        "a node a second is killed, and 7.5 times the rate",
+        60,
+        kills=True,
+        hot_factor=7.5,
+    ),
+    Scenario("a data centre is partitioned, 60 nodes", 60, partitions=True),
+    Scenario(
+        "a data centre is partitioned, and 7.5 times the rate",
+        60,
+        partitions=True,
+        hot_factor=7.5,
+    ),
 )
 
 
@@ -105,7 +115,7 @@
     make : callable
         Returns the algorithm for a fleet and its workspaces.
     seed : int
-        Seed of the requests.
+        Random seed of the generated requests.
 
     Returns
     -------
@@ -163,7 +173,7 @@
     """Simulate all scenarios with all algorithms and print a table."""
     seed = int(sys.argv[1]) if len(sys.argv) > 1 else 1
     head = (
-        "| scenario | way | worst window | refused below the limit | messages | bytes |"
+        "| scenario | algorithm | max overrun | refused in quota | messages | bytes |"
     )
     print(head, "|---|---|---|---|---|---|", sep="\n")
     for scenario in SCENARIOS:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/model/test_model.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/model/test_model.py
@@ -53,7 +53,9 @@
 
     def test_an_unreachable_goal_is_a_trap(self):
         design = TABLE[-1].make(Bound.SMALL, NO_BUGS)
-        no_adoption = tuple(a for a in design.actions if a.name != "node adopts a text")
+        no_adoption = tuple(
+            a for a in design.actions if a.name != "node adopts a version"
+        )
         spec = Spec("stuck", design.initial, no_adoption, {}, design.goal)
         self.assertTrue(check(spec, max_states=100_000).trap)
 
