--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/backend_server.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/backend_server.py
@@ -210,7 +210,11 @@
         await self._send(stream, request_id, behaviour)
 
     async def _work(self, stream: Stream, work: float) -> bool:
-        """Wait `work` milliseconds; return False if the connection closes first."""
+        """Wait `work` milliseconds; return False if the connection closes first.
+
+        Bytes that arrive meanwhile count as a close, as callers send one request at a
+        time.
+        """
         is_closed = False
         if work:
             with trio.move_on_after(work / MS_PER_S):
