--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/backend_server.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/backend_server.py
@@ -212,8 +212,8 @@
     async def _work(self, stream: Stream, work: float) -> bool:
         """Wait `work` milliseconds; return False if the connection closes first.
 
-        Bytes that arrive meanwhile count as a close, as callers send one request at a
-        time.
+        Bytes that arrive meanwhile count as a close, as a node sends one request at a
+        time on a connection.
         """
         is_closed = False
         if work:
