--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/admin_app.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/admin_app.py
@@ -22,6 +22,7 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Sequence
 
+# Time stamp of the first event, in milliseconds since the epoch.
 _START_MS = 1_800_000_000_000.0
 _DATA_CENTRES = ("hall-a", "hall-b", "hall-c")
 _JSON = [(b"content-type", b"application/json")]
@@ -90,8 +91,8 @@
     members: dict[str, dict[str, list[dict[str, Any]]]] = {}
     for number in range(n_nodes):
         data_centre = _DATA_CENTRES[number % len(_DATA_CENTRES)]
-        of_team = members.setdefault(data_centre, {}).setdefault("salt-fog", [])
-        of_team.append(
+        team_members = members.setdefault(data_centre, {}).setdefault("salt-fog", [])
+        team_members.append(
             {
                 "node": f"certs-{number}",
                 "services": ["certs"],
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/answers.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/answers.py
@@ -9,10 +9,12 @@
 import hashlib
 from dataclasses import dataclass
 
+# Names of the HTTP headers that carry a mark.
 NONCE = "standin-nonce"
 PLACE = "standin-place"
 SIZE = "standin-size"
 ROOT_PLACE = "0"
+# Size of the filler in an answer, in bytes.
 DEFAULT_SIZE = 256
 _SEPARATOR = b"\n"
 
@@ -29,8 +31,8 @@
         Random text that identifies the client request.
     place : str
         Position in the call tree: ``"0"`` for the client's call, ``"0.1"`` for the
-        second child call of the backend server that runs it, and so on. Retries of a
-        call have the same place.
+        second child call of that call, and so on. Retries of a call have the same
+        place.
     size : int
         Size of the filler in the answer, in bytes.
     """
@@ -71,7 +73,7 @@
     Returns
     -------
     bytes
-        Mark and route, filler, and a SHA-256 digest over all of these.
+        Nonce, place and route, then the filler, then a SHA-256 digest of all these.
     """
     head = f"{mark.nonce} {mark.place} {route}".encode()
     filler = hashlib.shake_128(head).hexdigest(mark.size // 2 + 1).encode()[: mark.size]
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/backend.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/backend.py
@@ -61,6 +61,17 @@
         Source of service times and faults.
     clock : Clock, optional
         Defaults to the clock of the running event loop.
+
+    Attributes
+    ----------
+    faults : BackendFaults
+        Current faults, which can be replaced at any time.
+    draining : bool
+        Whether new calls are refused and the load report says so.
+    runs : list of Run
+        Every run since the start, in order of start.
+    wrong_answers : list of CallMark
+        Marks of the child calls whose answer was incomplete or for another call.
     """
 
     def __init__(
@@ -115,7 +126,7 @@
                 self._in_flight -= 1
 
     def load(self) -> BackendLoad | None:
-        """Return the load report, which may be missing, stale or false."""
+        """Return the load report, which may be stale or false, or None if silent."""
         mode = self.faults.load_word
         if mode is LoadReportMode.SILENT:
             return None
@@ -198,8 +209,9 @@
     def _child_call(
         self, call: BackendCall, route: GraphRoute, index: int
     ) -> ChildCall:
-        # The path depends on the nonce, so that answers from a cache on the way are
-        # detected as wrong.
+        # The number spreads the child calls over several paths. Different nonces share
+        # a path, so that a cache keyed by path would return an answer with another
+        # nonce, which is recorded as wrong.
         number = sum(call.mark.nonce.encode()) + index
         mark = call.mark.child(index)
         return ChildCall(call.call_id, str(index), route, route.target(number), mark)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/backend_app.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/backend_app.py
@@ -46,7 +46,8 @@
 
 MAX_BODY_BYTES = 64 * 1024 * 1024
 _CONTROL_PREFIX = "/-/"
-# A silent load endpoint holds the request this long and then sends no response.
+# A silent load endpoint holds the request this long and then returns no load report:
+# as the application sends no response, the server answers with status 500.
 _SILENT_LOAD_DELAY_S = 60.0
 
 _FLAGS = new_flags()
@@ -83,7 +84,7 @@
     Parameters
     ----------
     server : BackendStandIn
-        The backend server; changes of its faults take effect at once.
+        Backend server to serve; changes of its faults take effect at once.
     """
 
     async def app(scope: dict[str, Any], receive: Receive, send: Send) -> None:
@@ -139,8 +140,8 @@
 
 async def _send_reply(send: Send, reply: BackendReply) -> None:
     if reply.lost:
-        # The server closes the connection if the body is shorter than announced by
-        # content-length.
+        # The body is missing although content-length announces one byte, so that the
+        # HTTP server closes the connection after the response head.
         await _start_response(send, 200, 1)
         return
     not_run = ((call_headers.BACKEND_NOT_RUN, "1"),) if reply.not_run else ()
@@ -157,9 +158,9 @@
 
 
 async def _read_body(receive: Receive) -> bytes | None:
-    """Return the complete body.
+    """Return the complete body, or None if it cannot be read.
 
-    None if the client disconnects or the body exceeds `MAX_BODY_BYTES`.
+    This is the case if the client disconnects or the body exceeds `MAX_BODY_BYTES`.
     """
     chunks: list[bytes] = []
     size = 0
@@ -277,7 +278,8 @@
 ) -> None:
     """Serve a backend server over HTTP until SIGTERM or SIGINT."""
     async with httpcore.AsyncConnectionPool(
-        max_connections=None, keepalive_expiry=30.0
+        max_connections=None,
+        keepalive_expiry=30.0,  # seconds
     ) as pool:
         call_out = http_call_out(pool, cfg.graph, node)
         app = backend_app(BackendStandIn(cfg, call_out, rng))
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/backend_types.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/backend_types.py
@@ -17,8 +17,9 @@
 class LoadReportMode(Enum):
     """How the load endpoint of a backend server answers.
 
-    `TRUE` reports the current load, `FROZEN` repeats the last report, `LYING` reports
-    an idle server with more slots than it has, and `SILENT` gives no report.
+    `TRUE` reports the current load, `FROZEN` repeats the last report if there is one,
+    `LYING` reports an idle server with more slots than it has, and `SILENT` gives no
+    report.
     """
 
     TRUE = "true"
@@ -96,7 +97,7 @@
     Parameters
     ----------
     call_id : str
-        Id given by the node, which is sent with the child calls.
+        Id given by the node; child calls carry it as the id of their parent.
     method, target : str
         HTTP method and path.
     mark : CallMark
@@ -157,7 +158,11 @@
 
 
 class ChildOutcome(Enum):
-    """Outcome of a child call as reported by the node."""
+    """Outcome of a child call.
+
+    `ANSWERED` means that the backend server answered, with any HTTP status, `REFUSED`
+    that the call was not run, and `UNKNOWN` that it may have run.
+    """
 
     ANSWERED = "answered"
     REFUSED = "refused"
@@ -171,7 +176,7 @@
     Parameters
     ----------
     outcome : ChildOutcome
-        Outcome as reported by the node.
+        Outcome as reported by the node, or concluded from a transport error.
     status : int
         HTTP status; 0 if there was no response.
     body : bytes
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/caller.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/caller.py
@@ -23,6 +23,7 @@
     from fuchsiagap_standins.graphs.model import Graph, GraphRoute
     from fuchsiagap_standins.request_senders import SendAttempt, TakeTicket
 
+# Range and precision of the latency histogram.
 _MAX_LATENCY_US = 600_000_000
 _US_PER_MS = 1000
 _SIGNIFICANT_DIGITS = 3
@@ -41,7 +42,8 @@
     duration : float
         Milliseconds during which requests are sent.
     retries : int
-        Maximum number of retries after a refused or unknown attempt.
+        Maximum number of retries per request; refused and unknown attempts are
+        retried.
     pause : float
         Milliseconds before each retry; by default retries are immediate.
     """
@@ -97,7 +99,7 @@
     refused : list of str
         Nonces of the requests whose attempts were all refused.
     reasons : dict
-        Number of attempts without an answer, by reason.
+        Number of refused and unknown attempts, by reason.
     """
 
     routes: dict[str, RouteReport] = field(default_factory=dict)
@@ -127,7 +129,7 @@
     report: CallerReport,
     clock: Clock | None = None,
 ) -> None:
-    """Send requests for `cfg.duration` and wait until the last has ended.
+    """Send requests for `cfg.duration` and wait until every request has ended.
 
     Parameters
     ----------
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/command_line.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/command_line.py
@@ -25,6 +25,8 @@
 def parse_flags(flag_values: flags.FlagValues, argv: Sequence[str], doc: str) -> None:
     """Parse a command line; exit with a usage text if it is invalid.
 
+    With ``--help``, print the help text and exit.
+
     Parameters
     ----------
     flag_values : flags.FlagValues
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/echo_server.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/echo_server.py
@@ -1,4 +1,4 @@
-"""Backend server that echoes requests at once, for measuring the added latency."""
+"""Backend server that echoes at once, to measure the latency that proxies add."""
 
 from __future__ import annotations
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/platform.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/platform.py
@@ -21,6 +21,7 @@
     from collections.abc import AsyncIterator
 
 MAX_VALUE_BYTES = 1_000_000
+# Maximum time that one poll of a watch waits for a change.
 WATCH_WAIT: Milliseconds = 30_000.0
 
 
@@ -55,12 +56,16 @@
 class CallCounts:
     """Number of calls to the platform, by kind.
 
+    Calls of a user who is already cut off do not reach the platform
+    and are not counted.
+
     Parameters
     ----------
     reads, writes, watches : int
         A list counts as one read; a watch counts once per poll.
     failed : int
-        Calls that failed by an outage, a timeout or a loss.
+        Calls that failed because of an outage, a timeout, a lost request or answer,
+        or because the user of a waiting watch was cut off.
     """
 
     reads: int = 0
@@ -136,14 +141,17 @@
     async def put(
         self, path: str, value: bytes, expected_version: int | None
     ) -> PutResult:
-        """Write an object, on condition of its version if one is expected."""
+        """Write an object if its version is the expected one.
+
+        Version 0 means that no object exists yet; None writes unconditionally.
+        """
         if len(value) > MAX_VALUE_BYTES:
             detail = f"{path}: {len(value)} bytes exceed the limit of {MAX_VALUE_BYTES}"
             return PlatformUnavailable(maybe_applied=False, detail=detail)
         return await self._change(path, value, expected_version, deleted=False)
 
     async def delete(self, path: str, expected_version: int | None) -> PutResult:
-        """Replace an object by a tombstone, on the same condition as `put`."""
+        """Replace an object with a tombstone, under the same condition as `put`."""
         return await self._change(path, b"", expected_version, deleted=True)
 
     async def watch(
@@ -156,7 +164,9 @@
     async def poll(
         self, prefix: str, after_version: int, wait: Milliseconds, name: str = ""
     ) -> tuple[StoredObject, ...] | PlatformUnavailable:
-        """Wait for changes under a prefix, as one call; a watch polls repeatedly.
+        """Wait until there are changes under a prefix, and return them.
+
+        A watch polls repeatedly; each poll counts as one call.
 
         Parameters
         ----------
@@ -172,7 +182,7 @@
         Returns
         -------
         tuple of StoredObject or PlatformUnavailable
-            Changes in order of version; empty if there were none in time.
+            Changes in order of version; empty if there were none within `wait`.
         """
         self._watches += 1
         if (unavailable := await self._delay()) is not None:
@@ -190,7 +200,7 @@
     def objects_under(
         self, prefix: str, after_version: int = 0
     ) -> tuple[StoredObject, ...]:
-        """Return the objects under a prefix by version, without counting a call."""
+        """Return the objects under a prefix in order of version; counts no call."""
         found = [
             stored
             for stored in self._objects.values()
@@ -275,14 +285,17 @@
     async def put(
         self, path: str, value: bytes, expected_version: int | None
     ) -> PutResult:
-        """Write an object, on condition of its version if one is expected."""
+        """Write an object if its version is the expected one.
+
+        Version 0 means that no object exists yet; None writes unconditionally.
+        """
         if (unavailable := await self._unreachable()) is not None:
             return unavailable
         result = await self._store.put(path, value, expected_version)
         return self._result_if_reachable(result)
 
     async def delete(self, path: str, expected_version: int | None) -> PutResult:
-        """Replace an object by a tombstone, on the same condition as `put`."""
+        """Replace an object with a tombstone, under the same condition as `put`."""
         if (unavailable := await self._unreachable()) is not None:
             return unavailable
         result = await self._store.delete(path, expected_version)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/platform_app.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/platform_app.py
@@ -38,7 +38,9 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
+# Response header that marks a tombstone.
 DELETED = "object-deleted"
+# Value of if-match and if-none-match that matches every version.
 ANY_VERSION = "*"
 
 _FLAGS = new_flags()
@@ -54,7 +56,7 @@
     Parameters
     ----------
     store : ObjectStore
-        The objects; changes of its faults take effect at once.
+        Store to serve; changes of its faults take effect at once.
 
     Returns
     -------
@@ -63,6 +65,7 @@
     """
     app = QuartTrio(__name__)
     app.config["MAX_CONTENT_LENGTH"] = MAX_VALUE_BYTES
+    # Timeouts in seconds; None is no timeout.
     app.config["RESPONSE_TIMEOUT"] = None
     app.config["BODY_TIMEOUT"] = 10
     _add_objects(app, store)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/processes.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/processes.py
@@ -28,6 +28,7 @@
 STOP_TIMEOUT: Milliseconds = 10_000.0
 _POLL_S = 0.02
 _TAIL_CHARACTERS = 2000
+# Option of prctl(2) that sets the signal sent to a process when its parent exits.
 _PR_SET_PDEATHSIG = 1
 _LIBC = ctypes.CDLL(None)
 
@@ -38,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AddressReservation:
-    """Addresses that no other process is given while this is open.
+    """Addresses that the kernel assigns to no other process until `close`.
 
     Parameters
     ----------
@@ -153,6 +154,11 @@
             Name that no running process of the group has.
         argv : sequence of str
             Program and arguments.
+
+        Returns
+        -------
+        RunningProcess
+            The process, which may not be ready yet.
         """
         log = self.folder / f"{name}.log"
         if name not in self._started:
@@ -175,7 +181,27 @@
         return process
 
     async def start_standin(self, name: str, module: str, *args: str) -> str:
-        """Start a stand-in and return the ``IP:PORT`` that it listens on."""
+        """Start a stand-in and wait until it prints the address that it listens on.
+
+        Parameters
+        ----------
+        name : str
+            Name of the process.
+        module : str
+            Module of `fuchsiagap_standins` to run.
+        *args : str
+            Command line arguments.
+
+        Returns
+        -------
+        str
+            ``IP:PORT`` that it listens on.
+
+        Raises
+        ------
+        ProcessFailed
+            If it exits or is not ready within `START_TIMEOUT`.
+        """
         argv = [sys.executable, "-m", f"fuchsiagap_standins.{module}", *args]
         process = self.start(name, argv)
         with trio.move_on_after(START_TIMEOUT / MS_PER_S):
@@ -188,7 +214,7 @@
         raise ProcessFailed(f"{name} was not ready in time:\n{process.log_tail()}")
 
     async def start_node(self, name: str, ini: str, callers: str) -> RunningProcess:
-        """Start a node and wait until it accepts connections of callers.
+        """Start a node and wait until it accepts connections from callers.
 
         Parameters
         ----------
@@ -198,6 +224,16 @@
             Text of its settings file.
         callers : str
             ``IP:PORT`` where it listens for callers.
+
+        Returns
+        -------
+        RunningProcess
+            The process of the node.
+
+        Raises
+        ------
+        ProcessFailed
+            If it exits or is not ready within `START_TIMEOUT`.
         """
         path = self.folder / f"{name}.ini"
         path.write_text(ini)
@@ -217,7 +253,7 @@
         raise ProcessFailed(f"{name} was not ready in time:\n{process.log_tail()}")
 
     async def stop(self, name: str, timeout: Milliseconds = STOP_TIMEOUT) -> int:
-        """Stop a process, also a paused one, and kill it if it runs after `timeout`.
+        """Stop a running or paused process; kill it if it outlasts `timeout`.
 
         Parameters
         ----------
@@ -240,7 +276,7 @@
         return self.kill(name)
 
     def kill(self, name: str) -> int:
-        """Kill a process, to simulate a host failure, and return its exit code."""
+        """Kill a process, as when its host fails, and return its exit code."""
         process = self.running.pop(name)
         process.send(signal.SIGKILL)
         return process.popen.wait()
@@ -282,6 +318,8 @@
 ) -> AsyncIterator[ProcessGroup]:
     """Open a group of processes, which are all stopped when the block ends.
 
+    They are also stopped if the block ends by an error or a cancellation.
+
     Parameters
     ----------
     folder : Path
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/request_senders.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/request_senders.py
@@ -1,4 +1,4 @@
-"""Ways in which the caller stand-in sends requests to nodes and takes tickets."""
+"""Functions with which the caller stand-in sends requests and takes tickets."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     from fuchsiagap_standins.answers import CallMark
     from fuchsiagap_standins.graphs.model import Graph, GraphRoute
 
-# Number of tickets asked for at once.
+# Number of tickets requested from a node at a time.
 TICKET_BATCH = 64
 # Errors that occur before the request is sent, so that it cannot have run.
 _NOT_SENT_ERRORS = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
@@ -32,7 +32,9 @@
 class RequestOutcome(Enum):
     """Outcome of a request as seen by its caller.
 
-    `WRONG` is an answer that is incomplete or belongs to another request.
+    `REFUSED` means that the request was not run, `UNKNOWN` that it may have run, which
+    includes error statuses of the backend server. `WRONG` is an answer that is
+    incomplete or belongs to another request.
     """
 
     ANSWERED = "answered"
@@ -72,7 +74,8 @@
     outcome : RequestOutcome
         Outcome of the attempt.
     reason : str
-        Reason given by the node, or name of the transport error.
+        Reason given by the node, name of the transport error, or what is wrong with
+        the response; empty for an answer.
     """
 
     outcome: RequestOutcome
@@ -139,7 +142,7 @@
     Parameters
     ----------
     client : Client
-        Client of the library.
+        Client from the client library.
     graph : Graph
         Call graph, which names the team of the services.
     """
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/run_log.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/run_log.py
@@ -1,4 +1,4 @@
-"""Log of the runs of calls, and search for duplicate runs and false refusals."""
+"""Records of the runs of calls, and checks for duplicate runs and false refusals."""
 
 from __future__ import annotations
 
@@ -85,6 +85,8 @@
 def double_runs(runs: Iterable[Run]) -> list[tuple[str, str, str]]:
     """Return the non-idempotent calls that ran more than once.
 
+    Only runs that may have had an effect and whose call has a nonce are counted.
+
     Parameters
     ----------
     runs : iterable of Run
@@ -106,6 +108,9 @@
 def false_refusals(runs: Iterable[Run], refused: Iterable[str]) -> list[str]:
     """Return the nonces of requests that were reported as not run although they ran.
 
+    A request has run if its root call or a non-idempotent child call of it has a run
+    that may have had an effect.
+
     Parameters
     ----------
     runs : iterable of Run
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/serving.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/serving.py
@@ -30,7 +30,7 @@
     Parameters
     ----------
     app : ASGI application
-        The application.
+        Application to serve.
     bind : str
         ``IP:PORT`` to listen on; port 0 selects a free port.
     keep_alive_s : float
@@ -43,7 +43,7 @@
     cfg.backlog = BACKLOG
     cfg.loglevel = "WARNING"
     cfg.keep_alive_timeout = keep_alive_s  # type: ignore[assignment]
-    cfg.graceful_timeout = 0.1
+    cfg.graceful_timeout = 0.1  # seconds
     async with trio.open_nursery() as nursery:
         urls = await nursery.start(_serve, app, cfg)
         task_status.started(urlsplit(urls[0]).netloc)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_backend_app.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_backend_app.py
@@ -66,10 +66,10 @@
 
     def test_refusals_carry_the_not_run_header(self):
         async def use(server, client, _):
-            below = await client.post("/bookings")
+            child_refused = await client.post("/bookings")
             server.draining = True
             draining = await client.get("/bookings/1")
-            for response in (below, draining):
+            for response in (child_refused, draining):
                 self.assertEqual(503, response.status_code)
                 self.assertEqual("1", response.headers["fuchsiagap-not-run"])
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_caller.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_caller.py
@@ -85,16 +85,16 @@
         self.assertEqual({"overload": len(seen)}, report.reasons)
 
     def test_latency_is_from_the_first_attempt(self):
-        tries = {}
+        n_attempts = {}
 
         async def send(request):
             await trio.sleep(0.2)
-            tries[request.mark.nonce] = tries.get(request.mark.nonce, 0) + 1
-            return ANSWERED if tries[request.mark.nonce] == 2 else UNKNOWN
+            n_attempts[request.mark.nonce] = n_attempts.get(request.mark.nonce, 0) + 1
+            return ANSWERED if n_attempts[request.mark.nonce] == 2 else UNKNOWN
 
         report = collect_report(send, retries=1)
-        row = report.routes["results/lookup"]
-        self.assertAlmostEqual(400.0, row.percentile(99), delta=1.0)
+        route_report = report.routes["results/lookup"]
+        self.assertAlmostEqual(400.0, route_report.percentile(99), delta=1.0)
 
     def test_final_outcome_of_several_attempts(self):
         cases = [
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_platform.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_platform.py
@@ -33,9 +33,9 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(write, b"a")
                 nursery.start_soon(write, b"b")
-            losers = [r for r in results if isinstance(r, Conflict)]
-            self.assertEqual(1, len(losers))
-            self.assertEqual(await store.get(PATH), losers[0].current)
+            conflicts = [r for r in results if isinstance(r, Conflict)]
+            self.assertEqual(1, len(conflicts))
+            self.assertEqual(await store.get(PATH), conflicts[0].current)
 
         self.run_with_store(use)
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_processes.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_processes.py
@@ -44,7 +44,11 @@
 
 
 def deep_graph():
-    """Return the text of a graph whose one service calls itself, `CHAIN_DEPTH` deep."""
+    """Return the INI text of a call graph with a single service.
+
+    It has a route whose calls form a chain of `CHAIN_DEPTH` calls, and a route that
+    writes.
+    """
     lines = [
         "[graph]\nteam = deep\ndata centres = a, b, c\ndeep service = link",
         "[link]\ninstances = 3\nslots = 100\nconnections = 200",
