--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/demo.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/demo.py
@@ -1,7 +1,8 @@
 """Demonstrate calls between real processes: ``python -m fuchsiagap_standins.demo``.
 
-Starts the platform stand-in and, in three data centres, a few nodes with their backend
-servers. Sends requests for about ten seconds and checks the outcome of each one.
+Starts the platform stand-in and, in each data centre of a call graph, a few nodes with
+their backend servers. Sends requests, by default for ten seconds, and checks the
+outcome of each one.
 """
 
 from __future__ import annotations
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/demo_faults.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/demo_faults.py
@@ -97,9 +97,11 @@
     names : sequence of str
         Keys of `FAULTS`.
     running : Deployment
-        The processes. Faults of a node hit the nodes in turn.
+        The deployment. The fault at position `i` of `names` affects the host at
+        position `i`, modulo the number of hosts, if it concerns a single node.
     duration_s : float
-        Seconds over which the faults are spread; each lasts half an interval at most.
+        Seconds over which the faults are spread. A fault with a set duration lasts
+        half the interval between two faults.
     print_line : callable
         Prints a line of progress.
     """
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/deployment.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/deployment.py
@@ -22,7 +22,8 @@
     from fuchsiagap_standins.processes import ProcessGroup
 
 OPERATOR_TOKEN = "operator-of-the-stand-ins"
-_FIRST_IP_OCTET = 11
+# Last octet of the IP address of the hosts of the first data centre.
+_MIN_LAST_OCTET = 11
 _MAX_FIRST_PEERS = 3
 
 
@@ -36,7 +37,7 @@
         Call graph with the services to run. Hosts of data centre number `i`, from 0,
         have the address 127.0.0.(11 + i).
     graph_file : str
-        Name or path of the graph, for the backend servers.
+        Name or INI file of the call graph, passed to the backend servers.
     instances : int
         Maximum number of instances of each service.
     time_scale : float
@@ -199,7 +200,7 @@
     for service in graph.services:
         data_centres = graph.placement(service)[: cfg.instances]
         for index, data_centre in enumerate(data_centres, start=1):
-            ip = f"127.0.0.{_FIRST_IP_OCTET + graph.data_centres.index(data_centre)}"
+            ip = f"127.0.0.{_MIN_LAST_OCTET + graph.data_centres.index(data_centre)}"
             reservation = reserve_addresses(ip, 3)
             reservations.append(reservation)
             node = f"{service.name}-{index}"
@@ -210,7 +211,7 @@
 
 
 def _first_peers(deployment: Deployment) -> list[str]:
-    """Return the peer addresses of one node per data centre, up to the maximum."""
+    """Return peer addresses, one per data centre and at most `_MAX_FIRST_PEERS`."""
     peer_by_data_centre: dict[str, str] = {}
     for host_spec in deployment.host_specs:
         peer_by_data_centre.setdefault(host_spec.data_centre, host_spec.peers)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/fuzz.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/fuzz.py
@@ -31,14 +31,21 @@
 
 
 def mutate(text: bytes, rng: random.Random) -> bytes:
-    """Return bytes with a few random deletions, duplications and insertions.
+    """Return a message with a few random changes.
+
+    Each change deletes, duplicates, replaces or inserts bytes.
 
     Parameters
     ----------
     text : bytes
         A valid message.
     rng : random.Random
-        Source of the changes.
+        Source of all randomness.
+
+    Returns
+    -------
+    bytes
+        The changed message, which may still be valid.
     """
     for _ in range(rng.randint(1, _MAX_CHANGES)):
         start = rng.randrange(len(text) + 1)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/in_process.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/in_process.py
@@ -120,7 +120,7 @@
 
 
 def result_of(outcome: Outcome) -> ChildResult:
-    """Convert the outcome of a child call to the result that its caller receives."""
+    """Convert the outcome of a child call to the calling backend server's result."""
     if isinstance(outcome, Answered):
         return ChildResult(ChildOutcome.ANSWERED, outcome.status, outcome.body)
     if isinstance(outcome, Refused):
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/membership_fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/membership_fleet.py
@@ -168,8 +168,8 @@
         platform : Platform, optional
             Platform that the node uses; by default the fleet's store.
         known_members : iterable of Member
-            Members in the node's table from the start. A large fleet then does not
-            have to join one node after another.
+            Members in the node's table from the start, which saves a large fleet the
+            time for its nodes to join one after another.
         """
         self._n_started += 1
         node = self._make(
@@ -251,13 +251,13 @@
         gossip.register(state)
         drain.register(state)
 
-        async def take(link: Link) -> None:
+        async def serve(link: Link) -> None:
             await node.peers.serve_link(_CountingLink(link, node.sent))
 
         with node.scope:
             async with trio.open_nursery() as nursery:
                 node.peers.nursery = nursery
-                nursery.start_soon(self.network.listen, node.address, take)
+                nursery.start_soon(self.network.listen, node.address, serve)
                 nursery.start_soon(gossip.run, state)
 
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/memory_nodes.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/memory_nodes.py
@@ -1,4 +1,4 @@
-"""Settings, ports, platform and network shared by all in-memory fleets."""
+"""Building blocks of in-memory fleets: node settings, ports, platform, network."""
 
 from __future__ import annotations
 
@@ -29,7 +29,8 @@
 OPERATORS_TOKEN = "operators-token"
 # Wall clock at the start of a run, in milliseconds since the epoch.
 START_WALL_MS = 1_700_000_000_000.0
-_MAX_CALLS_PER_LINK = 1_000
+# Per link, see `WireContext`.
+_MAX_CONCURRENT_REQUESTS = 1_000
 
 
 def a_node_config(
@@ -49,8 +50,8 @@
     service : str
         Service of its backend server; the team is `TEAM`.
     """
-    # Settings files accept IP addresses only. The addresses with names replace these
-    # after parsing.
+    # Settings files accept only IP addresses, so placeholders are parsed. Addresses
+    # with host names replace them afterwards.
     listen = ("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
     text = node_ini(
         HostSpec(name, service, data_centre, *listen),
@@ -153,7 +154,7 @@
 def uninstrumented_wire(
     hello: Hello, handlers: Handlers, stamp: int = 0
 ) -> WireContext:
-    """Return a `WireContext` without clock and metrics.
+    """Return a `WireContext` with a constant clock and without metrics.
 
     Parameters
     ----------
@@ -162,14 +163,14 @@
     handlers : Handlers
         Handlers of the messages that the node receives.
     stamp : int, default=0
-        Clock stamp of every frame.
+        Hybrid logical clock reading sent with every frame.
     """
     return WireContext(
         hello,
         handlers,
         stamp=lambda: stamp,
         observe=lambda _stamp: None,
-        max_concurrent_requests=_MAX_CALLS_PER_LINK,
+        max_concurrent_requests=_MAX_CONCURRENT_REQUESTS,
         count=lambda _name: None,
     )
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/network.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/network.py
@@ -34,7 +34,8 @@
     dial_timeout : float
         Milliseconds after which dialling an unreachable node fails.
     capacity : int
-        Frames in flight in one direction from which on the sender has to wait.
+        Maximum number of frames in flight in one direction. Beyond it, the sender
+        waits.
     """
 
     delay: Milliseconds = 0.5
@@ -50,14 +51,14 @@
     ----------
     rng : random.Random
         Source of the jitter.
-    profile : LinkProfile
-        Delay and capacity of all links.
+    profile : LinkProfile, optional
+        Delay and capacity of all links; by default a `LinkProfile` with its defaults.
 
     Notes
     -----
     `cut` and `pause` delay frames until `heal` or `resume`, as TCP would, and close no
     link. `crash` and `drop_links` close links, and the frames in flight are lost. The
-    tasks of a paused node keep running, but none of its frames are delivered before
+    tasks of a paused node keep running, but no frame from or to it is delivered before
     `resume`.
     """
 
@@ -78,7 +79,7 @@
         Parameters
         ----------
         address : str
-            ``IP:PORT``.
+            Address of the node; any string, for example ``certs-1:7000``.
         serve : callable
             Called in a new task with each accepted link.
         """
@@ -100,7 +101,7 @@
         return partial(self._dial, source)
 
     def cut(self, side_a: set[str], side_b: set[str]) -> None:
-        """Partition the network: delay all frames between two sets of addresses."""
+        """Delay all frames between two sets of addresses until `heal`."""
         self._cuts |= {frozenset((a, b)) for a in side_a for b in side_b if a != b}
         self._notify()
 
@@ -110,7 +111,7 @@
         self._notify()
 
     def pause(self, address: str) -> None:
-        """Delay all frames from and to a node."""
+        """Delay all frames from and to a node until `resume`."""
         self._paused.add(address)
         self._notify()
 
@@ -160,7 +161,7 @@
     async def _dial(self, source: str, address: str) -> Link | DialFailed:
         with trio.move_on_after(self.profile.dial_timeout / MS_PER_S):
             await self._until_reachable(source, address)
-            await trio.sleep(2 * self._draw_delay())
+            await trio.sleep(2 * self._draw_delay_s())
             accept = self._listeners.get(address)
             if accept is None:
                 return DialFailed(address, "no listener at this address")
@@ -175,7 +176,7 @@
         while not self.reachable(source, target):
             await self._changed.wait()
 
-    def _draw_delay(self) -> float:
+    def _draw_delay_s(self) -> float:
         jitter = self._rng.uniform(0.0, self.profile.jitter)
         return (self.profile.delay + jitter) / MS_PER_S
 
@@ -193,7 +194,7 @@
 
 @dataclass(eq=False, slots=True)
 class _Pipe:
-    """One direction of a link, with its frames in flight and their arrival times."""
+    """One direction of a link; `frames` holds arrival time (s) and data of each."""
 
     source: str
     target: str
@@ -229,7 +230,7 @@
             await pipe.changed.wait()
         if pipe.closed is not None:
             return pipe.closed
-        arrival = trio.current_time() + self._network._draw_delay()
+        arrival = trio.current_time() + self._network._draw_delay_s()
         pipe.last_arrival = max(arrival, pipe.last_arrival)
         pipe.frames.append((pipe.last_arrival, frame))
         pipe.notify()
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/node_fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/node_fleet.py
@@ -1,7 +1,7 @@
 """Fleets of complete nodes of a call graph, each with its backend server.
 
-Only the transports are replaced, by an in-memory network. Used by the tests of graceful
-shutdown.
+The nodes run their complete code. Network, platform and backend servers are stand-ins
+in the same process. Used by the tests of graceful shutdown and node telemetry.
 """
 
 from __future__ import annotations
@@ -204,18 +204,18 @@
         number : int
             Number of the request, which determines its target and nonce.
         ticket : str or None
-            Ticket of a non-idempotent request.
+            Ticket of a non-idempotent request; None for an idempotent one.
         """
-        own = {}
+        control_headers = {}
         if ticket is not None:
-            # A request is retried only after all earlier attempts were refused as not
-            # run, hence "0": no earlier attempt may have run.
-            own = {call_headers.TICKET: ticket, call_headers.REPEAT: "0"}
+            # "0" states that no earlier attempt may have run. This holds, as requests
+            # are retried only after a refusal, and a refused request did not run.
+            control_headers = {call_headers.TICKET: ticket, call_headers.REPEAT: "0"}
         return CallRequest(
             service=self.graph.service_name(route),
             method=route.method,
             target=route.target(number),
-            control_headers=own,
+            control_headers=control_headers,
             headers=CallMark(f"request-{number}").headers(),
             body=b"",
         )
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/node_ini.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/node_ini.py
@@ -89,8 +89,8 @@
         "[platform]",
         f"url = http://{platform}",
     ]
-    if asked_first := ", ".join(first):
-        lines += ["[peers]", f"first = {asked_first}"]
+    if first_peers := ", ".join(first):
+        lines += ["[peers]", f"first = {first_peers}"]
     if operators_token:
         lines += ["[admin]", f"token digest = {digest_of(operators_token)}"]
     return "\n".join(lines) + "\n"
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/settings_fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/settings_fleet.py
@@ -112,7 +112,7 @@
 
 @dataclass(slots=True, eq=False)
 class SettingsFleet:
-    """Set of settings nodes that run in one nursery.
+    """Set of nodes with membership and settings that run in one nursery.
 
     Parameters
     ----------
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/testing.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/testing.py
@@ -62,7 +62,7 @@
     Returns
     -------
     object
-        What `async_fn` returned.
+        Return value of `async_fn`.
 
     Raises
     ------
@@ -101,15 +101,15 @@
     def __init__(self, limit_s: float) -> None:
         self.scope: trio.CancelScope | None = None
         self._limit_s = limit_s
-        self._ends_s = time.monotonic() + limit_s
+        self._deadline_s = time.monotonic() + limit_s
 
     def before_io_wait(self, timeout: float) -> None:
-        if self.scope is not None and time.monotonic() > self._ends_s:
+        if self.scope is not None and time.monotonic() > self._deadline_s:
             self.scope.cancel()
 
 
 def _seed_scheduler(seed: int) -> None:
     # trio runs tasks that are ready together in random order, so that programs do not
-    # depend on it. These private variables make the order reproducible for tests.
+    # depend on the order. These private variables make it reproducible for tests.
     vars(_trio_run)["_ALLOW_DETERMINISTIC_SCHEDULING"] = True
     vars(_trio_run)["_r"] = random.Random(seed)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bad_input.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bad_input.py
@@ -123,7 +123,7 @@
         b"\x81" * 5000,  # 5,000 nested arrays of one element
         b"\x9b\xff\xff\xff\xff\xff\xff\xff\xff",  # an array of 2**64 - 1 elements
         b"\x5b\x7f\xff\xff\xff\xff\xff\xff\xff",  # a byte string of 2**63 - 1 bytes
-        b"\xc2\x58\xff" + bytes(255),  # a very large integer
+        b"\xc2\x58\xff" + bytes(255),  # an integer encoded in 255 bytes
         b"\xd9\xff\xff\x01",  # an unknown CBOR tag
         b"\xd8\x1c\x81\xd8\x1d\x00",  # a value that contains itself
     )
@@ -132,5 +132,5 @@
 HTTP_REQUESTS = (*_http_requests(), *_control_headers(), *_ticket_requests())
 TRUNCATED_REQUESTS = tuple(_truncated_requests())
 FRAMES = tuple(_frames())
-# Larger than the largest frame that a node accepts.
+# Exceeds `MAX_FRAME_BYTES` of the node's `peer_websocket`.
 OVERSIZED_FRAME = bytes(300_000)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_bad_input.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/test_bad_input.py
@@ -51,6 +51,7 @@
 own time = 1ms
 """
 ANSWER_TIMEOUT_S = 5.0
+# Time in which the node can close the link after a frame.
 FRAME_PAUSE_S = 0.05
 
 
@@ -70,7 +71,10 @@
 
 
 async def exchange(address, data):
-    """Send raw bytes; return all bytes received, or None on a timeout."""
+    """Send raw bytes and return the response; None on a timeout.
+
+    The response may be incomplete or empty if the node closed the connection.
+    """
     host, _, port = address.rpartition(":")
     received = b""
     with trio.move_on_after(ANSWER_TIMEOUT_S):
@@ -96,7 +100,7 @@
 
 
 def is_error(received):
-    """Whether the answer is an HTTP error, or the connection closed without one."""
+    """Whether the response is an HTTP error, or empty as the connection closed."""
     if received is None:
         return False
     return not received or received.startswith((b"HTTP/1.1 4", b"HTTP/1.1 5"))
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/ticket_faults.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/ticket_faults.py
@@ -1,7 +1,7 @@
 """Check the guarantees of tickets in randomised runs under faults.
 
 Home nodes, hand-over and settling are those of the real node. Links, membership and
-backend servers are fakes of `fuchsiagap_standins.ticket_nodes`.
+backend servers are the fakes in `fuchsiagap_standins.ticket_nodes`.
 """
 
 from __future__ import annotations
@@ -24,6 +24,8 @@
     from fuchsiagap.core.tickets.ticket import Ticket
 
 _NAMES = ("a", "b", "c", "d")
+# Small limits, so that runs also evict answers, drop large bodies and hand over in
+# several messages.
 _CFG = TicketSettings(kept_answers=12, chunk_bytes=300, max_kept_body=64)
 _RUN_DURATION_S = 4.0
 _N_REQUESTS = 25
@@ -184,7 +186,9 @@
         run.not_run.add((ticket, child_key))
     expected = _answer(ticket, child_key)
     if isinstance(outcome, Answered) and not outcome.body.startswith(expected):
-        run.report.violations.append(f"{ticket} {child_key} got {outcome.body!r}")
+        run.report.violations.append(
+            f"{ticket} {child_key} received a wrong answer: {outcome.body!r}"
+        )
 
 
 async def _settle(run: _Run, ticket: Ticket) -> None:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/ticket_nodes.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/ticket_nodes.py
@@ -88,12 +88,13 @@
     members : dict
         Member records that all nodes see, by node name.
     unreachable : set of str
-        Peer addresses to which no message is sent.
+        Peer addresses to which no message is sent and from which no reply arrives.
     lose_reply : callable
-        Whether the reply to a message is lost, given address and message. The message
-        has taken effect.
+        Takes address and message, and returns whether the reply is lost after the
+        message has taken effect.
     before_delivery : callable
-        Awaited before a message is delivered, for example to delay it; None for none.
+        Awaited with address and message before each delivery, for example to delay it;
+        None if there is nothing to await.
     """
 
     backends: FakeBackends
@@ -180,14 +181,14 @@
     async def call(self, state: Any, head: CallHead, body: bytes = b"") -> Outcome:
         """Send a non-idempotent call through a node, and return its outcome."""
         assert head.ticket is not None
-        place = find_home(state, head.ticket)
-        if isinstance(place, LocalHome):
+        location = find_home(state, head.ticket)
+        if isinstance(location, LocalHome):
             return await at_home(state, head, body, self.run_of(head, body))
-        if isinstance(place, RemoteHome):
+        if isinstance(location, RemoteHome):
             msg = HomeCallMessage(head_to_wire(head, state.clock.now()), body)
-            reply = await state.peers.ask(place.address, msg)
+            reply = await state.peers.ask(location.address, msg)
             return outcome_of_relay(head, reply, first_copy=False)
-        return an_unknown(place.reason)
+        return an_unknown(location.reason)
 
 
 @dataclass(frozen=True, slots=True)
@@ -224,7 +225,7 @@
             sent=True, detail=f"{address} stopped before its reply"
         )
         with trio.CancelScope() as scope:
-            # A node that stops cancels the requests of its peers that it handles.
+            # When a node stops, the peers' requests that it handles are cancelled.
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(_cancel_with, state, scope)
                 reply = await state.handlers.request_handlers[type(message)](
