--- a/conftest.py
+++ b/conftest.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-# Group by test module. The tests of a group run one after the other. They start
-# processes of their own, and in parallel would compete for CPU time, so that results
-# would depend on the machine.
+# Group of each listed test module. pytest-xdist runs the tests of a group one after the
+# other in one process. Most of them start processes of their own; in parallel these
+# would compete for CPU time, and the results would depend on the machine.
 _GROUP_BY_MODULE = {
     "test_soak": "soak",
     "test_sheet": "sheets",
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/backend.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/backend.py
@@ -44,7 +44,7 @@
     evidence : Evidence
         Collects the runs for the checks.
     rng : random.Random
-        Source of service times and of refusals.
+        Source of the random service times and refusals.
     state : callable
         Returns the state of the node through which downstream calls are made.
     slots : int
@@ -53,7 +53,7 @@
     Attributes
     ----------
     service_time_factor : float
-        Multiplies the service time of calls that are not slow anyway.
+        Factor of the service time of all calls but the random share of slow ones.
     down : bool
         Whether connections are refused.
     """
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/breaks.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/breaks.py
@@ -1,7 +1,8 @@
-"""Bugs that can be planted to verify that each check detects a violation.
+"""Bugs that can be planted to verify that the checks detect violations.
 
-The product has no switch for them: each bug replaces functions of the product by name
-while a run lasts.
+The product has no option that enables them: planting a bug replaces functions of the
+product for the duration of a run. There are one or more bugs for each check but those
+of convergence, `checks.INSIDE` and `checks.NOT_AT_REST`.
 """
 
 from __future__ import annotations
@@ -161,7 +162,7 @@
 
 
 def _lose_allowance(stack: ExitStack) -> None:
-    """Keep the share of an attempt in the allowance as well, so it counts twice."""
+    """Do not deduct retries from the allowance when they are lent or taken."""
 
     def lend_up_to(self: Allowance, n_max: int) -> int:
         return max(min(n_max, self.remaining), 0)
@@ -178,7 +179,7 @@
 
 
 def _key_by_parent_call(stack: ExitStack) -> None:
-    """Give each child of a repeated parent a new key, so repeats are not matched."""
+    """Give each attempt of a child call a new key, so that repeats are not matched."""
     original_head = attempts.attempt_head
 
     def attempt_head(head: CallHead, n_sent: int, repeat: bool) -> CallHead:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/callers.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/callers.py
@@ -36,15 +36,19 @@
 
 _MEAN_PAUSE_S = 0.35
 _TIMEOUT_MS = 5_000.0
+# Possible attempt time-outs; 0 waits until the deadline.
 _ATTEMPT_TIMEOUTS_MS = (0.0, 150.0, 400.0)
-_SIZES = (64,) * 11 + (150_000,)
+# Sizes of the requested answers in bytes; one of twelve is large.
+_ANSWER_SIZES = (64,) * 11 + (150_000,)
+# Number of copies of a request, and bounds of the time-outs of all but the last copy,
+# for callers without the client library.
 _MAX_COPIES = 3
 _COPY_TIMEOUT_S = (0.05, 0.4)
 
 
 @dataclass(slots=True)
 class _Caller:
-    """A caller with its own random numbers, transport and list of nodes."""
+    """A caller with its own random numbers, transport and order of the nodes."""
 
     name: str
     fleet: Fleet
@@ -58,7 +62,7 @@
         self.n_sent += 1
         name = self.rng.choices(CLIENT_ROUTES, CLIENT_ROUTE_WEIGHTS)[0]
         nonce = f"{self.name}-{self.n_sent}"
-        return ROUTES[name], CallMark(nonce, size=self.rng.choice(_SIZES))
+        return ROUTES[name], CallMark(nonce, size=self.rng.choice(_ANSWER_SIZES))
 
     def record(
         self,
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/checks.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/checks.py
@@ -113,7 +113,10 @@
     above_bound = [
         record for record in evidence.requests if _is_above_bound(evidence, record)
     ]
-    shown = [f"{t.nonce}: {evidence.attempts[t.nonce]} attempts" for t in above_bound]
+    shown = [
+        f"{record.nonce}: {evidence.attempts[record.nonce]} attempts"
+        for record in above_bound
+    ]
     findings.add_result(ATTEMPTS_ABOVE_BOUND, shown, len(evidence.requests))
     _check_settings(findings, fleet, changes)
     _check_internal_violations(findings, fleet)
@@ -121,6 +124,7 @@
 
 
 def _check_refusals(findings: Findings, evidence: Evidence) -> None:
+    """Check that no request and no downstream call refused as not run has run."""
     runs_with_effect = {
         (run.nonce, run.place) for run in evidence.runs if run.had_effect
     }
@@ -196,9 +200,7 @@
         stored_change_ids |= {
             text.records[0].change_id for text in texts.values() if text.records
         }
-        overwritten = [
-            f"{team}: {fault}" for fault in _find_overwritten_versions(texts)
-        ]
+        overwritten = [f"{team}: {text}" for text in _find_overwritten_versions(texts)]
         findings.add_result(REVERTED_SETTINGS, overwritten, len(texts))
     accepted, denied = changes.accepted(), changes.denied()
     lost_changes = [
@@ -218,7 +220,7 @@
 
 
 def _find_overwritten_versions(texts: dict[int, StoredText]) -> Iterator[str]:
-    """Yield each version that replaced a different version than its record says."""
+    """Describe each version that replaced another version than its record names."""
     previous_version = 0
     for version, text in texts.items():
         recorded_version = (
@@ -287,4 +289,4 @@
         if seen | {process.name} != names:
             differing_views.append(f"{process.name} sees {sorted(seen)}")
     found = {SETTINGS_NOT_IN_FORCE: stale_settings, VIEWS_DIFFER: differing_views}
-    return {check: names for check, names in found.items() if names}
+    return {check: differences for check, differences in found.items() if differences}
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/cli.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/cli.py
@@ -44,7 +44,8 @@
     seed : int
         Seed of the first run; it increases by one from run to run.
     runs, jobs : int
-        Number of runs, and of runs executed in parallel.
+        Number of runs, and of runs executed in parallel. With a planted bug, runs are
+        executed one by one.
     shown : int
         Maximum number of events printed for a failed run.
     bug : str
@@ -88,7 +89,23 @@
 
 @dataclass(slots=True)
 class Totals:
-    """Sums over all runs."""
+    """Sums over all runs.
+
+    Parameters
+    ----------
+    runs : int
+        Number of runs.
+    requests : int
+        Number of client requests that ended.
+    faults : Counter
+        Number of injected faults, by kind.
+    checked : int
+        Number of items that the checks inspected.
+    violations : Counter
+        Number of violations, by check.
+    outcomes : Counter
+        Number of client requests, by type of outcome.
+    """
 
     runs: int = 0
     requests: int = 0
@@ -132,7 +149,8 @@
     Returns
     -------
     int
-        Exit status.
+        Exit status: 2 if a flag is invalid, otherwise 0 or 1 as described at the top of
+        this module.
     """
     try:
         options = _read_flags(argv)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/evidence.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/evidence.py
@@ -57,20 +57,21 @@
     requests : list of RequestRecord
         Client requests that have ended.
     refused_children : list of (str, str, str)
-        (nonce, place, route) of downstream calls that were refused as not run.
+        Nonce, place in the call tree and route of each downstream call that was refused
+        as not run.
     attempts : Counter
-        Attempts that reached the node of a backend server, by nonce.
+        Number of attempts at the admission gates of all nodes, by nonce.
     leaving_since : dict
         Virtual time in seconds at which each leaving node began to drain, by node.
     stopping : set of str
         Nodes whose ending runs count as interrupted.
     late_runs, late_calls : list of str
-        Runs that a node started, and calls it received, more than `LEAVING_GRACE_S`
-        after it began to drain.
+        Runs that a node started, and calls that it received from peers, more than
+        `LEAVING_GRACE_S` after it began to drain.
     interrupted : list of str
         Runs, calls and requests that a planned stop interrupted.
     copies_started : set of (str, int)
-        Nonce and number of each copy that ran and was sent without the library.
+        Nonce and number of each copy that was sent without the client library and ran.
     answers : int
         Number of answers compared with the expected ones.
     wrong_answers : list of str
@@ -91,7 +92,10 @@
     wrong_answers: list[str] = field(default_factory=list)
 
     def record_run_start(self, node: str, run: Run, copy: str) -> None:
-        """Record a run, and whether its node began to drain too long ago."""
+        """Record the start of a run.
+
+        It is late if its node began to drain more than `LEAVING_GRACE_S` ago.
+        """
         if copy and run.place == ROOT_PLACE:
             self.copies_started.add((run.nonce, int(copy)))
         self.runs.append(run)
@@ -100,13 +104,16 @@
             self.late_runs.append(f"{run.route} of {run.nonce} on {node}")
 
     def record_peer_call(self, node: str, peer: str) -> None:
-        """Record a call from a peer to a node that began to drain too long ago."""
+        """Record a call from a peer if it is late.
+
+        It is late if the node began to drain more than `LEAVING_GRACE_S` ago.
+        """
         since = self.leaving_since.get(node)
         if since is not None and trio.current_time() - since > LEAVING_GRACE_S:
             self.late_calls.append(f"from {peer} to {node}")
 
     def record_run_end(self, node: str, run: Run) -> None:
-        """Record a run that ended because its node stopped as planned."""
+        """Record the end of a run as interrupted if its node is in `stopping`."""
         if node in self.stopping:
             self.interrupted.append(f"run {run.route} of {run.nonce} on {node}")
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/fleet.py
@@ -33,6 +33,7 @@
     from fuchsiagap_standins.bench.faults.conditions import Conditions
     from fuchsiagap_standins.bench.faults.evidence import Evidence
 
+# Wall-clock time at the start of a run, in milliseconds since the Unix epoch.
 _START_WALL_MS = 1_700_000_000_000.0
 
 
@@ -246,6 +247,7 @@
         vars(state.book)["adopt"] = recording
 
     def _record_exit(self, process: NodeProcess) -> None:
+        """Record an exit, and the calls in progress if it was a planned stop."""
         if not process.exited and process.stop_requested:
             assert process.state is not None
             for call_id in process.state.calls.serving:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/inject.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/inject.py
@@ -18,7 +18,7 @@
     from fuchsiagap_standins.bench.faults.fleet import Fleet
     from fuchsiagap_standins.bench.faults.operators import Changes
 
-_N_HARD_CALLERS = 4
+_N_AGGRESSIVE_CALLERS = 4
 _N_OPERATORS = 3
 _SLOW_SERVICE_FACTOR = 12.0
 _MAX_DELAY_MS = 600.0
@@ -76,6 +76,7 @@
 
 
 async def _pause(fleet: Fleet, _changes: Changes, fault: Fault) -> None:
+    """Delay the frames of a node, and cut it off from callers and the platform."""
     address = f"{fault.node}:7000"
     if fault.node in fleet.paused:
         return
@@ -89,6 +90,7 @@
 
 
 async def _delay_frames(fleet: Fleet, _changes: Changes, fault: Fault) -> None:
+    """Delay the frames of a node; it still reaches callers and the platform."""
     address = f"{fault.node}:7000"
     fleet.network.pause(address)
     await trio.sleep(fault.duration)
@@ -180,7 +182,7 @@
 async def _hard_retries(fleet: Fleet, _changes: Changes, fault: Fault) -> None:
     end_time = fault.at + fault.duration
     async with trio.open_nursery() as nursery:
-        for index in range(_N_HARD_CALLERS):
+        for index in range(_N_AGGRESSIVE_CALLERS):
             name = f"hard-{fault.at:.3f}-{index}"
             nursery.start_soon(run_aggressive_caller, fleet, name, end_time)
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/operators.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/operators.py
@@ -33,7 +33,17 @@
 
 @dataclass(slots=True)
 class Change:
-    """A settings change with its result, which is None after a time-out."""
+    """A settings change and its result.
+
+    Parameters
+    ----------
+    change_id : str
+        Unique identifier of the change.
+    at : float
+        Virtual time in seconds at which the change was requested.
+    result : WriteResult or None
+        Result reported to the operator; None before the result and after a time-out.
+    """
 
     change_id: str
     at: float
@@ -42,7 +52,13 @@
 
 @dataclass(slots=True)
 class Changes:
-    """All settings changes of a run."""
+    """All settings changes of a run.
+
+    Parameters
+    ----------
+    made : list of Change
+        The changes in the order of their requests.
+    """
 
     made: list[Change] = field(default_factory=list)
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/plan.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/plan.py
@@ -40,6 +40,9 @@
     RACING_OPERATORS = "racing-operators"
 
 
+# Bounds of the duration of a fault in seconds, for kinds with bounds of their own. A
+# `PAUSE` is shorter than the heartbeat interval, whereas a node that is paused by
+# `LAPSED_WHILE_PAUSED` misses heartbeats.
 _MIN_DURATION_S = {
     FaultKind.LAPSED_WHILE_PAUSED: 2.5,
     FaultKind.PARTITION: 1.0,
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/transport.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/transport.py
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Exchange:
-    """A request in progress at a node, with its response once it is there."""
+    """A request in progress at a node; its response is set when the node responds."""
 
     done: trio.Event = field(default_factory=trio.Event)
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
@@ -46,7 +46,7 @@
 
 
 class MemoryTransport(httpx.AsyncBaseTransport):
-    """Transport of httpx that delivers the requests of a caller to a fleet.
+    """An httpx transport that delivers the requests of a caller to a fleet.
 
     Parameters
     ----------
@@ -125,7 +125,7 @@
     exchange: _Exchange,
     delay: float,
 ) -> None:
-    """Serve a request after its network delay, even if the caller has disconnected."""
+    """Serve a request after a delay, unless the node notices a disconnect before."""
     try:
         with exchange.scope:
             await sleep_ms(delay)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/cli.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/cli.py
@@ -35,7 +35,9 @@
         Exit status.
     """
     parser = argparse.ArgumentParser(prog="membership", description=__doc__)
-    parser.add_argument("--sizes", default=_SIZES, help="numbers of nodes")
+    parser.add_argument(
+        "--sizes", default=_SIZES, help="comma-separated numbers of nodes"
+    )
     parser.add_argument("--data-centres", type=int, default=3)
     parser.add_argument("--members", type=int, default=_VIEW_MEMBERS)
     parser.add_argument("--seed", type=int, default=1)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/fleet.py
@@ -21,7 +21,9 @@
 if TYPE_CHECKING:
     from fuchsiagap.core.clock import Milliseconds
 
+# Duration of the measurement without membership changes.
 _STEADY_S = 20.0
+# Time to wait for the effects of a change of the fleet.
 _SETTLE_S = 5.0
 _TRIALS = 5
 _TIMEOUT_MS = 20_000.0
@@ -42,8 +44,8 @@
         Milliseconds from the exit of a process, after which its address refuses links,
         until every node considers it dead.
     spread_ms_median, spread_ms_max : float
-        Milliseconds from a node's announcement of a new state until every node has it,
-        through updates between neighbours alone.
+        Milliseconds from a node's announcement of a new record until every node has it,
+        through updates between neighbours only.
     join_ms : float
         Milliseconds from the start of a new node with one seed peer until all views
         agree.
@@ -138,7 +140,7 @@
 async def _start_nodes(
     fleet: MembershipFleet, n_nodes: int, data_centre_names: list[str]
 ) -> None:
-    """Start all nodes with complete views, as after a long time of operation."""
+    """Start all nodes with complete views, as in a fleet that has run for long."""
     nodes = [
         fleet.add(
             f"certs-{i}",
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/links.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/links.py
@@ -30,16 +30,18 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkFigures:
-    """CPU time of both ends of a link together, over loopback in one process.
+    """CPU time and memory of links over loopback.
+
+    Both ends are in one process, and each CPU time is the sum of both.
 
     Parameters
     ----------
     open_us : float
-        Microseconds for dialling, handshake and closing of a link.
+        CPU microseconds for dialling, handshake and closing of a link.
     heartbeat_us : float
-        Microseconds for a heartbeat on an open link.
+        CPU microseconds for a heartbeat on an open link.
     ping_us : float
-        Microseconds for a probe with its reply on an open link.
+        CPU microseconds for a probe with its reply on an open link.
     link_bytes : float
         Bytes of memory of one end of an open link, as traced by Python.
     """
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/loopback.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/loopback.py
@@ -77,7 +77,7 @@
         return by_name
 
     def crash(self, address: str) -> None:
-        """Stop connections to a node's address; the node closes its own links."""
+        """Refuse new links to a node's address; the node closes its open ones."""
         self.ports.pop(address, None)
 
     async def listen(
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/view.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/view.py
@@ -38,7 +38,7 @@
     members : int
         Number of members in the view.
     apply_us : float
-        Applying a newer update of a member that keeps its place on the rings.
+        Applying a newer update of a member that stays on the rings.
     stale_us : float
         Ignoring an update that the view has already applied.
     join_us, death_us : float
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bench/faults/test_breaks.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bench/faults/test_breaks.py
@@ -11,6 +11,7 @@
 from fuchsiagap_standins.bench.faults.topology import NODES
 
 N_SEEDS = 6
+# Start of the faults in seconds of virtual time.
 AT_S = 2.2
 
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bench/faults/test_cli.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bench/faults/test_cli.py
@@ -1,3 +1,5 @@
+"""Output, exit status and flags of the command line of the fault injection bench."""
+
 from __future__ import annotations
 
 import io
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bench/faults/test_regressions.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bench/faults/test_regressions.py
@@ -92,9 +92,9 @@
             refused = await enter(node(fleet, "results-2"), req)
             for gate, original in zip(gates, original_enters, strict=True):
                 vars(gate)["enter"] = original
-            held_back = await enter(node(fleet, "cycles-1"), req)
+            delayed = await enter(node(fleet, "cycles-1"), req)
             self.assertEqual([], fleet.evidence.runs)
-            self.assertIsInstance(held_back, Refused)
+            self.assertIsInstance(delayed, Refused)
             return refused
 
         self.assertIsInstance(with_fleet(scenario), Refused)
@@ -167,17 +167,17 @@
         async def scenario(fleet: Fleet) -> set[type]:
             state = node(fleet, "results-1")
 
-            async def silent(*_: object) -> object:
+            async def never_reply(*_: object) -> object:
                 return await trio.sleep_forever()
 
-            state.peers = SimpleNamespace(ask=silent, notify=silent, drop=id)
+            state.peers = SimpleNamespace(ask=never_reply, notify=never_reply, drop=id)
             instance = state.router.choose(ROUTES["certs/issue"].service)
             outcomes = set()
             for step in range(500):
                 deadline = state.clock.now() + 0.1 + step * 0.07
                 head = an_issue_head(deadline=deadline, allowance=0)
-                ledger = Allowance(0)
-                outcome = await send_attempt(state, head, b"", instance, ledger)
+                allowance = Allowance(0)
+                outcome = await send_attempt(state, head, b"", instance, allowance)
                 outcomes.add(type(outcome))
             return outcomes
 
--- a/tools/check_findings.py
+++ b/tools/check_findings.py
@@ -32,10 +32,10 @@
         if entry["id"] in page:
             continue
         for day in entry.get("days") or []:
-            what = list_failures(day)
-            if what:
+            failures = list_failures(day)
+            if failures:
                 name = f"{entry['id']} {entry['site']} {day['name']}"
-                lines.append(f"{name}: {what.splitlines()[0][:200]}")
+                lines.append(f"{name}: {failures.splitlines()[0][:200]}")
     return lines
 
 
--- a/tools/check_logs.py
+++ b/tools/check_logs.py
@@ -14,6 +14,7 @@
     from collections.abc import Iterable
 
 _FAULT_FIELD = '"event": "fault"'
+# Maximum number of characters printed of a line.
 _SHOWN_CHARS = 2_000
 
 
--- a/tools/check_names.py
+++ b/tools/check_names.py
@@ -1,4 +1,7 @@
-"""Check that names of the users' platform occur only in the platform adapter."""
+"""Check that names of the users' platform occur only in its adapter, ``platform``.
+
+The check reads the Python files in ``packages``.
+"""
 
 from __future__ import annotations
 
--- a/tools/journal_table.py
+++ b/tools/journal_table.py
@@ -1,8 +1,8 @@
 """Print a Markdown table of the days recorded in journal entries.
 
-``tools/journal_table.py FILE...`` prints for each day its worth, the credit of the
-whole day, of each class of request and of the worst seconds, the largest prices, missed
-minimums and broken rules, and the CPU time in seconds.
+``tools/journal_table.py FILE...`` prints for each day its worth and score, the credit
+of the whole day and of each class of request, the largest prices, the missed minimums,
+broken rules and faults, and the CPU time in seconds.
 """
 
 from __future__ import annotations
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -2,8 +2,8 @@
 
 Tests run in parallel processes. ``KNOWN-RED.txt`` lists tests that may fail, one per
 line with its identifier first. Such a test is printed and not counted as failed. If it
-passes it is printed too, because a test that fails only on some machines or at times
-stays on the list until its cause is fixed.
+passes it is printed too, because a test that fails only on some machines or only
+sometimes stays on the list until its cause is fixed.
 """
 
 from __future__ import annotations
