--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/control.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/control.py
@@ -39,6 +39,7 @@
 _MAX_CONCURRENT_STARTS = 6
 _SETTLE_TIMEOUT_S = 90.0
 _N_SEED_PEERS = 6
+# Units of a hybrid logical clock stamp per millisecond.
 _STAMP_UNITS_PER_MS = 65_536.0
 _BYTES_PER_MB = 1e6
 _BYTES_PER_KB = 1e3
@@ -46,7 +47,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlFigures:
-    """Cost of the control plane in one phase; averages over the nodes.
+    """Cost of the control plane in one phase.
+
+    CPU time and memory are means over all nodes, and the data sent is the mean over a
+    sample of at least ten nodes, or over all if there are fewer.
 
     Parameters
     ----------
@@ -55,7 +59,7 @@
     phase : str
         ``idle``, ``settings`` or ``membership``.
     cpu_percent : float
-        CPU time of a node, in per cent of one core.
+        CPU time of a node, as a percentage of one core.
     memory_mb : float
         Resident memory of a node in MB, including interpreter and libraries.
     sent_kb_per_s : float
@@ -82,7 +86,10 @@
 
 @dataclass(frozen=True, slots=True)
 class _Totals:
-    """Cumulative counters at one point in time; `cpu` and `sent` are node averages."""
+    """Cumulative counters at one point in time, in milliseconds and bytes.
+
+    `cpu` is the mean over all nodes, `sent` the mean over a sample of nodes.
+    """
 
     at: Milliseconds
     cpu: Milliseconds
@@ -337,7 +344,7 @@
 def _format_line(f: ControlFigures) -> str:
     return (
         f"{f.nodes:4} nodes {f.phase:10} {f.cpu_percent:6.2f} % CPU"
-        f" {f.memory_mb:6.1f} MB {f.sent_kb_per_s:7.2f} KB/s sent"
+        f" {f.memory_mb:6.1f} MB {f.sent_kb_per_s:7.2f} kB/s sent"
         f" {f.platform_calls_per_s:6.2f} platform calls/s"
         f" {f.in_force_ms:7.0f} ms in force, {f.changes} changes"
     )
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/operators.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/operators.py
@@ -52,7 +52,8 @@
     command : str
         First word of the command.
     nodes, events : int
-        Number of nodes queried, and of events that each returned.
+        Number of nodes queried, and of events that each returned; `events` is 0 for
+        ``status``.
     seconds, cpu_seconds : float
         Elapsed time and CPU time of the command, in seconds.
     cpu_ms_per_node : float
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/backends.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/backends.py
@@ -148,7 +148,10 @@
         return self._make_answer(head)
 
     def _count_run(self, head: CallHead) -> None:
-        """Count a non-idempotent run; a second one of a call is a violation."""
+        """Count a non-idempotent run; a second one of a call is a violation.
+
+        Refused calls are not counted, since they have no effect.
+        """
         if head.idempotent:
             return
         key = (head.root_id, head.child_key)
@@ -212,7 +215,7 @@
 
 
 def _failed_response(outcome: Outcome) -> Outcome | None:
-    """Return the response of a server to a failed call of its own; None on success."""
+    """Return what a server responds after a nested call; None if that succeeded."""
     if isinstance(outcome, Answered):
         return None if outcome.status < _BAD_GATEWAY else outcome
     if isinstance(outcome, Refused):
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/callers.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/callers.py
@@ -77,7 +77,7 @@
     clock: Clock,
     seed: int,
 ) -> CallerContext:
-    """Create the callers of a run, with timeouts from the chain times without load."""
+    """Create the shared state; timeouts are derived from chain times without load."""
     timeouts = {
         route.name: caller_timeout(route, chain_time(graph, route))
         for route in graph.roots
@@ -141,8 +141,8 @@
 ) -> Outcome:
     """Send one attempt to a random node.
 
-    The deadline of the call is the caller's timeout, so the node stops when the caller
-    does.
+    The deadline of the call is the caller's timeout less the network delays, so that
+    the node stops when the caller does.
     """
     timeout = context.timeouts[route.name] - 2.0 * context.graph.to_clients
     # The caller's own retries have already been taken from the allowance.
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/cli.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/cli.py
@@ -115,4 +115,4 @@
     else:
         for key, value in output.items():
             print(f"{key:28} {value}")
-    print(f"{elapsed_s:.1f} s", file=sys.stderr)
+    print(f"run finished in {elapsed_s:.1f} s", file=sys.stderr)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/fleet.py
@@ -64,7 +64,8 @@
 class SimulatedPeers:
     """Delivers messages directly to other nodes.
 
-    Messages between data centres take `delay` ms, messages within one take no time.
+    Messages between data centres take `delay` ms in each direction, messages within a
+    data centre take no time.
     """
 
     def __init__(self, fleet: Fleet, cfg: NodeConfig, delay: Milliseconds) -> None:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/policies.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/policies.py
@@ -23,11 +23,11 @@
     gate, levels, routing, retries
         Settings of the nodes.
     at_most_once : bool
-        Whether non-idempotent routes are declared as such and use tickets. Plain
-        forwarding has no tickets.
+        Whether non-idempotent routes are declared as such and use tickets. False for
+        plain forwarding (policy ``none``).
     server_retries : int
-        Number of times that a backend server retries a failed call of its own. 0 if
-        the nodes retry.
+        Number of times that a backend server retries a failed call of its own. It is 0
+        where the nodes retry.
     cancels : bool
         Whether the backend server cancels calls that the caller has abandoned.
     """
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/records.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/records.py
@@ -72,7 +72,7 @@
     inversions : int
         Number of priority inversions, as `MeteredGate` defines them.
     violations : Counter
-        Number of violated guarantees by kind.
+        Number of violations by kind, such as ``double_run`` and ``wrong_answer``.
     runs : Counter
         Number of runs of non-idempotent calls by root id and child key.
     """
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/run.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/run.py
@@ -102,7 +102,7 @@
 
 
 def _exact_clock() -> Clock:
-    """Return a clock whose readings are multiples of a power of two.
+    """Return a clock whose readings are multiples of 1/1024 ms, a power of two.
 
     Sums and differences of such readings are exact, so that after waiting until a time
     the clock never reads less because of rounding.
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/throughput_bounds.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/throughput_bounds.py
@@ -1,4 +1,4 @@
-"""Upper bounds on the throughput of any policy, computed from the service graph.
+"""Upper bounds on throughput with and without priorities, from the service graph.
 
 Each service has a number of slots, a request holds slots for its slot time, and each
 route is offered at some rate. There are two bounds:
@@ -62,10 +62,11 @@
     offered: Mapping[str, float],
     free_slots: dict[str, float],
 ) -> dict[str, float]:
-    """Return the rates of routes of one priority, and take their slots.
+    """Allocate slots to the routes of one priority and return their rates.
 
-    The rates rise in proportion to the offered ones, each until it reaches that or a
-    service that the route uses is saturated. `free_slots` is reduced accordingly.
+    The rates rise in proportion to the offered rates. Each rises until it reaches the
+    offered rate or a service that the route uses is saturated. The allocated slots are
+    subtracted from `free_slots`.
     """
     rates = dict.fromkeys(slot_times, 0.0)
     remaining_share = 1.0
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/path.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/path.py
@@ -42,7 +42,7 @@
 _SETTLE_S = 3.0
 _CPU_SECONDS = 6.0
 _OK = 200
-_BODY_BYTES = 64 * 1024 * 1024
+_MAX_BODY_BYTES = 64 * 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,7 +103,11 @@
 
 @dataclass(frozen=True, slots=True)
 class _PathUnderTest:
-    """One path to the backend server, with the times and failures of its calls."""
+    """One path to the backend server, with the times and failures of its calls.
+
+    `times` holds the round trips in milliseconds without the warm-up, `failed` the
+    text of each response without a status of 200.
+    """
 
     pool: HttpPool
     target: str
@@ -116,6 +120,7 @@
     """Addresses and process ids of the processes under test.
 
     `near` is the node of the backend server, `far` a node that reaches it over `near`.
+    `relays` is the address of two byte relays in series in front of the backend server.
     """
 
     backend: str
@@ -169,6 +174,7 @@
     for number in range(rounds + 1):
         for path in paths:
             times = [await _time_call(path) for _ in range(calls_per_round)]
+            # The first round is the warm-up.
             if number > 0:
                 path.times.extend(times)
 
@@ -204,16 +210,16 @@
             fleet = await _start_fleet(group)
             node_target = f"/{_TEAM}/echo/hello"
             direct = _PathUnderTest(
-                HttpPool(fleet.backend, 64, _BODY_BYTES), "/hello", [], []
+                HttpPool(fleet.backend, 64, _MAX_BODY_BYTES), "/hello", [], []
             )
             via_one = _PathUnderTest(
-                HttpPool(fleet.near, 64, _BODY_BYTES), node_target, [], []
+                HttpPool(fleet.near, 64, _MAX_BODY_BYTES), node_target, [], []
             )
             via_two = _PathUnderTest(
-                HttpPool(fleet.far, 64, _BODY_BYTES), node_target, [], []
+                HttpPool(fleet.far, 64, _MAX_BODY_BYTES), node_target, [], []
             )
             relayed = _PathUnderTest(
-                HttpPool(fleet.relays, 64, _BODY_BYTES), "/hello", [], []
+                HttpPool(fleet.relays, 64, _MAX_BODY_BYTES), "/hello", [], []
             )
             await _measure_times(
                 (direct, via_one, via_two, relayed), rounds, calls_per_round
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/routing.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/routing.py
@@ -163,7 +163,10 @@
 
 
 def measure_spill(seed: int) -> Figures:
-    """Overload one data centre for 10 s while the others have free capacity."""
+    """Overload one data centre for 10 s while the others have free capacity.
+
+    Routers that send calls to other data centres are compared with routers that do not.
+    """
     local_capacity = CAPACITY_PER_S / 3
 
     def rate(now: Milliseconds) -> float:
@@ -221,7 +224,10 @@
 
 
 def measure_ejection(seed: int) -> Figures:
-    """Make one backend server fail, then all, and measure the share of failed calls."""
+    """Make one backend server fail, then all, and measure the share of failed calls.
+
+    For one failed server, routers with and without outlier ejection are compared.
+    """
     figures: Figures = {}
     no_ejection = replace(BASE.routing, failures_to_eject=10**9)
     for fault in ("dead", "silent"):
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/routing_load.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/routing_load.py
@@ -113,9 +113,9 @@
     hedge_after_ms : float or None
         Delay in ms before a second attempt is sent; None disables hedging.
     hedge_budget : float
-        Second attempts per call.
+        Ratio of the retry budget: second attempts allowed per call.
     choose : str
-        Load balancing policy, ``"router"`` or ``"random"``.
+        Load balancing policy: ``"router"`` or ``"random"``.
     routing : RoutingSettings
         Settings of the routers.
     caller_data_centres : tuple of str
@@ -156,7 +156,13 @@
     sent : list of tuple
         Time in ms, node and data centre of each attempt.
     busy_ms : float
-        Time for which slots were held.
+        Total time in ms for which slots were held.
+    rng : random.Random
+        Generator of the run.
+    servers : dict
+        Backend servers by node name.
+    callers : list of SimCaller
+        Calling nodes.
     """
 
     def __init__(self, cfg: LoadSettings, seed: int) -> None:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/settings.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/settings.py
@@ -45,6 +45,7 @@
 _N_CALLS = 20_000
 _N_ROUNDS = 7
 _N_CHANGES = 5
+# Time to settle before measurements, and duration of the idle measurement.
 _SETTLE_S = 8.0
 _POLL_INTERVAL_S = 0.001
 _ROUTES_PER_SERVICE = 10
@@ -127,7 +128,10 @@
 
 
 def make_settings_text(n_routes: int, priority: int = 5) -> str:
-    """Return settings with `n_routes` routes, ten per service."""
+    """Return settings with `n_routes` routes, ten per service.
+
+    `priority` is the default of the team; other values give different settings.
+    """
     lines = ["[team]", "weight = goodput", f"priority = {priority}"]
     for i in range(n_routes):
         service, route = divmod(i, _ROUTES_PER_SERVICE)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/telemetry.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/telemetry.py
@@ -46,8 +46,9 @@
     Parameters
     ----------
     tick_us, record_us, count_us, observe_us : float
-        Median time of a clock tick, an event with two details, a counter increment
-        and a histogram value, without the cost of the loop.
+        Median time to take a hybrid logical clock stamp, record an event with two
+        details, increment a counter and record a histogram value, without the cost
+        of the loop.
     flush_us : float
         Time per value to move buffered values to a histogram.
     ring_size : int
@@ -61,7 +62,7 @@
     select_ms : float
         Median time to find the events of one call in a full ring buffer.
     text_ms : float
-        Time to render all metrics as text, with `_N_ROUTES` routes and all outcomes.
+        Time to render all metrics as text, with 20 routes and three outcomes.
     """
 
     tick_us: float
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/tickets.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/tickets.py
@@ -1,8 +1,8 @@
 """Measure CPU time and memory of tickets.
 
 The ticket window is compared with a cache of random idempotency keys that gives the
-same guarantee: a used key is never accepted as a new one, over as many calls as the
-window covers. Times are CPU times of this process.
+same guarantee for the same number of calls: no key is accepted twice. Times are CPU
+times of this process.
 
 Examples
 --------
@@ -121,7 +121,11 @@
 
 
 def measure(n_calls: int) -> Figures:
-    """Return all results by name, measured over `n_calls` calls."""
+    """Return all results by name.
+
+    `n_calls` is the number of calls, issued tickets and fingerprints. Calls through the
+    home node and the hand-over have fixed sizes.
+    """
     figures: Figures = {"calls": n_calls, "kept": N_KEPT, "body_bytes": BODY_BYTES}
     for name, fill in (("window", _fill_window), ("key_cache", _fill_cache)):
         kept = _allocated_bytes(fill, N_KEPT, BODY_BYTES) / N_KEPT
@@ -133,7 +137,7 @@
     figures["issue_us_per_ticket"] = _us_per_call(_issue, n_calls)
     figures["fingerprint_us"] = _us_per_call(_fingerprints, n_calls)
     figures["plain_call_us"], figures["at_home_us"] = trio.run(_at_home_us)
-    figures.update(trio.run(_hand_over))
+    figures.update(trio.run(_measure_hand_over))
     return figures
 
 
@@ -231,7 +235,7 @@
     return Answered(200, (), b"")
 
 
-async def _hand_over() -> Figures:
+async def _measure_hand_over() -> Figures:
     """Measure the hand-over of a window with `N_KEPT` answers, codec included."""
     async with trio.open_nursery() as nursery:
         net = TicketNet(FakeBackends(_answer), nursery, TicketSettings())
@@ -243,10 +247,10 @@
             _run_call(window, sequence, BODY_BYTES)
         cpu_started = time.process_time()
         result = await hand_over(old, new.cfg.peer_address)
-        elapsed = time.process_time() - cpu_started
+        cpu_s = time.process_time() - cpu_started
         assert isinstance(result, HandOverCompleted), result
         nursery.cancel_scope.cancel()
-    return {"hand_over_ms": round(elapsed * MS_PER_S, 1)}
+    return {"hand_over_ms": round(cpu_s * MS_PER_S, 1)}
 
 
 if __name__ == "__main__":
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/graphs/model.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/graphs/model.py
@@ -10,7 +10,8 @@
 if TYPE_CHECKING:
     from fuchsiagap.core.clock import Milliseconds
 
-# Largest priority number of routes whose requests must not be lost.
+# Largest priority number of an important route. Requests of important routes must not
+# be lost.
 IMPORTANT_PRIORITY = 4
 
 
@@ -83,7 +84,7 @@
 
     @property
     def is_important(self) -> bool:
-        """Whether its requests are refused only after all lookups and browses."""
+        """Whether its requests must be refused only after all lookups and browses."""
         return self.priority <= IMPORTANT_PRIORITY
 
     def target(self, number: int) -> str:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bench/overload/test_overload.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/tests/bench/overload/test_overload.py
@@ -121,7 +121,7 @@
             base_load=0.3,
             slow_service=graph.deep_service,
         )
-        # The full policy has no violations, which include attempts above the bound.
+        # The full policy has no violations; a request above its attempts bound is one.
         runs = [run_once(graph, scenario, POLICIES["full"], 3) for _ in range(2)]
         self.assertEqual(runs[0], runs[1])
         figures = runs[0].figures
