--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/node.py
@@ -436,7 +436,7 @@
         service = self.cfg.service
         if report.state is BackendState.GONE or report.service == service:
             return report
-        reason = f"service {report.service!r} where {service!r} was expected"
+        reason = f"service: got {report.service!r}, expected {service!r}"
         return MalformedInput(report.instance, reason)
 
     def _answer_metrics(self, req: Request) -> FinalResponse:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/write.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/write.py
@@ -184,7 +184,7 @@
 
 
 def _forbidden(team: str) -> Forbidden:
-    detail = f"the token is neither one of team {team!r} nor that of the operators"
+    detail = f"the token is neither a token of team {team!r} nor the operators' token"
     return Forbidden(team, detail)
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_node.py
@@ -122,7 +122,7 @@
                 found = [cfg]
                 node = Node(cfg, host.store, lambda _: None, None, lambda: found[0])
                 node.check_settings()
-                found[0] = "grace: 'six' where a time was expected"
+                found[0] = "grace: got 'six', expected a duration"
                 node.check_settings()
                 unchanged = node.cfg
                 budget = ServiceRetryLimits(0.1, 5.0, 1_000.0)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/backend.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/backend.py
@@ -148,7 +148,7 @@
             child_mark = mark.child(index)
             outcome = await self._call(head, child, child_mark)
             if not isinstance(outcome, Answered) or outcome.status != _OK:
-                return Answered(_FAILED_STATUS, (), b"downstream call failed")
+                return Answered(_FAILED_STATUS, (), b"a child call failed")
             is_correct = is_own_answer(outcome.body, child_mark, name)
             self._evidence.record_answer(child_mark.nonce, is_correct)
         return Answered(_OK, (), answer_body(mark, head.route))
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/backends.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/backends.py
@@ -209,5 +209,5 @@
     if isinstance(outcome, Refused):
         return Refused(Reason.BACKEND_REFUSED, detail="a call of its own was refused")
     if isinstance(outcome, Unknown):
-        return Answered(_BAD_GATEWAY, (), b"a call of its own failed")
+        return Answered(_BAD_GATEWAY, (), b"a child call failed")
     raise AssertionError(outcome)
