--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/spread.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/spread.py
@@ -54,14 +54,14 @@
         versions = () if same else book.vector()
         return SettingsVector(same, versions, book.sync_status.complete)
 
-    async def on_news(peer: str, msg: SettingsNews) -> None:
+    async def on_announcement(peer: str, msg: SettingsNews) -> None:
         member = state.membership.get(peer)
         if member is not None:
             await _fetch(state, member.address, peer, msg.versions)
 
     state.handlers.on_request(SettingsQuery, on_query)
     state.handlers.on_request(SettingsCompare, on_compare)
-    state.handlers.on_notification(SettingsNews, on_news)
+    state.handlers.on_notification(SettingsNews, on_announcement)
 
 
 def adopt_texts(state: NodeState, texts: Iterable[TeamText], source: str) -> None:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/gossip/test_failures.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/gossip/test_failures.py
@@ -119,7 +119,8 @@
                 await fleet.until(fleet.agree, CONVERGENCE_MS)
                 await trio.sleep(5.0)
                 self.assertTrue(fleet.agree())
-                # It announces as dead those it did not hear; no other node drops them.
+                # It announces nodes that it did not hear from as dead; no other node drops
+                # them.
                 self.assertEqual([], lost)
                 incarnations = {
                     n.membership.get("certs-b1").incarnation for n in others
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/settings/test_sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/settings/test_sync.py
@@ -240,8 +240,8 @@
             spread.adopt_texts(states[1], stale, "certs-b0")
             sender = states[0]
             # An announced version that its sender does not have changes nothing either.
-            news = SettingsNews(((TEAM, version + 100),))
-            await sender.peers.notify(states[1].cfg.peer_address, news)
+            announcement = SettingsNews(((TEAM, version + 100),))
+            await sender.peers.notify(states[1].cfg.peer_address, announcement)
             await trio.sleep(5)
             self.assertTrue(fleet.in_force(TEAM, version))
             self.assertEqual({2}, {priority_at(state) for state in states})
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/backends.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/backends.py
@@ -203,11 +203,11 @@
 
 
 def _failure(outcome: Outcome) -> Outcome | None:
-    """Return what a server answers if a call of its own ended so; None if well."""
+    """Return the answer of a server whose child call failed; None if it did not."""
     if isinstance(outcome, Answered):
         return None if outcome.status < _BAD_GATEWAY else outcome
     if isinstance(outcome, Refused):
-        return Refused(Reason.BACKEND_REFUSED, detail="a call of its own was refused")
+        return Refused(Reason.BACKEND_REFUSED, detail="a child call was refused")
     if isinstance(outcome, Unknown):
         return Answered(_BAD_GATEWAY, (), b"a child call failed")
     raise AssertionError(outcome)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/policies.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/policies.py
@@ -26,8 +26,8 @@
         Whether the graph's non-idempotent routes are declared as such; plain
         forwarding has no tickets.
     server_retries : int
-        Times a backend server repeats a failed call of its own. Where the nodes
-        retry, servers don't.
+        Maximum number of times a backend server retries a failed child call; 0 if the
+        nodes retry.
     cancels : bool
         Whether a call that was given up stops at the backend server.
     """
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/run.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/run.py
@@ -88,7 +88,7 @@
             await call_until_end(callers)
             nursery.cancel_scope.cancel()
         for node in fleet.nodes:
-            _take_violations(node, records)
+            _record_violations(node, records)
 
     gc.set_threshold(_GC_THRESHOLD)
     run_virtual(main, seed=seed, real_limit_s=_REAL_LIMIT_S)
@@ -111,7 +111,7 @@
     return Clock(now=now, wall=now)
 
 
-def _take_violations(node: Any, records: Records) -> None:
+def _record_violations(node: Any, records: Records) -> None:
     """Add the violations that a node has counted itself."""
 
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/routing_load.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/routing_load.py
@@ -101,7 +101,7 @@
     routing : RoutingSettings
         Settings of the routers.
     caller_data_centres : tuple of str
-        Where the callers are, in turn.
+        Data centres of the callers, assigned in rotation.
     """
 
     n_callers: int
@@ -163,7 +163,7 @@
         return Caller(data_centre, router)
 
     def announce(self) -> None:
-        """Tell all routers the instances as they are."""
+        """Update all routers with the current instances."""
         members = tuple(server.instance for server in self.servers.values())
         for caller in self.callers:
             caller.router.update(members)
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/settings.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/settings.py
@@ -94,8 +94,8 @@
     watched_ms_p50, watched_ms_max : float
         From a write past the nodes until in force on all.
     without_news_ms_max : float
-        From an acceptance, with all news and all watches lost: what comparing with
-        random nodes alone takes.
+        From an acceptance, with all announcements and all watches lost, so that only
+        comparison with random nodes spreads the change.
     bytes_per_change_and_node : float
         Of messages about settings, beyond those of an idle fleet.
     messages_per_change_and_node : float
@@ -195,7 +195,7 @@
             await _timed(fleet, _write_past(fleet, n_routes, i))
             for i in range(_CHANGES)
         ]
-        fleet.news_loss = 1.0
+        fleet.announcement_loss = 1.0
         fleet.store.set_cut_off({state.node for state in states[1:]})
         alone = [
             await _timed(fleet, _accept(states[0], n_routes, i))
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/membership_fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/membership_fleet.py
@@ -251,13 +251,13 @@
         gossip.register(state)
         drain.register(state)
 
-        async def take(link: Link) -> None:
+        async def serve_link(link: Link) -> None:
             await node.peers.serve_link(_CountingLink(link, node.sent))
 
         with node.scope:
             async with trio.open_nursery() as nursery:
                 node.peers.nursery = nursery
-                nursery.start_soon(self.network.listen, node.address, take)
+                nursery.start_soon(self.network.listen, node.address, serve_link)
                 nursery.start_soon(gossip.run, state)
 
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/tickets.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/tickets.py
@@ -156,7 +156,7 @@
             return OPEN
         return OPEN if all(c.first for c in copies) and not ticket.asked else BURNT
 
-    def take_copy(state: State, ticket: TicketPart) -> Iterator[TicketPart]:
+    def receive_copy(state: State, ticket: TicketPart) -> Iterator[TicketPart]:
         for index, copy in enumerate(ticket.copies):
             if copy.place != IN_FLIGHT:
                 continue
@@ -216,7 +216,7 @@
 
     return (
         Action(
-            "holder takes a copy", implementations.HOME_START, each_ticket(take_copy)
+            "holder takes a copy", implementations.HOME_START, each_ticket(receive_copy)
         ),
         Action("holder burns it", implementations.HOME_BURN, each_ticket(settle)),
         Action("holder keeps the answer", implementations.HOME_KEEP, each_ticket(keep)),
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/request_senders.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/request_senders.py
@@ -194,14 +194,14 @@
     """
     available: list[str] = []
 
-    async def take() -> str:
+    async def take_ticket() -> str:
         for node in rng.sample(nodes, len(nodes)):
             if available:
                 break
             available.extend(await _request_tickets(client, node))
         return available.pop() if available else ""
 
-    return take
+    return take_ticket
 
 
 async def _request_tickets(client: httpx.AsyncClient, node: str) -> list[str]:
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/settings_fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/settings_fleet.py
@@ -91,8 +91,8 @@
 
     async def notify(self, address: str, message: object) -> None:
         self.fleet.traffic.count(message)
-        is_news = isinstance(message, messages_settings.SettingsNews)
-        if is_news and self.fleet.rng.random() < self.fleet.news_loss:
+        is_announcement = isinstance(message, messages_settings.SettingsNews)
+        if is_announcement and self.fleet.rng.random() < self.fleet.announcement_loss:
             return
         await self.links.notify(address, message)
 
@@ -126,7 +126,7 @@
         Nursery of the nodes' tasks.
     nodes : dict
         Running nodes by name.
-    news_loss : float
+    announcement_loss : float
         Probability that a `SettingsNews` message is lost.
     traffic : Traffic
         Messages about settings between all nodes.
@@ -137,7 +137,7 @@
     store: ObjectStore
     nursery: trio.Nursery
     nodes: dict[str, NodeState] = field(default_factory=dict)
-    news_loss: float = 0.0
+    announcement_loss: float = 0.0
     traffic: Traffic = field(default_factory=Traffic)
     _scopes: dict[str, trio.CancelScope] = field(default_factory=dict)
     _n_started: int = 0
--- a/packages/fuchsiagap/src/fuchsiagap/core/retries/backend_budget.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/retries/backend_budget.py
@@ -9,9 +9,9 @@
 
 If servers fail more often than the budget can repair, evenly spread retries complete
 hardly any call tree, and the most important ranks fare no better than the others. So
-each call tree draws a random number, its lot, at the entry node, and a backend queue
-retries calls of only as many trees as it can complete: the most important rank first,
-and within a rank the trees with the lowest lots.
+each call tree draws a random number, its sampling key, at the entry node, and a
+backend queue retries calls of only as many trees as it can complete: the most
+important rank first, and within a rank the trees with the lowest sampling keys.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 _LEFT_TO_LESS_IMPORTANT = 0.1
 # Failure rate below which retries are allowed to any call tree.
 _LOW_FAILURE_RATE = 0.02
-# Lots are integers from 0 up to, but not including, this number.
+# Sampling keys are integers from 0 up to, but not including, this number.
 N_SAMPLING_KEYS = 256
 
 
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/retries/test_backend_budget.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/retries/test_backend_budget.py
@@ -165,13 +165,13 @@
             n += 1
         return n
 
-    def test_trees_with_a_low_lot_are_retried_at_a_high_failure_rate(self):
+    def test_trees_with_a_low_sampling_key_are_retried_at_a_high_failure_rate(self):
         self.assertEqual(
             0, self.n_allowed(call(sampling_key=N_SAMPLING_KEYS - 1), failing=0.55)
         )
         self.assertGreater(self.n_allowed(call(sampling_key=0), failing=0.55), 0)
 
-    def test_any_lot_is_retried_at_a_low_failure_rate(self):
+    def test_any_sampling_key_is_retried_at_a_low_failure_rate(self):
         self.assertGreater(
             self.n_allowed(call(sampling_key=N_SAMPLING_KEYS - 1), failing=0.05), 0
         )
@@ -219,22 +219,24 @@
             allowed.append(n)
         self.assertLess(allowed[1], allowed[0] / 3)
 
-    def test_lots_complete_more_trees_at_a_high_failure_rate(self):
+    def test_sampling_keys_complete_more_trees_at_a_high_failure_rate(self):
         # Servers fail 55 of 100 calls; a tree needs eight calls.
-        with_lots = sum(
+        with_sampling_keys = sum(
             self.n_completed_trees(seed, N_SAMPLING_KEYS) for seed in range(3)
         )
-        without_lots = sum(self.n_completed_trees(seed, 1) for seed in range(3))
-        self.assertGreater(with_lots, 1.5 * without_lots)
+        without_sampling_keys = sum(
+            self.n_completed_trees(seed, 1) for seed in range(3)
+        )
+        self.assertGreater(with_sampling_keys, 1.5 * without_sampling_keys)
 
-    def n_completed_trees(self, seed, n_lots):
+    def n_completed_trees(self, seed, n_sampling_keys):
         """Return how many of the call trees that arrive in ten seconds complete."""
         rng = random.Random(seed)
         backends = SimulatedBackends(13, seed=seed + 10)
         n_completed = 0
         for _ in range(2_000):
             backends.at += 5.0
-            sampling_key = rng.randrange(n_lots)
+            sampling_key = rng.randrange(n_sampling_keys)
             n_completed += all(
                 self.is_answered(backends, sampling_key, rng) for _ in range(8)
             )
