--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/gossip/test_failures.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/gossip/test_failures.py
@@ -119,7 +119,7 @@
                 await fleet.until(fleet.agree, CONVERGENCE_MS)
                 await trio.sleep(5.0)
                 self.assertTrue(fleet.agree())
-                # It announces nodes that it did not hear from as dead; no other node drops
+                # It announces nodes it did not hear from as dead; no other node drops
                 # them.
                 self.assertEqual([], lost)
                 incarnations = {
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/routing_load.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/routing_load.py
@@ -149,7 +149,7 @@
 
     @staticmethod
     def instance(number: int, incarnation: int = 1) -> Instance:
-        """Return the instance with a number, in the data centre of its turn."""
+        """Return the instance with a number, in its data centre in the rotation."""
         data_centre = DATA_CENTRES[number % len(DATA_CENTRES)]
         name = f"results-{number}"
         return Instance(name, incarnation, f"127.0.0.1:{number}", data_centre, SERVICE)
