--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/tickets.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/model/tickets.py
@@ -162,7 +162,7 @@
             return OPEN
         return OPEN if all(c.first for c in copies) and not ticket.asked else BURNT
 
-    def take_copy(state: State, ticket: TicketPart) -> Iterator[TicketPart]:
+    def receive_copy(state: State, ticket: TicketPart) -> Iterator[TicketPart]:
         for index, copy in enumerate(ticket.copies):
             if copy.place != IN_FLIGHT:
                 continue
@@ -222,7 +222,7 @@
 
     return (
         Action(
-            "holder takes a copy", implementations.HOME_START, each_ticket(take_copy)
+            "holder takes a copy", implementations.HOME_START, each_ticket(receive_copy)
         ),
         Action(
             "holder answers not run and burns it",
