--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/settings.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/settings.py
@@ -212,7 +212,7 @@
             await _time_until_in_force(fleet, _put_to_platform(fleet, n_routes, i))
             for i in range(_N_CHANGES)
         ]
-        fleet.news_loss = 1.0
+        fleet.announcement_loss = 1.0
         fleet.store.set_cut_off({state.node for state in states[1:]})
         by_comparison = [
             await _time_until_in_force(fleet, _put_through_node(states[0], n_routes, i))
