--- a/Makefile
+++ b/Makefile
@@ -23,6 +23,7 @@
 lint: $(STAMP)
 	@$(PY) -m ruff format --check packages platform tools conftest.py
 	@$(PY) -m ruff check packages platform tools conftest.py
+	@$(PY) -m flake8 packages platform
 	@$(PY) -m mypy
 	@$(VENV)/bin/lint-imports
 	@$(PY) tools/check_names.py
--- a/packages/fuchsiagap-client/src/fuchsiagap_client/core/sending.py
+++ b/packages/fuchsiagap-client/src/fuchsiagap_client/core/sending.py
@@ -294,6 +294,13 @@
 ) -> Answered | Refused | None:
     """Ask a node for the outcome; the ticket is burnt if the request has not started.
 
+    Parameters
+    ----------
+    client : ClientState
+        State of the client.
+    send_state : _SendState
+        Progress of the request, whose ticket was issued.
+
     Returns
     -------
     Answered, Refused or None
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/admin_client.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/admin_client.py
@@ -103,8 +103,10 @@
         ----------
         node : str
             Admin address, ``IP:PORT``.
-        method, path : str
-            HTTP method and path.
+        method : str
+            HTTP method.
+        path : str
+            HTTP path.
         params : mapping, optional
             Query parameters.
         body : mapping, optional
@@ -143,8 +145,10 @@
         ----------
         nodes : tuple of str
             Admin addresses, at least one.
-        method, path : str
-            HTTP method and path.
+        method : str
+            HTTP method.
+        path : str
+            HTTP path.
         **kwargs
             As for `request`.
 
--- a/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/check.py
+++ b/packages/fuchsiagap-ctl/src/fuchsiagap_ctl/commands/check.py
@@ -36,8 +36,12 @@
     ----------
     context : Context
         Context of the command.
-    team, path, text : str
-        Name of the team, path of the file and its text.
+    team : str
+        Name of the team.
+    path : str
+        Path of the file.
+    text : str
+        Text of the file.
 
     Returns
     -------
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home_tickets.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home_tickets.py
@@ -113,8 +113,10 @@
         The node that received the settlement request.
     ticket : Ticket
         The request's ticket.
-    method, path : str
-        The request's method, and its path ``/TEAM/SERVICE/...`` with query.
+    method : str
+        The request's method.
+    path : str
+        The request's path ``/TEAM/SERVICE/...`` with query.
     remaining : float
         Milliseconds to wait for a run in progress.
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/config.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/config.py
@@ -189,8 +189,13 @@
 
         Parameters
         ----------
-        callers, peers, admin : str
-            Bound ``IP:PORT`` of each listener, which differs where the file has port 0.
+        callers : str
+            Bound ``IP:PORT`` of the listener for callers. Each address differs from the
+            file only where that has port 0.
+        peers : str
+            Bound ``IP:PORT`` of the listener for peers.
+        admin : str
+            Bound ``IP:PORT`` of the admin listener.
         """
         return replace(self, listen=ListenConfig(callers, peers, admin))
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/http_client.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/http_client.py
@@ -148,8 +148,10 @@
 
         Parameters
         ----------
-        method, target : str
-            HTTP method, and path with query.
+        method : str
+            HTTP method.
+        target : str
+            Path with query.
         headers : list of (bytes, bytes)
             Headers with ``host`` and, for a body, ``content-length``.
         body : bytes
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/peer_websocket.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/peer_websocket.py
@@ -148,6 +148,13 @@
 async def _send_whole_frame(stream: trio.SocketStream, data: bytes) -> None:
     """Send all of the data, or nothing if cancelled before the first byte.
 
+    Parameters
+    ----------
+    stream : trio.SocketStream
+        Connection to the peer.
+    data : bytes
+        One complete frame.
+
     Raises
     ------
     trio.BrokenResourceError, OSError
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_conn.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_conn.py
@@ -220,6 +220,13 @@
 
         Answers to other requests are skipped.
 
+        Parameters
+        ----------
+        data : bytes
+            Received bytes; empty if the connection ended.
+        call : Call
+            Call that waits for its answer.
+
         Raises
         ------
         BadResponse
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/frames.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/frames.py
@@ -373,6 +373,11 @@
 
         Parsing stops after a `Hello`, because it determines how the rest is encoded.
 
+        Parameters
+        ----------
+        data : bytes
+            Received bytes.
+
         Raises
         ------
         BadFrame
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/http_client.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/http_client.py
@@ -46,8 +46,10 @@
 
         Parameters
         ----------
-        method, target : str
-            Method and request target.
+        method : str
+            Request method.
+        target : str
+            Request target.
         body : bytes
             JSON body; may be empty.
         wait : float
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/http_request.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/http_request.py
@@ -126,6 +126,11 @@
     def feed(self, data: bytes) -> list[Request]:
         """Parse data and return the requests that it completes.
 
+        Parameters
+        ----------
+        data : bytes
+            Received bytes.
+
         Raises
         ------
         BadRequest
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/http_response.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/http_response.py
@@ -95,6 +95,11 @@
     def feed(self, data: bytes) -> list[Response]:
         """Parse data and return the responses that it completes.
 
+        Parameters
+        ----------
+        data : bytes
+            Received bytes.
+
         Raises
         ------
         BadResponse
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/local_peer.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/local_peer.py
@@ -22,8 +22,10 @@
 
     Parameters
     ----------
-    node, service : str
-        Name of this node, and the service of its backend server.
+    node : str
+        Name of this node.
+    service : str
+        Service of its backend server.
     backend_queue : BackendQueue
         Queue to which calls are submitted.
     clock : Clock
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/outbound_links.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/outbound_links.py
@@ -242,6 +242,15 @@
     ) -> set[str]:
         """Link members in order until `n_missing` of them are reachable.
 
+        Parameters
+        ----------
+        members : iterable of Member
+            Nodes to link, in this order.
+        is_local : bool
+            Whether they are in the data centre of this node.
+        n_missing : int
+            Number of members that have to be reachable.
+
         Returns
         -------
         set of str
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/placement_context.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/placement_context.py
@@ -117,8 +117,10 @@
 
         Parameters
         ----------
-        service, route : str
-            Service and route of the request.
+        service : str
+            Service of the request.
+        route : str
+            Route of the request.
         tried : sequence of str
             Incarnations to which it has been sent, in order.
         only : collection of str, optional
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/route_loads.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/route_loads.py
@@ -141,6 +141,11 @@
         Failure shares count as additional fullness. The result is reduced by the loss
         of one hop.
 
+        Parameters
+        ----------
+        route : str
+            Route of the requests.
+
         Returns
         -------
         float
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/stream.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/stream.py
@@ -193,6 +193,11 @@
     async def send(self, data: bytes) -> None:
         """Send all data.
 
+        Parameters
+        ----------
+        data : bytes
+            Bytes to send.
+
         Raises
         ------
         BrokenStream
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/conn.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/conn.py
@@ -171,6 +171,11 @@
     async def ask(self, msg: object) -> object:
         """Send a request and wait for its reply.
 
+        Parameters
+        ----------
+        msg : object
+            Request of a type that has a reply.
+
         Returns
         -------
         object
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/handlers.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/handlers.py
@@ -30,6 +30,13 @@
     def on_request(self, message_type: type, handler: RequestHandler) -> None:
         """Register the handler that replies to a type of message.
 
+        Parameters
+        ----------
+        message_type : type
+            Type of the messages.
+        handler : callable
+            Returns the reply.
+
         Raises
         ------
         ValueError
@@ -42,6 +49,13 @@
     def on_notification(self, message_type: type, handler: NotificationHandler) -> None:
         """Register the handler of a type of message that has no reply.
 
+        Parameters
+        ----------
+        message_type : type
+            Type of the messages.
+        handler : callable
+            Called with each message.
+
         Raises
         ------
         ValueError
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/topology.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/topology.py
@@ -122,8 +122,10 @@
 
     Parameters
     ----------
-    name, data_centre : str
-        Name and data centre of the node.
+    name : str
+        Name of the node.
+    data_centre : str
+        Data centre of the node.
     conditions : Conditions
         Capacity and load of the run.
     """
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/transport.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/faults/transport.py
@@ -66,6 +66,11 @@
     async def handle_async_request(self, request: httpx.Request) -> httpx.Response:
         """Send a request to the node named by the host of its URL.
 
+        Parameters
+        ----------
+        request : httpx.Request
+            Request to send.
+
         Raises
         ------
         httpx.ConnectError
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/membership/fleet.py
@@ -85,8 +85,10 @@
 
     Parameters
     ----------
-    n_nodes, n_data_centres : int
-        Number of nodes and of data centres.
+    n_nodes : int
+        Number of nodes.
+    n_data_centres : int
+        Number of data centres.
     seed : int
         Seed of all random numbers; equal seeds give equal times and traffic.
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/operators.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/operators.py
@@ -75,8 +75,10 @@
 
     Parameters
     ----------
-    n_nodes, n_events : int
-        Number of nodes, and of events per node.
+    n_nodes : int
+        Number of nodes.
+    n_events : int
+        Number of events per node.
     folder : Path
         Directory for the output of the simulated nodes.
 
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/measure.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/measure.py
@@ -84,6 +84,13 @@
     in time. It has recovered when it stays at or above 0.95 of its value before the
     surge for 5 s.
 
+    Parameters
+    ----------
+    scenario : Scenario
+        Scenario of the run, with the time of the surge.
+    requests : sequence of RequestRecord
+        All requests of the run.
+
     Returns
     -------
     float or None
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/metered_gate.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/metered_gate.py
@@ -28,7 +28,11 @@
 
     Parameters
     ----------
-    cfg, clock, rng
+    cfg : GateSettings
+        As for `Gate`.
+    clock : Clock
+        As for `Gate`.
+    rng : random.Random
         As for `Gate`.
     records : Records
         Records of the run.
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/throughput_bounds.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/bench/overload/throughput_bounds.py
@@ -124,7 +124,11 @@
 
     Parameters
     ----------
-    graph, offered, slowdowns
+    graph : Graph
+        As for `prioritized_rates`.
+    offered : mapping of str to float
+        As for `prioritized_rates`.
+    slowdowns : mapping of str to float
         As for `prioritized_rates`.
     service : str
         Service whose slots are allocated, cheapest requests first. Other services are
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/demo.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/demo.py
@@ -112,6 +112,11 @@
 def _report_ended(group: ProcessGroup) -> int:
     """Print the processes that exited unexpectedly.
 
+    Parameters
+    ----------
+    group : ProcessGroup
+        Processes of the demo.
+
     Returns
     -------
     int
@@ -145,6 +150,13 @@
 
     Only idempotent routes are used, as probes are repeated.
 
+    Parameters
+    ----------
+    running : Deployment
+        Deployment that has been started.
+    rng : random.Random
+        Source of the random choices.
+
     Returns
     -------
     bool
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/deployment.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/deployment.py
@@ -160,6 +160,11 @@
 async def read_runs(deployment: Deployment) -> tuple[list[Run], int]:
     """Read the run logs of all backend servers.
 
+    Parameters
+    ----------
+    deployment : Deployment
+        Deployment whose run logs are read.
+
     Returns
     -------
     tuple
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/memory_nodes.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/memory_nodes.py
@@ -43,8 +43,10 @@
 
     Parameters
     ----------
-    name, data_centre : str
-        Name and data centre of the node.
+    name : str
+        Name of the node.
+    data_centre : str
+        Data centre of the node.
     first : iterable of str
         Peer addresses that the node contacts first.
     service : str
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/memory_sockets.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/mesh/memory_sockets.py
@@ -102,6 +102,11 @@
     def send(self, data: bytes | memoryview) -> int:
         """Send as many bytes as the peer's receive buffer takes; return their number.
 
+        Parameters
+        ----------
+        data : bytes or memoryview
+            Bytes to send.
+
         Raises
         ------
         BlockingIOError
@@ -125,6 +130,13 @@
     def recv(self, max_bytes: int, flags: int = 0) -> bytes:
         """Return received bytes; empty at end of stream.
 
+        Parameters
+        ----------
+        max_bytes : int
+            Maximum number of bytes to return.
+        flags : int, default=0
+            With ``MSG_PEEK`` the bytes stay in the buffer.
+
         Raises
         ------
         BlockingIOError
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/node_ini.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/node_ini.py
@@ -58,8 +58,10 @@
         The node and the addresses at which it listens.
     team : str
         Team that owns the service.
-    backend, platform : str
-        ``IP:PORT`` of the backend server and of the platform.
+    backend : str
+        ``IP:PORT`` of the backend server.
+    platform : str
+        ``IP:PORT`` of the platform.
     first : iterable of str
         Peer addresses that the node contacts first.
     operators_token : str
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/quotas/simulation.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/quotas/simulation.py
@@ -79,6 +79,11 @@
 class _Window:
     """Sliding window over the admitted requests of one workspace.
 
+    Parameters
+    ----------
+    workspace : Workspace
+        Workspace with its rate and burst.
+
     Attributes
     ----------
     worst : float
--- a/packages/fuchsiagap-standins/src/fuchsiagap_standins/settings_fleet.py
+++ b/packages/fuchsiagap-standins/src/fuchsiagap_standins/settings_fleet.py
@@ -153,8 +153,10 @@
 
         Parameters
         ----------
-        name, data_centre : str
-            Name and data centre of the node.
+        name : str
+            Name of the node.
+        data_centre : str
+            Data centre of the node.
         first : iterable of str
             Peer addresses that the node contacts first.
         known_members : iterable of Member
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/capacity.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/capacity.py
@@ -52,10 +52,14 @@
 
         Parameters
         ----------
-        now, elapsed : float
-            Time, and time since the last step, in milliseconds.
-        in_flight, limit : int
-            Calls in progress, and the concurrency limit.
+        now : float
+            Time in milliseconds.
+        elapsed : float
+            Time since the last step, in milliseconds.
+        in_flight : int
+            Calls in progress.
+        limit : int
+            Concurrency limit.
         """
         n_ended, self._n_ended = self._n_ended, 0
         if in_flight < limit:
@@ -72,10 +76,14 @@
 
         Parameters
         ----------
-        now, elapsed : float
-            Time, and the length of the span, in milliseconds.
-        in_flight, limit : int
-            Calls in progress, and the concurrency limit.
+        now : float
+            Time in milliseconds.
+        elapsed : float
+            Length of the span in milliseconds.
+        in_flight : int
+            Calls in progress.
+        limit : int
+            Concurrency limit.
         """
         by_latency = limit * elapsed / self._latency(now, in_flight)
         # Latency shows a change of speed late; throughput shows it at once, but varies
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/position.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/position.py
@@ -17,7 +17,9 @@
 
     Parameters
     ----------
-    priority, cohort : int
+    priority : int
+        As in `CallHead`.
+    cohort : int
         As in `CallHead`.
 
     Returns
--- a/packages/fuchsiagap/src/fuchsiagap/core/membership/member.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/membership/member.py
@@ -107,8 +107,10 @@
 
     Parameters
     ----------
-    update, known : Member
-        Two records of the same node.
+    update : Member
+        Record that arrived.
+    known : Member
+        Record of the same node that is known.
 
     Returns
     -------
--- a/packages/fuchsiagap/src/fuchsiagap/core/quarantine/fingerprint.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/quarantine/fingerprint.py
@@ -18,8 +18,10 @@
 
     Parameters
     ----------
-    method, target : bytes
-        Method and request target, including the query.
+    method : bytes
+        Request method.
+    target : bytes
+        Request target, including the query.
     host : str
         Value of the ``Host`` header.
     identity : iterable of bytes
--- a/packages/fuchsiagap/src/fuchsiagap/core/quarantine/lost_link_requests.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/quarantine/lost_link_requests.py
@@ -40,8 +40,10 @@
 
         Parameters
         ----------
-        node, instance : str
-            The node, and the incarnation of its server that the request was sent to.
+        node : str
+            Name of the node.
+        instance : str
+            Incarnation of its server that the request was sent to.
         fingerprint : bytes
             Fingerprint of the request.
         now : float
@@ -63,8 +65,10 @@
 
         Parameters
         ----------
-        node, instance : str
-            The node, and the incarnation of its server; empty if not known yet.
+        node : str
+            Name of the node.
+        instance : str
+            Incarnation of its server; empty if not known yet.
 
         Returns
         -------
--- a/packages/fuchsiagap/src/fuchsiagap/core/quarantine/quarantine.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/quarantine/quarantine.py
@@ -178,6 +178,11 @@
     def record_answer(self, fingerprint: bytes) -> bool:
         """Record that a server answered a request.
 
+        Parameters
+        ----------
+        fingerprint : bytes
+            Fingerprint of the request.
+
         Returns
         -------
         bool
@@ -209,6 +214,11 @@
     def record_crash(self, crash: Crash) -> frozenset[bytes]:
         """Record the crash of a server.
 
+        Parameters
+        ----------
+        crash : Crash
+            The crash and the requests that were in flight.
+
         Returns
         -------
         frozenset of bytes
@@ -321,6 +331,11 @@
     def start_probe(self, fingerprint: bytes) -> HeldRequest | None:
         """Start a probe of a held request if one is due.
 
+        Parameters
+        ----------
+        fingerprint : bytes
+            Fingerprint of the held request.
+
         Returns
         -------
         HeldRequest or None
--- a/packages/fuchsiagap/src/fuchsiagap/core/settings/difference.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/settings/difference.py
@@ -13,10 +13,14 @@
 
     Parameters
     ----------
-    old, new : str
-        Texts to compare.
-    old_name, new_name : str
-        Names of the texts in the header of the diff.
+    old : str
+        Text to compare with.
+    new : str
+        Text to compare.
+    old_name : str
+        Name of the old text in the header of the diff.
+    new_name : str
+        Name of the new text in the header of the diff.
 
     Returns
     -------
--- a/packages/fuchsiagap/src/fuchsiagap/core/telemetry/call_telemetry.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/telemetry/call_telemetry.py
@@ -80,8 +80,10 @@
     ----------
     telemetry : Telemetry
         Telemetry of the node.
-    call_id, root_id : str
-        Identifiers of the call and its root request.
+    call_id : str
+        Identifier of the call.
+    root_id : str
+        Identifier of its root request.
     source : str
         ``node`` or ``backend server``, whichever sent the answer.
     """
--- a/packages/fuchsiagap/src/fuchsiagap/core/telemetry/events.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/telemetry/events.py
@@ -200,8 +200,10 @@
         ----------
         kind : EventKind
             Kind of the event.
-        call_id, root_id : str, default=""
-            The call and its root request, if the event belongs to one.
+        call_id : str, default=""
+            The call, if the event belongs to one.
+        root_id : str, default=""
+            The root request, if the event belongs to one.
         **detail : str, int, float or bool
             Further values by name.
         """
@@ -227,8 +229,10 @@
         ----------
         after : int, default=0
             Only events with a higher timestamp are returned.
-        call, root : str, default=""
-            If given, only events of this call and this root request are returned.
+        call : str, default=""
+            If given, only events of this call are returned.
+        root : str, default=""
+            If given, only events of this root request are returned.
         limit : int, default=MAX_EVENTS_PER_PAGE
             Maximum number of events; the oldest are returned first.
 
--- a/packages/fuchsiagap/src/fuchsiagap/core/telemetry/metrics.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/telemetry/metrics.py
@@ -190,8 +190,10 @@
         ----------
         measure : Measure
             The measured duration.
-        route, outcome : str
-            Route and outcome of the call.
+        route : str
+            Route of the call.
+        outcome : str
+            Outcome of the call.
         value : float
             Milliseconds. Clipped to the range of the histograms, but not in the sum of
             the values.
--- a/packages/fuchsiagap/src/fuchsiagap/core/workspaces/keys.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/workspaces/keys.py
@@ -29,8 +29,10 @@
 
     Parameters
     ----------
-    first, second : str
-        Names of the workspaces.
+    first : str
+        Name of one workspace.
+    second : str
+        Name of the other.
     """
 
     def __init__(self, first: str, second: str) -> None:
