--- a/tools/operator_pages.py
+++ b/tools/operator_pages.py
@@ -1,4 +1,4 @@
-"""Write ``docs/cli.md`` and the page of metrics and logs from the tables in the code.
+"""Generate ``docs/cli.md`` and the page of metrics and logs from the code's tables.
 
 With ``--check`` it writes nothing and exits with 1 if a page is out of date.
 """
@@ -49,7 +49,7 @@
     codes = [(str(int(code)), meaning) for code, meaning in MEANINGS.items()]
     return _fill_template(
         "cli.md",
-        commands=_table(("command", "what it does", "flags of its own"), commands),
+        commands=_table(("command", "what it does", "specific flags"), commands),
         flags=_table(("flag", "what it does", "default"), flags),
         codes=_table(("code", "meaning"), codes),
     )
