--- a/tools/settings_page.py
+++ b/tools/settings_page.py
@@ -33,10 +33,10 @@
 
 One text per team, kept on the platform at `/settings/TEAM` and changed by
 `fuchsiagap settings put`. The most specific route section of its service applies to a
-call; where none matches, the service's section; and for a service without any section the
-defaults of `[team]`. A key that a section omits is inherited from the section above it:
-route, service, team, and then the default given here. Calls to a team without settings
-are refused as not run.
+call; where none matches, the service's section; and for a service without any section
+the defaults of `[team]`. A key that a section omits is inherited from the section above
+it: route, service, team, and then the default given here. Calls to a team without
+settings are refused as not run.
 
 ```ini
 [team]
