--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/active_config.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/active_config.py
@@ -75,7 +75,7 @@
         self._knowledge_age.confirm(version, as_of, self.version)
 
     def text(self) -> EncodedConfig | None:
-        """Return the active configuration in encoded form, to send to another node."""
+        """Return the encoded active configuration for another node, or None."""
         if self._stored is None:
             return None
         cursor = self._stored.cursor
@@ -89,7 +89,7 @@
         stored : StoredConfig
             The configuration.
         source : str
-            Where it comes from: the store or the name of a node, for the event.
+            Source named in the event: ``store`` or the name of a node.
         """
         version = stored.config.version
         if version == self.version:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/admission.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/admission.py
@@ -20,8 +20,8 @@
     from fuchsiagap_node.core.mesh.event_log import EventLog
     from fuchsiagap_node.core.mesh.route_loads import RouteLoads
 
-# Milliseconds between two steps of the shedding controllers, a few of which fit into
-# the reaction time of a controller.
+# Milliseconds between two steps of the shedding controllers; a few steps fit into the
+# reaction time of a controller.
 STEP_MS = 100.0
 # Bounds of the retry-after time, as shares of a route's latency objective. The
 # objective counts from the caller's first attempt, so a request that is admitted when
@@ -111,7 +111,8 @@
     def _update_call_counts(self) -> None:
         """Update the number of nested calls that one request of each kind makes.
 
-        Of a route that is split over several services, the largest number counts.
+        For a route that is split over several services, the largest of their numbers
+        is used.
         """
         max_calls: dict[str, float] = {}
         for service, kind in self._controllers:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/api_key_authenticator.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/api_key_authenticator.py
@@ -1,4 +1,4 @@
-"""Authenticates requests by their API key, before any other decision."""
+"""Authenticates requests by their API key, before quotas and admission control."""
 
 from __future__ import annotations
 
@@ -16,10 +16,11 @@
     from fuchsiagap_node.core.mesh.event_log import EventLog
     from fuchsiagap_node.core.mesh.http_request import Request
 
-# Retry delay in milliseconds that a node sends when its configuration is too stale. By
-# then it has had a reply from another node, if it can reach any.
+# Retry-after time in milliseconds that a node sends while its configuration is too
+# stale. Within that time it gets a reply from another node, if it can reach any.
 _STALE_RETRY_AFTER_MS = 700.0
-# Refusals per second that are logged as events; the others are only counted.
+# Maximum number of refusals per second that are logged as events; the others are only
+# counted.
 _MAX_EVENTS_PER_S = 20
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_conn.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_conn.py
@@ -267,9 +267,9 @@
 def _is_answer_to(answer: Response, request_id: str) -> bool:
     """Whether an answer belongs to a request.
 
-    An error need not echo the request's identifier. A success without an identifier
-    does not count, as it may be a late answer to an earlier request. To a request
-    without an identifier, any answer without one belongs.
+    An error need not echo the request's identifier. A success without an identifier is
+    not accepted, since it may be a late answer to an earlier request. If the request
+    has no identifier, any answer without one is accepted.
     """
     if answer.request_id:
         return answer.request_id == request_id
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_conns.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_conns.py
@@ -1,4 +1,4 @@
-"""Connection pool to the backend server."""
+"""Pool of connections to the backend server."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     from fuchsiagap_node.core.mesh.poller import Poller
     from fuchsiagap_node.core.mesh.settings import MeshSettings
 
-# Milliseconds that have to be left until its deadline for a call to be sent.
+# Minimum time left until the deadline of a call, in milliseconds, for it to be sent.
 MIN_TIME_LEFT_MS = 1.0
 
 
@@ -87,8 +87,8 @@
             try:
                 await trio.sleep_forever()
             finally:
-                # Calls that end with the node free their slots, but no waiting call may
-                # be dispatched then: a closed nursery accepts no tasks.
+                # Calls that are ended by the shutdown free their slots, but no waiting
+                # call may be dispatched then: a closed nursery accepts no tasks.
                 self._nursery = None
                 for conn in list(self._all):
                     conn.close()
@@ -143,7 +143,7 @@
         return conn.idle_since if pending is None else pending.started
 
     def _assign(self, conn: BackendConn, pending: PendingCall) -> None:
-        """Associate a call with a connection, in place of one that had broken."""
+        """Associate a call with a connection, replacing a broken one if any."""
         self.release(pending)
         pending.conn = conn
         self._by_conn[conn] = pending
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_queue.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_queue.py
@@ -1,4 +1,4 @@
-"""Queue of calls to the backend server on this host; all its calls pass through it."""
+"""Queue through which all calls to the backend server on this host pass."""
 
 from __future__ import annotations
 
@@ -148,7 +148,7 @@
     def long_term_service_ms(self) -> Milliseconds:
         """Long-term average service time in milliseconds; 0 if not known.
 
-        Requests that this server failed do not count.
+        Requests that failed at this server are excluded.
         """
         return (
             self._long_term_service_ms
@@ -231,7 +231,7 @@
     def _reset_for_incarnation(
         self, old: BackendReport | None, report: BackendReport
     ) -> None:
-        """Reset what was learned of the earlier incarnation."""
+        """Reset the measurements of the earlier incarnation."""
         self._health.forget_failures()
         self._n_long_term_samples = 0
         if old is None or old.instance != report.instance:
@@ -281,7 +281,7 @@
         await self._conns.run()
 
     def tick(self) -> None:
-        """Expire overdue calls and detect that the server has become usable or not."""
+        """Expire overdue calls and detect whether the server is usable."""
         now = self._clock.now()
         self._expire(now)
         if not self._health.is_alive(now, self._cfg.bounds.heartbeat):
@@ -336,7 +336,7 @@
             self._abort(pending, MayHaveRun(CANCELLED))
 
     def _abort(self, pending: PendingCall, outcome: MayHaveRun) -> None:
-        """Abort a running call; closing its connection tells the server to drop it."""
+        """Abort a running call by closing its connection, so the server drops it."""
         if pending not in self._at_server:
             # The reply to another call has already ended this one, as when a caller
             # that disconnects cancels all its calls.
@@ -353,8 +353,8 @@
         if not self._conns.is_running:
             pending.reply(NotRun(NO_BACKEND))
             return
-        # Checked here as well as at the entry node, which may not have been told of the
-        # quarantine yet.
+        # Checked here as well as at the entry node, which may not have received the
+        # report of the quarantine yet.
         if not self.reports.may_run(pending.call.fingerprint):
             pending.reply(NotRun(QUARANTINED))
             return
@@ -398,7 +398,7 @@
         for pending in late:
             if pending.conn is not None:
                 # The connection may be dead. Idle connections that were last used
-                # before this call began are as doubtful, and are closed.
+                # before this call began may be dead as well, and are closed.
                 self._conns.close_unused(pending.conn)
             self._abort(pending, MayHaveRun(EXPIRED))
         self._conns.close_expired(now)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/callers.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/callers.py
@@ -36,8 +36,9 @@
 # Milliseconds between two checks for timed-out connections. One pass over all
 # connections costs less than a `move_on_after` for each read, which takes 14 us.
 IDLE_CHECK_INTERVAL_MS = 500.0
-# Milliseconds after a suspension in which a request that is read may have been waiting
-# in the socket for the whole suspension, which is then deducted from its time limit.
+# Milliseconds after a suspension of the host during which a request that is read may
+# have waited in the socket for the whole suspension. The length of the suspension is
+# deducted from the time limit of such a request.
 _SUSPENSION_BACKLOG_MS = 250.0
 _REASON_PHRASES = {
     400: b"Bad Request",
@@ -143,7 +144,7 @@
         self._event_log.log_exception("caller-connection", exc)
 
     def now(self) -> Milliseconds:
-        """Return the current time."""
+        """Return the current time in milliseconds."""
         return self._clock.now()
 
     async def run(self) -> None:
@@ -172,7 +173,7 @@
         return RequestReader(self._cfg.names, self.limits)
 
     def record_suspension(self, suspended: Milliseconds) -> None:
-        """Record a suspension of the host, in ms; requests may have queued up in it."""
+        """Record a suspension of the host, in ms; requests may have queued up."""
         self._suspension_ms = suspended
         self._backlog_until = self._clock.now() + _SUSPENSION_BACKLOG_MS
 
@@ -257,7 +258,7 @@
             self._abort()
 
     def on_end(self, _: BrokenStream) -> None:
-        """Cancel what is in progress after the connection has ended."""
+        """Cancel the requests in progress after the connection has ended."""
         self._abort()
         self._listener.remove(self)
 
@@ -275,7 +276,7 @@
             and self._reader.in_message
             and not self._exchanges
         ):
-            # Sent only if no earlier response is pending, which may be sent in parts.
+            # Not sent while an earlier response is pending, which may be partly sent.
             self._reader.wants_continue = False
             self._send_continue()
         if len(self._exchanges) >= _MAX_PIPELINED:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_requests.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_requests.py
@@ -197,9 +197,9 @@
         """Read the configuration.
 
         The result is None if another node sent the first configuration meanwhile. The
-        read at the start may return a configuration that is some seconds old, which
-        costs a tenth of a linearizable read: a newer version arrives on the links or
-        with the first watch.
+        read at the start may return a configuration that is some seconds old. Such a
+        read costs a tenth of a linearizable one, and a newer version arrives on the
+        links or with the first watch.
         """
         if self._view.cursor is not None:
             cause = _Cause.TAKE_OVER
@@ -242,7 +242,7 @@
         """Return the length of a watch in milliseconds.
 
         Where there is a revocation bound, a watch confirms the configuration as of its
-        own beginning, so it must be short against the bound.
+        own beginning, so it must be short compared with the bound.
         """
         return (
             _WATCH_MS
@@ -255,8 +255,9 @@
     ) -> None:
         """Cancel the watch once the store is lost, has dropped it or was restored.
 
-        A change ends all watches at the same moment. The first wait is random, so that
-        the nodes do not probe at the same moments afterwards.
+        A change of the configuration ends the watches of all nodes at the same moment.
+        The first wait is random, so that the nodes do not all probe at the same time
+        afterwards.
         """
         wait = self.timeouts.probe_interval * self._rng.random()
         is_watch_valid = True
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_sync.py
@@ -38,8 +38,8 @@
 _OTHERS_RETRY_MS = 4_000.0
 _MAX_RETRY_MS = 8_000.0
 # Share of the revocation bound that must pass after the store was restored from a
-# backup before its answers confirm a version: until then, lost versions may not be
-# written again yet.
+# backup before its answers confirm a version: until then, versions lost in the restore
+# may not have been written again.
 _SETTLE_SHARE = 0.3
 # Staleness from which a node asks the store by itself, as a share of the revocation
 # bound. Drawn from this range, so that nodes that lose contact together do not ask
@@ -241,7 +241,7 @@
                 case StoreFailed(reason):
                     n_failed += 1
                     self._mark_store_lost(reason)
-                    # A request to an unresponsive store has waited while it was hedged.
+                    # A request that was hedged has already waited for the store.
                     has_waited = (
                         self._clock.now() - asked_at
                         > self._requests.timeouts.hedge_delay
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/crash_reports.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/crash_reports.py
@@ -24,15 +24,16 @@
     # Messages of the quarantine between nodes.
     Report: TypeAlias = Crash | HeldRequest | Cleared
 
-# Number of links up to which crashes and clearances are sent on all of them, and the
-# number of randomly sampled links on which they are sent otherwise. The report of a
-# crash lists a request for each slot of the server; holds are short, and are sent on
+# Crash reports and clearances are sent on all links up to the maximum number of links,
+# and on a random sample of the links if there are more. A crash report is long, since
+# it lists a request for each slot of the server. Holds are short and are always sent on
 # all links.
 _MAX_FULL_BROADCAST_LINKS = 16
 _N_SAMPLED_LINKS = 8
 # Milliseconds between two messages with clearances that are not urgent.
 FLUSH_MS = 250.0
-# Refusals a second that are logged one by one; further ones are only counted.
+# Maximum number of refusals per second that are logged as events; the others are only
+# counted.
 _MAX_REFUSAL_EVENTS_PER_S = 20
 
 
@@ -104,7 +105,7 @@
         self._lost_link_requests.record_lost(node, instance, fingerprint, now)
 
     def resolve_server(self, node: str, service: str, instance: str) -> None:
-        """Record the server behind a node, and report a crash of the earlier one.
+        """Record the server incarnation of a node; report a crash of the earlier one.
 
         If a node whose link was lost comes back with another server incarnation, the
         earlier one has ended with the requests that were sent to it.
@@ -246,9 +247,9 @@
     ) -> None:
         """Publish urgent clearances at once, and batch the others for `flush`.
 
-        Of the requests that ran at one crash, a hundred may be answered within a
-        second, and few of them also ran at another crash. Most clearances are therefore
-        not urgent.
+        Of the requests that ran during one crash, a hundred may be answered within a
+        second, and few of them also ran during another crash. Most clearances are
+        therefore not urgent.
         """
         if is_urgent:
             self._publish_cleared(fingerprints, sender)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/entry.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/entry.py
@@ -210,7 +210,7 @@
         return refusal
 
     def now(self) -> Milliseconds:
-        """Return the current time."""
+        """Return the current time in milliseconds."""
         return self._context.clock.now()
 
     def _refusal(
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/event_log.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/event_log.py
@@ -25,11 +25,11 @@
 _MAX_BUFFERED_LINES = 2_000
 # Milliseconds between two writes, so that many lines share one system call.
 FLUSH_MS = 200.0
-# Of the requests answered at the first attempt, one in this many gets a line; the
-# others are only counted. At 1,000 requests per second that is 5 lines per second.
+# One in this many of the requests answered at the first attempt is logged; the others
+# are only counted. At 1,000 requests per second that is 5 lines per second.
 SAMPLE_ANSWERED = 200
-# Of equal exceptions or equal malformed inputs, one in this many gets a line after the
-# first one.
+# After the first one, one in this many of equal exceptions or equal malformed inputs is
+# logged.
 _REPEAT_LOG_INTERVAL = 100
 # Number of distinct malformed inputs that are counted separately; all others share one
 # count.
@@ -209,7 +209,7 @@
         return "\n".join(lines) + "\n"
 
     def set_non_blocking(self) -> None:
-        """Make the output non-blocking, so that a slow reader blocks nothing."""
+        """Make the output non-blocking, so a slow reader cannot block the node."""
         os.set_blocking(self._descriptor, False)
 
     def flush(self) -> None:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/final_response.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/final_response.py
@@ -25,7 +25,7 @@
     reason, headers, body : bytes
         Reason phrase, header lines and body.
     retry_after : float, default=0
-        Milliseconds after which the caller may retry; 0 if none are given.
+        Milliseconds after which the caller may retry; 0 if not stated.
     """
 
     status: int
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/frames.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/frames.py
@@ -37,7 +37,7 @@
 )
 from fuchsiagap_node.core.mesh.outcome import Answered, MayHaveRun, NotRun
 
-# Largest frame: a body at the default limit of 64 MB and its head.
+# Maximum size of a frame: a body at the default limit of 64 MB and its head.
 MAX_FRAME_BYTES = 80_000_000
 _PREFIX_BYTES = 4
 # Offered load is sent in replies as an integer of tenths of a slot: a small integer
@@ -342,7 +342,8 @@
     _NOT_RUN: (*_REPLY_PREFIX, _STR, _BOOL),
     _MAY_HAVE_RUN: (*_REPLY_PREFIX, _STR),
 }
-# Cache of valid combinations of kind and field types; bounded by the valid encodings.
+# Cache of valid combinations of kind and field types. Its size is bounded, since
+# only valid combinations are added.
 _VALIDATED_TYPES: set[tuple[int, tuple[type, ...]]] = set()
 _MESSAGE_CLASSES = {
     _HELLO: Hello,
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/gauges.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/gauges.py
@@ -54,7 +54,7 @@
 
 
 def workspace_gauges(config: ConfigSync, quotas: Quotas) -> Iterator[Gauge]:
-    """Yield the age of the API key data, and the quotas of the busiest workspaces."""
+    """Yield the staleness of the API keys, and the quotas of the busiest workspaces."""
     age = config.active.staleness
     yield Gauge("knowledge_age_ms", "", round(age) if age < float("inf") else -1.0)
     yield Gauge("quotas_owned", "", quotas.grants.n_owned)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/hedging.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/hedging.py
@@ -45,8 +45,9 @@
 ) -> FirstResponse[Result]:
     """Send a request repeatedly until one is answered; return the first result.
 
-    Earlier requests stay open. So a slow store answers the first one, and a store that
-    dropped requests while it was unresponsive answers the first one it gets afterwards.
+    Earlier requests stay open: a store that is only slow answers the first of them. A
+    store that dropped requests while it was unresponsive answers the first request that
+    it receives afterwards.
 
     Parameters
     ----------
@@ -58,6 +59,11 @@
         Called when the second request is not answered within its interval either.
     backoff_factor : callable, optional
         Returns the factor by which the interval grows from one request to the next.
+
+    Returns
+    -------
+    FirstResponse
+        The first result, and the number of requests sent before the answered one.
     """
     responses: list[FirstResponse[Result]] = []
     is_answered = trio.Event()
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/http_client.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/http_client.py
@@ -15,7 +15,7 @@
     from fuchsiagap_node.core.mesh.http_names import HeaderNames
     from fuchsiagap_node.core.mesh.http_response import Response
 
-# Milliseconds to open a connection.
+# Milliseconds within which a connection has to open.
 _CONNECT_TIMEOUT_MS = 1_000.0
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/idle_conns.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/idle_conns.py
@@ -30,7 +30,7 @@
     def take(self, idempotent: bool, now: Milliseconds) -> BackendConn | None:
         """Remove and return the most recently used connection that may carry a call.
 
-        Connections that have ended or have unread data are closed on the way.
+        Connections found to have ended or to have unread data are closed.
         """
         conns = self._conns
         while conns and conns[-1].may_carry(idempotent, now):
@@ -48,7 +48,7 @@
         """Close the connections last used before one that stopped responding.
 
         Connections go dead together, for instance when a middlebox drops their state.
-        Those last used before it are closed, so that they do not cost a call each.
+        Those last used before it are closed, so that no call is lost on each of them.
 
         Parameters
         ----------
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/inbound_links.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/inbound_links.py
@@ -41,8 +41,8 @@
     from fuchsiagap_node.core.mesh.stream import Stream
 
 
-# Milliseconds after a node was last sent the load during which it gets no status for a
-# change of the load alone.
+# Milliseconds after the load was last sent to a node, during which a change of the load
+# alone is not sent to it in a status.
 _LOAD_FRESH_MS = 1_000.0
 
 
@@ -92,7 +92,7 @@
     on_hello : callable
         Called with the greeting of each node that opens a link.
     config_text : callable
-        Returns the adopted configuration, or None.
+        Returns the encoded active configuration, or None.
     downstream_fullness : callable
         Returns the fullness of the services that a route's requests call.
     on_report : callable
@@ -101,8 +101,8 @@
     send_snapshot : callable
         Sends a newly linked node the quarantine state, before it may send calls.
     answer_staleness : callable
-        Returns how long ago the configuration in force here was known to be the newest;
-        None if that is not known.
+        Returns the reply to a staleness query: how long ago the active configuration
+        was last known to be the newest. None if that is not known.
     grant_tokens : callable
         Returns the tokens that this node grants from a quota that it owns.
     """
@@ -141,7 +141,7 @@
                 yield sender.node, link.post
 
     def last_received_at(self, node: str) -> Milliseconds:
-        """Return when a node last sent something on its link; -inf if there is none."""
+        """Return when a node last sent data on its link; -inf if it has no link."""
         link = self._by_node.get(node)
         return float("-inf") if link is None else link.last_received_at
 
@@ -192,9 +192,9 @@
             case Crash() | HeldRequest() | Cleared() as report:
                 self.on_report(report, sender.node)
             case StalenessQuery() as query:
-                age = self.answer_staleness(query)
-                if age is not None:
-                    link.post(age)
+                staleness_reply = self.answer_staleness(query)
+                if staleness_reply is not None:
+                    link.post(staleness_reply)
             case TokenRequest() as query:
                 link.post(self.grant_tokens(query))
             case ConfigQuery():
@@ -217,12 +217,12 @@
 
         def reply(outcome: Outcome) -> None:
             if pending_calls.pop(call.call_id, None) is not None:
-                below = pending.summarize_nested_calls(
+                downstream = pending.summarize_nested_calls(
                     self.downstream_fullness(call.route)
                 )
                 sender.load_sent_at = self._clock.now()
                 load, offered = self._backend_queue.load, self._backend_queue.offered()
-                link.post(Reply(call.call_id, outcome, load, offered, below))
+                link.post(Reply(call.call_id, outcome, load, offered, downstream))
 
         pending = PendingCall.of(call, self._clock.now(), reply)
         pending_calls[call.call_id] = pending
@@ -232,8 +232,8 @@
         """Send the backend server's status to the senders whose copy is outdated.
 
         A change of the load alone is not sent to a sender that had a reply or a status
-        recently, since replies carry the load. Otherwise, at four statuses a second on
-        each of 80 links, the statuses cost more than the calls of a node.
+        recently, since replies carry the load. Without this rule, four statuses per
+        second on each of 80 links cost more than the calls of a node.
         """
         status = self._status()
         now = self._clock.now()
@@ -281,5 +281,5 @@
 
 
 def _no_calls(_: str) -> float:
-    """Return that the requests of a route make no calls."""
+    """Return the value for a route whose requests make no nested calls."""
     return NO_CALLS
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_admission.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_admission.py
@@ -9,7 +9,7 @@
 class TestAdmission(TestCase):
     def test_admission_depends_on_capacity_not_on_remaining_time(self):
         # Callers of one route differ in how long they wait, and those that retry have
-        # less time left. Neither affects admission, only the capacity does.
+        # less time left. Neither affects admission, which depends on the capacity only.
         service = SimulatedService()
         route = a_route("read", priority=2)
         for _ in range(100):
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_backend_queue.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_backend_queue.py
@@ -120,7 +120,7 @@
                 await host.send("/read/1", "r4")
                 backend_queue = host.node.backend_queue
                 before = len(backend_queue._conns._idle)
-                # The most recently used connection stays; the others were last used
+                # The most recently used connection is kept; the others were last used
                 # before the silent one.
                 backend_queue._conns.close_stale(backend_queue._conns._idle._conns[-2])
                 await trio.sleep(0.1)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_crash_reports.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_crash_reports.py
@@ -75,7 +75,8 @@
         for number in range(3):
             nodes.crash(number, CRASHING)
         self.assertEqual(100, nodes.n_holding())
-        # Eight for each crash, and one to every other node for the hold.
+        # Messages of each node: eight for each crash, and one to every other node for
+        # the hold.
         self.assertLess(nodes.posted / 100, 3 * 8 + 2 * 100)
 
     def test_snapshot_tells_a_restarted_node_of_holds(self):
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_crashing.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_crashing.py
@@ -1,12 +1,12 @@
-"""A request that crashes servers is kept from the remaining ones.
-
-Guards against a request that takes down one server after another, with all that they
-run. The request crashes its server within a tenth of a second, is retried on the next
-one, and is then sent again by its caller through another node. If no node remembers the
-request beyond the attempt, it reaches servers 12 or 14 more times after it crashed
-three. The log event of each crash names the requests that the server ran: with two such
-callers and sixty others, 36 of 36 crashes in 12 s name that request, and without them
-there are no crashes.
+"""Quarantine of a request that crashes servers.
+
+Guards against a request that crashes one server after another, which ends all other
+requests that they run. The request crashes its server within a tenth of a second, is
+retried on the next one, and is then sent again by its caller through another node. If
+no node remembers the request beyond the attempt, it reaches servers 12 or 14 more times
+after it crashed three. The log event of each crash names the requests that the server
+ran: with two callers that send such a request and sixty others, 36 of 36 crashes in
+12 s name that request; without those two callers there are no crashes.
 """
 
 from testtools import TestCase
