--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/active_config.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/active_config.py
@@ -18,7 +18,7 @@
 
 
 class ActiveConfig:
-    """Holds the active configuration and replaces it by newer versions only.
+    """Holds the active configuration and replaces it with newer versions only.
 
     Versions are compared, not revisions of the store: operators number the versions,
     while a store that is restored from a backup assigns the same revisions again.
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_conn.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_conn.py
@@ -46,7 +46,8 @@
 # announces no idle timeout; shorter than the usual idle timeouts of backend servers.
 _DEFAULT_IDLE_TIMEOUT_MS = 6_000.0
 # Milliseconds of idleness after which a connection carries no non-idempotent calls. If
-# it were reset while such a call is in flight, nobody could tell whether the call ran.
+# it were reset while such a call is in flight, it would be unknown whether the call
+# ran.
 _NON_IDEMPOTENT_MAX_IDLE_MS = 1_000.0
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/callers.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/callers.py
@@ -29,9 +29,9 @@
     from fuchsiagap_node.core.mesh.settings import MeshSettings
     from fuchsiagap_node.core.mesh.stream import Stream
 
-# Pipelined requests of one connection that are processed at the same time. Further
-# requests stay unread in the socket, so that TCP flow control slows the caller down
-# and this node does not buffer them.
+# Maximum number of pipelined requests of one connection that are processed at the same
+# time. Further requests remain unread in the socket, so that TCP flow control slows the
+# caller down and this node does not buffer them.
 _MAX_PIPELINED = 16
 # Milliseconds between two checks for timed-out connections. One pass over all
 # connections costs less than a `move_on_after` for each read, which takes 14 us.
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_requests.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_requests.py
@@ -183,7 +183,7 @@
             )
 
     async def _defer_to_others(self) -> bool:
-        """Whether another node is to ask a store that answers again.
+        """Whether another node is to send requests to a store that answers again.
 
         All nodes notice the recovery at the same moment. A node that has just started
         does not know its watcher rank yet, so it waits for a random part of the
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/config_sync.py
@@ -41,9 +41,9 @@
 # backup before its answers confirm a version: until then, versions lost in the restore
 # may not have been written again.
 _SETTLE_SHARE = 0.3
-# Staleness from which a node asks the store by itself, as a share of the revocation
-# bound. Drawn from this range, so that nodes that lose contact together do not ask
-# together.
+# Staleness from which a node sends requests to the store by itself, as a share of the
+# revocation bound. Drawn from this range, so that nodes that lose contact at the same
+# time do not all send requests at the same time.
 _ASK_STORE_AT_SHARES = (0.45, 0.6)
 # Milliseconds between two evaluations of whether this node watches.
 REFRESH_MS = 250.0
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/crash_reports.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/crash_reports.py
@@ -266,7 +266,7 @@
         exclude : str
             Node that the report came from, which is left out; empty for none.
         sampled : bool
-            Whether a random sample of the links is enough where there are many.
+            Whether to send on a random sample of the links if there are many.
         """
         posts = self.peers()
         names = [name for name in posts if name != exclude]
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/entry.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/entry.py
@@ -174,7 +174,7 @@
     def admit_within_quota(
         self, metered: MeteredRequest, done: OnFinalResponse, waited: Milliseconds
     ) -> Placement | None:
-        """Continue with a request that has received its quota token."""
+        """Apply admission control to a request that has received its quota token."""
         try:
             return self._admit(
                 metered.req,
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/event_log.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/event_log.py
@@ -76,8 +76,8 @@
     Attributes
     ----------
     counts : Counter
-        Counters by metric name and labels; a second part without ``=`` is the value of
-        the label ``kind``.
+        Counters by metric name and labels; labels without ``=`` are the value of the
+        label ``kind``.
     """
 
     def __init__(self, node: str, clock: Clock, descriptor: int = 1) -> None:
