--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_conn.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/backend_conn.py
@@ -46,7 +46,8 @@
 # announces no idle timeout; shorter than the usual idle timeouts of backend servers.
 _DEFAULT_IDLE_TIMEOUT_MS = 6_000.0
 # Milliseconds of idleness after which a connection carries no non-idempotent calls. If
-# it were reset while such a call is in flight, nobody could tell whether the call ran.
+# it were reset while such a call is in flight, it would be unknown whether the call
+# ran.
 _NON_IDEMPOTENT_MAX_IDLE_MS = 1_000.0
 
 
@@ -267,9 +268,9 @@
 def _is_answer_to(answer: Response, request_id: str) -> bool:
     """Whether an answer belongs to a request.
 
-    An error need not echo the request's identifier. A success without an identifier
-    does not count, as it may be a late answer to an earlier request. To a request
-    without an identifier, any answer without one belongs.
+    An error need not echo the request's identifier. A success without an identifier is
+    not accepted, since it may be a late answer to an earlier request. If the request
+    has no identifier, any answer without one is accepted.
     """
     if answer.request_id:
         return answer.request_id == request_id
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/entry.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/entry.py
@@ -174,7 +174,7 @@
     def admit_within_quota(
         self, metered: MeteredRequest, done: OnFinalResponse, waited: Milliseconds
     ) -> Placement | None:
-        """Continue with a request that has received its quota token."""
+        """Apply admission control to a request that has received its quota token."""
         try:
             return self._admit(
                 metered.req,
@@ -210,7 +210,7 @@
         return refusal
 
     def now(self) -> Milliseconds:
-        """Return the current time."""
+        """Return the current time in milliseconds."""
         return self._context.clock.now()
 
     def _refusal(
