--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/downstream.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/downstream.py
@@ -37,7 +37,7 @@
     reported_at : float
         Time of the last report in milliseconds.
     next_probe_at : float
-        Time from which a call may pass only to bring back a fresh report.
+        Time in milliseconds from which one call may pass as a probe for a fresh report.
     """
 
     position: float
@@ -47,7 +47,7 @@
 
 
 class DownstreamLevels:
-    """Admission levels of the services that the calls of each route call in turn.
+    """Admission levels of the services downstream of each route.
 
     Parameters
     ----------
@@ -68,7 +68,7 @@
         self._cfg = cfg
 
     def record(self, route: str, service: ServiceName, load: LoadReport) -> None:
-        """Record the load report of a service that a route's calls have called.
+        """Record the load report of a service downstream of a route.
 
         The reported level applies to every route that calls the service, since a
         route whose calls are all refused receives no reports of its own.
@@ -76,7 +76,7 @@
         Parameters
         ----------
         route : str
-            Route of the calling call.
+            Route of the upstream call.
         service : ServiceName
             The called service.
         load : LoadReport
@@ -95,8 +95,8 @@
         smoothing = _OPENING_SMOOTHING if has_opened else _SMOOTHING
         level.position += smoothing * (position - level.position)
         if abs(position - level.position) < 1.0:
-            # A moving average never quite reaches its target; less than one cohort
-            # makes no difference.
+            # A moving average never quite reaches its target; a difference of less than
+            # one cohort has no effect.
             level.position = position
         fallen = min((now - level.reported_at) / self._cfg.chain_ms, 1.0)
         level.chain_position -= fallen * (level.chain_position - level.position)
@@ -123,8 +123,8 @@
     def may_probe(self, head: CallHead) -> bool:
         """Whether a call passes although a downstream level rejects it.
 
-        Without calls no reports come back from the downstream services. So one call
-        passes every `GateSettings.probe_ms` and brings back a fresh report.
+        Downstream services send load reports only in reply to calls. So one call passes
+        every `GateSettings.probe_ms` and returns a fresh report.
         """
         now = self._clock.now()
         wanted = position_of(head.priority, head.cohort)
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/gate.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/gate.py
@@ -227,12 +227,12 @@
     def record_downstream_load(
         self, route: str, service: ServiceName, load: LoadReport
     ) -> None:
-        """Record the load of a service that a route's calls call in turn.
+        """Record the load of a service downstream of a route.
 
         Parameters
         ----------
         route : str
-            Route of the calling call.
+            Route of the upstream call.
         service : ServiceName
             The called service.
         load : LoadReport
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/level.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/level.py
@@ -3,9 +3,9 @@
 The level follows from two figures: how many calls the next step can start, and how many
 calls arrive for each cohort of a priority. The upstream nodes, which send the calls,
 refuse what the level rejects, but learn of a change with a delay. So arrivals beyond
-the level say little about the demand there. Arrivals are therefore counted only up to
-the lowest level of the last steps, where upstream nodes refuse nothing, and the
-estimate of the demand beyond it decays slowly.
+the level are a poor measure of the demand there. Arrivals are therefore counted only up
+to the lowest level of the last steps, up to which upstream nodes refuse nothing, and
+the estimate of the demand beyond it decays slowly.
 """
 
 from __future__ import annotations
--- a/packages/fuchsiagap/src/fuchsiagap/core/admission/reported_levels.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/admission/reported_levels.py
@@ -99,7 +99,7 @@
         )
 
     def _may_probe(self, key: tuple[ServiceName, str]) -> bool:
-        """Return whether a call passes only to bring back a fresh report."""
+        """Return whether a call passes only as a probe for a fresh report."""
         now = self._clock.now()
         if now < self._next_probe_at.get(key, 0.0):
             return False
--- a/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/incarnation.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/incarnation.py
@@ -5,17 +5,18 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-# Maximum number of departed incarnations remembered, so that a delayed heartbeat cannot
-# bring one back. One node sees a handful a day; the bound only limits memory.
+# Maximum number of departed incarnations that are remembered, so that a delayed
+# heartbeat does not make one current again. A node sees only a few per day; the bound
+# only limits memory.
 _MAX_DEPARTED = 1_000
-# Successive heartbeats of an earlier start, without one of the current incarnation in
-# between, after which the earlier start is accepted: the wall clock of its host was set
-# back. Delayed heartbeats seldom arrive in such a row; if they do, the next heartbeat
-# of the running incarnation corrects it.
+# Number of successive heartbeats with an earlier start time, without one of the current
+# incarnation in between, after which the earlier start is accepted as current: the wall
+# clock of its host was set back. Delayed heartbeats seldom arrive in such a sequence;
+# if they do, the next heartbeat of the running incarnation corrects the mistake.
 _EARLIER_START_REPORTS = 3
-# Heartbeats received after an announced departure without a start time that show that
-# an earlier incarnation of the same identifier announced it. One or two may have been
-# delayed and stem from the departed incarnation itself.
+# Number of heartbeats, received after a departure that was announced without a start
+# time, that show that an earlier incarnation of the same identifier announced it. One
+# or two may have been delayed and stem from the departed incarnation itself.
 _REPORTS_AFTER_DEPARTURE = 3
 
 
@@ -34,7 +35,7 @@
     Parameters
     ----------
     instance : str
-        Identifier of the server, which may be the one it had before a restart.
+        Identifier of the server; may be unchanged after a restart.
     state : BackendState
         State; `BackendState.GONE` announces its departure.
     sequence : int, default=0
@@ -49,7 +50,7 @@
         Service that it belongs to.
     born : int or None, default=None
         Start time in Unix milliseconds by the clock of its host; with the identifier it
-        names an incarnation. None if not given.
+        identifies an incarnation. None if not given.
     """
 
     instance: str
@@ -79,10 +80,11 @@
 class IncarnationTracker:
     """Decides from heartbeats which incarnation of the backend server is current.
 
-    An incarnation is an identifier and its start time. Of one identifier, the latest
-    start is current, whatever was reported of an earlier one and whenever that arrives;
-    within an incarnation, the highest sequence number counts. Between two identifiers
-    no number tells which one is running, so the server itself decides: see `refute`.
+    An incarnation is an identifier and its start time. For one identifier, the latest
+    start is current, and reports of an earlier one do not replace it, however late they
+    arrive; within an incarnation, the highest sequence number counts. Two identifiers
+    cannot be ordered by a number, so the server itself decides which one is running:
+    see `refute`.
 
     If the wall clock is set back while the server is down, the new incarnation looks
     like an earlier one; it is accepted after several heartbeats in a row. A clock that
@@ -91,7 +93,7 @@
     A departure without a start time is attributed to the current incarnation, since
     sending new requests to a departed server is worse than sending none to a running
     one. If an earlier incarnation of the identifier never announced its departure, the
-    announcement may be that one's, and several later heartbeats revoke it.
+    announcement may stem from that incarnation, so several later heartbeats revoke it.
 
     Attributes
     ----------
@@ -127,7 +129,7 @@
         Returns
         -------
         bool
-            Whether `report` was replaced, also by a newer one of the same state.
+            Whether the current report was replaced, even by one with the same state.
         """
         later = self._later
         if later is not None and _is_same_incarnation(later, report):
@@ -146,7 +148,7 @@
         return self._apply_in_order(report)
 
     def _latest_report(self, instance: str) -> BackendReport | None:
-        """Return the newest report of an identifier, in whatever state it is."""
+        """Return the newest report of an identifier, whatever its state."""
         if instance in self._departed:
             return self._departed[instance]
         if self.report is not None and self.report.instance == instance:
@@ -220,7 +222,7 @@
     def _apply_after_departure(self, report: BackendReport) -> bool:
         """Apply a heartbeat of a departed identifier.
 
-        Enough of them revoke a departure that an earlier incarnation may have sent.
+        Several of them revoke a departure that an earlier incarnation may have sent.
         """
         instance = report.instance
         last = self._departed[instance]
@@ -247,12 +249,12 @@
         Parameters
         ----------
         instance : str
-            Identifier that was taken for the server's.
+            Identifier that this node assumed the server to have.
 
         Returns
         -------
         bool
-            Whether the incarnation known before it is current again.
+            Whether the incarnation that was current before it is current again.
         """
         old = self.report
         if old is None or old.instance != instance or not self._superseded:
--- a/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/offered_load.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/offered_load.py
@@ -12,7 +12,7 @@
 # about a hundred calls of a busy server, shorter than the time that a call tree takes
 # to reach it.
 AVERAGING_MS = 200.0
-# Milliseconds within which queued requests should be worked off, on top of arrivals.
+# Milliseconds within which queued requests should be run in addition to new arrivals.
 BACKLOG_MS = 100.0
 
 
--- a/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/queue_timeouts.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/queue_timeouts.py
@@ -29,8 +29,8 @@
 
     The load offered to a backend server determines how long its queue grows, not
     whether the queued calls have the time to wait. With 97 of 100 slots in use a few
-    calls wait for long, mostly those of the worst rank: 7 of 10 call trees that make
-    ten calls and have little time to spare fail after half of their work is done.
+    calls wait for a long time, mostly those of the worst rank: 7 of 10 call trees that
+    make ten calls and have little time to spare fail after half of their work is done.
     """
 
     def __init__(self) -> None:
@@ -41,7 +41,7 @@
         self._counts.of(rank, now).arrivals += 1.0
 
     def record_timeout(self, rank: int, now: Milliseconds) -> None:
-        """Count a nested call that was given up before it got a slot."""
+        """Count a nested call that expired or was cancelled before it got a slot."""
         self._counts.of(rank, now).matched += 1.0
 
     def load_factor(self, now: Milliseconds) -> float:
--- a/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/ranked_queue.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/backend_queue/ranked_queue.py
@@ -23,8 +23,8 @@
 # Minimum queue capacity, for backend servers with few slots.
 MIN_QUEUE_LENGTH = 16
 # Share of a request's remaining time for which it yields to better ranks; afterwards it
-# is guaranteed a share of the starts. At 0.1, the best rank loses two points of its
-# success rate under high load (0.66 in place of 0.68).
+# is guaranteed a share of the starts. At 0.1, the best rank loses two percentage points
+# of its success rate under high load (0.66 in place of 0.68).
 MAX_YIELD_SHARE = 0.5
 # Share of the starts that is guaranteed to requests past their yield time, and share of
 # the queue that is guaranteed to the worse ranks. With strict priority, 7 of 10 call
@@ -35,8 +35,8 @@
 # ranks, so that the work already done for its call tree is not lost. Few calls come
 # that close to their deadline. Without this, 58 of 300 low-rank requests with time to
 # spare fail after admission under three times the nominal load, in place of 14, and
-# 0.31 of them succeed in place of 0.41. The best rank does not lose by it (0.86 with
-# this, 0.84 without).
+# 0.31 of them succeed in place of 0.41. The success rate of the best rank does not drop
+# (0.86 with this, 0.84 without).
 URGENT_SERVICE_TIMES = 3.0
 
 
@@ -75,7 +75,7 @@
 class _RankQueue(Generic[JobT]):
     """The queued requests of one rank.
 
-    Dropped requests stay in the containers until they come up or are swept.
+    Dropped requests stay in the containers until they reach the front or are swept.
 
     Parameters
     ----------
@@ -83,7 +83,7 @@
         Heap, by due time, of the nested calls and of the requests that have not been
         found late.
     late : deque
-        The requests found late when they came up, in that order.
+        The requests found late when they reached the front, in that order.
     by_arrival : deque
         All requests, in order of arrival.
     n_waiting : int
@@ -164,12 +164,12 @@
     No rank starves: requests past their yield time get a guaranteed share of the starts
     (`GUARANTEED_START_SHARE`), and a nested call about to expire overtakes better ranks
     (`URGENT_SERVICE_TIMES`). Load is shed at the entry node, before any work is done
-    for a request; whatever was admitted there should complete, whatever its rank.
+    for a request; a request admitted there should complete, whatever its rank.
 
     Within a rank, requests that can still meet their latency objective go first, by due
     time. In order of arrival, requests with an objective of 150 ms would wait behind
-    call trees that have a second left, and late requests would take the slots of
-    requests that are still in time.
+    call trees that have a second left until their deadline, and late requests would
+    take the slots of requests that are still in time.
 
     Parameters
     ----------
@@ -234,7 +234,7 @@
         job : object
             The request.
         rank : int
-            Priority rank; the lowest goes first.
+            Priority rank; the lowest is started first.
         deadline : float
             Time in milliseconds from which the request must not be started.
         due : float
--- a/packages/fuchsiagap/src/fuchsiagap/core/freshness/store_timeouts.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/freshness/store_timeouts.py
@@ -33,7 +33,7 @@
     probe_interval : float
         Between two probes of the store while a watch is open.
     initial_backoff, max_backoff : float
-        First and longest delay until a store that rejected a request is asked again.
+        First and longest delay until a store that rejected a request is queried again.
     """
 
     hedge_delay: Milliseconds
--- a/packages/fuchsiagap/src/fuchsiagap/core/freshness/store_view.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/freshness/store_view.py
@@ -1,4 +1,4 @@
-"""What a node knows of the store: epoch, position in its history, newest version.
+"""A node's view of the store: epoch, position in its history, newest version.
 
 A store that is restored from a backup begins a new epoch: it lacks what was written
 after the backup, and assigns the same revisions again. So revisions are compared only
@@ -141,7 +141,7 @@
         return True
 
     def note_version(self, cursor: Cursor, version: int, now: Milliseconds) -> None:
-        """Record the position of a version in the history, as told by another node.
+        """Record the position of a version in the history, as reported by another node.
 
         Parameters
         ----------
@@ -175,8 +175,8 @@
         """Whether a version was certainly the newest when a query was sent.
 
         A store whose version is older than this node's has lost versions, perhaps also
-        some that this node never received. A store that was just restored may have,
-        too.
+        some that this node never received. A store that was just restored may have lost
+        some as well.
 
         Parameters
         ----------
--- a/packages/fuchsiagap/src/fuchsiagap/core/placement/choice.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/placement/choice.py
@@ -15,8 +15,9 @@
 # cost of that server where it is above 1. Traffic between data centres is expensive,
 # but overloading a data centre is more so.
 REMOTE_PENALTY = 0.5
-# Fullness added to it per kilobyte of a request and its answer, and the maximum added:
-# moving small requests to another data centre frees the same capacity at a lower price.
+# Fullness added to `REMOTE_PENALTY` per kilobyte of a request and its answer, and the
+# maximum added: moving small requests to another data centre frees the same capacity at
+# a lower price.
 REMOTE_PENALTY_PER_KB = 0.15
 MAX_BYTES_PENALTY = 1.0
 _BYTES_PER_KB = 1_000.0
--- a/packages/fuchsiagap/src/fuchsiagap/core/quarantine/crash_tracker.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/quarantine/crash_tracker.py
@@ -9,8 +9,8 @@
 
 # Maximum number of unanswered requests that are remembered per server.
 _MAX_UNANSWERED = 1_024
-# An answer that was sent before a crash may be read up to this many milliseconds after
-# the end of the other connections.
+# Maximum milliseconds from the end of the other connections until an answer that was
+# sent before the crash is read.
 _LATE_READ_MS = 100.0
 
 
@@ -67,7 +67,7 @@
         fingerprint : bytes
             Fingerprint of the request.
         started : float
-            Time in milliseconds at which it was handed to the server.
+            Time in milliseconds at which it was sent to the server.
         now : float
             Time in milliseconds.
 
--- a/packages/fuchsiagap/src/fuchsiagap/core/quarantine/hold_rule.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/quarantine/hold_rule.py
@@ -37,7 +37,7 @@
 
 
 def should_hold(evidence: CrashEvidence) -> bool:
-    """Whether a request is to be kept from all servers."""
+    """Whether a request is to be withheld from all servers."""
     if evidence.crashes >= CERTAIN_CAUSE:
         return evidence.competing < _TOO_MANY_COMPETING
     if evidence.competing:
--- a/packages/fuchsiagap/src/fuchsiagap/core/quarantine/quarantine.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/quarantine/quarantine.py
@@ -144,8 +144,8 @@
     """Detects the requests that crash servers and decides which to hold, on one node.
 
     A request that crashes servers never gets an answer, so an answer on any node clears
-    it. A request that was merely in flight when servers crashed gets an answer sooner
-    or later. Requests are held once nothing else explains the crashes better. All nodes
+    it. A request that was merely in flight when servers crashed eventually gets an
+    answer. A request is held once no other cause explains the crashes better. All nodes
     exchange crashes, answers to suspects, and holds, so that they reach the same
     decisions.
 
@@ -380,6 +380,6 @@
 
 
 def _trim(table: OrderedDict[Any, Any], max_entries: int) -> None:
-    """Remove the oldest entries beyond a number."""
+    """Remove the oldest entries in excess of a maximum number."""
     while len(table) > max_entries:
         table.popitem(last=False)
--- a/packages/fuchsiagap/src/fuchsiagap/core/retries/allowance.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/retries/allowance.py
@@ -10,7 +10,7 @@
 
 
 class AllowanceExceededError(AssertionError):
-    """An allowance is inconsistent, which is a bug and never the result of a fault."""
+    """An inconsistent allowance, which indicates a bug, never a node or link failure."""
 
 
 class Allowance:
--- a/packages/fuchsiagap/src/fuchsiagap/core/retries/backend_budget.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/retries/backend_budget.py
@@ -2,10 +2,9 @@
 
 The limit applies to what reaches the servers of a service, over all nodes together.
 Each backend queue counts what reaches its own server, and owns an equal part of the
-slack. If entry nodes enforced the budget, the part of each would be next to nothing
-where there are many: at 195 nodes with 74 requests per second in total, each could
-retry 0.7 requests in ten seconds, hence none, whereas each of 13 backend queues may
-retry 9.
+slack. If entry nodes enforced the budget, the part of each would be close to zero in a
+large deployment: at 195 nodes with 74 requests per second in total, each could retry
+0.7 requests in ten seconds, hence none, whereas each of 13 backend queues may retry 9.
 
 If servers fail more often than the budget can repair, evenly spread retries complete
 hardly any call tree, and the most important ranks fare no better than the others. So
@@ -66,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryRequest:
-    """A retry that asks for budget.
+    """A retry that requests budget.
 
     Parameters
     ----------
@@ -210,7 +209,7 @@
     def _can_complete_tree(
         self, retry: RetryRequest, limit: float, failing: float
     ) -> bool:
-        """Whether the budget is enough to complete the call tree of a retry."""
+        """Whether the budget suffices to complete the call tree of a retry."""
         n_requests = sum(self._ranks.values())
         if failing < _LOW_FAILURE_RATE or not n_requests:
             return True
--- a/packages/fuchsiagap/src/fuchsiagap/core/routing/router.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/routing/router.py
@@ -153,8 +153,8 @@
         self, members: tuple[Instance, ...], now: Milliseconds
     ) -> None:
         known = self._candidates
-        # Instances known when this node starts may have run for long, so they get no
-        # slow start.
+        # Instances known when this node starts may have been running for a long time,
+        # so they get no slow start.
         started = now if known else NEVER
         self._candidates = {}
         for member in members:
@@ -242,7 +242,7 @@
         if pair is None or not (
             _is_usable(pair[0], excluded, now) and _is_usable(pair[1], excluded, now)
         ):
-            # Rare, so that the usual case does not build a list.
+            # This case is rare; the usual case does not build a list.
             usable = _usable(candidates, excluded, now)
             pair = self._two(usable)
             if pair is None:
@@ -350,7 +350,8 @@
         if isinstance(outcome, Answered):
             candidate.n_ejections = 0
         elif isinstance(outcome, Refused) and outcome.reason is Reason.LEAVING:
-            # The member list shows it only once it has spread between the nodes.
+            # The member list shows the departure only once it has spread between the
+            # nodes.
             candidate.out_until = FOREVER
 
     def _candidate(self, instance: Instance) -> Candidate | None:
--- a/packages/fuchsiagap/src/fuchsiagap/core/shedding/allocation.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/shedding/allocation.py
@@ -13,8 +13,9 @@
     from collections.abc import Sequence
 
 # Guaranteed share of each kind, relative to the share of all requests that succeeds.
-# Each kind is promised a quarter of what all callers get; what exceeds the quarter is a
-# margin for the misjudgement of an entry node within a few seconds.
+# Each kind should get at least a quarter of the success rate of all callers; the excess
+# over a quarter is a margin for estimation errors of an entry node within a few
+# seconds.
 GUARANTEED_PART = 0.3
 # Minimum share of each kind that is admitted, even if hardly any request succeeds:
 # these requests show when there is capacity again.
@@ -23,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KindLoad:
-    """Load that the requests of a kind ask for.
+    """Load that the requests of a kind offer.
 
     Parameters
     ----------
@@ -38,7 +39,7 @@
 
 
 def guaranteed_share(success_share: float) -> float:
-    """Return the share of each kind that is admitted at least.
+    """Return the minimum share of each kind that is admitted.
 
     It follows the success rate of all requests. A fixed admitted share, whatever the
     others get, would leave callers without any answer in 40 requests.
@@ -59,10 +60,11 @@
 def share_of_step(
     step: int, load_share: float, kinds: Sequence[KindLoad], guaranteed: float
 ) -> float:
-    """Return the share of requests that is admitted of the kinds of one step.
+    """Return the share of the requests of one step that is admitted.
 
     Each kind gets its guaranteed share. What remains goes to the steps in order of
-    importance: a step gets all it asks for before the next one gets more.
+    importance: the load of a step is admitted in full before the next step gets more
+    than its guaranteed share.
 
     Parameters
     ----------
--- a/packages/fuchsiagap/src/fuchsiagap/core/shedding/controller.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/shedding/controller.py
@@ -14,12 +14,13 @@
 # against 0.336 at 0.98. With failing and departing servers the scores are nearly equal
 # (0.393 and 0.392).
 TARGET_FULLNESS = 0.97
-# Milliseconds in which the admitted share follows an excess by a factor of e (integral
-# term). Admissions take effect downstream only once earlier call trees have ended, 0.5
-# to 1.2 s later. With half this time, the admitted load oscillates permanently from a
-# delay of 0.8 s on, between 0.5 and 1.7 of the capacity: call trees admitted at the
-# peaks fail, and slots are idle in the troughs. Of requests with twelve calls at 1.6
-# times the nominal load, 0.18 succeed that way and 0.50 with this value.
+# Milliseconds in which an excess by a factor of e reduces the admitted share by a
+# factor of e (integral term). Admissions take effect downstream only once earlier call
+# trees have ended, 0.5 to 1.2 s later. With half this time, the admitted load
+# oscillates permanently from a delay of 0.8 s on, between 0.5 and 1.7 of the capacity:
+# call trees admitted at the peaks fail, and slots are idle in the troughs. Of requests
+# with twelve calls at 1.6 times the nominal load, 0.18 succeed that way and 0.50 with
+# this value.
 REACTION_MS = 1_200.0
 # Share of an excess that is cut at once, before the integral term (proportional term).
 # It reduces a load of twice the capacity to 1.2 within half a second in place of 1.4,
@@ -28,7 +29,7 @@
 PROPORTIONAL_GAIN = 0.3
 # Reaction time in milliseconds once the least important kinds are down to their
 # guaranteed share: their earlier requests are still in progress, and more important
-# kinds must not be cut for them.
+# kinds must not be cut because of these.
 DEEP_REACTION_MS = 2_400.0
 # Lower bound of the fullness in the control law. It limits recovery: for nearly idle
 # services, such as after their servers stop failing, the admitted share grows by a
--- a/packages/fuchsiagap/src/fuchsiagap/core/shedding/fair_admission.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/shedding/fair_admission.py
@@ -9,13 +9,13 @@
     import random
 
 # Maximum credit and debt of a caller, and maximum of either for a kind, in requests.
-# Older arrivals and admissions say nothing about the capacity available now.
+# Older arrivals and admissions do not reflect the capacity available now.
 _MAX_CALLER_CREDIT = 2.0
 _MAX_CALLER_DEBT = 1.0
 _MAX_KIND_CREDIT = 3.0
 # Maximum distance, in requests, of a random threshold from one request. It keeps
-# clients that ask in a fixed order from being admitted at the same point of every
-# round.
+# clients that send requests in a fixed order from being admitted at the same point of
+# every round.
 _THRESHOLD_SPREAD = 0.5
 
 
@@ -40,7 +40,7 @@
     one node gets each second, so admissions are counted against the sum of the shares.
     The caller's credit and a random threshold are needed as well: with the counts
     alone, 43 of 100 callers in steady rotation get less than a quarter of their share
-    in 200 requests each, most of them nothing.
+    in 200 requests each, and most of these get none.
 
     Parameters
     ----------
--- a/packages/fuchsiagap/src/fuchsiagap/core/workspaces/grants.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/workspaces/grants.py
@@ -2,7 +2,7 @@
 
 One node owns the quota of a workspace and keeps its only token bucket; the others ask
 it for tokens. So the sum over all nodes is bounded by one bucket, whatever the nodes
-know of each other. See `docs/design/tenants.md` for the alternatives.
+know about each other. See `docs/design/tenants.md` for the alternatives.
 """
 
 from __future__ import annotations
--- a/packages/fuchsiagap/src/fuchsiagap/core/workspaces/ownership.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/workspaces/ownership.py
@@ -10,7 +10,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection, Iterable
 
-# Nodes that may own one quota; each takes over if those before it are unreachable.
+# Number of nodes that may own one quota; each takes over if those before it are
+# unreachable.
 _N_CANDIDATES = 5
 
 
@@ -55,8 +56,8 @@
         Data centres of which a node is reachable.
     reaches_own : bool
         Whether another node of its own data centre is reachable, there is none, or the
-        store answers this node. A node that reaches nobody is itself cut off, and its
-        data centre's share belongs to the other nodes there.
+        store answers this node. A node for which none of these holds is itself cut off,
+        and its data centre's share belongs to the other nodes there.
     """
     data_centres = {own, *known}
     reached = set(reachable) & data_centres
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/backend_queue/test_incarnation.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/backend_queue/test_incarnation.py
@@ -53,8 +53,9 @@
         self.assertIs(BackendState.READY, self.incarnation.report.state)
 
     def test_refuted_identifier_is_replaced_by_the_one_before(self):
-        # Without the refutation the delayed heartbeat would stand, and each heartbeat
-        # of the running server would be ignored as one of a superseded identifier.
+        # Without the refutation the delayed heartbeat would remain current, and each
+        # heartbeat of the running server would be ignored as one of a superseded
+        # identifier.
         self.incarnation.update(a_report(1))
         self.assertTrue(self.incarnation.update(a_report(90, instance="i-0")))
         self.assertFalse(self.incarnation.update(a_report(2)))
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/backend_queue/test_ranked_queue.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/backend_queue/test_ranked_queue.py
@@ -131,7 +131,7 @@
         self.assertLess(started.index("b"), 8)
 
     def test_late_nested_call_is_not_put_behind_newer_ones(self):
-        # Under overload, the requests that have cost least work are given up.
+        # Under overload, the requests that have cost least work are abandoned.
         queue = RankedQueue(1)
         queue.push("old", 2, 900.0, 10.0, 0.0, is_nested=True)
         queue.push("late root", 2, 900.0, 20.0, 0.0)
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/freshness/test_store_view_exhaustive.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/freshness/test_store_view_exhaustive.py
@@ -172,7 +172,7 @@
 
 
 def can_detect(system, view):
-    """Whether a node that hears from the store can detect that it was restored."""
+    """Whether a node that the store answers can detect that the store was restored."""
     cursor_epoch = system.epoch if view.cursor is None else view.cursor.epoch
     known_epochs = {view.epoch, view._peer_epoch, cursor_epoch} - {-1, system.epoch}
     return (
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/placement/test_choice.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/placement/test_choice.py
@@ -76,7 +76,7 @@
 
 class TestSlowness(TestCase):
     def counts(self, *targets, in_flight):
-        """Return the requests in flight at each server after placing so many."""
+        """Return the requests in flight at each server after `in_flight` choices."""
         rng = random.Random(1)
         for _ in range(in_flight):
             choose(targets, (), rng).own_in_flight += 1
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/retries/test_backend_budget.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/retries/test_backend_budget.py
@@ -3,7 +3,7 @@
 Guards against a budget that is divided among the entry nodes. With many of them each
 owned a fraction of the slack below one retry, which never allowed any: at 195 nodes
 with 5 failures in 100 requests, none of 11 retries was allowed, at 15 nodes 29 of 69.
-Requests whose answer was reset were given up after a single attempt, 367 of 483 for
+Requests whose answer was reset were abandoned after a single attempt, 367 of 483 for
 lack of budget, although the limit permitted many more retries. See the last two tests
 of `TestBound`.
 """
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/routing/a_router.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/routing/a_router.py
@@ -20,7 +20,7 @@
 
 
 class ManualClock:
-    """Clock that only advances when told to."""
+    """Clock that advances only on request."""
 
     def __init__(self):
         self.time = 0.0
--- a/packages/fuchsiagap/src/fuchsiagap/tests/core/shedding/test_allocation.py
+++ b/packages/fuchsiagap/src/fuchsiagap/tests/core/shedding/test_allocation.py
@@ -18,7 +18,7 @@
 
 
 def shares(load_share, kinds=KINDS):
-    """Return the admitted shares of kinds, the one that is shed first leading."""
+    """Return the admitted shares of kinds, starting with the one shed first."""
     return [
         round(share_of_step(kind.step, load_share, kinds, GUARANTEED), 9)
         for kind in kinds
