--- a/packages/fuchsiagap/src/fuchsiagap/core/freshness/store_timeouts.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/freshness/store_timeouts.py
@@ -29,9 +29,9 @@
     Parameters
     ----------
     hedge_delay : float
-        Until a request without an answer is hedged by a second one.
+        Delay after which a request without an answer is hedged by a second one.
     probe_interval : float
-        Between two probes of the store while a watch is open.
+        Interval between two probes of the store while a watch is open.
     initial_backoff, max_backoff : float
         First and longest delay until a store that rejected a request is queried again.
     """
--- a/packages/fuchsiagap/src/fuchsiagap/core/quarantine/crash_tracker.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/quarantine/crash_tracker.py
@@ -75,7 +75,7 @@
         -------
         str
             The crashed incarnation that ran the request, if its crash is known and the
-            request is not reported with it yet; else empty.
+            request has not been reported with it yet; else empty.
         """
         crashed = self.incarnation if self.has_crashed else ""
         if started < self._started_at:
--- a/packages/fuchsiagap/src/fuchsiagap/core/quarantine/quarantine.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/quarantine/quarantine.py
@@ -15,7 +15,8 @@
 
     from fuchsiagap.core.clock import Clock, Milliseconds
 
-    # Time of a crash, service of the server, and fingerprints of what it ran.
+    # Time of a crash, service of the server, and fingerprints of the requests that it
+    # ran.
     _CrashRecord: TypeAlias = tuple[Milliseconds, str, set[bytes]]
 
 # Crashes from which on a held request is no longer probed while clients repeat it,
--- a/packages/fuchsiagap/src/fuchsiagap/core/retries/allowance.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/retries/allowance.py
@@ -10,7 +10,7 @@
 
 
 class AllowanceExceededError(AssertionError):
-    """An inconsistent allowance, which indicates a bug, never a node or link failure."""
+    """An inconsistent allowance; it indicates a bug, never a node or link failure."""
 
 
 class Allowance:
--- a/packages/fuchsiagap/src/fuchsiagap/core/workspaces/token_cache.py
+++ b/packages/fuchsiagap/src/fuchsiagap/core/workspaces/token_cache.py
@@ -75,7 +75,7 @@
         return True
 
     def put_back(self, name: str) -> None:
-        """Return the token of a request that was not run."""
+        """Put back the token of a request that was not run."""
         held = self._of(name)
         held.tokens += 1
 
