--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/load_event.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/load_event.py
@@ -19,7 +19,7 @@
     served: ServedShares,
     now: Milliseconds,
 ) -> dict[str, object]:
-    """Return the fields of the event; empty without load and without refusals.
+    """Return the fields of the event; empty if there is neither load nor refusal.
 
     Parameters
     ----------
@@ -45,8 +45,8 @@
     if not backend_queue.load and not refusing:
         return {}
     by_route = {
-        route: (round(kind.share(), 2), round(kind.success(), 2))
-        for route, kind in served.all(now)
+        route: (round(route_shares.share(), 2), round(route_shares.success(), 2))
+        for route, route_shares in served.all(now)
     }
     ranks = {
         rank: (round(stats.arrivals), round(stats.matched))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/local_status.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/local_status.py
@@ -10,7 +10,7 @@
     from fuchsiagap_node.core.mesh.backend_queue import BackendQueue
     from fuchsiagap_node.core.mesh.config_sync import ConfigSync
 
-# Steps of a server's load, from empty to full, that a status distinguishes.
+# Number of steps, from an empty to a full server, to which a status rounds the load.
 _STEPS = 4
 # Relative change of the service time above which a new value is sent. The average of
 # some hundred widely differing times fluctuates by a tenth.
@@ -34,7 +34,7 @@
         self._service_ms = 0.0
 
     def now(self) -> Status:
-        """Return the status as it is now."""
+        """Return the current status."""
         backend_queue = self._backend_queue
         return Status(
             backend_queue.instance(),
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/member_sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/member_sync.py
@@ -24,30 +24,30 @@
     from fuchsiagap_node.core.mesh.store import MembersResult, Store
 
 # Interval between two list calls in milliseconds: the minimum, the part per listed
-# node, and the jitter as a share of the interval. Nodes that a new node links to know
-# it at once; the others discover it by a list call. A list call that may return data
-# some seconds old is the cheapest call. A watch would end at each start of another
-# node: with 204 starts among 81 nodes it took 39 calls per node in 38 s, those for the
-# configuration included. The part per node limits all nodes together to 5 list calls a
-# second.
+# node, and the jitter as a share of the interval. Nodes to which a new node opens a
+# link add it immediately; the others discover it by a list call. A list call that may
+# return data some seconds old is the cheapest call. A watch would end at each start of
+# another node: with 204 starts among 81 nodes it took 39 calls per node in 38 s, those
+# for the configuration included. The part per node limits all nodes together to 5 list
+# calls a second.
 _LIST_INTERVAL_MS = 10_000.0
 _LIST_INTERVAL_PER_NODE_MS = 200.0
 _LIST_JITTER = 0.2
 # Milliseconds after each of the first list calls of a new node. Other nodes may be new
 # as well, and missing in the list so far.
 _STARTUP_LIST_INTERVALS_MS = (1_500.0, 1_500.0, 2_000.0)
-# Milliseconds by which a list may lag behind; it may lack entries newer than this.
+# Maximum age of a list in milliseconds; entries newer than this may be missing.
 _MAX_LIST_STALENESS_MS = 8_000.0
 # Milliseconds for which an unlisted node must have been unreachable before it is
 # forgotten; the list may be older than the registration of the node.
 _FORGET_AFTER_MS = 5_000.0
 # Milliseconds without contact after which a listed node counts as dead and is removed
-# from the store. Long against a restart; a node that was only partitioned registers
+# from the store. Much longer than a restart; a node that was only partitioned registers
 # again.
 _DEAD_AFTER_MS = 60_000.0
 # Expected number of nodes that remove a dead node after one list call, if all nodes see
-# that it is dead; the others find it removed at their next list call. A fixed share of
-# one node in five made 39 calls per dead node among 195 nodes.
+# that it is dead; the others find it removed at their next list call. Removal by a
+# fixed share of one node in five took 39 calls per dead node among 195 nodes.
 _EXPECTED_REMOVERS = 3.0
 # Maximum milliseconds between two list calls while the store fails, for a node that has
 # links. A node without links uses the shorter maximum of the store timeouts, since it
@@ -136,7 +136,7 @@
                 await self._remove_dead(present)
 
     def handle_store_restored(self) -> None:
-        """React to a store that was restored from a backup.
+        """Handle the restoration of the store from a backup.
 
         The entry of this node may be gone, and entries that it removed may be back.
         """
@@ -152,7 +152,7 @@
             await self._register("returned")
 
     def _is_listed(self, present: Mapping[str, Member]) -> bool:
-        """Whether a list has this node at its current address.
+        """Whether a list contains this node at its current address.
 
         Also true shortly after a registration, which the list may not contain yet.
         """
@@ -212,7 +212,7 @@
                 if failing:
                     self._event_log.event("store-regained", what="members")
                 for entry in result.malformed:
-                    # Neither linked nor removed: its writer may need it.
+                    # Neither linked nor removed: its writer may still need it.
                     self._event_log.log_malformed_input("entry-unreadable", entry)
                 self._links.add_members(result.present.values())
                 self._links.remove_unlisted(result.present, _FORGET_AFTER_MS)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/messages.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/messages.py
@@ -12,7 +12,8 @@
 if TYPE_CHECKING:
     from fuchsiagap_node.core.mesh.outcome import Outcome
 
-# Version of the message format; raised when an earlier release would misread messages.
+# Version of the message format; incremented when an earlier release would misread
+# messages.
 PROTOCOL = 2
 # Fullness in the summary of a request that made no nested calls.
 NO_CALLS = -1.0
@@ -99,8 +100,8 @@
     time_left : float
         Milliseconds until the sender gives its caller a final response.
     slack : int
-        Milliseconds left in which the response to the root request of its call tree
-        is in time; negative once it is late.
+        Milliseconds until the response to the root request of its call tree is due;
+        negative if it is overdue.
     rank : int
         Priority rank of the root request of its call tree.
     is_nested : bool
@@ -185,14 +186,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Cancels a call."""
+    """Cancels a call.
+
+    Parameters
+    ----------
+    call_id : int
+        Identifier of the call.
+    """
 
     call_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """Requests a `Pong`, to tell an unresponsive node from an idle one."""
+    """Requests a `Pong`, to distinguish an unresponsive node from an idle one."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -251,9 +258,10 @@
     query_id : int
         Identifier of the query.
     version : int
-        Version that was known to be the newest.
+        Version of its configuration.
     age : float
-        Milliseconds from then until the reply was sent.
+        Milliseconds between the last time at which this version was known to be the
+        newest and the time at which the reply was sent.
     """
 
     query_id: int
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/metered_request.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/metered_request.py
@@ -73,7 +73,7 @@
         self._placement: Placement | None = None
 
     def start(self, quotas: Quotas) -> bool:
-        """Acquire a token; return whether there is something to cancel."""
+        """Request a token; return whether there is a wait or a placement to cancel."""
         self._quotas = quotas
         self._waiter = quotas.acquire(self.workspace, self._handle_decision)
         return self._waiter is not None or self._placement is not None
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/node.py
@@ -93,7 +93,7 @@
 _SETTINGS_CHECK_INTERVAL_MS = 1_000.0
 # Milliseconds after its start for which a node waits for another node to send the
 # quarantined requests before it sends requests of its own callers to its local backend
-# server. Other nodes, which know the quarantined requests, use that server meanwhile.
+# server. Meanwhile, other nodes, which have the quarantine state, use that server.
 _SNAPSHOT_WAIT_MS = 1_000.0
 # Milliseconds before a background task that failed is restarted.
 _RESTART_DELAY_MS = 500.0
@@ -116,7 +116,7 @@
     clock : Clock, optional
         Clock of the process; by default that of the running event loop.
     reload : callable, optional
-        Returns the current settings, or a message why they are invalid.
+        Returns the current settings, or an error message if they are invalid.
     rng : random.Random, optional
         Breaks ties, and spreads actions that nodes would otherwise take at the same
         time; by default unseeded.
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/outbound_link.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/outbound_link.py
@@ -42,8 +42,8 @@
 
 # Downstream summary of a call that gets no reply.
 _NO_DOWNSTREAM_INFO = DownstreamSummary(NO_CALLS, 0)
-# Milliseconds to open a link: ten round trips between regions and a reserve for a busy
-# host.
+# Timeout for opening a link, in milliseconds: ten round trips between regions and a
+# reserve for a busy host.
 _CONNECT_TIMEOUT_MS = 1_000.0
 # Milliseconds between two attempts to connect, doubled after each up to the maximum.
 _RECONNECT_DELAY_MS = 150.0
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """Announcement of a node.
+    """Identity and address of a node.
 
     Parameters
     ----------
@@ -121,7 +121,7 @@
     on_report : callable
         Called with a report of requests that crash backend servers.
     on_staleness : callable
-        Called with the age of the configuration that the node knows.
+        Called with the staleness of the node's configuration and the node's name.
     on_token_grant : callable
         Called with tokens that the node grants from a quota that it owns.
     on_open : callable
@@ -370,7 +370,7 @@
 
 
 def _never_received() -> Milliseconds:
-    """Return that no data arrived from the node."""
+    """Return the time of the last data if none has arrived."""
     return float("-inf")
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/outbound_links.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/outbound_links.py
@@ -71,7 +71,7 @@
     on_link : callable
         Called with each new link before it is opened.
     n_changes : int
-        Counts the changes of the set of known nodes.
+        Number of changes of the set of known nodes so far.
     """
 
     def __init__(
@@ -142,7 +142,7 @@
         self.add_members([member])
 
     def add_members(self, members: Iterable[Member]) -> None:
-        """Add nodes, and link those of them that this node is to be linked to."""
+        """Add nodes, and open the links to them that this node needs."""
         new_members = [m for m in members if self._is_new(m)]
         for member in new_members:
             self._drop_link(member.node)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/placement.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/placement.py
@@ -190,7 +190,7 @@
         return isinstance(last, Answered) or last.reason not in _UNREACHED_REASONS
 
     def _notify_parent(self, failed: bool) -> None:
-        """Record at the request that made this call how the call ended."""
+        """Record the end of this nested call at its parent request."""
         parent = self._pending_parent
         if parent is not None:
             parent.open_calls -= 1
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/poller.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/poller.py
@@ -26,8 +26,8 @@
 
 # Maximum number of events from one wait, in addition to those of trio's own tasks.
 _MAX_EVENTS_PER_WAIT = 64
-# Placeholder event for callbacks that ran in a wait. Trio takes a wait without events
-# for an idle one, in which a virtual clock would jump.
+# Placeholder event for callbacks that ran in a wait. Trio treats a wait that returns
+# no events as idle, and a virtual clock would then jump ahead.
 _CALLBACKS_RAN = (-1, 0)
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/quota_owners.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/quota_owners.py
@@ -14,12 +14,12 @@
     from fuchsiagap_node.core.mesh.outbound_link import Member
     from fuchsiagap_node.core.mesh.outbound_links import OutboundLinks
 
-# Milliseconds that a node is given to open its link or to answer, before the next
+# Milliseconds within which a node must open its link or answer; after that, the next
 # candidate counts as the owner.
 _REACH_TIMEOUT_MS = 500.0
 # Milliseconds without a message after which a node is pinged.
 _PING_AFTER_MS = 300.0
-# Nodes of each data centre that are checked to tell whether it is reachable.
+# Nodes of each data centre that are checked to determine whether it is reachable.
 _PROBED_PER_DATA_CENTRE = 3
 
 
@@ -60,7 +60,7 @@
         return self._own.node
 
     def owner(self, workspace: str) -> str | None:
-        """Return the owner of a workspace's quota; None if this node cannot tell.
+        """Return the owner of a workspace's quota; None if it is undetermined.
 
         A node that is partitioned from all others reaches no candidate before itself
         and would count as the owner. It must not take over the quota.
@@ -107,7 +107,7 @@
         return order
 
     def _is_up(self, node: str) -> bool:
-        """Whether a node is reachable, or its time to answer has not passed yet."""
+        """Whether a node is reachable, or still has time left to answer."""
         if node == self._own.node:
             return True
         link = self._links().ensure_link(node)
@@ -122,7 +122,7 @@
             self._unconfirmed_since[node] = since = now
             link.post(Ping())
         elif link.is_open() and link.reached_at >= since:
-            # It has answered since, and has been quiet again.
+            # It has sent data since that check, and has been silent again.
             self._unconfirmed_since[node] = since = now
             link.post(Ping())
         return now - since < _REACH_TIMEOUT_MS
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/quotas.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/quotas.py
@@ -68,7 +68,7 @@
     on_decision : callable
         Called once with the decision, unless the request is cancelled.
     expires_at : float
-        Time at which the wait ends.
+        Local time in milliseconds at which the wait ends.
     is_decided : bool
         Whether the decision was made, or the caller has disconnected.
     """
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/settings.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/settings.py
@@ -55,7 +55,7 @@
     revocation : float or None
         From the acknowledgement of a configuration that revokes an API key until no
         node admits a request with that key, whether the node is partitioned or not.
-        None: partitioned nodes keep using the keys that they know.
+        If None, partitioned nodes continue to accept the keys that they have.
     """
 
     stop: Milliseconds = 6_000.0
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/staleness_exchange.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/staleness_exchange.py
@@ -25,8 +25,9 @@
 _URGENT_AT_SHARE = 0.4
 # Share of the revocation bound by which keys are refused early, to cover clock drift.
 _CLOCK_MARGIN_SHARE = 0.05
-# Milliseconds after which a query without a reply is dropped, to bound the memory. A
-# later reply would be as stale as it is late, and so of little use.
+# Milliseconds after which a query without a reply is dropped, to bound the memory. The
+# delay of a reply adds to the staleness that it confirms, so a later one is of little
+# use.
 _QUERY_TIMEOUT_MS = 2_000.0
 
 
@@ -124,8 +125,8 @@
     def handle_reply(self, reply: StalenessReply, node: str) -> None:
         """Confirm the configuration by the reply of another node.
 
-        The staleness in the reply counts from the time of this node's query. So delays
-        of the query, the reply or either host raise the result, and never lower it.
+        The staleness in the reply counts from the time of this node's query. Delays of
+        the query, the reply or either host can therefore only raise the result.
         """
         asked_at = self._pending_queries.pop(reply.query_id, None)
         if asked_at is None:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/store.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/store.py
@@ -115,14 +115,14 @@
         ----------
         linearizable : bool
             Whether to read the newest version; otherwise the result may be some
-            seconds old, at a lower price.
+            seconds old, at a lower cost.
         """
 
     async def watch_config(self, cursor: Cursor, wait: Milliseconds) -> ConfigResult:
         """Wait up to `wait` milliseconds for a change after the cursor."""
 
     async def probe(self, node: str) -> ProbeResult:
-        """Check whether a node's entry exists, by the cheapest request of the store."""
+        """Check by the store's cheapest request whether a node's entry exists."""
 
     def decode_config(self, cursor: Cursor, text: bytes) -> StoredConfig | None:
         """Decode a configuration from another node; None if it is malformed."""
@@ -134,11 +134,11 @@
         ----------
         linearizable : bool
             Whether to read the newest list; otherwise the result may be some
-            seconds old, at a lower price.
+            seconds old, at a lower cost.
         """
 
     async def register(self, member: Member) -> StoreFailed | None:
-        """Register this node."""
+        """Register a node."""
 
     async def deregister(self, node: str) -> StoreFailed | None:
         """Remove the entry of a node."""
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/store_probe.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/store_probe.py
@@ -1,4 +1,4 @@
-"""Liveness probes of the store, at a tenth of the price of other requests."""
+"""Liveness probes of the store, at a tenth of the cost of other requests."""
 
 from __future__ import annotations
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/stream.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/stream.py
@@ -265,7 +265,7 @@
         Parameters
         ----------
         probes : KeepaliveProbes
-            When to probe, and when to give up.
+            When to send probes, and after how many unanswered ones to reset.
         """
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
         for option, value in (
@@ -378,7 +378,7 @@
 
 
 def _accept_pending(sock: socket.socket, take: Callable[[Stream], None]) -> bool:
-    """Accept all pending connections; False if file descriptors have run out."""
+    """Accept all pending connections; return False if descriptors have run out."""
     while True:
         try:
             conn, _ = sock.accept()
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/watcher_role.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/mesh/watcher_role.py
@@ -97,11 +97,11 @@
         return _WATCHERS if has_enough_remote else _WATCHERS_ISOLATED
 
     def is_first(self) -> bool:
-        """Whether this node is to watch as long as all nodes learn of changes."""
+        """Whether this node is to watch when every node has a source of changes."""
         return self.current_rank().is_first(self.n_watchers())
 
     async def wait(self, is_urgent: Callable[[], bool]) -> None:
-        """Wait until this node is to watch, or must ask the store without delay."""
+        """Wait until this node is to watch, or must query the store without delay."""
         self._may_ask = trio.Event()
         self.refresh(is_urgent)
         await self._may_ask.wait()
@@ -112,7 +112,7 @@
         Parameters
         ----------
         is_urgent : callable
-            Returns whether this node must ask the store whatever its rank.
+            Returns whether this node must query the store regardless of its rank.
         """
         rank = self.current_rank()
         if is_urgent():
@@ -141,7 +141,7 @@
             self.set_update_source(UpdateSource.STORE)
 
     def defer_to_others(self) -> bool:
-        """Return whether a higher-ranked node is to ask a store that answers again.
+        """Return whether to leave a recovered store to higher-ranked nodes.
 
         If so, this node stops counting as a watcher.
         """
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_nested_call_failures.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_nested_call_failures.py
@@ -71,8 +71,9 @@
         self.assertEqual((0.0, 0.0), (pages, orders))
 
     def test_call_that_reaches_no_server_counts_at_the_calling_server(self):
-        # Its host is cut off from the service. Callers have to see that, and use
-        # another server or refuse requests that would fail.
+        # The host of the calling server has no path to the service. Its callers have
+        # to see these failures, and use another server or refuse requests that
+        # would fail.
         async def main():
             async with a_deployment(*ROUTES) as deployment:
                 pages, orders = (deployment.add(r.name) for r in ROUTES[:2])
@@ -107,7 +108,8 @@
                     for hosts in (pages, orders, stock)
                 ]
 
-        # With retries at each hop, within the retry budgets, it would be 4, 5 and 9.
+        # With retries at each hop, within the retry budgets, the servers would get
+        # 4, 5 and 9 requests.
         self.assertEqual([3, 3, 6], run_in_memory(main))
 
     def test_failure_without_a_nested_call_counts_at_the_server(self):
@@ -116,8 +118,8 @@
         self.assertGreater(stock, 0.5)
 
     def test_failing_server_without_load_causes_no_refusals(self):
-        # Two hops above a service of which one of two servers fails. The whole load
-        # takes eight of the ten slots of the other server.
+        # Requests enter two hops above a service of which one of two servers fails.
+        # The whole load takes eight of the ten slots of the other server.
         service = SimulatedService(n_servers=2, hops=2)
         route = a_route("read", priority=2)
         service.targets[0].failing = 0.9
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_poller.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_poller.py
@@ -45,7 +45,7 @@
                     there.send(b"x")
                 await trio.sleep(0.01)
                 nursery.cancel_scope.cancel()
-            # Data that arrives after the end wakes nothing and delays nothing.
+            # Data that arrives after the pollers ended wakes no task and delays none.
             pairs[0][1].send(b"y")
             await trio.sleep(0.01)
             return got
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_resets.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_resets.py
@@ -1,7 +1,7 @@
 """Callers whose connection is reset during a non-idempotent request.
 
 Guards against duplicate effects: after a reset a user repeats the action, and the
-record shows two cycle starts, or two certificates of which nobody knows the valid one.
+record shows two cycle starts, or two certificates of which the valid one is unknown.
 Each attempt runs at most once, whatever happens to its connection. An attempt that is
 still queued when its caller disconnects never runs; one that is running is not
 cancelled, and its outcome is unknown to the caller. A repeated action is a new attempt
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_revocation.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_revocation.py
@@ -139,7 +139,8 @@
                 await trio.sleep(6.0)
                 again = deployment.restart(near)
                 await trio.sleep(2.0)
-                # It gets the configuration from the other node, but no confirmation.
+                # It gets the configuration from the other node, but no confirmation
+                # that this is the newest version.
                 return again.node.is_ready(), await self.status_of(again)
 
         self.assertEqual((True, 503), run_in_memory(main))
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_suspension.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_suspension.py
@@ -29,7 +29,7 @@
         self.clock = Clock(self._now, lambda: 0.0, self._catch_up)
 
     def suspend(self, duration):
-        """Simulate a suspension of the host that ends now, in milliseconds."""
+        """Simulate a suspension of `duration` milliseconds that ends now."""
         self._ahead += duration
 
     def _now(self):
@@ -41,7 +41,7 @@
 
 
 def time_left(server):
-    """Return the milliseconds left that the last request at a server states."""
+    """Return the ``Time-Left`` of the last request at a server, in milliseconds."""
     for line in server.heads[-1].headers.split(b"\r\n"):
         if line.startswith(b"Time-Left: "):
             return int(line.removeprefix(b"Time-Left: "))
@@ -115,7 +115,7 @@
             async with a_deployment(a_route("read", timeout=9_000.0)) as deployment:
                 near, far, ahead = await two_hosts(deployment)
                 link = next(iter(near.node._links))
-                # Its node announces that only at its next tick, or on a new link.
+                # Its node reports the drain only at its next tick, or on a new link.
                 far.node.backend_queue.leaving = True
                 ahead.suspend(2_000.0)
                 await trio.sleep(0.02)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_watching.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_watching.py
@@ -2,9 +2,10 @@
 
 Store calls are billed. If every node watches, each change ends all watches, each start
 adds reads of the configuration and of all members, and each node that the store rejects
-keeps asking by itself. The number of calls then grows with nodes times changes, and
-with starts: 195 nodes with 421 starts and three changes in a day made 4,184 calls, the
-largest cost of that day. The counter `store_calls` shows the calls by kind and cause.
+keeps querying it on its own. The number of calls then grows with nodes times changes,
+and with starts: 195 nodes with 421 starts and three changes in a day made 4,184 calls,
+the largest cost of that day. The counter `store_calls` shows the calls by kind and
+cause.
 """
 
 import trio
@@ -69,8 +70,8 @@
             await trio.sleep(60.0)
 
         small, large = self.call_cost(12, stay_idle), self.call_cost(60, stay_idle)
-        # A list call costs a tenth of a call; the list calls of all nodes cost up to
-        # 0.5 calls per second, which 50 nodes reach.
+        # A list call costs a tenth of another call; the list calls of all nodes cost up
+        # to 0.5 other calls per second, which 50 nodes reach.
         self.assertLess(large - small, 60.0 * 0.5)
 
     def test_store_that_rejects_all_nodes_is_not_asked_by_all(self):
@@ -96,8 +97,8 @@
             await trio.sleep(ADOPTION_LIMIT_S)
             self.assertEqual({2}, active_versions(hosts))
 
-        # Each node asks about once; the highest-ranked one of each data centre retries,
-        # rarely.
+        # Each node queries the store about once; only the highest-ranked node of each
+        # data centre retries, at long intervals.
         self.assertLess(self.call_cost(36, reject), 24 * 4.0)
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_workspaces.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/mesh/test_workspaces.py
@@ -21,7 +21,7 @@
 async def two_hosts(deployment, *workspaces, **settings):
     """Add a host of another service and one of the called service; return both.
 
-    The workspaces are configured, and both nodes know the keys.
+    The workspaces are configured, and both nodes have adopted their keys.
     """
     deployment.put_config(KEYED, PUBLIC, workspaces=workspaces)
     near = deployment.add("bookings", **settings)
