--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/calls.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/calls.py
@@ -23,8 +23,8 @@
     head : CallHead
         Head of the call.
     allowance : Allowance
-        Extra attempts left for the child calls. Each child takes a share and returns
-        the unused part.
+        Extra attempts left for the child calls. Idempotent children take them from
+        here; a non-idempotent one gets a share and returns the unused part.
     has_refused_child : bool
         Whether a child call was refused.
     """
@@ -35,7 +35,7 @@
     _ordinals: ChildOrdinals = field(default_factory=ChildOrdinals)
 
     def next_child_key(self, given: str, service: ServiceName, route: str) -> str:
-        """Return the key of the next child call; one without a given key is counted.
+        """Return the key of the next child call; count the call if `given` is empty.
 
         Parameters
         ----------
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/callpath/home.py
@@ -232,7 +232,7 @@
 def check_not_started(state: NodeState, ticket: Ticket) -> None:
     """Report a violation if the root request of a burnt ticket was started here.
 
-    Callers are told that the request of a burnt ticket was not run.
+    The response for a burnt ticket states that its request was not run.
 
     Parameters
     ----------
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/config.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/config.py
@@ -187,11 +187,12 @@
     def with_addresses(self, callers: str, peers: str, admin: str) -> NodeConfig:
         """Return the same settings with the bound addresses.
 
+        An address differs from the one in the settings only if that has port 0.
+
         Parameters
         ----------
         callers : str
-            Bound ``IP:PORT`` of the listener for callers. Each address differs from the
-            file only where that has port 0.
+            Bound ``IP:PORT`` of the listener for callers.
         peers : str
             Bound ``IP:PORT`` of the listener for peers.
         admin : str
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/takeover.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/drain/takeover.py
@@ -121,7 +121,7 @@
         return f"{state.node} is not the home of {msg.life}"
     record = window.records.get(run_key(msg.sequence, msg.child_key))
     if record is None or not record.is_remote or record.outcome is not None:
-        # The record, if any, has its outcome or is of a run that this node started.
+        # No such run is known, it was started here, or its outcome is already recorded.
         return "no handed-over run with this key is in progress"
     record.burn |= msg.burn
     window.finish(record, msg.outcome)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/http_client.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/edges/http_client.py
@@ -163,7 +163,7 @@
         -------
         ClientResponse, NotSent, InvalidRequest, NoResponse or ResponseTooLarge
             `NotSent` and `InvalidRequest` only if no byte was written. Cancelling
-            closes the connection, which tells the server that the request is cancelled.
+            closes the connection, so that the server can abort the request.
         """
         http = h11.Connection(h11.CLIENT)
         try:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/neighbours.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/neighbours.py
@@ -53,7 +53,10 @@
 def in_data_centre(
     membership: Membership, data_centre: str, count: int
 ) -> tuple[Member, ...]:
-    """Return a few nodes of another data centre, the same while they are live."""
+    """Return the next `count` nodes on the first ring of another data centre.
+
+    The result stays the same while these nodes are live.
+    """
     nodes = membership.rings.after(data_centre, 0, membership.name)
     members = (membership.get(node) for node in islice(nodes, count))
     return tuple(member for member in members if member is not None)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/probe.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/probe.py
@@ -20,7 +20,8 @@
     from fuchsiagap.core.membership.member import Member
     from fuchsiagap_node.core.state import NodeState
 
-# In probe timeouts: a helper's own probe takes one, and its report has to return.
+# Time limit of direct and indirect probes together, in probe timeouts: one for the
+# probe that a helper makes, and the rest for its report to return.
 _INDIRECT_TIMEOUT_FACTOR = 1.5
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/gossip/sync.py
@@ -14,9 +14,9 @@
     from fuchsiagap.core.membership.member import Member
     from fuchsiagap_node.core.state import NodeState
 
-# Records that a reply may carry.
+# Maximum number of records in a reply.
 _MAX_MEMBERS = 256
-# Requests for one sync.
+# Maximum number of requests in one sync.
 _MAX_ROUNDS = 256
 _TIMEOUT_S = 1.0
 _DEAD_CONTACTS_PER_INTERVAL = 3.0
@@ -74,7 +74,7 @@
         reply = await _request(state, address)
         if reply is None:
             return False
-        # A joining node does not pass on records, as its neighbours know them already.
+        # A joining node does not pass on records, as its neighbours have them already.
         membership.merge(reply.members, reply.node, spread=membership.joined)
         await _send_newer(state, address, reply)
         if len(reply.buckets) >= reply.n_differing:
@@ -134,7 +134,7 @@
 
 
 def _sync_addresses(state: NodeState) -> list[str]:
-    """Return the addresses to sync with now; one that replies is enough."""
+    """Return the addresses to try for a sync, which ends at the first success."""
     membership = state.membership
     differing = map(membership.get, membership.contacts.take_mismatches())
     found = [member.address for member in differing if member is not None]
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/member_digest.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/member_digest.py
@@ -2,8 +2,9 @@
 
 Each node writes an announcement of itself. A few nodes of each data centre, its
 relays, write a digest of its live members, only when it changed and at a bounded rate.
-Each node computes the relays from its own view of the members. While views differ, more
-or other nodes write, which is harmless since updates of a digest are conditional.
+Each node computes the relays from its own view of the members. While views differ,
+additional or different nodes write, which is harmless since updates of a digest are
+conditional.
 """
 
 from __future__ import annotations
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/node.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/node.py
@@ -55,8 +55,8 @@
 # Gate steps without calls after which `_IDLE_INTERVAL_FACTOR` applies.
 _STEPS_BEFORE_IDLE = 50
 _IDLE_INTERVAL_FACTOR = 5.0
-# Bounds the wait for replies to a peer that no longer reads, so that the shutdown
-# completes.
+# Limits the wait for replies to be sent, so that a peer that no longer reads cannot
+# block the shutdown.
 _REPLIES_TIMEOUT_S = 10.0
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/conn.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/peers/conn.py
@@ -39,7 +39,8 @@
 _LOG = logging.getLogger(__name__)
 # Limit on a message in fragments, and on all buffered fragments of a link together.
 MAX_MESSAGE_BYTES = 80 * 1024 * 1024
-# Cancelled requests of a link whose ids are kept for a late reply.
+# Maximum number of cancelled requests of a link whose ids are kept, so that a late
+# reply can be attributed to its call.
 _MAX_ABANDONED = 1_000
 _MAX_QUEUED_MESSAGES = 1_024
 
@@ -370,7 +371,7 @@
             self._running.pop(number, None)
 
     async def _handle(self, msg: object) -> object | None:
-        """Return the reply, or None for an empty reply if no handler gave one."""
+        """Return the handler's reply; None if there is no handler or it failed."""
         handler = self.wire.handlers.request_handlers.get(type(msg))
         if handler is None:
             self.wire.count("unexpected_ask")
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/outcome.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/outcome.py
@@ -113,7 +113,7 @@
     ----------
     change_id : str
         Id for a repeat of the request. A repeat with the same id and the same text
-        finds out the result and cannot take effect a second time.
+        returns the result and cannot take effect a second time.
     detail : str
         Human-readable reason.
     expected_version : int
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/spread.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/spread.py
@@ -2,7 +2,7 @@
 
 An announcement carries versions only. A node fetches a missing text from the first
 node that announces it, so each text is sent to each node about once. The comparison
-with a random node finds whatever was lost.
+with a random node finds versions whose announcement or text was lost.
 """
 
 from __future__ import annotations
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/watch.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/watch.py
@@ -41,7 +41,7 @@
 BOOTSTRAP_INTERVAL: Milliseconds = 200.0
 BOOTSTRAP_PEER_TIMEOUT: Milliseconds = 1_500.0
 MAX_BOOTSTRAP_PEER_TIMEOUT: Milliseconds = 10_000.0
-# Multiple of the timeout after which a node that is no watcher reads the platform.
+# Multiple of the timeout after which a node that is not a watcher reads the platform.
 NON_WATCHER_TIMEOUT_FACTOR = 4.0
 
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/write.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/settings/write.py
@@ -270,9 +270,9 @@
 def _settle_conflict(
     state: NodeState, change: _Change, current: StoredObject | None, replaced: int
 ) -> WriteResult:
-    """Return the result of a write that met another version than expected.
+    """Return the result of a write that was rejected by a version conflict.
 
-    The current object may hold this very change, from an earlier attempt.
+    The current object may already hold this change, from an earlier attempt.
     """
     if current is None:
         # The object existed before: the platform has lost it and its version.
@@ -286,7 +286,7 @@
 ) -> Accepted | Conflict | None:
     """Return the result of this change if it took effect before, else None.
 
-    The id of an earlier change with another text is a conflict.
+    The id of an earlier change with another action or text is a conflict.
     """
     found = _read(current).find(change.change_id, current.version)
     if found is None:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/state.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/state.py
@@ -64,7 +64,7 @@
     tickets : Tickets
         Tickets whose home is this node.
     telemetry : Telemetry
-        Events, counters and histograms.
+        Events, metrics and reports of violations.
     backend : BackendServer
         The backend server on this host.
     platform : Platform
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/codec.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/codec.py
@@ -115,7 +115,7 @@
 
 
 def from_array(value: Any) -> object | MalformedFrame:
-    """Convert plain values to a message; return why if that is impossible."""
+    """Convert plain values to a message; return the reason if they do not match."""
     try:
         return _read_tagged(value)
     except _ShapeError as exc:
@@ -158,7 +158,7 @@
 
 
 def load_cbor(frame: bytes) -> Any | MalformedFrame:
-    """Return the plain values of a CBOR frame, or why it cannot be decoded."""
+    """Return the plain values of a CBOR frame, or the reason if it is malformed."""
     try:
         return cbor2.loads(frame)
     except (cbor2.CBORDecodeError, ValueError, RecursionError, TypeError) as exc:
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/messages_settings.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/messages_settings.py
@@ -51,7 +51,7 @@
     Parameters
     ----------
     texts : tuple of TeamText
-        Requested texts that are newer than the known versions; at least one of them.
+        Requested texts that are newer than the known versions; at least one if any is.
     more : bool
         Whether further ones were left out because of their size.
     """
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/messages_ticket.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/core/wire/messages_ticket.py
@@ -109,7 +109,7 @@
     detail : str
         Human-readable reason if it was not.
     node : str
-        Name of the receiver.
+        Name of the replying node.
     """
 
     accepted: bool
