--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/dispatch_fleet.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/callpath/dispatch_fleet.py
@@ -65,7 +65,7 @@
     """Nodes by name, with injected failures.
 
     Tests set `refuse`, which returns the reason of a refusal or None; `lose`, which
-    returns "before" for a message to be lost and "after" for a lost reply; and
+    returns "before" to lose the message and "after" to lose the reply; and
     `program`, which backend servers run.
     """
 
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/drain/test_stopping.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/drain/test_stopping.py
@@ -154,7 +154,7 @@
             ended = fleet.request_drain("certs-0")
             left = MemberState.LEFT
             await fleet.until(lambda: node.membership.self_member.state is left)
-            # Stands for a ticket settlement that another node is slow to answer.
+            # Simulates a ticket settlement that another node is slow to answer.
             node.calls.n_responding += 1
             await trio.sleep(2.0)
             self.assertFalse(ended.is_set())
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_backend_http.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_backend_http.py
@@ -20,7 +20,7 @@
 
 
 class _Server:
-    """Server that sends the next of its replies to each received piece of data."""
+    """Server that answers each received chunk with the next of its replies."""
 
     def __init__(self, *replies: bytes, then_close: bool = False) -> None:
         self.replies = list(replies)
@@ -111,7 +111,7 @@
             body = b"x" * 50_000_000
             for is_reused in (False, True):
                 if is_reused:
-                    # The next connection is kept alive and closes in its second use.
+                    # The next connection is kept alive and closes on its second use.
                     server.replies = [_OK, b""]
                     outcome = await backend.send(a_head(), b"", 5_000.0)
                     self.assertIsInstance(outcome, Answered)
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_http_server.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/edges/test_http_server.py
@@ -24,7 +24,7 @@
 
 _HEADER_BYTES = 2048
 _BODY_BYTES = 10_000
-# Limit of the bodies of all open requests together.
+# Limit in bytes on the bodies of all open requests together.
 _OPEN_BYTES = 15_000
 _VALID_REQUEST = b"GET /ok HTTP/1.1\r\nhost: a\r\n\r\n"
 _POST = b"POST /ok HTTP/1.1\r\nhost: a\r\n"
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/gossip/test_failures.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/gossip/test_failures.py
@@ -119,8 +119,8 @@
                 await fleet.until(fleet.agree, CONVERGENCE_MS)
                 await trio.sleep(5.0)
                 self.assertTrue(fleet.agree())
-                # It announces nodes it did not hear from as dead; no other node drops
-                # them.
+                # The resumed node announces as dead those that it did not hear
+                # from; the other nodes do not drop them.
                 self.assertEqual([], lost)
                 incarnations = {
                     n.membership.get("certs-b1").incarnation for n in others
--- a/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/settings/test_sync.py
+++ b/packages/fuchsiagap-node/src/fuchsiagap_node/tests/core/settings/test_sync.py
@@ -93,7 +93,7 @@
                 for s in fleet.nodes.values()
             )
         )
-        # Nodes that were alone at first stop watching once they know the others.
+        # Nodes that started alone stop watching once they have found the others.
         await trio.sleep(1)
 
     def test_a_change_takes_effect_everywhere_within_seconds(self) -> None:
@@ -133,7 +133,7 @@
             watching = {s.node for s in states if s.book.sync_status.watching}
             fleet.store.set_cut_off(watching)
             await trio.sleep(0.1)
-            # Other nodes may watch already, but none that is cut off does.
+            # Other nodes may watch already, but none without platform access does.
             now = {s.node for s in states if s.book.sync_status.watching}
             self.assertEqual(set(), watching & now)
             version = await write_directly(fleet, make_text(2))
